--- a/bench/ConfigurationBench.cpp
+++ b/bench/ConfigurationBench.cpp
@@ -208,8 +208,8 @@
 static void claimRunRecords(benchmark::State &State) {
   Fixture F;
   RunRecordSettings R;
-  R.Writer = "bench";
-  R.Patience = 10s;
+  R.WriterId = "bench";
+  R.ClaimTimeout = 10s;
   RunRecordWriter Writer(R, {F.Store.address(), 5s, 500ms}, F.Budget,
                          Clock::steady());
   const auto InFlight = static_cast<std::size_t>(State.range(0));
--- a/bench/CrashBookBench.cpp
+++ b/bench/CrashBookBench.cpp
@@ -1,4 +1,4 @@
-#include "Placement/CrashBook.h"
+#include "Placement/CrashRegistry.h"
 #include "Placement/RouterMessages.h"
 
 #include <benchmark/benchmark.h>
@@ -12,15 +12,15 @@
 }
 
 /// Remembered requests with one crash each, and as many refused ones.
-CrashBook filled(std::int64_t Suspects, std::int64_t Refused) {
-  CrashBook Book;
+CrashRegistry filled(std::int64_t Suspects, std::int64_t Refused) {
+  CrashRegistry Book;
   for (std::int64_t I = 0; I < Suspects + Refused; ++I)
     for (std::uint64_t Crash = 0; Crash < (I < Refused ? 3U : 1U); ++Crash)
-      Book.note({request(static_cast<std::uint64_t>(I)),
-                 {static_cast<std::uint64_t>(I) * 3 + Crash, 0},
-                 false,
-                 0},
-                TimePoint{});
+      Book.record({request(static_cast<std::uint64_t>(I)),
+                   {static_cast<std::uint64_t>(I) * 3 + Crash, 0},
+                   false,
+                   0},
+                  TimePoint{});
   return Book;
 }
 
@@ -38,41 +38,41 @@
   for (auto Unused : State) {
     (void)Unused;
     benchmark::DoNotOptimize(
-        sketchOf({"account", "host", "POST", "/path", Body}));
+        shortHashOf({"account", "host", "POST", "/path", Body}));
   }
 }
 
 /// What a request costs that is under no suspicion.
 void ask(benchmark::State &State) {
-  const CrashBook Book = filled(State.range(0), 16);
+  const CrashRegistry Book = filled(State.range(0), 16);
   std::uint32_t Sketch = 0;
   for (auto Unused : State) {
     (void)Unused;
-    benchmark::DoNotOptimize(Book.mayKnow(++Sketch | 0x80000000U));
+    benchmark::DoNotOptimize(Book.mayContain(++Sketch | 0x80000000U));
   }
 }
 
 /// A third crash of one more request.
 void refuse(benchmark::State &State) {
-  CrashBook Book = filled(State.range(0), State.range(1));
+  CrashRegistry Book = filled(State.range(0), State.range(1));
   std::uint64_t Server = 1U << 30U;
   const RequestIdentity Culprit = request(1U << 30U);
   for (auto Unused : State) {
     (void)Unused;
     for (int Crash = 0; Crash < 3; ++Crash)
-      Book.note({Culprit, {++Server, 0}, false, 0}, TimePoint{});
+      Book.record({Culprit, {++Server, 0}, false, 0}, TimePoint{});
     benchmark::DoNotOptimize(Book.clear(Culprit, TimePoint{}));
   }
 }
 
 /// One message of news, encoded and read.
 void tell(benchmark::State &State) {
-  CrashBook Book = filled(State.range(0), 16);
+  CrashRegistry Book = filled(State.range(0), 16);
   std::size_t Bytes = 0;
   for (auto Unused : State) {
     (void)Unused;
     const std::string Datagram =
-        encodeMessages({CrashNews{{}, false, Book.nextToTell(30, {})}});
+        encodeMessages({CrashReport{{}, false, Book.nextFacts(30, {})}});
     Bytes = Datagram.size();
     benchmark::DoNotOptimize(decodeMessages(Datagram));
   }
--- a/bench/GatewayTryBench.cpp
+++ b/bench/GatewayTryBench.cpp
@@ -31,7 +31,7 @@
   Route.Kind = RequestKind::Stream;
   Route.Targets = {{Service, 1}};
   Route.Timeout = 4s;
-  Route.Objective = 500ms;
+  Route.LatencyObjective = 500ms;
   Made.Routes = {Route};
   Made.Services[Service].Name = Service;
   return Made;
@@ -53,7 +53,7 @@
         std::make_shared<GatewayConfiguration>(configuration());
     View->Servers = Servers;
     View->ProvenAt = Clock::sinceBoot().now() + 1h;
-    this->Front->takeView(View);
+    this->Front->updateView(View);
     this->Worker = std::thread([this] { this->Front->run(); });
     std::this_thread::sleep_for(150ms);
   }
--- a/bench/ProgramLoaderBench.cpp
+++ b/bench/ProgramLoaderBench.cpp
@@ -78,8 +78,9 @@
     (void)Unused;
     Held[Turn++ % Held.size()] = Each.next(true);
   }
-  State.counters["in_place"] = static_cast<double>(Each.Updater.madeInPlace()) /
-                               static_cast<double>(State.iterations());
+  State.counters["in_place"] =
+      static_cast<double>(Each.Updater.inPlaceUpdates()) /
+      static_cast<double>(State.iterations());
 }
 
 void indexKeys(benchmark::State &State) {
--- a/lab/Engine.cpp
+++ b/lab/Engine.cpp
@@ -4,46 +4,48 @@
 
 namespace parsleywing::lab {
 
-void Engine::admit(EngineWork Work, Milliseconds Now) {
+void Engine::submit(EngineRequest Work, Milliseconds Now) {
   this->Waiting.push_back(std::move(Work));
-  if (!this->StepEnds)
-    this->beginStep(Now);
+  if (!this->StepEndsAt)
+    this->startStep(Now);
 }
 
-void Engine::cancel(const AskId &Id) {
+void Engine::cancel(const CorrelationId &Id) {
   std::erase_if(this->Waiting,
-                [&Id](const EngineWork &Each) { return Each.Id == Id; });
-  std::erase_if(this->Batch, [this, &Id](const Running &Each) {
-    if (!(Each.Work.Id == Id))
+                [&Id](const EngineRequest &Each) { return Each.Id == Id; });
+  std::erase_if(this->Batch, [this, &Id](const RunningRequest &Each) {
+    if (!(Each.Request.Id == Id))
       return false;
-    this->InUse -= Each.Work.PromptTokens + Each.Work.OutputTokens;
+    this->UsedTokens -= Each.Request.PromptTokens + Each.Request.OutputTokens;
     return true;
   });
 }
 
 void Engine::admitWaiting(Milliseconds Now) {
-  while (!this->Waiting.empty() && this->Batch.size() < this->Figures.Slots) {
-    EngineWork &Next = this->Waiting.front();
+  while (!this->Waiting.empty() &&
+         this->Batch.size() < this->Parameters.Slots) {
+    EngineRequest &Next = this->Waiting.front();
     const std::uint64_t Needs = Next.PromptTokens + Next.OutputTokens;
-    if (!this->Batch.empty() && this->InUse + Needs > this->Figures.Memory)
+    if (!this->Batch.empty() &&
+        this->UsedTokens + Needs > this->Parameters.MemoryTokens)
       return;
-    Running Made;
-    std::uint64_t Kept = this->Cache.keptNow(Next.Parts);
-    this->Counts.FoundKept += Kept;
+    RunningRequest Made;
+    std::uint64_t Kept = this->Cache.residentTokens(Next.Parts);
+    this->Counts.CachedTokens += Kept;
     Made.ReadableAt = Now;
-    if (this->Figures.FetchPerMs > 0 && Next.FetchableTokens > Kept) {
+    if (this->Parameters.FetchTokensPerMs > 0 && Next.FetchableTokens > Kept) {
       const auto Fetched = static_cast<double>(Next.FetchableTokens - Kept);
-      Made.ReadableAt +=
-          this->Figures.FetchSetup + Fetched / this->Figures.FetchPerMs;
-      this->Counts.Fetched += Next.FetchableTokens - Kept;
+      Made.ReadableAt += this->Parameters.FetchSetupTime +
+                         Fetched / this->Parameters.FetchTokensPerMs;
+      this->Counts.FetchedTokens += Next.FetchableTokens - Kept;
       Kept = Next.FetchableTokens;
     }
-    Made.Unread = std::max<std::uint64_t>(
+    Made.RemainingPrefillTokens = std::max<std::uint64_t>(
         Next.PromptTokens - std::min<std::uint64_t>(Kept, Next.PromptTokens),
         1);
-    Made.Left = std::max(Next.OutputTokens, 1U);
-    this->InUse += Needs;
-    Made.Work = std::move(Next);
+    Made.RemainingOutputTokens = std::max(Next.OutputTokens, 1U);
+    this->UsedTokens += Needs;
+    Made.Request = std::move(Next);
     this->Waiting.pop_front();
     this->Batch.push_back(std::move(Made));
   }
@@ -51,58 +53,60 @@
 
 /// A step reads up to a chunk of the prompts, the oldest first, and makes one
 /// token for each request that has been read.
-void Engine::beginStep(Milliseconds Now) {
+void Engine::startStep(Milliseconds Now) {
   this->admitWaiting(Now);
   if (this->Batch.empty()) {
-    this->StepEnds.reset();
+    this->StepEndsAt.reset();
     return;
   }
   std::uint64_t Reads = 0;
-  for (const Running &Each : this->Batch)
+  for (const RunningRequest &Each : this->Batch)
     if (Each.ReadableAt <= Now)
       Reads +=
-          std::min<std::uint64_t>(Each.Unread, this->Figures.ReadChunk - Reads);
+          std::min<std::uint64_t>(Each.RemainingPrefillTokens,
+                                  this->Parameters.PrefillChunkTokens - Reads);
   const Milliseconds Took =
-      this->Figures.StepTime +
-      this->Figures.StepTimePerRequest *
+      this->Parameters.StepTime +
+      this->Parameters.StepTimePerRequest *
           static_cast<double>(this->Batch.size()) +
-      static_cast<double>(Reads) / this->Figures.ReadPerMs;
-  this->StepEnds = Now + Took;
-  this->Counts.Busy += Took;
+      static_cast<double>(Reads) / this->Parameters.PrefillTokensPerMs;
+  this->StepEndsAt = Now + Took;
+  this->Counts.BusyTime += Took;
 }
 
-std::vector<EngineNews> Engine::step() {
-  const Milliseconds Now = *this->StepEnds;
-  std::vector<EngineNews> News;
-  std::uint64_t Chunk = this->Figures.ReadChunk;
-  for (Running &Each : this->Batch) {
+std::vector<EngineEvent> Engine::step() {
+  const Milliseconds Now = *this->StepEndsAt;
+  std::vector<EngineEvent> News;
+  std::uint64_t Chunk = this->Parameters.PrefillChunkTokens;
+  for (RunningRequest &Each : this->Batch) {
     if (Each.ReadableAt > Now)
       continue;
-    if (Each.Unread > 0) {
-      const std::uint64_t Read = std::min(Each.Unread, Chunk);
-      Each.Unread -= Read;
+    if (Each.RemainingPrefillTokens > 0) {
+      const std::uint64_t Read = std::min(Each.RemainingPrefillTokens, Chunk);
+      Each.RemainingPrefillTokens -= Read;
       Chunk -= Read;
-      this->Counts.Read += Read;
-      if (Each.Unread > 0)
+      this->Counts.PrefilledTokens += Read;
+      if (Each.RemainingPrefillTokens > 0)
         continue;
-      this->Cache.setCapacity(this->Figures.Memory -
-                              std::min(this->Figures.Memory, this->InUse));
-      this->Cache.use(Each.Work.Parts);
-      this->Cache.noteRead(Each.Work.Parts);
-      News.push_back({Each.Work.Id, true});
+      this->Cache.setCapacity(
+          this->Parameters.MemoryTokens -
+          std::min(this->Parameters.MemoryTokens, this->UsedTokens));
+      this->Cache.insert(Each.Request.Parts);
+      this->Cache.markPrefilled(Each.Request.Parts);
+      News.push_back({Each.Request.Id, true});
     }
-    --Each.Left;
-    ++this->Counts.Generated;
-    if (Each.Left == 0)
-      News.push_back({Each.Work.Id, false});
+    --Each.RemainingOutputTokens;
+    ++this->Counts.GeneratedTokens;
+    if (Each.RemainingOutputTokens == 0)
+      News.push_back({Each.Request.Id, false});
   }
-  std::erase_if(this->Batch, [this](const Running &Each) {
-    if (Each.Left > 0)
+  std::erase_if(this->Batch, [this](const RunningRequest &Each) {
+    if (Each.RemainingOutputTokens > 0)
       return false;
-    this->InUse -= Each.Work.PromptTokens + Each.Work.OutputTokens;
+    this->UsedTokens -= Each.Request.PromptTokens + Each.Request.OutputTokens;
     return true;
   });
-  this->beginStep(Now);
+  this->startStep(Now);
   return News;
 }
 
--- a/lab/Load.cpp
+++ b/lab/Load.cpp
@@ -39,10 +39,10 @@
     const RequestClass &Drawn = this->Played.Classes[Index];
     this->drawShared(Drawn);
     Milliseconds Now = 0;
-    while (Drawn.PerSecond > 0) {
+    while (Drawn.RequestsPerSecond > 0) {
       const double Times = this->timesAt(Now);
-      boost::random::exponential_distribution<double> Gap(Drawn.PerSecond *
-                                                          Times / 1000);
+      boost::random::exponential_distribution<double> Gap(
+          Drawn.RequestsPerSecond * Times / 1000);
       Now += Gap(this->Random);
       if (Now >= this->Played.Length)
         return;
@@ -52,12 +52,12 @@
 
   /// Sizes of shared parts belong to the part, not to the request.
   void drawShared(const RequestClass &Drawn) {
-    this->Shared.assign(Drawn.Chain.size(), {});
-    for (std::size_t Link = 0; Link < Drawn.Chain.size(); ++Link)
-      for (std::uint32_t I = 0; I < Drawn.Chain[Link].Things; ++I)
+    this->Shared.assign(Drawn.SharedLevels.size(), {});
+    for (std::size_t Link = 0; Link < Drawn.SharedLevels.size(); ++Link)
+      for (std::uint32_t I = 0; I < Drawn.SharedLevels[Link].Variants; ++I)
         this->Shared[Link].push_back(
             {++this->LastPart,
-             this->size(Drawn.Chain[Link].MeanTokens, SharedSpread)});
+             this->size(Drawn.SharedLevels[Link].MeanTokens, SharedSpread)});
   }
 
   Call drawCall(std::size_t Index, Milliseconds Now) {
@@ -72,10 +72,10 @@
       Made.Parts.push_back(Link[Which(this->Random)]);
     }
     Made.Parts.push_back(
-        {++this->LastPart, this->size(Drawn.OwnTokens, Drawn.OwnSpread)});
+        {++this->LastPart, this->size(Drawn.MeanOwnTokens, Drawn.OwnSpread)});
     for (const PromptPart &Part : Made.Parts)
       Made.PromptTokens += Part.Tokens;
-    Made.OutputTokens = this->size(Drawn.OutputTokens, Drawn.OutputSpread);
+    Made.OutputTokens = this->size(Drawn.MeanOutputTokens, Drawn.OutputSpread);
     return Made;
   }
 
@@ -92,7 +92,7 @@
     double Times = 1;
     for (const Flood &Each : this->Played.Floods)
       if (Each.Account == Account && Each.From <= Now && Now < Each.To)
-        Times *= Each.Times;
+        Times *= Each.RateFactor;
     return Times;
   }
 
@@ -123,7 +123,7 @@
 
 } // namespace
 
-std::vector<Call> drawCalls(const Scenario &Played, std::uint64_t Seed) {
+std::vector<Call> generateCalls(const Scenario &Played, std::uint64_t Seed) {
   return Drawing(Played, Seed).draw();
 }
 
--- a/lab/Load.h
+++ b/lab/Load.h
@@ -10,21 +10,21 @@
 namespace parsleywing::lab {
 
 /// One link of the chain of shared parts that prompts of a kind begin with.
-struct SharedLink {
+struct SharedPartLevel {
   double MeanTokens = 0;
   /// Different parts of this link; each request is about one of them.
-  std::uint32_t Things = 1;
+  std::uint32_t Variants = 1;
 };
 
 /// Requests of one kind. Sizes are log-normal: a spread of 1 makes the largest
 /// tenth some three times the mean.
 struct RequestClass {
   std::string Name;
-  double PerSecond = 0;
-  std::vector<SharedLink> Chain;
-  double OwnTokens = 0;
+  double RequestsPerSecond = 0;
+  std::vector<SharedPartLevel> SharedLevels;
+  double MeanOwnTokens = 0;
   double OwnSpread = 0;
-  double OutputTokens = 1;
+  double MeanOutputTokens = 1;
   double OutputSpread = 0;
   /// The first token is on time within this.
   Milliseconds Objective = 500;
@@ -37,14 +37,14 @@
   std::uint32_t Account = 0;
   Milliseconds From = 0;
   Milliseconds To = 0;
-  double Times = 1;
+  double RateFactor = 1;
 };
 
 /// What is played.
 struct Scenario {
   std::string Name;
   std::uint32_t Engines = 4;
-  EngineFigures Figures;
+  EngineParameters Parameters;
   std::vector<RequestClass> Classes;
   std::uint32_t Accounts = 16;
   /// The calls of the I-th account go as (I+1) to the power of minus this.
@@ -54,7 +54,7 @@
   /// What operators state of all engines' tokens in a second.
   std::uint64_t StatedTokensPerSecond = 0;
   /// One way between a router and the allocator, or an engine.
-  Milliseconds Way = 1;
+  Milliseconds OneWayDelay = 1;
 };
 
 /// One call of a caller.
@@ -68,7 +68,7 @@
 };
 
 /// The calls of a scenario in the order of their times, the same for a seed.
-std::vector<Call> drawCalls(const Scenario &Played, std::uint64_t Seed);
+std::vector<Call> generateCalls(const Scenario &Played, std::uint64_t Seed);
 
 } // namespace parsleywing::lab
 
--- a/lab/Main.cpp
+++ b/lab/Main.cpp
@@ -20,22 +20,22 @@
 
 /// The policies that the command line knows.
 std::vector<NamedPolicy> knownPolicies() {
-  using parsleywing::AllocatorChoices;
-  AllocatorChoices InOrder;
+  using parsleywing::AllocatorOptions;
+  AllocatorOptions InOrder;
   InOrder.SmallestFirst = false;
-  AllocatorChoices NoFetch;
-  NoFetch.FetchKept = false;
-  AllocatorChoices NoHome;
-  NoHome.Weights.AwayFromHome = 0;
-  AllocatorChoices NoHarm;
-  NoHarm.Weights.TakenSlots = 0;
-  NoHarm.Weights.ReadingHarm = 0;
-  AllocatorChoices NoReadAgain;
-  NoReadAgain.Weights.ReadAgain = 0;
-  AllocatorChoices NoBehind;
-  NoBehind.BehindTakesAny = false;
-  AllocatorChoices HoldsVain;
-  HoldsVain.RefuseVain = false;
+  AllocatorOptions NoFetch;
+  NoFetch.FetchCached = false;
+  AllocatorOptions NoHome;
+  NoHome.Weights.NonHomeServer = 0;
+  AllocatorOptions NoHarm;
+  NoHarm.Weights.OccupiedSlots = 0;
+  NoHarm.Weights.PrefillInterference = 0;
+  AllocatorOptions NoReadAgain;
+  NoReadAgain.Weights.DuplicatePrefill = 0;
+  AllocatorOptions NoBehind;
+  NoBehind.UnderservedUseAnyServer = false;
+  AllocatorOptions HoldsVain;
+  HoldsVain.RefuseLikelyTimeouts = false;
   return {{"allocator", AllocatorPolicy{}},
           {"in-order", AllocatorPolicy{InOrder}},
           {"no-fetch", AllocatorPolicy{NoFetch}},
@@ -61,31 +61,32 @@
   std::cout << std::left << std::setw(22) << Name << std::right << std::setw(8)
             << Had.Calls << std::setw(8) << Had.OnTime << std::setw(7)
             << Had.Late << std::setw(9) << Had.Refused << std::setw(7)
-            << Had.Left << std::setw(8) << std::fixed << std::setprecision(3)
-            << Had.worth() << '\n';
+            << Had.CallerDisconnected << std::setw(8) << std::fixed
+            << std::setprecision(3) << Had.worth() << '\n';
 }
 
-void printResult(const PlayResult &Result) {
+void printResult(const SimulationResult &Result) {
   std::cout
       << "                         calls on-time   late  refused   left   "
          "worth\n";
-  printOutcomes("all", Result.Whole);
+  printOutcomes("all", Result.Total);
   for (const auto &[Name, Had] : Result.ByClass)
     printOutcomes(Name, Had);
-  for (const auto &[Name, Had] : Result.Largest)
+  for (const auto &[Name, Had] : Result.LargestByClass)
     printOutcomes(Name + ", largest 10th", Had);
-  std::cout << "worst accounts " << Result.worstAccounts() << ", engines busy "
-            << Result.Utilisation << '\n'
+  std::cout << "worst accounts " << Result.worstAccountsWorth()
+            << ", engines busy " << Result.Utilisation << '\n'
             << "first token, ms: p50 " << std::setprecision(0)
-            << Result.firstTokenAt(0.5) << ", p95 " << Result.firstTokenAt(0.95)
-            << ", p99 " << Result.firstTokenAt(0.99) << '\n'
+            << Result.firstTokenQuantile(0.5) << ", p95 "
+            << Result.firstTokenQuantile(0.95) << ", p99 "
+            << Result.firstTokenQuantile(0.99) << '\n'
             << "refusals: " << Result.RefusalTimes.size() << ", ms: p50 "
-            << Result.refusalAt(0.5) << ", p95 " << Result.refusalAt(0.95)
-            << '\n'
-            << "tokens: read " << Result.Engines.Read << ", found kept "
-            << Result.Engines.FoundKept << ", fetched "
-            << Result.Engines.Fetched << ", generated "
-            << Result.Engines.Generated << '\n';
+            << Result.refusalTimeQuantile(0.5) << ", p95 "
+            << Result.refusalTimeQuantile(0.95) << '\n'
+            << "tokens: read " << Result.Engines.PrefilledTokens
+            << ", found kept " << Result.Engines.CachedTokens << ", fetched "
+            << Result.Engines.FetchedTokens << ", generated "
+            << Result.Engines.GeneratedTokens << '\n';
 }
 
 /// Paired differences to the first policy, with the interval that holds the
@@ -101,13 +102,13 @@
     double Difference = 0;
     double Squares = 0;
     for (unsigned Seed = 1; Seed <= Seeds; ++Seed) {
-      const PlayResult Result = play(Played, Seed, Each.Chosen);
-      const double Worth = Result.Whole.worth();
+      const SimulationResult Result = simulate(Played, Seed, Each.Chosen);
+      const double Worth = Result.Total.worth();
       if (First.size() < Seeds)
         First.push_back(Worth);
       const double Beside = Worth - First[Seed - 1];
       Sum += Worth;
-      Accounts += Result.worstAccounts();
+      Accounts += Result.worstAccountsWorth();
       Difference += Beside;
       Squares += Beside * Beside;
       std::cerr << Each.Name << " seed " << Seed << " of " << Seeds << '\r';
@@ -132,7 +133,7 @@
   std::string Command;
   std::string Path;
   std::vector<std::string> Names;
-  parsleywing::AllocatorChoices Given;
+  parsleywing::AllocatorOptions Given;
   unsigned Seed = 1;
   unsigned Seeds = 5;
   Known.add_options()("help", "this text")("command", options::value(&Command),
@@ -141,10 +142,11 @@
       "policy", options::value(&Names), "one for run, several for compare")(
       "seed", options::value(&Seed), "of run")("seeds", options::value(&Seeds),
                                                "of compare: 1 to this")(
-      "read-again", options::value(&Given.Weights.ReadAgain),
+      "read-again", options::value(&Given.Weights.DuplicatePrefill),
       "weight of the policy called given")(
-      "taken-slots", options::value(&Given.Weights.TakenSlots), "the same")(
-      "reading-harm", options::value(&Given.Weights.ReadingHarm), "the same");
+      "taken-slots", options::value(&Given.Weights.OccupiedSlots), "the same")(
+      "reading-harm", options::value(&Given.Weights.PrefillInterference),
+      "the same");
   options::positional_options_description Order;
   Order.add("command", 1).add("scenario", 1);
   options::variables_map Said;
@@ -180,9 +182,9 @@
     compare(*Read, Chosen, Seeds);
     return 0;
   }
-  printResult(play(*Read, Seed, Chosen.front().Chosen));
+  printResult(simulate(*Read, Seed, Chosen.front().Chosen));
   std::cout << "bound on the worth of any policy: " << std::setprecision(3)
-            << worthBound(*Read, Seed) << '\n';
+            << worthUpperBound(*Read, Seed) << '\n';
   return 0;
 }
 
--- a/lab/Play.cpp
+++ b/lab/Play.cpp
@@ -42,8 +42,8 @@
 
 /// What a call is worth beside the mean of its class.
 double payoffOf(const RequestClass &Class, const Call &Made) {
-  double Mean = Class.OwnTokens;
-  for (const SharedLink &Link : Class.Chain)
+  double Mean = Class.MeanOwnTokens;
+  for (const SharedPartLevel &Link : Class.SharedLevels)
     Mean += Link.MeanTokens;
   const double Size = std::min(Made.PromptTokens / Mean, MostTimesMean);
   return FixedPart + SizePart * Size;
@@ -52,14 +52,14 @@
 class Table {
 public:
   Table(const Scenario &P, std::uint64_t Seed, const Policy &B)
-      : Played(P), By(B), Calls(drawCalls(P, Seed)), Random(Seed),
-        Engines(P.Engines, Engine(P.Figures)), Loads(P.Engines, 0) {
+      : Played(P), By(B), Calls(generateCalls(P, Seed)), Random(Seed),
+        Engines(P.Engines, Engine(P.Parameters)), Loads(P.Engines, 0) {
     this->States.resize(this->Calls.size());
     if (const auto *Chosen = std::get_if<AllocatorPolicy>(&this->By))
       this->makeAllocator(*Chosen);
   }
 
-  PlayResult play() {
+  SimulationResult play() {
     for (std::size_t I = 0; I < this->Calls.size(); ++I)
       this->at(this->Calls[I].At, [this, I] { this->ask(I); });
     if (this->Shared) {
@@ -105,15 +105,15 @@
       GatewayServer Server;
       Server.Id = engineName(I);
       Server.Service = ServiceName;
-      Server.Slots = this->Played.Figures.Slots;
+      Server.Slots = this->Played.Parameters.Slots;
       Listed->emplace(Server.Id, Server);
       this->IndexOf[hashName(Server.Id)] = I;
     }
     GatewayService Stated;
     Stated.Name = ServiceName;
-    Stated.EngineTokens = this->Played.Figures.Memory;
-    Stated.KeptTokenBytes = 1;
-    Stated.LinkBytesPerMs = this->Played.Figures.FetchPerMs;
+    Stated.KvCapacityTokens = this->Played.Parameters.MemoryTokens;
+    Stated.KvBytesPerToken = 1;
+    Stated.LinkBytesPerMs = this->Played.Parameters.FetchTokensPerMs;
     this->Configuration.Services[ServiceName] = Stated;
     this->Configuration.Limits.TokensPerSecond =
         this->Played.StatedTokensPerSecond;
@@ -128,7 +128,7 @@
   Milliseconds age(std::size_t I) const {
     return this->Now - this->Calls[I].At;
   }
-  static AskId idOf(std::size_t I, std::uint32_t Attempt) {
+  static CorrelationId idOf(std::size_t I, std::uint32_t Attempt) {
     return {Attempt, I};
   }
 
@@ -171,7 +171,7 @@
 
   void askAllocator(std::size_t I) {
     const Call &Made = this->Calls[I];
-    ServerAsk Ask;
+    AllocationRequest Ask;
     Ask.Id = idOf(I, this->States[I].Attempts);
     Ask.Service = hashName(ServiceName);
     Ask.Account = Made.Account + 1;
@@ -180,48 +180,50 @@
     Ask.OutputTokens = Made.OutputTokens;
     const Milliseconds OnTime = this->classOf(I).Objective - this->age(I);
     const Milliseconds Left = this->classOf(I).TimeLimit - this->age(I);
-    Ask.OnTimeForMs = static_cast<std::int32_t>(OnTime);
-    Ask.WaitForMs = static_cast<std::int32_t>(
+    Ask.ObjectiveLeftMs = static_cast<std::int32_t>(OnTime);
+    Ask.MaxWaitMs = static_cast<std::int32_t>(
         OnTime > 0 ? OnTime : std::min(Left * LateWaitPart, LongestLateWait));
-    this->at(this->Now + this->Played.Way, [this, Ask] {
+    this->at(this->Now + this->Played.OneWayDelay, [this, Ask] {
       this->Shared->handle(Ask, momentOf(this->Now));
       this->takeAnswers();
     });
   }
 
   void takeAnswers() {
-    for (const RouterMessage &Each : this->Shared->takeAnswers())
+    for (const RouterMessage &Each : this->Shared->takeReplies())
       std::visit(Overloaded{
-                     [this](const ServerGranted &M) { this->onGranted(M); },
-                     [this](const ServerRefused &M) { this->onRefused(M); },
+                     [this](const AllocationGrant &M) { this->onGranted(M); },
+                     [this](const AllocationRefusal &M) { this->onRefused(M); },
                      [](const auto &) {},
                  },
                  Each);
   }
 
-  void onGranted(const ServerGranted &Granted) {
+  void onGranted(const AllocationGrant &Granted) {
     const std::size_t I = Granted.Id.Number;
     if (this->States[I].Ended != End::None) {
-      this->Shared->handle(GrantEnded{Granted.Id, ServerVerdict::Sound},
+      this->Shared->handle(GrantEnded{Granted.Id, ServerVerdict::Healthy},
                            momentOf(this->Now));
       return;
     }
     std::uint64_t Fetchable = 0;
-    if (Granted.Source != 0)
-      Fetchable = this->Engines[this->IndexOf.at(Granted.Source)].kept(
-          this->Calls[I].Parts);
+    if (Granted.FetchSource != 0)
+      Fetchable =
+          this->Engines[this->IndexOf.at(Granted.FetchSource)].cachedTokens(
+              this->Calls[I].Parts);
     this->send(I, this->IndexOf.at(Granted.Server), Fetchable);
   }
 
-  void onRefused(const ServerRefused &Refused) {
+  void onRefused(const AllocationRefusal &Refused) {
     const std::size_t I = Refused.Id.Number;
     CallState &State = this->States[I];
     if (State.Ended != End::None)
       return;
-    this->RefusalTimes.push_back(this->Now + this->Played.Way - State.AskedAt);
+    this->RefusalTimes.push_back(this->Now + this->Played.OneWayDelay -
+                                 State.AskedAt);
     const Milliseconds Left = this->classOf(I).TimeLimit - this->age(I);
     const Milliseconds Wait =
-        std::min<Milliseconds>(Refused.ReturnAfterMs, Left / 3);
+        std::min<Milliseconds>(Refused.RetryAfterMs, Left / 3);
     if (State.Attempts > 1 || Left < LeastTime) {
       State.Ended = End::Refused;
       return;
@@ -236,14 +238,14 @@
     this->States[I].AtEngine = To;
     ++this->Loads[To];
     const Call &Made = this->Calls[I];
-    const EngineWork Work{idOf(I, this->States[I].Attempts), Made.Parts,
-                          Made.PromptTokens, Made.OutputTokens, Fetchable};
+    const EngineRequest Work{idOf(I, this->States[I].Attempts), Made.Parts,
+                             Made.PromptTokens, Made.OutputTokens, Fetchable};
     this->Sent.insert(I);
-    this->at(this->Now + this->Played.Way, [this, I, To, Work] {
+    this->at(this->Now + this->Played.OneWayDelay, [this, I, To, Work] {
       if (this->States[I].Ended != End::None)
         return;
       const bool WasIdle = !this->Engines[To].nextStepAt();
-      this->Engines[To].admit(Work, this->Now);
+      this->Engines[To].submit(Work, this->Now);
       if (WasIdle)
         this->scheduleStep(To);
     });
@@ -254,21 +256,21 @@
     if (!Next)
       return;
     this->at(*Next, [this, Which] {
-      for (const EngineNews &Each : this->Engines[Which].step())
+      for (const EngineEvent &Each : this->Engines[Which].step())
         this->onNews(Each);
       this->scheduleStep(Which);
     });
   }
 
-  void onNews(const EngineNews &News) {
+  void onNews(const EngineEvent &News) {
     const std::size_t I = News.Id.Number;
     CallState &State = this->States[I];
     if (State.Ended != End::None)
       return;
-    if (News.First) {
-      State.FirstAfter = this->age(I) + this->Played.Way;
+    if (News.IsFirstToken) {
+      State.FirstAfter = this->age(I) + this->Played.OneWayDelay;
       if (this->Shared)
-        this->Shared->handle(GrantBegan{News.Id}, momentOf(this->Now));
+        this->Shared->handle(GrantStarted{News.Id}, momentOf(this->Now));
       return;
     }
     const bool OnTime = *State.FirstAfter <= this->classOf(I).Objective;
@@ -282,7 +284,7 @@
     if (State.AtEngine)
       this->Engines[*State.AtEngine].cancel(idOf(I, State.Attempts));
     if (this->Shared)
-      this->Shared->handle(AskWithdrawn{idOf(I, State.Attempts)},
+      this->Shared->handle(AllocationCancelled{idOf(I, State.Attempts)},
                            momentOf(this->Now));
     this->finish(I, End::Left);
   }
@@ -297,7 +299,7 @@
     if (!this->Shared)
       return;
     this->Shared->handle(
-        GrantEnded{idOf(I, State.Attempts), ServerVerdict::Sound},
+        GrantEnded{idOf(I, State.Attempts), ServerVerdict::Healthy},
         momentOf(this->Now));
     this->Shared->tick(momentOf(this->Now));
     this->takeAnswers();
@@ -315,9 +317,9 @@
     for (const std::size_t I : this->Sent) {
       const CallState &State = this->States[I];
       const std::uint32_t Unread = State.FirstAfter ? 0 : 1;
-      this->Shared->handle(SendOpen{idOf(I, State.Attempts),
-                                    hashName(engineName(*State.AtEngine)),
-                                    Unread, this->Calls[I].OutputTokens},
+      this->Shared->handle(GrantActive{idOf(I, State.Attempts),
+                                       hashName(engineName(*State.AtEngine)),
+                                       Unread, this->Calls[I].OutputTokens},
                            momentOf(this->Now));
     }
     if (!this->over())
@@ -326,19 +328,19 @@
 
   bool over() const {
     return this->Now > this->Played.Length && this->Sent.empty() &&
-           this->Shared->waiting() == 0;
+           this->Shared->queuedRequests() == 0;
   }
 
-  PlayResult result() const {
-    PlayResult Result;
+  SimulationResult result() const {
+    SimulationResult Result;
     for (std::size_t I = 0; I < this->Calls.size(); ++I) {
       const Call &Made = this->Calls[I];
       const RequestClass &Class = this->classOf(I);
-      this->count(I, Result.Whole);
+      this->count(I, Result.Total);
       this->count(I, Result.ByClass[Class.Name]);
       this->count(I, Result.ByAccount[Made.Account]);
       if (this->isLarge(I))
-        this->count(I, Result.Largest[Class.Name]);
+        this->count(I, Result.LargestByClass[Class.Name]);
       const CallState &State = this->States[I];
       if (State.Ended == End::OnTime || State.Ended == End::Late)
         Result.FirstTokens.push_back(*State.FirstAfter);
@@ -347,14 +349,14 @@
     Result.RefusalTimes = this->RefusalTimes;
     std::sort(Result.RefusalTimes.begin(), Result.RefusalTimes.end());
     for (const Engine &Each : this->Engines) {
-      Result.Engines.Read += Each.counts().Read;
-      Result.Engines.FoundKept += Each.counts().FoundKept;
-      Result.Engines.Fetched += Each.counts().Fetched;
-      Result.Engines.Generated += Each.counts().Generated;
-      Result.Engines.Busy += Each.counts().Busy;
+      Result.Engines.PrefilledTokens += Each.counts().PrefilledTokens;
+      Result.Engines.CachedTokens += Each.counts().CachedTokens;
+      Result.Engines.FetchedTokens += Each.counts().FetchedTokens;
+      Result.Engines.GeneratedTokens += Each.counts().GeneratedTokens;
+      Result.Engines.BusyTime += Each.counts().BusyTime;
     }
     Result.Utilisation =
-        Result.Engines.Busy /
+        Result.Engines.BusyTime /
         (static_cast<double>(this->Engines.size()) * this->Now);
     return Result;
   }
@@ -376,22 +378,22 @@
   void count(std::size_t I, Outcomes &Into) const {
     const double Payoff = payoffOf(this->classOf(I), this->Calls[I]);
     ++Into.Calls;
-    Into.Asked += Payoff;
+    Into.PossiblePayoff += Payoff;
     switch (this->States[I].Ended) {
     case End::OnTime:
       ++Into.OnTime;
-      Into.Earned += Payoff;
+      Into.EarnedPayoff += Payoff;
       return;
     case End::Late:
       ++Into.Late;
-      Into.Earned += Payoff * LatePart;
+      Into.EarnedPayoff += Payoff * LatePart;
       return;
     case End::Refused:
       ++Into.Refused;
       return;
     case End::None:
     case End::Left:
-      ++Into.Left;
+      ++Into.CallerDisconnected;
       return;
     }
   }
@@ -417,7 +419,7 @@
 
 } // namespace
 
-double PlayResult::worstAccounts() const {
+double SimulationResult::worstAccountsWorth() const {
   std::vector<double> Worths;
   for (const auto &[Account, Had] : this->ByAccount)
     Worths.push_back(Had.worth());
@@ -444,32 +446,33 @@
 
 } // namespace
 
-Milliseconds PlayResult::firstTokenAt(double Part) const {
+Milliseconds SimulationResult::firstTokenQuantile(double Part) const {
   return timeAt(this->FirstTokens, Part);
 }
 
-Milliseconds PlayResult::refusalAt(double Part) const {
+Milliseconds SimulationResult::refusalTimeQuantile(double Part) const {
   return timeAt(this->RefusalTimes, Part);
 }
 
-PlayResult play(const Scenario &Played, std::uint64_t Seed, const Policy &By) {
+SimulationResult simulate(const Scenario &Played, std::uint64_t Seed,
+                          const Policy &By) {
   return Table(Played, Seed, By).play();
 }
 
-double worthBound(const Scenario &Played, std::uint64_t Seed) {
+double worthUpperBound(const Scenario &Played, std::uint64_t Seed) {
   struct Item {
     double Payoff = 0;
     double Time = 0;
   };
   std::vector<Item> Items;
   double Asked = 0;
-  for (const Call &Made : drawCalls(Played, Seed)) {
+  for (const Call &Made : generateCalls(Played, Seed)) {
     const RequestClass &Class = Played.Classes[Made.Class];
     const double Own = Made.Parts.back().Tokens;
     const double Payoff = payoffOf(Class, Made);
     Items.push_back(
-        {Payoff, Own / Played.Figures.ReadPerMs +
-                     Made.OutputTokens * Played.Figures.StepTimePerRequest});
+        {Payoff, Own / Played.Parameters.PrefillTokensPerMs +
+                     Made.OutputTokens * Played.Parameters.StepTimePerRequest});
     Asked += Payoff;
   }
   std::sort(Items.begin(), Items.end(),
--- a/lab/Play.h
+++ b/lab/Play.h
@@ -12,7 +12,7 @@
 
 /// The product's allocator, as the choices say.
 struct AllocatorPolicy {
-  AllocatorChoices Choices;
+  AllocatorOptions Choices;
 };
 /// Each request goes at once to the engine with the fewest requests.
 struct LeastLoadedPolicy {};
@@ -31,25 +31,26 @@
   std::uint32_t Late = 0;
   std::uint32_t Refused = 0;
   /// The caller's time was over first.
-  std::uint32_t Left = 0;
+  std::uint32_t CallerDisconnected = 0;
   /// Payoff of the served and of all calls: 0.3 and 0.7 times the size against
   /// the mean of the class, four at most, a late one 0.3 of it. All classes
   /// count alike.
-  double Earned = 0;
-  double Asked = 0;
+  double EarnedPayoff = 0;
+  double PossiblePayoff = 0;
 
   double worth() const {
-    return this->Asked > 0 ? this->Earned / this->Asked : 1;
+    return this->PossiblePayoff > 0 ? this->EarnedPayoff / this->PossiblePayoff
+                                    : 1;
   }
 };
 
 /// What a play showed.
-struct PlayResult {
-  Outcomes Whole;
+struct SimulationResult {
+  Outcomes Total;
   std::map<std::string, Outcomes> ByClass;
   std::map<std::uint32_t, Outcomes> ByAccount;
   /// The largest tenth of each class.
-  std::map<std::string, Outcomes> Largest;
+  std::map<std::string, Outcomes> LargestByClass;
   EngineCounts Engines;
   /// Times to the first token of the served calls, sorted.
   std::vector<Milliseconds> FirstTokens;
@@ -59,18 +60,19 @@
   double Utilisation = 0;
 
   /// The mean worth of the accounts' worst tenth, one at least.
-  double worstAccounts() const;
-  Milliseconds firstTokenAt(double Part) const;
-  Milliseconds refusalAt(double Part) const;
+  double worstAccountsWorth() const;
+  Milliseconds firstTokenQuantile(double Part) const;
+  Milliseconds refusalTimeQuantile(double Part) const;
 };
 
 /// Plays the load of a seed against modelled engines.
-PlayResult play(const Scenario &Played, std::uint64_t Seed, const Policy &By);
+SimulationResult simulate(const Scenario &Played, std::uint64_t Seed,
+                          const Policy &By);
 
 /// An upper bound on the worth of any policy: all calls known beforehand,
 /// shared parts read for nothing, engines that never wait, and the calls with
 /// the most payoff for their engine time served first.
-double worthBound(const Scenario &Played, std::uint64_t Seed);
+double worthUpperBound(const Scenario &Played, std::uint64_t Seed);
 
 } // namespace parsleywing::lab
 
--- a/lab/ScenarioReader.cpp
+++ b/lab/ScenarioReader.cpp
@@ -64,8 +64,8 @@
 }
 
 /// "512x3, 4870x108": links of MEAN tokens, each of so many things.
-std::vector<SharedLink> readChain(const std::string &Text) {
-  std::vector<SharedLink> Chain;
+std::vector<SharedPartLevel> readChain(const std::string &Text) {
+  std::vector<SharedPartLevel> Chain;
   const Poco::StringTokenizer Links(
       Text, ",",
       Poco::StringTokenizer::TOK_TRIM |
@@ -74,30 +74,34 @@
     const std::size_t Cross = Each.find('x');
     if (Cross == std::string::npos)
       throw Poco::DataFormatException("a link is TOKENSxTHINGS, not " + Each);
-    SharedLink Link;
+    SharedPartLevel Link;
     Link.MeanTokens = Poco::NumberParser::parseFloat(Each.substr(0, Cross));
-    Link.Things = Poco::NumberParser::parseUnsigned(Each.substr(Cross + 1));
-    if (Link.Things == 0)
+    Link.Variants = Poco::NumberParser::parseUnsigned(Each.substr(Cross + 1));
+    if (Link.Variants == 0)
       throw Poco::DataFormatException("a link has at least one thing: " + Each);
     Chain.push_back(Link);
   }
   return Chain;
 }
 
-EngineFigures readEngine(Section From) {
-  EngineFigures Read;
+EngineParameters readEngine(Section From) {
+  EngineParameters Read;
   Read.Slots = counted(From.number("slots", Read.Slots));
   Read.StepTime = From.number("step-ms", Read.StepTime);
   Read.StepTimePerRequest =
       From.number("step-ms-per-request", Read.StepTimePerRequest);
-  Read.ReadPerMs = From.number("read-tokens-per-ms", Read.ReadPerMs);
-  Read.ReadChunk = counted(From.number("read-chunk-tokens", Read.ReadChunk));
-  Read.Memory =
-      counted(From.number("memory-tokens", static_cast<double>(Read.Memory)));
-  Read.FetchPerMs = From.number("fetch-tokens-per-ms", Read.FetchPerMs);
-  Read.FetchSetup = From.number("fetch-setup-ms", Read.FetchSetup);
+  Read.PrefillTokensPerMs =
+      From.number("read-tokens-per-ms", Read.PrefillTokensPerMs);
+  Read.PrefillChunkTokens =
+      counted(From.number("read-chunk-tokens", Read.PrefillChunkTokens));
+  Read.MemoryTokens = counted(
+      From.number("memory-tokens", static_cast<double>(Read.MemoryTokens)));
+  Read.FetchTokensPerMs =
+      From.number("fetch-tokens-per-ms", Read.FetchTokensPerMs);
+  Read.FetchSetupTime = From.number("fetch-setup-ms", Read.FetchSetupTime);
   From.refuseOthers();
-  if (Read.Slots == 0 || Read.ReadPerMs <= 0 || Read.ReadChunk == 0)
+  if (Read.Slots == 0 || Read.PrefillTokensPerMs <= 0 ||
+      Read.PrefillChunkTokens == 0)
     throw Poco::DataFormatException("an engine has slots, speed and a chunk");
   return Read;
 }
@@ -105,11 +109,11 @@
 RequestClass readClass(const std::string &Name, Section From) {
   RequestClass Read;
   Read.Name = Name;
-  Read.PerSecond = From.required("per-second");
-  Read.Chain = readChain(From.text("shared"));
-  Read.OwnTokens = From.required("own-tokens");
+  Read.RequestsPerSecond = From.required("per-second");
+  Read.SharedLevels = readChain(From.text("shared"));
+  Read.MeanOwnTokens = From.required("own-tokens");
   Read.OwnSpread = From.number("own-spread", 0);
-  Read.OutputTokens = From.required("output-tokens");
+  Read.MeanOutputTokens = From.required("output-tokens");
   Read.OutputSpread = From.number("output-spread", 0);
   Read.Objective = From.required("objective-ms");
   Read.TimeLimit = From.required("time-limit-ms");
@@ -122,7 +126,7 @@
   Read.Account = counted(From.required("account"));
   Read.From = From.required("from-s") * 1000;
   Read.To = From.required("to-s") * 1000;
-  Read.Times = From.required("times");
+  Read.RateFactor = From.required("times");
   From.refuseOthers();
   return Read;
 }
@@ -139,9 +143,9 @@
   Read.Length = Whole.required("length-s") * 1000;
   Read.StatedTokensPerSecond =
       counted(Whole.required("stated-tokens-per-second"));
-  Read.Way = Whole.number("way-ms", Read.Way);
+  Read.OneWayDelay = Whole.number("way-ms", Read.OneWayDelay);
   Whole.refuseOthers();
-  Read.Figures = readEngine(Section(*File, "engine"));
+  Read.Parameters = readEngine(Section(*File, "engine"));
   IniFileConfiguration::Keys Sections;
   File->keys(Sections);
   for (const std::string &Each : Sections) {
--- a/src/Backend/ConnectionBreaker.cpp
+++ b/src/Backend/ConnectionBreaker.cpp
@@ -5,7 +5,7 @@
 namespace parsleywing {
 
 void ConnectionBreaker::breakOff() {
-  std::lock_guard<std::mutex> Lock(this->Guard);
+  std::lock_guard<std::mutex> Lock(this->Mutex);
   this->Broken = true;
   if (!this->Attached)
     return;
@@ -17,7 +17,7 @@
 }
 
 bool ConnectionBreaker::attach(const Poco::Net::StreamSocket &Socket) {
-  std::lock_guard<std::mutex> Lock(this->Guard);
+  std::lock_guard<std::mutex> Lock(this->Mutex);
   if (this->Broken)
     return false;
   this->Attached = Socket;
@@ -25,7 +25,7 @@
 }
 
 void ConnectionBreaker::detach() {
-  std::lock_guard<std::mutex> Lock(this->Guard);
+  std::lock_guard<std::mutex> Lock(this->Mutex);
   this->Attached.reset();
 }
 
--- a/src/Backend/ConnectionBreaker.h
+++ b/src/Backend/ConnectionBreaker.h
@@ -28,7 +28,7 @@
   void detach();
 
 private:
-  std::mutex Guard;
+  std::mutex Mutex;
   std::optional<Poco::Net::StreamSocket> Attached;
   std::atomic<bool> Broken{false};
 };
--- a/src/Backend/ConnectionPool.h
+++ b/src/Backend/ConnectionPool.h
@@ -38,7 +38,7 @@
   };
 
   BackendSettings Settings;
-  mutable std::mutex Guard;
+  mutable std::mutex Mutex;
   std::map<std::string, std::vector<Idle>> Servers;
 };
 
--- a/src/Backend/LoadPoller.cpp
+++ b/src/Backend/LoadPoller.cpp
@@ -24,7 +24,7 @@
 
 LoadPoller::~LoadPoller() {
   {
-    std::lock_guard<std::mutex> Lock(this->Guard);
+    std::lock_guard<std::mutex> Lock(this->Mutex);
     this->Stopping = true;
   }
   this->Changed.notify_all();
@@ -33,7 +33,7 @@
 }
 
 void LoadPoller::watch(const std::vector<Watched> &Wanted) {
-  std::lock_guard<std::mutex> Lock(this->Guard);
+  std::lock_guard<std::mutex> Lock(this->Mutex);
   std::map<ServerId, Known> Next;
   for (const Watched &Target : Wanted) {
     const auto Old = this->Servers.find(Target.Server);
@@ -66,7 +66,7 @@
 }
 
 void LoadPoller::runThread() {
-  std::unique_lock<std::mutex> Lock(this->Guard);
+  std::unique_lock<std::mutex> Lock(this->Mutex);
   while (!this->Stopping) {
     const auto Next = this->mostDue();
     if (Next == this->Servers.end()) {
@@ -112,7 +112,7 @@
 /// counts as failed after several new connections in a row have failed, and as
 /// usable again after the first that works.
 void LoadPoller::conclude(const Watched &Target, const Observation &Seen) {
-  std::unique_lock<std::mutex> Lock(this->Guard);
+  std::unique_lock<std::mutex> Lock(this->Mutex);
   const auto Found = this->Servers.find(Target.Server);
   if (Found == this->Servers.end() ||
       Found->second.Target.Address != Target.Address)
@@ -142,7 +142,7 @@
 }
 
 Poco::JSON::Object::Ptr LoadPoller::dump() const {
-  std::lock_guard<std::mutex> Lock(this->Guard);
+  std::lock_guard<std::mutex> Lock(this->Mutex);
   Poco::JSON::Array::Ptr List = new Poco::JSON::Array;
   for (const auto &[Id, Server] : this->Servers) {
     Poco::JSON::Object::Ptr Row = new Poco::JSON::Object;
--- a/src/Backend/LoadPoller.h
+++ b/src/Backend/LoadPoller.h
@@ -87,7 +87,7 @@
   PollSettings Settings;
   BackendCounters &Counters;
   std::function<void(Event)> Sink;
-  mutable std::mutex Guard;
+  mutable std::mutex Mutex;
   std::condition_variable Changed;
   bool Stopping = false;
   std::mt19937_64 Random;
--- a/src/Backend/OrderClient.cpp
+++ b/src/Backend/OrderClient.cpp
@@ -126,7 +126,7 @@
     if (!Use)
       return std::nullopt;
     Call.Headers = {{FencingHeader, std::to_string(Use->Number)}};
-    return Use->Until;
+    return Use->ValidUntil;
   };
   ++this->Counters.OrderCalls;
   const auto Answer = runShortCall(Call);
--- a/src/Backend/OrderClient.h
+++ b/src/Backend/OrderClient.h
@@ -68,7 +68,7 @@
   explicit OrderClient(BackendCounters &C) : Counters(C) {}
 
   /// Asks the holder for leave to send, and under which number.
-  using AskLease = std::function<std::optional<LeaseUse>()>;
+  using AskLease = std::function<std::optional<LeasePermit>()>;
 
   /// Gives an order. `Lease` is asked as the last thing before the first byte
   /// leaves; it must give nothing well before the lease can have lapsed.
--- a/src/Caller/AccountLimiter.cpp
+++ b/src/Caller/AccountLimiter.cpp
@@ -5,7 +5,7 @@
 namespace parsleywing {
 
 bool AccountLimiter::enter(AccountId Account, std::uint32_t Max) {
-  std::lock_guard<std::mutex> Lock(this->Guard);
+  std::lock_guard<std::mutex> Lock(this->Mutex);
   std::uint32_t &Held = this->InFlight[Account];
   if (Held >= Max) {
     if (Held == 0)
@@ -17,7 +17,7 @@
 }
 
 void AccountLimiter::leave(AccountId Account) {
-  std::lock_guard<std::mutex> Lock(this->Guard);
+  std::lock_guard<std::mutex> Lock(this->Mutex);
   const auto Found = this->InFlight.find(Account);
   PARSLEYWING_INVARIANT(Found != this->InFlight.end(),
                         "a place is given back once");
--- a/src/Caller/AccountLimiter.h
+++ b/src/Caller/AccountLimiter.h
@@ -21,7 +21,7 @@
   void leave(AccountId Account);
 
 private:
-  std::mutex Guard;
+  std::mutex Mutex;
   std::unordered_map<AccountId, std::uint32_t> InFlight;
 };
 
--- a/src/Caller/CallerContext.cpp
+++ b/src/Caller/CallerContext.cpp
@@ -23,14 +23,14 @@
 }
 
 CallerDeclarations CallerContext::declarations() const {
-  std::lock_guard<std::mutex> Lock(this->Guard);
+  std::lock_guard<std::mutex> Lock(this->Mutex);
   return this->Current;
 }
 
 void CallerContext::setDeclarations(DeclarationsPtr Declared) {
   // Built outside the lock: it takes milliseconds with all accounts.
   auto Keys = std::make_shared<const AccountKeys>(*Declared);
-  std::lock_guard<std::mutex> Lock(this->Guard);
+  std::lock_guard<std::mutex> Lock(this->Mutex);
   this->Current = {std::move(Declared), std::move(Keys)};
 }
 
--- a/src/Caller/CallerContext.h
+++ b/src/Caller/CallerContext.h
@@ -56,7 +56,7 @@
   void setDeclarations(DeclarationsPtr Declared);
 
 private:
-  mutable std::mutex Guard;
+  mutable std::mutex Mutex;
   CallerDeclarations Current;
 };
 
--- a/src/Caller/CallerWatch.cpp
+++ b/src/Caller/CallerWatch.cpp
@@ -46,7 +46,7 @@
 
 /// Bytes sent that the peer's system has not taken yet.
 int unsentBytes(const Poco::Net::Socket &Caller) {
-  return unconfirmedBytes(Caller.impl()->sockfd()).value_or(0);
+  return unacknowledgedBytes(Caller.impl()->sockfd()).value_or(0);
 }
 
 } // namespace
@@ -60,20 +60,20 @@
 
 void CallerWatch::add(const Poco::Net::StreamSocket &Caller,
                       std::function<void()> OnLeft) {
-  std::lock_guard<std::mutex> Lock(this->Guard);
+  std::lock_guard<std::mutex> Lock(this->Mutex);
   this->Callers[Caller.impl()] = Watched{Caller, std::move(OnLeft), false};
   this->Sockets.add(Caller, Poco::Net::PollSet::POLL_READ);
 }
 
 void CallerWatch::remove(const Poco::Net::StreamSocket &Caller) {
-  std::lock_guard<std::mutex> Lock(this->Guard);
+  std::lock_guard<std::mutex> Lock(this->Mutex);
   if (this->Callers.erase(Caller.impl()) > 0 && this->Sockets.has(Caller))
     this->Sockets.remove(Caller);
 }
 
 void CallerWatch::linger(const Poco::Net::StreamSocket &Ended,
                          Duration SendTimeout) {
-  std::lock_guard<std::mutex> Lock(this->Guard);
+  std::lock_guard<std::mutex> Lock(this->Mutex);
   if (this->Ending.size() >= MaxLingering)
     return;
   this->Ending.push_back(
@@ -108,7 +108,7 @@
 }
 
 void CallerWatch::look(const Poco::Net::Socket &Caller) {
-  std::lock_guard<std::mutex> Lock(this->Guard);
+  std::lock_guard<std::mutex> Lock(this->Mutex);
   const auto Found = this->Callers.find(Caller.impl());
   if (Found == this->Callers.end())
     return;
@@ -127,7 +127,7 @@
 }
 
 void CallerWatch::lookAtBacklogs() {
-  std::lock_guard<std::mutex> Lock(this->Guard);
+  std::lock_guard<std::mutex> Lock(this->Mutex);
   for (auto &[Impl, Caller] : this->Callers) {
     if (!Caller.HasBacklog || !isClosedByPeer(Caller.Socket))
       continue;
@@ -137,7 +137,7 @@
 }
 
 void CallerWatch::closeLingering() {
-  std::lock_guard<std::mutex> Lock(this->Guard);
+  std::lock_guard<std::mutex> Lock(this->Mutex);
   const auto Now = SteadyClock::now();
   std::erase_if(this->Ending,
                 [Now](Lingering &Held) { return isOver(Held, Now); });
--- a/src/Caller/CallerWatch.h
+++ b/src/Caller/CallerWatch.h
@@ -88,7 +88,7 @@
 
   std::atomic<bool> Stopping{false};
   Poco::Net::PollSet Sockets;
-  std::mutex Guard;
+  std::mutex Mutex;
   std::unordered_map<const Poco::Net::SocketImpl *, Watched> Callers;
   std::vector<Lingering> Ending;
   std::atomic<std::size_t> Unsent{0};
--- a/src/Control/ControlLoop.cpp
+++ b/src/Control/ControlLoop.cpp
@@ -36,7 +36,7 @@
 
   void run() {
     {
-      std::lock_guard<std::mutex> Lock(this->Guard);
+      std::lock_guard<std::mutex> Lock(this->Mutex);
       if (this->GivenUp)
         return;
       this->Work();
@@ -47,7 +47,7 @@
 
   /// True where the function ran within the limit.
   bool wait(Duration Limit) {
-    std::unique_lock<std::mutex> Lock(this->Guard);
+    std::unique_lock<std::mutex> Lock(this->Mutex);
     this->Finished.wait_for(Lock, Limit, [this] { return this->Done; });
     this->GivenUp = !this->Done;
     return this->Done;
@@ -55,7 +55,7 @@
 
 private:
   std::function<void()> Work;
-  std::mutex Guard;
+  std::mutex Mutex;
   std::condition_variable Finished;
   bool Done = false;
   bool GivenUp = false;
@@ -105,7 +105,7 @@
 }
 
 std::size_t ControlLoop::openChannels() const {
-  std::lock_guard<std::mutex> Lock(this->ChannelGuard);
+  std::lock_guard<std::mutex> Lock(this->ChannelMutex);
   return this->Channels.size();
 }
 
@@ -118,7 +118,7 @@
   }
   std::shared_ptr<RequestChannel> Channel;
   {
-    std::lock_guard<std::mutex> Lock(this->ChannelGuard);
+    std::lock_guard<std::mutex> Lock(this->ChannelMutex);
     auto Found = this->Channels.find(*Request);
     if (Found == this->Channels.end())
       return;
@@ -129,13 +129,13 @@
 
 std::shared_ptr<RequestChannel> ControlLoop::openChannel(RequestId Request) {
   auto Channel = std::make_shared<RequestChannel>();
-  std::lock_guard<std::mutex> Lock(this->ChannelGuard);
+  std::lock_guard<std::mutex> Lock(this->ChannelMutex);
   this->Channels[Request] = Channel;
   return Channel;
 }
 
 void ControlLoop::closeChannel(RequestId Request) {
-  std::lock_guard<std::mutex> Lock(this->ChannelGuard);
+  std::lock_guard<std::mutex> Lock(this->ChannelMutex);
   this->Channels.erase(Request);
 }
 
--- a/src/Control/ControlLoop.h
+++ b/src/Control/ControlLoop.h
@@ -76,7 +76,7 @@
   std::atomic<std::size_t> Open{0};
   std::thread Thread;
 
-  mutable std::mutex ChannelGuard;
+  mutable std::mutex ChannelMutex;
   std::unordered_map<RequestId, std::shared_ptr<RequestChannel>> Channels;
 };
 
--- a/src/Control/RequestChannel.h
+++ b/src/Control/RequestChannel.h
@@ -35,7 +35,7 @@
 
 private:
   Mailbox<Action> Decisions;
-  std::mutex Guard;
+  std::mutex Mutex;
   std::function<void()> Breaker;
   AttemptNumber Current = 0;
   AttemptNumber Cancelled = 0;
--- a/src/Gateway/AllocationAgent.cpp
+++ b/src/Gateway/AllocationAgent.cpp
@@ -38,18 +38,19 @@
 } // namespace
 
 AllocationCounters::AllocationCounters(Metrics &Into)
-    : Asked(Into.counter({"allocation_asks_total",
-                          "Requests for which a server was asked.", ""})),
-      Granted(Into.counter({"allocation_answers_total", "Answers to such asks.",
-                            "answer=\"granted\""})),
-      Refused(
+    : Requests(Into.counter({"allocation_asks_total",
+                             "Requests for which a server was asked.", ""})),
+      Grants(Into.counter({"allocation_answers_total", "Answers to such asks.",
+                           "answer=\"granted\""})),
+      Refusals(
           Into.counter({"allocation_answers_total", "", "answer=\"refused\""})),
-      Away(Into.counter({"allocation_answers_total", "", "answer=\"none\""})),
+      Unanswered(
+          Into.counter({"allocation_answers_total", "", "answer=\"none\""})),
       WarmUpGrants(Into.counter({"warm_up_grants_total",
                                  "Grants of servers that warm up, as heard by "
                                  "the routers that asked.",
                                  ""})),
-      WarmUpGrantsLate(
+      LateWarmUpGrants(
           Into.counter({"warm_up_grants_late_total",
                         "Of these, not used since they came too late.", ""})) {}
 
@@ -57,224 +58,234 @@
                                  std::uint64_t P, const WarmUpBounds &WarmUps,
                                  Metrics &M)
     : Loop(L), Routers(R), Process(P), Counters(M), Sole(R.self()) {
-  this->Local.setWarmUps(WarmUps, [this](std::uint64_t Server) {
-    return this->Sole.owns(Server, this->SuspendClock.now());
+  this->LocalAllocator.setWarmUpPolicy(WarmUps, [this](std::uint64_t Server) {
+    return this->Sole.owns(Server, this->BootClock.now());
   });
 }
 
 void AllocationAgent::setServers(const FleetView &View) {
   this->Groups = ServerGroups(*View.Servers);
-  this->Local.setServers(View.Servers, View.Configuration.get(), this->Groups,
-                         {this->Loop.clock().now(), this->SuspendClock.now()});
+  this->LocalAllocator.setServers(
+      View.Servers, View.Configuration.get(), this->Groups,
+      {this->Loop.clock().now(), this->BootClock.now()});
 }
 
-void AllocationAgent::takeView(const FleetView &View) {
-  this->Sole.takeView(View, this->Groups, this->SuspendClock.now());
+void AllocationAgent::updateView(const FleetView &View) {
+  this->Sole.updateView(View, this->Groups, this->BootClock.now());
 }
 
-void AllocationAgent::ask(ServerAsk Ask, Callback Told) {
-  this->Counters.Asked.add();
-  const AskId Id = Ask.Id;
-  Ask.Service = this->Groups.groupFor(Ask.Service, Ask.Parts, Id.Number);
-  OpenAsk Asked;
+void AllocationAgent::request(AllocationRequest Ask, Callback Told) {
+  this->Counters.Requests.add();
+  const CorrelationId Id = Ask.Id;
+  Ask.Service = this->Groups.groupForRequest(Ask.Service, Ask.Parts, Id.Number);
+  PendingRequest Asked;
   Asked.Allocator = this->Routers.firstFor(Ask.Service);
-  Asked.Ask = std::move(Ask);
-  Asked.Told = std::move(Told);
-  Asked.AskedAt = this->Loop.clock().now();
-  Asked.FirstAskedAt = this->SuspendClock.now();
-  OpenAsk &Kept = this->Asks[Id] = std::move(Asked);
-  this->sendAsk(Kept);
+  Asked.Request = std::move(Ask);
+  Asked.OnOutcome = std::move(Told);
+  Asked.RequestedAt = this->Loop.clock().now();
+  Asked.FirstSentAt = this->BootClock.now();
+  PendingRequest &Kept = this->PendingRequests[Id] = std::move(Asked);
+  this->sendRequest(Kept);
 }
 
-void AllocationAgent::sendAsk(OpenAsk &Asked) {
-  const AskId Id = Asked.Ask.Id;
+void AllocationAgent::sendRequest(PendingRequest &Asked) {
+  const CorrelationId Id = Asked.Request.Id;
   const auto Gone = std::chrono::duration_cast<std::chrono::milliseconds>(
-      this->Loop.clock().now() - Asked.AskedAt);
-  ServerAsk Message = Asked.Ask;
-  Message.OnTimeForMs -= static_cast<std::int32_t>(Gone.count());
-  Message.WaitForMs -= static_cast<std::int32_t>(Gone.count());
+      this->Loop.clock().now() - Asked.RequestedAt);
+  AllocationRequest Message = Asked.Request;
+  Message.ObjectiveLeftMs -= static_cast<std::int32_t>(Gone.count());
+  Message.MaxWaitMs -= static_cast<std::int32_t>(Gone.count());
   // Each time later: to ask a slow allocator, or one whose answers this router
   // is slow to read, ever more often would make it slower still.
   const Duration First = Asked.Queued ? QueuedRetry : AskRetry;
-  const Duration Wait = First * (1U << std::min(Asked.Sent, MaxDoublings));
-  ++Asked.Sent;
-  Asked.TimerDue = this->Loop.clock().now() + Wait;
-  Asked.Timer = this->Loop.after(Wait, [this, Id] { this->onAskTimer(Id); });
+  const Duration Wait = First * (1U << std::min(Asked.SendCount, MaxDoublings));
+  ++Asked.SendCount;
+  Asked.TimerDueAt = this->Loop.clock().now() + Wait;
+  Asked.Timer =
+      this->Loop.after(Wait, [this, Id] { this->onRequestTimer(Id); });
   // The last step: a local allocator may answer within the call.
-  this->tell(std::string(Asked.Allocator), std::move(Message));
+  this->sendTo(std::string(Asked.Allocator), std::move(Message));
 }
 
-void AllocationAgent::onAskTimer(const AskId &Id) {
-  const auto Found = this->Asks.find(Id);
-  if (Found == this->Asks.end())
+void AllocationAgent::onRequestTimer(const CorrelationId &Id) {
+  const auto Found = this->PendingRequests.find(Id);
+  if (Found == this->PendingRequests.end())
     return;
-  OpenAsk &Asked = Found->second;
+  PendingRequest &Asked = Found->second;
   Asked.Timer = 0;
   const TimePoint Now = this->Loop.clock().now();
-  if (Now - Asked.AskedAt >
-      std::chrono::milliseconds(Asked.Ask.WaitForMs) + AnswerReserve) {
-    this->answer(Id, ServerRefused{Id, UnansweredReturnMs, 0});
+  if (Now - Asked.RequestedAt >
+      std::chrono::milliseconds(Asked.Request.MaxWaitMs) + AnswerReserve) {
+    this->complete(Id, AllocationRefusal{Id, UnansweredReturnMs, 0});
     return;
   }
   // A loop that was late itself cannot tell whether the answer was.
-  const bool OwnFault = Now - Asked.TimerDue > LateTimer;
-  if (OwnFault || ++Asked.Unanswered < MaxUnanswered) {
-    this->sendAsk(Asked);
+  const bool OwnFault = Now - Asked.TimerDueAt > LateTimer;
+  if (OwnFault || ++Asked.UnansweredCount < MaxUnanswered) {
+    this->sendRequest(Asked);
     return;
   }
-  this->Counters.Away.add();
+  this->Counters.Unanswered.add();
   log(LogPart::Peer, LogLevel::Info,
       "allocator " + Asked.Allocator + " does not answer");
   this->Routers.suspect(Asked.Allocator);
-  Asked.Unanswered = 0;
-  Asked.Sent = 0;
+  Asked.UnansweredCount = 0;
+  Asked.SendCount = 0;
   Asked.Queued = false;
-  Asked.Allocator = ++Asked.Passed < MaxPassed
-                        ? this->Routers.firstFor(Asked.Ask.Service)
+  Asked.Allocator = ++Asked.SkippedAllocators < MaxPassed
+                        ? this->Routers.firstFor(Asked.Request.Service)
                         : this->Routers.self();
-  Asked.FirstAskedAt = this->SuspendClock.now();
-  this->sendAsk(Asked);
+  Asked.FirstSentAt = this->BootClock.now();
+  this->sendRequest(Asked);
 }
 
-void AllocationAgent::answer(const AskId &Id, const AllocationAnswer &Answer) {
-  const auto Found = this->Asks.find(Id);
-  if (Found == this->Asks.end())
+void AllocationAgent::complete(const CorrelationId &Id,
+                               const AllocationReply &Answer) {
+  const auto Found = this->PendingRequests.find(Id);
+  if (Found == this->PendingRequests.end())
     return;
   this->Loop.cancel(Found->second.Timer);
-  const OpenAsk Asked = std::move(Found->second);
-  this->Asks.erase(Found);
+  const PendingRequest Asked = std::move(Found->second);
+  this->PendingRequests.erase(Found);
   AllocationOutcome Outcome{Answer, Asked.Allocator,
-                            this->Loop.clock().now() - Asked.AskedAt};
-  const auto *Granted = std::get_if<ServerGranted>(&Answer);
+                            this->Loop.clock().now() - Asked.RequestedAt};
+  const auto *Granted = std::get_if<AllocationGrant>(&Answer);
   if (Granted != nullptr && Granted->SendWithinMs > 0) {
     this->Counters.WarmUpGrants.add();
-    Outcome.SendUntil =
-        Asked.FirstAskedAt + std::chrono::milliseconds(Granted->SendWithinMs);
+    Outcome.SendDeadline =
+        Asked.FirstSentAt + std::chrono::milliseconds(Granted->SendWithinMs);
   }
-  Asked.Told(Outcome);
+  Asked.OnOutcome(Outcome);
 }
 
-void AllocationAgent::withdraw(const AskId &Id) {
-  const auto Found = this->Asks.find(Id);
-  if (Found == this->Asks.end())
+void AllocationAgent::cancel(const CorrelationId &Id) {
+  const auto Found = this->PendingRequests.find(Id);
+  if (Found == this->PendingRequests.end())
     return;
   this->Loop.cancel(Found->second.Timer);
   const std::string Allocator = Found->second.Allocator;
-  this->Asks.erase(Found);
-  this->tell(Allocator, AskWithdrawn{Id});
+  this->PendingRequests.erase(Found);
+  this->sendTo(Allocator, AllocationCancelled{Id});
 }
 
-void AllocationAgent::sent(const AskId &Id, std::uint64_t Service,
-                           std::uint64_t Server, const SendWork &Work) {
-  const GatewayServer *Listed = this->Local.book().find(Server);
+void AllocationAgent::onAttemptSent(const CorrelationId &Id,
+                                    std::uint64_t Service, std::uint64_t Server,
+                                    const AttemptLoad &Work) {
+  const GatewayServer *Listed = this->LocalAllocator.serverTable().find(Server);
   const std::uint64_t Group =
-      Listed == nullptr ? Service
-                        : this->Groups.groupOf(Listed->Id, Listed->Service);
-  OpenSend Send{Group, Server, Work, this->Routers.firstFor(Group)};
-  this->tell(Send.Allocator, SendOpen{Id, Server, Work.UnreadTokens,
-                                      Work.OutputTokens, Work.ServerStartedMs});
-  this->Sends[Id] = std::move(Send);
+      Listed == nullptr
+          ? Service
+          : this->Groups.groupOfServer(Listed->Id, Listed->Service);
+  ActiveAttempt Send{Group, Server, Work, this->Routers.firstFor(Group)};
+  this->sendTo(Send.Allocator,
+               GrantActive{Id, Server, Work.PrefillTokens, Work.OutputTokens,
+                           Work.ServerStartedMs});
+  this->ActiveAttempts[Id] = std::move(Send);
 }
 
-void AllocationAgent::began(const AskId &Id) {
-  const auto Found = this->Sends.find(Id);
-  if (Found == this->Sends.end())
+void AllocationAgent::onAttemptStarted(const CorrelationId &Id) {
+  const auto Found = this->ActiveAttempts.find(Id);
+  if (Found == this->ActiveAttempts.end())
     return;
-  Found->second.Work.UnreadTokens = 0;
-  this->tell(Found->second.Allocator, GrantBegan{Id});
+  Found->second.Work.PrefillTokens = 0;
+  this->sendTo(Found->second.Allocator, GrantStarted{Id});
 }
 
-void AllocationAgent::ended(const AskId &Id, ServerVerdict Verdict) {
-  const auto Found = this->Sends.find(Id);
-  if (Found == this->Sends.end())
+void AllocationAgent::onAttemptEnded(const CorrelationId &Id,
+                                     ServerVerdict Verdict) {
+  const auto Found = this->ActiveAttempts.find(Id);
+  if (Found == this->ActiveAttempts.end())
     return;
   const std::string Allocator = Found->second.Allocator;
-  this->Sends.erase(Found);
-  this->tell(Allocator, GrantEnded{Id, Verdict});
+  this->ActiveAttempts.erase(Found);
+  this->sendTo(Allocator, GrantEnded{Id, Verdict});
 }
 
 /// Also moves what is open to the allocator of the moment.
-void AllocationAgent::tellOpenSends() {
-  for (auto &[Id, Send] : this->Sends) {
+void AllocationAgent::reportActiveAttempts() {
+  for (auto &[Id, Send] : this->ActiveAttempts) {
     Send.Allocator = this->Routers.firstFor(Send.Service);
-    this->tell(Send.Allocator,
-               SendOpen{Id, Send.Server, Send.Work.UnreadTokens,
-                        Send.Work.OutputTokens, Send.Work.ServerStartedMs});
+    this->sendTo(Send.Allocator,
+                 GrantActive{Id, Send.Server, Send.Work.PrefillTokens,
+                             Send.Work.OutputTokens,
+                             Send.Work.ServerStartedMs});
   }
-  this->Loop.after(TellInterval, [this] { this->tellOpenSends(); });
+  this->Loop.after(TellInterval, [this] { this->reportActiveAttempts(); });
 }
 
-void AllocationAgent::tell(const std::string &Router, RouterMessage Message) {
+void AllocationAgent::sendTo(const std::string &Router, RouterMessage Message) {
   if (Router == this->Routers.self()) {
-    this->Local.handle(Message, this->Loop.clock().now());
-    this->schedulePump();
-    this->deliverLocalAnswers();
+    this->LocalAllocator.handle(Message, this->Loop.clock().now());
+    this->scheduleAllocator();
+    this->deliverLocalReplies();
     return;
   }
   this->Routers.send(Router, std::move(Message));
 }
 
-void AllocationAgent::schedulePump() {
-  if (this->PumpDue)
+void AllocationAgent::scheduleAllocator() {
+  if (this->AllocatorScheduled)
     return;
-  this->PumpDue = true;
-  this->Loop.after(Duration::zero(), [this] { this->pump(); });
+  this->AllocatorScheduled = true;
+  this->Loop.after(Duration::zero(), [this] { this->runAllocator(); });
 }
 
-void AllocationAgent::pump() {
-  this->PumpDue = false;
-  this->Local.tick(this->Loop.clock().now());
-  this->deliverLocalAnswers();
-  if (this->Local.waiting() == 0 || this->PumpTimer != 0)
+void AllocationAgent::runAllocator() {
+  this->AllocatorScheduled = false;
+  this->LocalAllocator.tick(this->Loop.clock().now());
+  this->deliverLocalReplies();
+  if (this->LocalAllocator.queuedRequests() == 0 || this->AllocatorTimer != 0)
     return;
-  this->PumpTimer = this->Loop.after(PumpInterval, [this] {
-    this->PumpTimer = 0;
-    this->pump();
+  this->AllocatorTimer = this->Loop.after(PumpInterval, [this] {
+    this->AllocatorTimer = 0;
+    this->runAllocator();
   });
 }
 
-void AllocationAgent::deliverLocalAnswers() {
-  for (const std::uint64_t Server : this->Local.takeUnknown())
-    if (this->AskKept)
-      this->AskKept(Server);
-  const auto Answers = this->Local.takeAnswers();
+void AllocationAgent::deliverLocalReplies() {
+  for (const std::uint64_t Server : this->LocalAllocator.takeUnknownCaches())
+    if (this->OnUnknownCache)
+      this->OnUnknownCache(Server);
+  const auto Answers = this->LocalAllocator.takeReplies();
   for (const RouterMessage &Each : Answers) {
-    const AskId Id = std::visit([](const auto &M) { return M.Id; }, Each);
-    if (const auto *Refused = std::get_if<ServerRefused>(&Each))
+    const CorrelationId Id =
+        std::visit([](const auto &M) { return M.Id; }, Each);
+    if (const auto *Refused = std::get_if<AllocationRefusal>(&Each))
       this->logRefusal(*Refused);
     if (Id.Process == this->Process) {
       this->onMessage(Each, {});
       continue;
     }
-    const auto Asker = this->Askers.find(Id.Process);
-    if (Asker == this->Askers.end())
+    const auto Asker = this->Requesters.find(Id.Process);
+    if (Asker == this->Requesters.end())
       continue;
     this->Routers.send(Asker->second, Each);
   }
 }
 
-void AllocationAgent::logRefusal(const ServerRefused &Refused) const {
-  logEach(LogPart::Peer, [this, &Refused] {
-    const ServerRoom Room =
-        this->Local.roomOf(Refused.Service, this->Loop.clock().now());
-    return "ask=" + textOf(Refused.Id) +
-           " refused: waiting=" + std::to_string(this->Local.waiting()) +
-           " at-servers=" + std::to_string(this->Local.granted()) +
+void AllocationAgent::logRefusal(const AllocationRefusal &Refused) const {
+  logLazily(LogPart::Peer, [this, &Refused] {
+    const CapacitySummary Room = this->LocalAllocator.capacityOf(
+        Refused.Service, this->Loop.clock().now());
+    return "ask=" + textOf(Refused.Id) + " refused: waiting=" +
+           std::to_string(this->LocalAllocator.queuedRequests()) +
+           " at-servers=" +
+           std::to_string(this->LocalAllocator.activeGrants()) +
            " free=" + std::to_string(Room.Free) +
-           " slots-taken=" + std::to_string(Room.SlotsTaken) +
-           " prompts-wait=" + std::to_string(Room.PromptsWait) +
-           " unsound=" + std::to_string(Room.Unsound) +
+           " slots-taken=" + std::to_string(Room.SlotsFull) +
+           " prompts-wait=" + std::to_string(Room.PrefillFull) +
+           " unsound=" + std::to_string(Room.Unhealthy) +
            " warming-up=" + std::to_string(Room.WarmingUp) + " return-after=" +
-           secondsText(std::chrono::milliseconds(Refused.ReturnAfterMs));
+           secondsText(std::chrono::milliseconds(Refused.RetryAfterMs));
   });
 }
 
 /// A grant that comes after its request has gone.
-void AllocationAgent::giveBack(const AskId &Id,
-                               const Poco::Net::SocketAddress &Allocator) {
-  const GrantEnded Message{Id, ServerVerdict::Sound};
+void AllocationAgent::release(const CorrelationId &Id,
+                              const Poco::Net::SocketAddress &Allocator) {
+  const GrantEnded Message{Id, ServerVerdict::Healthy};
   if (Allocator == Poco::Net::SocketAddress()) {
-    this->Local.handle(Message, this->Loop.clock().now());
+    this->LocalAllocator.handle(Message, this->Loop.clock().now());
     return;
   }
   this->Routers.send(Allocator, Message);
@@ -283,35 +294,35 @@
 void AllocationAgent::onMessage(const RouterMessage &Message,
                                 const Poco::Net::SocketAddress &From) {
   const auto ForAllocator = [this, &From](const auto &M) {
-    this->Askers[M.Id.Process] = From;
-    this->Local.handle(M, this->Loop.clock().now());
-    this->schedulePump();
-    this->deliverLocalAnswers();
+    this->Requesters[M.Id.Process] = From;
+    this->LocalAllocator.handle(M, this->Loop.clock().now());
+    this->scheduleAllocator();
+    this->deliverLocalReplies();
   };
   std::visit(Overloaded{
-                 [this](const AskQueued &M) {
-                   const auto Found = this->Asks.find(M.Id);
-                   if (Found == this->Asks.end())
+                 [this](const AllocationQueued &M) {
+                   const auto Found = this->PendingRequests.find(M.Id);
+                   if (Found == this->PendingRequests.end())
                      return;
                    Found->second.Queued = true;
-                   Found->second.Unanswered = 0;
+                   Found->second.UnansweredCount = 0;
                  },
-                 [this, &From](const ServerGranted &M) {
-                   this->Counters.Granted.add();
-                   if (this->Asks.contains(M.Id))
-                     this->answer(M.Id, M);
-                   else if (!this->Sends.contains(M.Id))
-                     this->giveBack(M.Id, From);
+                 [this, &From](const AllocationGrant &M) {
+                   this->Counters.Grants.add();
+                   if (this->PendingRequests.contains(M.Id))
+                     this->complete(M.Id, M);
+                   else if (!this->ActiveAttempts.contains(M.Id))
+                     this->release(M.Id, From);
                  },
-                 [this](const ServerRefused &M) {
-                   this->Counters.Refused.add();
-                   this->answer(M.Id, M);
+                 [this](const AllocationRefusal &M) {
+                   this->Counters.Refusals.add();
+                   this->complete(M.Id, M);
                  },
                  // Not of this class.
-                 [](const FleetAsk &) {},
-                 [](const FleetTold &) {},
-                 [](const FleetNews &) {},
-                 [](const CrashNews &) {},
+                 [](const FleetStatusRequest &) {},
+                 [](const FleetStatus &) {},
+                 [](const FleetUpdate &) {},
+                 [](const CrashReport &) {},
                  ForAllocator,
              },
              Message);
--- a/src/Gateway/AllocationAgent.h
+++ b/src/Gateway/AllocationAgent.h
@@ -3,7 +3,7 @@
 
 #include "Gateway/RouterExchange.h"
 #include "Placement/Allocator.h"
-#include "Placement/SoleAllocator.h"
+#include "Placement/ServerOwnership.h"
 
 #include <functional>
 #include <map>
@@ -13,29 +13,29 @@
 
 namespace parsleywing {
 
-using AllocationAnswer = std::variant<ServerGranted, ServerRefused>;
+using AllocationReply = std::variant<AllocationGrant, AllocationRefusal>;
 
 /// What became of an ask, and who decided it.
 struct AllocationOutcome {
-  AllocationAnswer Answer;
+  AllocationReply Reply;
   std::string Allocator;
   /// From the ask to the answer.
-  Duration Waited{};
+  Duration WaitTime{};
   /// A grant to a server that warms up: not sent later than this, on the clock
   /// that counts suspended time.
-  std::optional<TimePoint> SendUntil{};
+  std::optional<TimePoint> SendDeadline{};
 };
 
 /// Counts of the agent's messages and decisions.
 struct AllocationCounters {
   explicit AllocationCounters(Metrics &Into);
 
-  Counter &Asked;
-  Counter &Granted;
-  Counter &Refused;
-  Counter &Away;
+  Counter &Requests;
+  Counter &Grants;
+  Counter &Refusals;
+  Counter &Unanswered;
   Counter &WarmUpGrants;
-  Counter &WarmUpGrantsLate;
+  Counter &LateWarmUpGrants;
 };
 
 /// Asks the allocator of a service for a server and tells it how sends go; and
@@ -59,38 +59,38 @@
   AllocationAgent &operator=(const AllocationAgent &) = delete;
 
   /// Tells of this router's requests from now on.
-  void start() { this->tellOpenSends(); }
+  void start() { this->reportActiveAttempts(); }
 
   /// Servers or configuration have changed.
   void setServers(const FleetView &View);
   /// Each new view, behind `setServers`.
-  void takeView(const FleetView &View);
+  void updateView(const FleetView &View);
 
-  AskId newId() { return {this->Process, ++this->LastNumber}; }
+  CorrelationId newId() { return {this->Process, ++this->LastNumber}; }
 
   /// Asks; `Told` is called once, perhaps before this returns. The identity is
   /// one of `newId`.
-  void ask(ServerAsk Ask, Callback Told);
+  void request(AllocationRequest Ask, Callback Told);
   /// An ask that was not answered yet is over.
-  void withdraw(const AskId &Id);
+  void cancel(const CorrelationId &Id);
 
   /// A request was sent to a server, whoever chose it.
-  void sent(const AskId &Id, std::uint64_t Service, std::uint64_t Server,
-            const SendWork &Work);
+  void onAttemptSent(const CorrelationId &Id, std::uint64_t Service,
+                     std::uint64_t Server, const AttemptLoad &Work);
   /// The server has begun to answer.
-  void began(const AskId &Id);
-  void ended(const AskId &Id, ServerVerdict Verdict);
+  void onAttemptStarted(const CorrelationId &Id);
+  void onAttemptEnded(const CorrelationId &Id, ServerVerdict Verdict);
 
-  const Allocator &allocator() const { return this->Local; }
+  const Allocator &allocator() const { return this->LocalAllocator; }
   /// A grant to a server that warms up has come too late to be used.
-  void noteLateGrant() { this->Counters.WarmUpGrantsLate.add(); }
+  void recordLateGrant() { this->Counters.LateWarmUpGrants.add(); }
 
   /// Called with each server whose cache the local allocator knows nothing of.
-  void whenUnknown(std::function<void(std::uint64_t Server)> Ask) {
-    this->AskKept = std::move(Ask);
+  void onUnknownCache(std::function<void(std::uint64_t Server)> Ask) {
+    this->OnUnknownCache = std::move(Ask);
   }
-  void noteKept(std::uint64_t Server, const KeptParts &Told) {
-    this->Local.noteKept(Server, Told);
+  void recordCached(std::uint64_t Server, const CachedParts &Told) {
+    this->LocalAllocator.recordCached(Server, Told);
   }
 
   /// A message of another router, or of this one's own allocator (then without
@@ -99,59 +99,60 @@
                  const Poco::Net::SocketAddress &From);
 
 private:
-  struct OpenAsk {
-    ServerAsk Ask;
-    Callback Told;
+  struct PendingRequest {
+    AllocationRequest Request;
+    Callback OnOutcome;
     std::string Allocator;
-    TimePoint AskedAt{};
+    TimePoint RequestedAt{};
     /// When the present allocator was first asked, on the clock that counts
     /// suspended time.
-    TimePoint FirstAskedAt{};
+    TimePoint FirstSentAt{};
     TimerId Timer = 0;
-    TimePoint TimerDue{};
+    TimePoint TimerDueAt{};
     /// Times that it was sent to this allocator.
-    int Sent = 0;
-    int Unanswered = 0;
+    int SendCount = 0;
+    int UnansweredCount = 0;
     /// Allocators that did not answer.
-    int Passed = 0;
+    int SkippedAllocators = 0;
     bool Queued = false;
   };
 
-  struct OpenSend {
+  struct ActiveAttempt {
     std::uint64_t Service = 0;
     std::uint64_t Server = 0;
-    SendWork Work;
+    AttemptLoad Work;
     std::string Allocator;
   };
 
-  void sendAsk(OpenAsk &Asked);
-  void onAskTimer(const AskId &Id);
-  void answer(const AskId &Id, const AllocationAnswer &Answer);
+  void sendRequest(PendingRequest &Asked);
+  void onRequestTimer(const CorrelationId &Id);
+  void complete(const CorrelationId &Id, const AllocationReply &Answer);
 
-  void tell(const std::string &Router, RouterMessage Message);
-  void schedulePump();
-  void pump();
-  void deliverLocalAnswers();
-  void logRefusal(const ServerRefused &Refused) const;
-  void giveBack(const AskId &Id, const Poco::Net::SocketAddress &Allocator);
-  void tellOpenSends();
+  void sendTo(const std::string &Router, RouterMessage Message);
+  void scheduleAllocator();
+  void runAllocator();
+  void deliverLocalReplies();
+  void logRefusal(const AllocationRefusal &Refused) const;
+  void release(const CorrelationId &Id,
+               const Poco::Net::SocketAddress &Allocator);
+  void reportActiveAttempts();
 
   EventLoop &Loop;
   RouterExchange &Routers;
   std::uint64_t Process;
   AllocationCounters Counters;
   ServerGroups Groups;
-  Clock SuspendClock = Clock::sinceBoot();
-  SoleAllocator Sole;
-  Allocator Local;
-  std::function<void(std::uint64_t)> AskKept;
+  Clock BootClock = Clock::sinceBoot();
+  ServerOwnership Sole;
+  Allocator LocalAllocator;
+  std::function<void(std::uint64_t)> OnUnknownCache;
   /// Where the processes that asked here are.
-  std::map<std::uint64_t, Poco::Net::SocketAddress> Askers;
-  std::map<AskId, OpenAsk> Asks;
-  std::map<AskId, OpenSend> Sends;
+  std::map<std::uint64_t, Poco::Net::SocketAddress> Requesters;
+  std::map<CorrelationId, PendingRequest> PendingRequests;
+  std::map<CorrelationId, ActiveAttempt> ActiveAttempts;
   std::uint64_t LastNumber = 0;
-  bool PumpDue = false;
-  TimerId PumpTimer = 0;
+  bool AllocatorScheduled = false;
+  TimerId AllocatorTimer = 0;
 };
 
 } // namespace parsleywing
--- a/src/Gateway/KeptPartsReader.cpp
+++ b/src/Gateway/CachedPartsReader.cpp
@@ -1,4 +1,4 @@
-#include "Gateway/KeptPartsReader.h"
+#include "Gateway/CachedPartsReader.h"
 
 #include "Http/HttpStatus.h"
 #include "Runtime/Log.h"
@@ -23,95 +23,97 @@
 
 } // namespace
 
-KeptPartsReader::KeptPartsReader(EventLoop &L, const WireFormat &F,
-                                 UpstreamPool &P, Metrics &M)
+CachedPartsReader::CachedPartsReader(EventLoop &L, const WireFormat &F,
+                                     UpstreamPool &P, Metrics &M)
     : Loop(L), Format(F), Pool(P),
-      Asked(M.counter({"kept_parts_asked_total",
-                       "Engines that were asked what they keep.", ""})),
-      Failed(M.counter({"kept_parts_failures_total",
-                        "Such questions without a usable answer.", ""})) {}
+      Queries(M.counter({"kept_parts_asked_total",
+                         "Engines that were asked what they keep.", ""})),
+      FailedQueries(
+          M.counter({"kept_parts_failures_total",
+                     "Such questions without a usable answer.", ""})) {}
 
-void KeptPartsReader::ask(const GatewayServer &Server) {
-  if (!this->Listed.insert(Server.Id).second)
+void CachedPartsReader::query(const GatewayServer &Server) {
+  if (!this->PendingIds.insert(Server.Id).second)
     return;
-  this->Waiting.push_back(Server);
-  if (this->Listed.size() == 1)
-    this->askNext();
+  this->Pending.push_back(Server);
+  if (this->PendingIds.size() == 1)
+    this->queryNext();
 }
 
-void KeptPartsReader::askNext() {
-  if (this->Waiting.empty())
+void CachedPartsReader::queryNext() {
+  if (this->Pending.empty())
     return;
-  const GatewayServer &Server = this->Waiting.front();
-  this->Asked.add();
+  const GatewayServer &Server = this->Pending.front();
+  this->Queries.add();
   this->Status = 0;
   this->Body.clear();
-  this->Connection = this->Pool.take(Server.Id, MaxIdle);
+  this->Connection = this->Pool.acquire(Server.Id, MaxIdle);
   if (this->Connection == nullptr)
     this->Connection =
         UpstreamConnection::connect(this->Loop, this->Format, Server.Address);
   if (this->Connection == nullptr) {
-    this->finish("unreachable");
+    this->finishQuery("unreachable");
     return;
   }
   UpstreamListener Listener;
-  Listener.Head = [this](const HttpHead &Head, const ServerHead &) {
+  Listener.HeadReceived = [this](const HttpHead &Head,
+                                 const ServerResponseFields &) {
     this->Status = Head.Status;
   };
-  Listener.Payload = [this](std::string_view Bytes) {
+  Listener.PayloadReceived = [this](std::string_view Bytes) {
     if (this->Body.size() + Bytes.size() <= MaxAnswerBytes)
       this->Body.append(Bytes);
     else
       this->Status = 0;
   };
-  Listener.Ended = [this](UpstreamEnd How) { this->onEnd(How); };
+  Listener.Ended = [this](UpstreamEnd How) { this->onResponseEnd(How); };
   const HttpHead Question =
-      this->Format.KeptPartsQuestion(Server.Address.toString());
+      this->Format.BuildCachedPartsRequest(Server.Address.toString());
   this->Timer = this->Loop.after(AnswerLimit, [this] {
     this->Timer = 0;
     std::exchange(this->Connection, nullptr)->close();
-    this->finish("silent");
+    this->finishQuery("silent");
   });
   this->Connection->send(writeRequestHead(Question), Question.Method, "",
                          std::move(Listener));
 }
 
-void KeptPartsReader::onEnd(UpstreamEnd How) {
+void CachedPartsReader::onResponseEnd(UpstreamEnd How) {
   const auto Ended = std::exchange(this->Connection, nullptr);
   if (How != UpstreamEnd::Complete) {
-    this->finish("broken");
+    this->finishQuery("broken");
     return;
   }
-  const GatewayServer &Server = this->Waiting.front();
-  this->Pool.put(Server.Id, Ended);
+  const GatewayServer &Server = this->Pending.front();
+  this->Pool.release(Server.Id, Ended);
   if (this->Status != HttpOk) {
-    this->finish("refused");
+    this->finishQuery("refused");
     return;
   }
-  const auto Read = this->Format.ReadKeptParts(this->Body);
+  const auto Read = this->Format.ParseCachedParts(this->Body);
   if (!Read) {
-    this->finish("unreadable");
+    this->finishQuery("unreadable");
     return;
   }
-  this->Tell(Server, *Read);
-  this->finish(nullptr);
+  this->OnParts(Server, *Read);
+  this->finishQuery(nullptr);
 }
 
 /// `Problem` is null where the engine has told.
-void KeptPartsReader::finish(const char *Problem) {
+void CachedPartsReader::finishQuery(const char *Problem) {
   this->Loop.cancel(this->Timer);
   this->Timer = 0;
-  const GatewayServer Server = std::move(this->Waiting.front());
-  this->Waiting.pop_front();
-  this->Listed.erase(Server.Id);
+  const GatewayServer Server = std::move(this->Pending.front());
+  this->Pending.pop_front();
+  this->PendingIds.erase(Server.Id);
   if (Problem != nullptr) {
-    this->Failed.add();
+    this->FailedQueries.add();
     log(LogPart::Backend, LogLevel::Info,
         "server=" + Server.Id + " does not tell what it keeps: " + Problem);
   }
   this->Loop.after(Pause, [this] {
     if (this->Connection == nullptr)
-      this->askNext();
+      this->queryNext();
   });
 }
 
--- a/src/Gateway/KeptPartsReader.h
+++ b/src/Gateway/CachedPartsReader.h
@@ -1,5 +1,5 @@
-#ifndef PARSLEYWING_GATEWAY_KEPTPARTSREADER_H
-#define PARSLEYWING_GATEWAY_KEPTPARTSREADER_H
+#ifndef PARSLEYWING_GATEWAY_CACHEDPARTSREADER_H
+#define PARSLEYWING_GATEWAY_CACHEDPARTSREADER_H
 
 #include "Gateway/UpstreamPool.h"
 #include "Placement/FleetView.h"
@@ -17,33 +17,33 @@
 /// engine does not tell is learnt from what is sent there, as before.
 ///
 /// Belongs to the loop's thread.
-class KeptPartsReader {
+class CachedPartsReader {
 public:
-  using Sink = std::function<void(const GatewayServer &, const KeptParts &)>;
+  using Sink = std::function<void(const GatewayServer &, const CachedParts &)>;
 
-  KeptPartsReader(EventLoop &L, const WireFormat &F, UpstreamPool &P,
-                  Metrics &M);
-  KeptPartsReader(const KeptPartsReader &) = delete;
-  KeptPartsReader &operator=(const KeptPartsReader &) = delete;
+  CachedPartsReader(EventLoop &L, const WireFormat &F, UpstreamPool &P,
+                    Metrics &M);
+  CachedPartsReader(const CachedPartsReader &) = delete;
+  CachedPartsReader &operator=(const CachedPartsReader &) = delete;
 
-  void start(Sink Told) { this->Tell = std::move(Told); }
+  void start(Sink Told) { this->OnParts = std::move(Told); }
 
   /// Nothing happens where the server is asked already.
-  void ask(const GatewayServer &Server);
+  void query(const GatewayServer &Server);
 
 private:
-  void askNext();
-  void onEnd(UpstreamEnd How);
-  void finish(const char *Problem);
+  void queryNext();
+  void onResponseEnd(UpstreamEnd How);
+  void finishQuery(const char *Problem);
 
   EventLoop &Loop;
   const WireFormat &Format;
   UpstreamPool &Pool;
-  Counter &Asked;
-  Counter &Failed;
-  Sink Tell;
-  std::deque<GatewayServer> Waiting;
-  std::set<std::string> Listed;
+  Counter &Queries;
+  Counter &FailedQueries;
+  Sink OnParts;
+  std::deque<GatewayServer> Pending;
+  std::set<std::string> PendingIds;
   /// The present call; null where there is none.
   std::shared_ptr<UpstreamConnection> Connection;
   TimerId Timer = 0;
--- a/src/Gateway/CallerSession.cpp
+++ b/src/Gateway/CallerSession.cpp
@@ -30,7 +30,7 @@
 
 } // namespace
 
-HttpHead ownAnswerHead(int Status, const std::string &Reason) {
+HttpHead localReplyHead(int Status, const std::string &Reason) {
   HttpHead Head;
   Head.Status = Status;
   Head.Reason = Reason;
@@ -38,9 +38,9 @@
 }
 
 CallerSession::CallerSession(EventLoop &L, std::shared_ptr<ByteChannel> C,
-                             GatewayLimits Bounds, Handler H, Closed E)
-    : Loop(L), Channel(std::move(C)), Limits(Bounds), Handle(std::move(H)),
-      TellClosed(std::move(E)) {}
+                             GatewayLimits Bounds, Handler H, CloseCallback E)
+    : Loop(L), Channel(std::move(C)), Limits(Bounds), OnRequest(std::move(H)),
+      OnClosed(std::move(E)) {}
 
 CallerSession::~CallerSession() {
   this->Loop.cancel(this->Timer);
@@ -48,7 +48,7 @@
     this->Channel->close();
 }
 
-void CallerSession::begin() {
+void CallerSession::start() {
   ChannelListener Listener;
   Listener.Received = [this](std::string_view Bytes) {
     const auto Alive = this->shared_from_this();
@@ -60,106 +60,110 @@
   };
   Listener.Drained = [this] {
     const auto Alive = this->shared_from_this();
-    if (const auto Tell = this->Events.Drained)
+    if (const auto Tell = this->Listener.SendBufferDrained)
       Tell();
   };
-  this->Channel->listen(std::move(Listener));
+  this->Channel->setListener(std::move(Listener));
   this->armTimer(this->Limits.IdleTimeout, true);
 }
 
 void CallerSession::onReceived(std::string_view Bytes) {
   // A request whose caller has gone already must not reach a server: one that
   // was read late, on a busy VM, has often been given up.
-  if (this->Now == State::Over || this->Channel->peerClosed())
+  if (this->CurrentState == State::Closed || this->Channel->peerClosed())
     return;
-  this->In.append(Bytes);
-  if (this->Now != State::Serving)
-    this->process();
-  this->limitAhead();
+  this->Input.append(Bytes);
+  if (this->CurrentState != State::Serving)
+    this->processInput();
+  this->limitPipelining();
 }
 
 /// A caller that sends more is slowed down: the rest waits with the system.
-void CallerSession::limitAhead() {
-  if (this->Now == State::Serving && this->In.size() > MaxAhead)
+void CallerSession::limitPipelining() {
+  if (this->CurrentState == State::Serving && this->Input.size() > MaxAhead)
     this->Channel->pauseReading();
   else
     this->Channel->resumeReading();
 }
 
 void CallerSession::onEnded() {
-  if (this->Now == State::Over)
+  if (this->CurrentState == State::Closed)
     return;
-  const auto Tell =
-      this->Now == State::Serving ? this->Events.Left : std::function<void()>();
+  const auto Tell = this->CurrentState == State::Serving
+                        ? this->Listener.Disconnected
+                        : std::function<void()>();
   this->close();
   if (Tell)
     Tell();
 }
 
-void CallerSession::process() {
+void CallerSession::processInput() {
   bool More = true;
-  while (More && (this->Now == State::Head || this->Now == State::Body))
-    More = this->Now == State::Head ? this->takeHead() : this->takeBody();
+  while (More && (this->CurrentState == State::ReadingHead ||
+                  this->CurrentState == State::ReadingBody))
+    More = this->CurrentState == State::ReadingHead ? this->parseHead()
+                                                    : this->parseBody();
 }
 
-bool CallerSession::takeHead() {
+bool CallerSession::parseHead() {
   // An empty line before a request line is allowed (RFC 9112, 2.2).
-  while (this->In.starts_with("\r\n"))
-    this->In.erase(0, 2);
-  if (this->In.empty())
+  while (this->Input.starts_with("\r\n"))
+    this->Input.erase(0, 2);
+  if (this->Input.empty())
     return false;
-  const std::size_t Length = headLength(this->In);
-  const std::size_t Known = Length == 0 ? this->In.size() : Length;
+  const std::size_t Length = headLength(this->Input);
+  const std::size_t Known = Length == 0 ? this->Input.size() : Length;
   if (Known > this->Limits.MaxHeaderBytes) {
-    this->refuse(HttpHeaderFieldsTooLarge, "Request Header Fields Too Large");
+    this->sendErrorAndClose(HttpHeaderFieldsTooLarge,
+                            "Request Header Fields Too Large");
     return false;
   }
   if (Length == 0) {
     // Armed once a head: a byte now and then must not hold the connection.
-    if (!this->HeadBegun)
+    if (!this->HeadStarted)
       this->armTimer(this->Limits.HeaderTimeout, false);
-    this->HeadBegun = true;
+    this->HeadStarted = true;
     return false;
   }
-  this->HeadBegun = false;
-  auto Head = parseRequestHead(std::string_view(this->In).substr(0, Length));
-  this->In.erase(0, Length);
+  this->HeadStarted = false;
+  auto Head = parseRequestHead(std::string_view(this->Input).substr(0, Length));
+  this->Input.erase(0, Length);
   if (!Head) {
-    this->refuse(HttpBadRequest, "Bad Request");
+    this->sendErrorAndClose(HttpBadRequest, "Bad Request");
     return false;
   }
-  const auto Plan = planRequestBody(*Head);
+  const auto Plan = requestBodyLength(*Head);
   if (!Plan) {
-    this->refuse(HttpBadRequest, "Bad Request");
+    this->sendErrorAndClose(HttpBadRequest, "Bad Request");
     return false;
   }
-  if (Plan->Length > this->Limits.MaxBodyBytes) {
-    this->refuse(HttpContentTooLarge, "Content Too Large");
+  if (Plan->ContentLength > this->Limits.MaxBodyBytes) {
+    this->sendErrorAndClose(HttpContentTooLarge, "Content Too Large");
     return false;
   }
   this->Request = {};
   this->Request.HasBody = Plan->Framing != BodyFraming::None;
-  this->Request.Arrived = this->Loop.clock().now();
-  this->KeepOpen = keepsConnection(*Head);
-  this->Chunked = !Head->OldVersion;
-  if (Head->hasWord("Expect", "100-continue") && this->In.empty())
+  this->Request.ReceivedAt = this->Loop.clock().now();
+  this->KeepAlive = isKeepAlive(*Head);
+  this->Chunked = !Head->IsHttp10;
+  if (Head->hasToken("Expect", "100-continue") && this->Input.empty())
     this->Channel->write("HTTP/1.1 100 Continue\r\n\r\n");
   this->Request.Head = std::move(*Head);
   this->Decoder = BodyDecoder(*Plan);
-  this->Now = State::Body;
+  this->CurrentState = State::ReadingBody;
   this->armTimer(BodyTimeout, false);
   return true;
 }
 
-bool CallerSession::takeBody() {
-  const std::size_t Used = this->Decoder.feed(this->In, this->Request.Body);
-  this->In.erase(0, Used);
+bool CallerSession::parseBody() {
+  const std::size_t Used = this->Decoder.feed(this->Input, this->Request.Body);
+  this->Input.erase(0, Used);
   if (this->Decoder.malformed()) {
-    this->refuse(HttpBadRequest, "Bad Request");
+    this->sendErrorAndClose(HttpBadRequest, "Bad Request");
     return false;
   }
   if (this->Request.Body.size() > this->Limits.MaxBodyBytes) {
-    this->refuse(HttpContentTooLarge, "Content Too Large");
+    this->sendErrorAndClose(HttpContentTooLarge, "Content Too Large");
     return false;
   }
   if (!this->Decoder.complete()) {
@@ -167,33 +171,33 @@
       this->armTimer(BodyTimeout, false);
     return false;
   }
-  this->startRequest();
-  return this->Now == State::Head && !this->In.empty();
+  this->dispatchRequest();
+  return this->CurrentState == State::ReadingHead && !this->Input.empty();
 }
 
-void CallerSession::startRequest() {
+void CallerSession::dispatchRequest() {
   this->Loop.cancel(this->Timer);
   this->Timer = 0;
-  this->Now = State::Serving;
-  this->Handle(this->shared_from_this(), std::move(this->Request));
+  this->CurrentState = State::Serving;
+  this->OnRequest(this->shared_from_this(), std::move(this->Request));
 }
 
-void CallerSession::refuse(int Status, const char *Reason) {
-  this->Now = State::Serving;
-  this->KeepOpen = false;
-  this->answer(ownAnswerHead(Status, Reason), {});
+void CallerSession::sendErrorAndClose(int Status, const char *Reason) {
+  this->CurrentState = State::Serving;
+  this->KeepAlive = false;
+  this->sendResponse(localReplyHead(Status, Reason), {});
 }
 
 void CallerSession::sendHead(HttpHead Head) {
-  if (this->CloseAfter)
-    this->KeepOpen = false;
-  if (!this->KeepOpen)
+  if (this->CloseAfterResponse)
+    this->KeepAlive = false;
+  if (!this->KeepAlive)
     Head.add("Connection", "close");
   this->Channel->write(writeResponseHead(Head));
 }
 
-void CallerSession::answer(HttpHead Head, std::string_view Body) {
-  if (this->Now != State::Serving)
+void CallerSession::sendResponse(HttpHead Head, std::string_view Body) {
+  if (this->CurrentState != State::Serving)
     return;
   Head.remove("Content-Length");
   Head.add("Content-Length", std::to_string(Body.size()));
@@ -202,8 +206,8 @@
   this->finishRequest();
 }
 
-void CallerSession::beginAnswer(HttpHead Head) {
-  if (this->Now != State::Serving)
+void CallerSession::startResponse(HttpHead Head) {
+  if (this->CurrentState != State::Serving)
     return;
   Head.remove("Content-Length");
   // A caller of the older version takes the end of the connection for the end
@@ -211,14 +215,14 @@
   if (this->Chunked) {
     Head.add("Transfer-Encoding", "chunked");
   } else {
-    this->KeepOpen = false;
+    this->KeepAlive = false;
     this->Channel->resetUnlessFinished();
   }
   this->sendHead(std::move(Head));
 }
 
-void CallerSession::piece(std::string_view Bytes) {
-  if (this->Now != State::Serving || Bytes.empty())
+void CallerSession::sendChunk(std::string_view Bytes) {
+  if (this->CurrentState != State::Serving || Bytes.empty())
     return;
   if (this->Chunked)
     this->Channel->write(chunkOf(Bytes));
@@ -226,43 +230,44 @@
     this->Channel->write(Bytes);
 }
 
-void CallerSession::endAnswer() {
-  if (this->Now != State::Serving)
+void CallerSession::finishResponse() {
+  if (this->CurrentState != State::Serving)
     return;
   if (this->Chunked)
     this->Channel->write("0\r\n\r\n");
   this->finishRequest();
 }
 
-void CallerSession::cutAnswer() {
-  if (this->Now == State::Over)
+void CallerSession::abortResponse() {
+  if (this->CurrentState == State::Closed)
     return;
   this->Channel->abort();
   this->close();
 }
 
 void CallerSession::finishRequest() {
-  this->Events = {};
-  if (!this->KeepOpen) {
-    this->Now = State::Over;
+  this->Listener = {};
+  if (!this->KeepAlive) {
+    this->CurrentState = State::Closed;
     this->Channel->finish();
     this->close();
     return;
   }
-  this->Now = State::Head;
-  this->AnsweredAt = this->Loop.clock().now();
+  this->CurrentState = State::ReadingHead;
+  this->LastResponseAt = this->Loop.clock().now();
   // An answer whose head left before the close was wanted has not announced it:
   // the caller's next request may be on its way.
-  this->armTimer(this->CloseAfter ? RecheckInterval : this->Limits.IdleTimeout,
+  this->armTimer(this->CloseAfterResponse ? RecheckInterval
+                                          : this->Limits.IdleTimeout,
                  true);
-  if (this->In.empty())
+  if (this->Input.empty())
     return;
   // What came ahead is served from the loop: a caller that sends many requests
   // at once would else deepen the stack with each answer.
   this->Loop.after(Duration::zero(), [Self = this->weak_from_this()] {
     if (const auto Alive = Self.lock()) {
-      Alive->process();
-      Alive->limitAhead();
+      Alive->processInput();
+      Alive->limitPipelining();
     }
   });
 }
@@ -271,30 +276,30 @@
 /// has not read what has come: idle is only what holds no bytes in the system
 /// either. A request that comes behind the look stays unread, and the reset
 /// tells its caller that it has not run.
-void CallerSession::closeWhenDone() {
-  this->CloseAfter = true;
-  if (this->Now != State::Head || !this->In.empty())
+void CallerSession::closeWhenIdle() {
+  this->CloseAfterResponse = true;
+  if (this->CurrentState != State::ReadingHead || !this->Input.empty())
     return;
-  if (this->Channel->closeIfQuiet())
+  if (this->Channel->closeIfIdle())
     this->close();
   else
     this->armTimer(RecheckInterval, true);
 }
 
 void CallerSession::stop() {
-  this->closeWhenDone();
-  if (const auto Tell = this->Events.Stopping)
+  this->closeWhenIdle();
+  if (const auto Tell = this->Listener.Stopping)
     Tell();
 }
 
 void CallerSession::close() {
-  this->Now = State::Over;
+  this->CurrentState = State::Closed;
   this->Loop.cancel(this->Timer);
   this->Timer = 0;
-  this->Events = {};
-  if (this->Channel->open() && !this->Channel->finishing())
+  this->Listener = {};
+  if (this->Channel->isOpen() && !this->Channel->finishing())
     this->Channel->close();
-  if (const auto Tell = std::exchange(this->TellClosed, {}))
+  if (const auto Tell = std::exchange(this->OnClosed, {}))
     Tell(this);
 }
 
@@ -309,10 +314,10 @@
 void CallerSession::onTimeout(bool Idle) {
   this->Timer = 0;
   if (Idle) {
-    this->closeWhenDone();
+    this->closeWhenIdle();
     return;
   }
-  this->refuse(HttpRequestTimeout, "Request Timeout");
+  this->sendErrorAndClose(HttpRequestTimeout, "Request Timeout");
 }
 
 } // namespace parsleywing
--- a/src/Gateway/CallerSession.h
+++ b/src/Gateway/CallerSession.h
@@ -18,15 +18,15 @@
   std::string Body;
   bool HasBody = false;
   /// When its head had come.
-  TimePoint Arrived{};
+  TimePoint ReceivedAt{};
 };
 
 /// What a session tells the request that it serves.
-struct CallerEvents {
+struct CallerListener {
   /// The caller closed the connection: nobody waits for the answer any more.
-  std::function<void()> Left;
+  std::function<void()> Disconnected;
   /// All of the answer so far has been taken by the system.
-  std::function<void()> Drained;
+  std::function<void()> SendBufferDrained;
   /// The router stops: the final answer is due now.
   std::function<void()> Stopping;
 };
@@ -40,39 +40,41 @@
   using Handler = std::function<void(const std::shared_ptr<CallerSession> &,
                                      IncomingRequest)>;
   /// Told once, when the connection is closed.
-  using Closed = std::function<void(CallerSession *)>;
+  using CloseCallback = std::function<void(CallerSession *)>;
 
   CallerSession(EventLoop &L, std::shared_ptr<ByteChannel> C,
-                GatewayLimits Bounds, Handler H, Closed E);
+                GatewayLimits Bounds, Handler H, CloseCallback E);
   ~CallerSession();
   CallerSession(const CallerSession &) = delete;
   CallerSession &operator=(const CallerSession &) = delete;
 
-  void begin();
+  void start();
 
   /// The request in hand wants to hear of the caller.
-  void serve(CallerEvents Wanted) { this->Events = std::move(Wanted); }
+  void setListener(CallerListener Wanted) {
+    this->Listener = std::move(Wanted);
+  }
 
   /// Answers the request in hand with a whole message. The length is set here.
-  void answer(HttpHead Head, std::string_view Body);
+  void sendResponse(HttpHead Head, std::string_view Body);
 
   /// Begins an answer whose length is not known.
-  void beginAnswer(HttpHead Head);
-  void piece(std::string_view Bytes);
-  void endAnswer();
+  void startResponse(HttpHead Head);
+  void sendChunk(std::string_view Bytes);
+  void finishResponse();
 
   /// Breaks the answer off so that it cannot look whole.
-  void cutAnswer();
+  void abortResponse();
 
   /// Bytes of the answer that the caller has not taken.
   std::size_t unsent() const { return this->Channel->unsent(); }
 
   /// After the present answer, or the next one where the head of the present
   /// one has left, the connection is closed, and the answer says so.
-  void closeAfterAnswer() { this->CloseAfter = true; }
+  void closeAfterResponse() { this->CloseAfterResponse = true; }
 
   /// The same, but an idle connection is closed as soon as nothing waits on it.
-  void closeWhenDone();
+  void closeWhenIdle();
 
   /// The router stops: a request in hand gets its final answer, and the
   /// connection ends behind it.
@@ -82,23 +84,24 @@
   /// whole. One that has sent nothing yet is not idle: its request may be on
   /// the way.
   bool idleFor(Duration Time) const {
-    return this->Now == State::Head && this->In.empty() && this->AnsweredAt &&
-           this->unsent() == 0 && !this->CloseAfter &&
-           this->Loop.clock().now() - *this->AnsweredAt >= Time;
+    return this->CurrentState == State::ReadingHead && this->Input.empty() &&
+           this->LastResponseAt && this->unsent() == 0 &&
+           !this->CloseAfterResponse &&
+           this->Loop.clock().now() - *this->LastResponseAt >= Time;
   }
-  bool answering() const { return this->Now == State::Serving; }
+  bool isServing() const { return this->CurrentState == State::Serving; }
 
 private:
-  enum class State { Head, Body, Serving, Over };
+  enum class State { ReadingHead, ReadingBody, Serving, Closed };
 
   void onReceived(std::string_view Bytes);
-  void limitAhead();
+  void limitPipelining();
   void onEnded();
-  void process();
-  bool takeHead();
-  bool takeBody();
-  void startRequest();
-  void refuse(int Status, const char *Reason);
+  void processInput();
+  bool parseHead();
+  bool parseBody();
+  void dispatchRequest();
+  void sendErrorAndClose(int Status, const char *Reason);
   void sendHead(HttpHead Head);
   void finishRequest();
   void close();
@@ -108,23 +111,23 @@
   EventLoop &Loop;
   std::shared_ptr<ByteChannel> Channel;
   GatewayLimits Limits;
-  Handler Handle;
-  Closed TellClosed;
-  CallerEvents Events;
-  std::string In;
+  Handler OnRequest;
+  CloseCallback OnClosed;
+  CallerListener Listener;
+  std::string Input;
   IncomingRequest Request;
   BodyDecoder Decoder;
   TimerId Timer = 0;
-  State Now = State::Head;
-  bool KeepOpen = true;
-  bool CloseAfter = false;
+  State CurrentState = State::ReadingHead;
+  bool KeepAlive = true;
+  bool CloseAfterResponse = false;
   bool Chunked = false;
-  bool HeadBegun = false;
-  std::optional<TimePoint> AnsweredAt;
+  bool HeadStarted = false;
+  std::optional<TimePoint> LastResponseAt;
 };
 
 /// The head of an answer that the router itself gives.
-HttpHead ownAnswerHead(int Status, const std::string &Reason);
+HttpHead localReplyHead(int Status, const std::string &Reason);
 
 } // namespace parsleywing
 
--- a/src/Gateway/CrashWatch.h
+++ b/src/Gateway/CrashDetector.h
@@ -1,9 +1,9 @@
-#ifndef PARSLEYWING_GATEWAY_CRASHWATCH_H
-#define PARSLEYWING_GATEWAY_CRASHWATCH_H
+#ifndef PARSLEYWING_GATEWAY_CRASHDETECTOR_H
+#define PARSLEYWING_GATEWAY_CRASHDETECTOR_H
 
 #include "Gateway/RouterExchange.h"
 #include "Loop/ConnectCheck.h"
-#include "Placement/CrashBook.h"
+#include "Placement/CrashRegistry.h"
 #include "Placement/FleetView.h"
 #include "Runtime/Metrics.h"
 
@@ -33,37 +33,39 @@
 /// that begins asks some of the others.
 ///
 /// Belongs to the loop's thread.
-class CrashWatch {
+class CrashDetector {
 public:
   /// `Number` tells this process from earlier ones of the router's name.
-  CrashWatch(EventLoop &L, RouterExchange &R, std::uint64_t Number, Metrics &M);
-  CrashWatch(const CrashWatch &) = delete;
-  CrashWatch &operator=(const CrashWatch &) = delete;
+  CrashDetector(EventLoop &L, RouterExchange &R, std::uint64_t Number,
+                Metrics &M);
+  CrashDetector(const CrashDetector &) = delete;
+  CrashDetector &operator=(const CrashDetector &) = delete;
 
   /// `Refused` is called whenever requests that are in hand may have become
   /// refused ones.
   void start(std::function<void()> Refused);
 
   /// How a send ended that got no whole answer.
-  enum class SendEnd { Broken, Silent };
+  enum class AttemptEnd { Broken, Silent };
 
   /// A send ended without a whole answer while its server had it in hand.
   /// `StartedMs` is the start of the process that it was sent to, `Server` the
   /// server as it is listed now; null where it is not.
-  void onLost(const RequestIdentity &Request, const GatewayServer *Server,
-              std::int64_t StartedMs, SendEnd How);
+  void onAttemptLost(const RequestIdentity &Request,
+                     const GatewayServer *Server, std::int64_t StartedMs,
+                     AttemptEnd How);
   /// Calls once it is known whether this server's process has crashed, or will
   /// not be known soon: at once where that is not being looked at.
-  void whenChecked(const ServerProcess &Broken, std::function<void()> Then);
+  void afterCheck(const ServerProcess &Broken, std::function<void()> Then);
 
   /// The request got its whole answer.
-  void onServed(const RequestIdentity &Request);
+  void onCompleted(const RequestIdentity &Request);
 
   /// Whether the request must not be sent; remembers that it came.
-  bool refuses(const RequestIdentity &Request);
+  bool checkRefused(const RequestIdentity &Request);
   /// Whether a refused request may be sent once all the same. Only the first
   /// router of the request's order says so, and not twice.
-  bool takeTry(const RequestIdentity &Request);
+  bool acquireProbe(const RequestIdentity &Request);
 
   /// Requests that were in hand at a server that crashed go to servers by this
   /// number, so that they do not meet again: what crashes then is the one's
@@ -71,64 +73,64 @@
   std::optional<std::uint32_t> spreadOf(const RequestIdentity &Request) const;
 
   /// New servers or routers are in force.
-  void takeServers(const ServerList &Listed);
-  void takeRouters();
+  void updateServers(const ServerList &Listed);
+  void updateRouters();
 
-  void onNews(const CrashNews &News, const Poco::Net::SocketAddress &From);
+  void onReport(const CrashReport &News, const Poco::Net::SocketAddress &From);
 
-  const CrashBook &book() const { return this->Book; }
+  const CrashRegistry &registry() const { return this->Registry; }
 
 private:
   enum class Stage {
     FirstCheck,
     BetweenChecks, ///< A process has taken one connection.
     SecondCheck,
-    OutOfReach, ///< The list of servers will tell.
+    Unreachable, ///< The list of servers will tell.
   };
 
   /// A server that may have crashed.
-  struct Doubt {
+  struct SuspectedCrash {
     std::string Id;
     Poco::Net::SocketAddress Address;
-    std::set<RequestIdentity> InHand{};
-    TimePoint Until{};
-    Stage Now = Stage::FirstCheck;
+    std::set<RequestIdentity> InFlight{};
+    TimePoint ExpiresAt{};
+    Stage CurrentStage = Stage::FirstCheck;
     /// What waits for the first check.
-    std::vector<std::function<void()>> Waiting{};
+    std::vector<std::function<void()>> Callbacks{};
   };
 
   void check(const ServerProcess &Process, Stage Now);
   void onChecked(const ServerProcess &Process, ConnectOutcome Outcome);
-  void judgeByList(const ServerProcess &Process, const Doubt &Known,
-                   const ServerList &Listed);
+  void checkAgainstList(const ServerProcess &Process,
+                        const SuspectedCrash &Known, const ServerList &Listed);
   void confirm(const ServerProcess &Process, const char *Evidence);
   void dismiss(const ServerProcess &Process);
-  void checkAgain(const ServerProcess &Process);
-  void forgetOld();
-  void learn(const std::vector<CrashFact> &Facts);
-  void tell(const std::vector<CrashFact> &Facts);
-  void answer(const Poco::Net::SocketAddress &Asker);
-  void tellOneRouter();
-  CrashNews newsOf(std::vector<CrashFact> Facts);
+  void scheduleSecondCheck(const ServerProcess &Process);
+  void removeExpired();
+  void recordFacts(const std::vector<CrashFact> &Facts);
+  void broadcast(const std::vector<CrashFact> &Facts);
+  void sendAllFacts(const Poco::Net::SocketAddress &Asker);
+  void gossip();
+  CrashReport makeReport(std::vector<CrashFact> Facts);
   /// In as many messages as they need.
-  std::vector<CrashNews> allNewsOf(const std::vector<CrashFact> &Facts);
-  Counter &checked(ConnectOutcome Outcome) const {
-    return *this->Checked.at(Outcome);
+  std::vector<CrashReport> makeReports(const std::vector<CrashFact> &Facts);
+  Counter &checkCounter(ConnectOutcome Outcome) const {
+    return *this->CheckCounters.at(Outcome);
   }
 
   EventLoop &Loop;
   RouterExchange &Routers;
   std::uint64_t Process;
   std::uint64_t LastNumber = 0;
-  std::map<ConnectOutcome, Counter *> Checked;
+  std::map<ConnectOutcome, Counter *> CheckCounters;
   Counter &Crashes;
-  std::function<void()> TellRefused;
-  CrashBook Book;
-  std::map<ServerProcess, Doubt> Doubts;
+  std::function<void()> OnRefused;
+  CrashRegistry Registry;
+  std::map<ServerProcess, SuspectedCrash> SuspectedCrashes;
   /// When servers were last found alive.
-  std::map<ServerProcess, TimePoint> Alive;
+  std::map<ServerProcess, TimePoint> LastAliveAt;
   /// What others know was asked for.
-  bool Asked = false;
+  bool ReportsRequested = false;
   std::mt19937_64 Random;
 };
 
--- a/src/Gateway/FleetExchange.cpp
+++ b/src/Gateway/FleetExchange.cpp
@@ -56,39 +56,40 @@
 
 } // namespace
 
-void FleetExchange::takeView(const std::shared_ptr<const FleetView> &New) {
-  const bool SeenMore = New->SeenAt > this->View->SeenAt;
-  const bool ProvenAgain = New->ProvenAt > this->View->ProvenAt ||
-                           New->ConfigurationAt > this->View->ConfigurationAt;
-  if (New->RouterPlaces != nullptr &&
-      New->RouterPlaces != this->View->RouterPlaces)
-    this->findScouts(*New->RouterPlaces);
+void FleetExchange::updateView(const std::shared_ptr<const FleetView> &New) {
+  const bool SeenMore = New->SeenRevision > this->View->SeenRevision;
+  const bool ProvenAgain =
+      New->ProvenAt > this->View->ProvenAt ||
+      New->ConfigurationRevision > this->View->ConfigurationRevision;
+  if (New->RouterEndpoints != nullptr &&
+      New->RouterEndpoints != this->View->RouterEndpoints)
+    this->updateVerifiers(*New->RouterEndpoints);
   this->View = New;
-  this->HeardUpTo = std::max(this->HeardUpTo, New->SeenAt);
+  this->ReceivedRevision = std::max(this->ReceivedRevision, New->SeenRevision);
   // A router that starts hears from its relay before it would read for itself.
   if (this->Role == RelayRole::Unknown)
-    this->look();
+    this->checkRelay();
   if (!SeenMore && !ProvenAgain)
     return;
-  const TimePoint Now = this->SuspendClock.now();
+  const TimePoint Now = this->BootClock.now();
   std::erase_if(this->Followers, [Now](const auto &Each) {
-    return Now - Each.second.AskedAt > FollowerLife;
+    return Now - Each.second.RequestedAt > FollowerLife;
   });
   for (auto &[Address, Each] : this->Followers) {
     if (ProvenAgain)
-      this->sendWord(Address, Each);
-    this->sendNews(Address, Each);
+      this->sendStatus(Address, Each);
+    this->sendUpdates(Address, Each);
   }
 }
 
-void FleetExchange::start(Sink Told) {
-  this->Tell = std::move(Told);
+void FleetExchange::start(MessageCallback Told) {
+  this->OnMessage = std::move(Told);
   this->tick();
 }
 
 /// The first of an order by their names alone: small routers do for a read a
 /// second, and the large ones are relays.
-void FleetExchange::findScouts(const RouterList &Listed) {
+void FleetExchange::updateVerifiers(const RouterList &Listed) {
   std::vector<std::pair<std::uint64_t, std::string>> Order;
   for (const auto &[Name, Place] : Listed)
     Order.emplace_back(rendezvousScore(hashName(Name), ScoutKey), Name);
@@ -96,9 +97,9 @@
   std::partial_sort(Order.begin(),
                     Order.begin() + static_cast<std::ptrdiff_t>(Count),
                     Order.end());
-  this->Scouts.clear();
+  this->Verifiers.clear();
   for (std::size_t I = 0; I < Count; ++I)
-    this->Scouts.push_back(Order[I].second);
+    this->Verifiers.push_back(Order[I].second);
 }
 
 bool FleetExchange::isRelay(const Poco::Net::SocketAddress &Address) {
@@ -108,18 +109,18 @@
       [&](const RelayCluster &Each) { return this->relayOf(Each) == Name; });
 }
 
-RelayRole FleetExchange::foundRole() {
-  if (this->findRelay())
+RelayRole FleetExchange::determineRole() {
+  if (this->updateRelay())
     return RelayRole::Relay;
-  const bool Scouts = std::find(this->Scouts.begin(), this->Scouts.end(),
-                                this->Routers.self()) != this->Scouts.end();
-  return Scouts ? RelayRole::Scout : RelayRole::Follower;
+  const bool Scouts = std::find(this->Verifiers.begin(), this->Verifiers.end(),
+                                this->Routers.self()) != this->Verifiers.end();
+  return Scouts ? RelayRole::Verifier : RelayRole::Follower;
 }
 
-void FleetExchange::findClusters() {
-  if (std::exchange(this->Counted, this->Routers.counts()) !=
+void FleetExchange::updateClusters() {
+  if (std::exchange(this->ClusteredCounts, this->Routers.counts()) !=
       this->Routers.counts())
-    this->Clusters = relayClusters(this->Counted);
+    this->Clusters = relayClusters(this->ClusteredCounts);
 }
 
 std::string FleetExchange::relayOf(const RelayCluster &Cluster) {
@@ -128,20 +129,20 @@
 
 /// Sets the relay of this router's cluster. True where this router is a relay
 /// itself, of any cluster.
-bool FleetExchange::findRelay() {
-  this->findClusters();
+bool FleetExchange::updateRelay() {
+  this->updateClusters();
   const RelayCluster *Own =
       clusterOf(this->Clusters, this->Routers.self(), this->Routers.zone());
-  const bool Adopts = this->SuspendClock.now() < this->AdoptedUntil;
-  std::string Mine = this->Adopted;
+  const bool Adopts = this->BootClock.now() < this->SubstituteUntil;
+  std::string Mine = this->SubstituteRelay;
   if (!Adopts)
     Mine = Own == nullptr ? this->Routers.self() : this->relayOf(*Own);
-  if (Mine != this->ChosenRelay) {
+  if (Mine != this->CurrentRelay) {
     this->UnansweredSince.reset();
     this->RelayProvenAt = TimePoint{};
-    this->HeardAt = TimePoint{};
+    this->StatusReceivedAt = TimePoint{};
   }
-  this->ChosenRelay = Mine;
+  this->CurrentRelay = Mine;
   bool Relays = Mine == this->Routers.self();
   for (const RelayCluster &Each : this->Clusters)
     Relays = Relays || this->relayOf(Each) == this->Routers.self();
@@ -150,141 +151,144 @@
 
 void FleetExchange::tick() {
   // Without a list there is nobody to ask, and no role.
-  if (this->View->RouterPlaces != nullptr)
-    this->look();
+  if (this->View->RouterEndpoints != nullptr)
+    this->checkRelay();
   const bool Waits =
-      hearsFromRelay(this->Role) && this->NewestProof == TimePoint{};
+      followsRelay(this->Role) && this->NewestProvenAt == TimePoint{};
   this->Loop.after(Waits ? FirstTickInterval : TickInterval,
                    [this] { this->tick(); });
 }
 
 /// Finds this router's role, and asks its relay where that is due.
-void FleetExchange::look() {
-  if (this->View->RouterPlaces == nullptr)
+void FleetExchange::checkRelay() {
+  if (this->View->RouterEndpoints == nullptr)
     return;
-  const RelayRole Found = this->foundRole();
+  const RelayRole Found = this->determineRole();
   // The own relay is to answer first.
   if (this->Role == RelayRole::Unknown)
-    this->AskedOthersAt = this->SuspendClock.now();
+    this->OthersRequestedAt = this->BootClock.now();
   if (Found != this->Role)
-    log(LogPart::Peer, LogLevel::Info, "relay=" + this->ChosenRelay);
+    log(LogPart::Peer, LogLevel::Info, "relay=" + this->CurrentRelay);
   this->Role = Found;
   if (Found == RelayRole::Relay)
     return;
-  const TimePoint Now = this->SuspendClock.now();
-  const bool Silent = Now - this->HeardAt > this->Times.LongestSilence;
-  const bool Due = this->Questions.empty() ||
-                   Now - this->Questions.front().AskedAt > AskInterval;
+  const TimePoint Now = this->BootClock.now();
+  const bool Silent = Now - this->StatusReceivedAt > this->Times.MaxSilence;
+  const bool Due = this->SentRequests.empty() ||
+                   Now - this->SentRequests.front().SentAt > AskInterval;
   if (Silent || Due)
-    this->ask();
-  const bool Doubts = Now - this->NewestProof > this->Times.DoubtAge;
-  if (Doubts && Now - this->AskedOthersAt > this->Times.ProofInterval)
-    this->askOthers();
+    this->requestStatus();
+  const bool Doubts = Now - this->NewestProvenAt > this->Times.SuspectProofAge;
+  if (Doubts && Now - this->OthersRequestedAt > this->Times.ProofInterval)
+    this->requestOtherStatuses();
 }
 
-AskId FleetExchange::newQuestion() {
-  this->Questions.push_front({++this->LastNumber, this->SuspendClock.now()});
-  if (this->Questions.size() > QuestionsKept)
-    this->Questions.pop_back();
+CorrelationId FleetExchange::newRequestId() {
+  this->SentRequests.push_front({++this->LastNumber, this->BootClock.now()});
+  if (this->SentRequests.size() > QuestionsKept)
+    this->SentRequests.pop_back();
   return {this->Process, this->LastNumber};
 }
 
-void FleetExchange::ask() {
-  const TimePoint Now = this->SuspendClock.now();
+void FleetExchange::requestStatus() {
+  const TimePoint Now = this->BootClock.now();
   if (!this->UnansweredSince)
     this->UnansweredSince = Now;
   if (Now - *this->UnansweredSince > AnswerPatience) {
-    this->Routers.suspect(this->ChosenRelay);
-    this->AdoptedUntil = TimePoint{};
+    this->Routers.suspect(this->CurrentRelay);
+    this->SubstituteUntil = TimePoint{};
   }
-  this->Routers.send(this->ChosenRelay,
-                     FleetAsk{this->newQuestion(), this->HeardUpTo});
+  this->Routers.send(
+      this->CurrentRelay,
+      FleetStatusRequest{this->newRequestId(), this->ReceivedRevision});
 }
 
 /// Asks the relays of the other clusters and the scouts: the own one may be cut
 /// off alone.
-void FleetExchange::askOthers() {
-  this->AskedOthersAt = this->SuspendClock.now();
+void FleetExchange::requestOtherStatuses() {
+  this->OthersRequestedAt = this->BootClock.now();
   std::set<std::string> Others;
   for (const RelayCluster &Each : this->Clusters)
     Others.insert(this->relayOf(Each));
-  Others.insert(this->Scouts.begin(), this->Scouts.end());
-  Others.erase(this->ChosenRelay);
+  Others.insert(this->Verifiers.begin(), this->Verifiers.end());
+  Others.erase(this->CurrentRelay);
   Others.erase(this->Routers.self());
   if (Others.empty())
     return;
-  const FleetAsk Asked{this->newQuestion(), NoNews};
+  const FleetStatusRequest Asked{this->newRequestId(), NoNews};
   for (const std::string &Each : Others)
     this->Routers.send(Each, Asked);
 }
 
-void FleetExchange::askIfBehind(Revision Told) {
-  if (Told <= this->HeardUpTo)
+void FleetExchange::requestIfBehind(Revision Told) {
+  if (Told <= this->ReceivedRevision)
     return;
   this->Loop.after(NewsPatience, [this, Told] {
-    if (hearsFromRelay(this->Role) && this->HeardUpTo < Told)
-      this->ask();
+    if (followsRelay(this->Role) && this->ReceivedRevision < Told)
+      this->requestStatus();
   });
 }
 
-void FleetExchange::distrustRelay() {
-  if (!hearsFromRelay(this->Role))
+void FleetExchange::switchRelay() {
+  if (!followsRelay(this->Role))
     return;
   log(LogPart::Peer, LogLevel::Info,
-      "relay=" + this->ChosenRelay + " is cut off from the store");
-  this->Routers.suspect(this->ChosenRelay);
-  this->AdoptedUntil = TimePoint{};
+      "relay=" + this->CurrentRelay + " is cut off from the store");
+  this->Routers.suspect(this->CurrentRelay);
+  this->SubstituteUntil = TimePoint{};
 }
 
-void FleetExchange::onAsked(const FleetAsk &Asked,
-                            const Poco::Net::SocketAddress &From) {
+void FleetExchange::onStatusRequest(const FleetStatusRequest &Asked,
+                                    const Poco::Net::SocketAddress &From) {
   Follower &Known = this->Followers[From];
-  const TimePoint Now = this->SuspendClock.now();
-  const bool Lacks = Asked.SeenAt < Known.SeenAt;
-  if (Known.Id.Process != Asked.Id.Process || !Lacks ||
-      Now - Known.SentAgainAt >= SendAgainInterval) {
-    Known.SeenAt = Asked.SeenAt;
+  const TimePoint Now = this->BootClock.now();
+  const bool Lacks = Asked.SeenRevision < Known.SeenRevision;
+  if (Known.RequestId.Process != Asked.Id.Process || !Lacks ||
+      Now - Known.ResentAt >= SendAgainInterval) {
+    Known.SeenRevision = Asked.SeenRevision;
     if (Lacks)
-      Known.SentAgainAt = Now;
+      Known.ResentAt = Now;
   }
-  Known.Id = Asked.Id;
-  Known.AskedAt = Now;
-  this->sendWord(From, Known);
-  this->sendNews(From, Known);
+  Known.RequestId = Asked.Id;
+  Known.RequestedAt = Now;
+  this->sendStatus(From, Known);
+  this->sendUpdates(From, Known);
 }
 
-void FleetExchange::sendWord(const Poco::Net::SocketAddress &To,
-                             const Follower &Known) {
+void FleetExchange::sendStatus(const Poco::Net::SocketAddress &To,
+                               const Follower &Known) {
   const auto After = [&Known](TimePoint Moment) {
     constexpr std::int64_t Least = std::numeric_limits<std::int32_t>::min();
-    const auto Gone =
-        std::chrono::floor<std::chrono::milliseconds>(Moment - Known.AskedAt);
+    const auto Gone = std::chrono::floor<std::chrono::milliseconds>(
+        Moment - Known.RequestedAt);
     return static_cast<std::int32_t>(
         std::max<std::int64_t>(Gone.count(), Least));
   };
-  const FleetHistory *Recent = this->View->Recent.get();
-  FleetTold Told;
-  Told.Id = Known.Id;
+  const FleetHistory *Recent = this->View->History.get();
+  FleetStatus Told;
+  Told.Id = Known.RequestId;
   Told.ProvenAfterMs = After(this->View->ProvenAt);
   Told.ListsProvenAfterMs = After(this->View->ListsProvenAt);
-  Told.ConfigurationAt = this->View->ConfigurationAt;
-  Told.SeenAt = this->View->SeenAt;
-  Told.TellsSince = Recent == nullptr ? Told.SeenAt : Recent->Since;
+  Told.ConfigurationRevision = this->View->ConfigurationRevision;
+  Told.SeenRevision = this->View->SeenRevision;
+  Told.CompactRevision =
+      Recent == nullptr ? Told.SeenRevision : Recent->StartRevision;
   const bool Looks =
-      this->Role == RelayRole::Scout &&
-      this->SuspendClock.now() - this->RelayProvenAt > this->Times.DoubtAge;
+      this->Role == RelayRole::Verifier &&
+      this->BootClock.now() - this->RelayProvenAt > this->Times.SuspectProofAge;
   Told.ReadsStore = this->Role == RelayRole::Relay || Looks;
   this->Routers.send(To, Told);
 }
 
-void FleetExchange::sendNews(const Poco::Net::SocketAddress &To,
-                             Follower &Behind) {
-  const FleetHistory *Recent = this->View->Recent.get();
-  const Revision Known = this->View->SeenAt;
-  if (Recent == nullptr || Behind.SeenAt >= Known ||
-      Behind.SeenAt < Recent->Since)
+void FleetExchange::sendUpdates(const Poco::Net::SocketAddress &To,
+                                Follower &Behind) {
+  const FleetHistory *Recent = this->View->History.get();
+  const Revision Known = this->View->SeenRevision;
+  if (Recent == nullptr || Behind.SeenRevision >= Known ||
+      Behind.SeenRevision < Recent->StartRevision)
     return;
-  const std::vector<NewsItem> Items = itemsBehind(*Recent, Behind.SeenAt);
+  const std::vector<FleetUpdateItem> Items =
+      itemsAfter(*Recent, Behind.SeenRevision);
   std::size_t First = 0;
   bool More = true;
   for (int Sent = 0; More && Sent < MessagesAtOnce; ++Sent) {
@@ -293,97 +297,98 @@
     if (Last - First > MostItems)
       return;
     More = Last < Items.size();
-    FleetNews News;
-    News.Id = Behind.Id;
-    News.From = Behind.SeenAt;
-    News.To = More ? Items[Last].At - 1 : Known;
+    FleetUpdate News;
+    News.Id = Behind.RequestId;
+    News.AfterRevision = Behind.SeenRevision;
+    News.ToRevision = More ? Items[Last].ModRevision - 1 : Known;
     News.Items.assign(Items.begin() + static_cast<std::ptrdiff_t>(First),
                       Items.begin() + static_cast<std::ptrdiff_t>(Last));
-    Behind.SeenAt = News.To;
+    Behind.SeenRevision = News.ToRevision;
     this->Routers.send(To, std::move(News));
     First = Last;
   }
 }
 
-void FleetExchange::onTold(const FleetTold &Told,
-                           const Poco::Net::SocketAddress &From) {
-  const auto Asked = std::find_if(
-      this->Questions.begin(), this->Questions.end(),
-      [&Told](const Question &Each) { return Each.Number == Told.Id.Number; });
-  if (Told.Id.Process != this->Process || Asked == this->Questions.end())
+void FleetExchange::onStatus(const FleetStatus &Told,
+                             const Poco::Net::SocketAddress &From) {
+  const auto Asked =
+      std::find_if(this->SentRequests.begin(), this->SentRequests.end(),
+                   [&Told](const SentRequest &Each) {
+                     return Each.Number == Told.Id.Number;
+                   });
+  if (Told.Id.Process != this->Process || Asked == this->SentRequests.end())
     return;
   // Scouts that heard from each other would prove by turns, and none of them
   // would read the changes: requests went to a server for 3 s behind its word
   // that it leaves.
-  if (this->Role == RelayRole::Scout && !this->isRelay(From))
+  if (this->Role == RelayRole::Verifier && !this->isRelay(From))
     return;
-  RelayWord Word;
-  Word.ProvenAt =
-      Asked->AskedAt + std::chrono::milliseconds(Told.ProvenAfterMs);
-  Word.ConfigurationAt = Told.ConfigurationAt;
-  Word.SeenAt = Told.SeenAt;
-  Word.TellsSince = Told.TellsSince;
+  RelayStatus Word;
+  Word.ProvenAt = Asked->SentAt + std::chrono::milliseconds(Told.ProvenAfterMs);
+  Word.ConfigurationRevision = Told.ConfigurationRevision;
+  Word.SeenRevision = Told.SeenRevision;
+  Word.HistoryStartRevision = Told.CompactRevision;
   Word.ReadsStore = Told.ReadsStore;
   Word.ListsProvenAt =
-      Asked->AskedAt + std::chrono::milliseconds(Told.ListsProvenAfterMs);
-  Word.Teller = hashName(From.toString());
-  this->noteTeller(Word, From);
-  const auto *Mine = this->Routers.addressOf(this->ChosenRelay);
-  Word.IsOwn = Mine != nullptr && *Mine == From;
-  if (Word.IsOwn)
-    this->askIfBehind(Told.SeenAt);
-  if (this->Tell)
-    this->Tell(Word);
+      Asked->SentAt + std::chrono::milliseconds(Told.ListsProvenAfterMs);
+  Word.SenderHash = hashName(From.toString());
+  this->recordStatus(Word, From);
+  const auto *Mine = this->Routers.addressOf(this->CurrentRelay);
+  Word.IsOwnRelay = Mine != nullptr && *Mine == From;
+  if (Word.IsOwnRelay)
+    this->requestIfBehind(Told.SeenRevision);
+  if (this->OnMessage)
+    this->OnMessage(Word);
 }
 
-void FleetExchange::noteTeller(const RelayWord &Word,
-                               const Poco::Net::SocketAddress &From) {
-  const TimePoint Now = this->SuspendClock.now();
-  this->NewestProof = std::max(this->NewestProof, Word.ProvenAt);
-  const auto *Mine = this->Routers.addressOf(this->ChosenRelay);
+void FleetExchange::recordStatus(const RelayStatus &Word,
+                                 const Poco::Net::SocketAddress &From) {
+  const TimePoint Now = this->BootClock.now();
+  this->NewestProvenAt = std::max(this->NewestProvenAt, Word.ProvenAt);
+  const auto *Mine = this->Routers.addressOf(this->CurrentRelay);
   if (Mine != nullptr && *Mine == From) {
     this->UnansweredSince.reset();
-    this->HeardAt = Now;
+    this->StatusReceivedAt = Now;
     this->RelayProvenAt = std::max(this->RelayProvenAt, Word.ProvenAt);
     return;
   }
   const bool Better =
       Word.ReadsStore &&
       Word.ProvenAt > this->RelayProvenAt + this->Times.ProofInterval &&
-      Now - this->RelayProvenAt > this->Times.DoubtAge;
-  if (!Better || !hearsFromRelay(this->Role))
+      Now - this->RelayProvenAt > this->Times.SuspectProofAge;
+  if (!Better || !followsRelay(this->Role))
     return;
   const std::string Other = this->Routers.nameAt(From);
   if (Other.empty())
     return;
   log(LogPart::Peer, LogLevel::Info,
-      "relay=" + Other + " in place of " + this->ChosenRelay +
+      "relay=" + Other + " in place of " + this->CurrentRelay +
           " whose proof is " + secondsText(Now - this->RelayProvenAt) + " old");
-  this->Adopted = Other;
-  this->AdoptedUntil = Now + AdoptionLife;
-  this->ChosenRelay = Other;
+  this->SubstituteRelay = Other;
+  this->SubstituteUntil = Now + AdoptionLife;
+  this->CurrentRelay = Other;
   this->UnansweredSince.reset();
-  this->HeardAt = Now;
+  this->StatusReceivedAt = Now;
   this->RelayProvenAt = Word.ProvenAt;
   // Its word came to a question for no changes.
-  this->ask();
+  this->requestStatus();
 }
 
-void FleetExchange::onNews(const FleetNews &News) {
-  if (News.Id.Process != this->Process || !this->Tell)
+void FleetExchange::onUpdate(const FleetUpdate &News) {
+  if (News.Id.Process != this->Process || !this->OnMessage)
     return;
-  RelayNews Read{News.From, News.To, {}};
+  RelayUpdate Read{News.AfterRevision, News.ToRevision, {}};
   try {
-    for (const NewsItem &Each : News.Items)
+    for (const FleetUpdateItem &Each : News.Items)
       Read.Changes.push_back(changeOf(Each));
   } catch (const Poco::Exception &Problem) {
     log(LogPart::Peer, LogLevel::Warn,
         "changes told by a relay cannot be read: " + Problem.displayText());
     return;
   }
-  if (News.From <= this->HeardUpTo)
-    this->HeardUpTo = std::max(this->HeardUpTo, News.To);
-  this->Tell(Read);
+  if (News.AfterRevision <= this->ReceivedRevision)
+    this->ReceivedRevision = std::max(this->ReceivedRevision, News.ToRevision);
+  this->OnMessage(Read);
 }
 
 } // namespace parsleywing
--- a/src/Gateway/FleetExchange.h
+++ b/src/Gateway/FleetExchange.h
@@ -19,45 +19,45 @@
 namespace parsleywing {
 
 /// What a relay has told of its view.
-struct RelayWord {
+struct RelayStatus {
   /// The relay's configuration was the newest one at this moment, on the clock
   /// that counts suspended time.
   TimePoint ProvenAt{};
-  Revision ConfigurationAt = 0;
-  Revision SeenAt = 0;
+  Revision ConfigurationRevision = 0;
+  Revision SeenRevision = 0;
   /// The relay can tell of all changes behind this revision.
-  Revision TellsSince = 0;
+  Revision HistoryStartRevision = 0;
   /// It reads the store itself.
   bool ReadsStore = false;
   /// It is the one that this router hears of changes from.
-  bool IsOwn = true;
+  bool IsOwnRelay = true;
   /// Tells the routers apart that such words come from.
-  std::uint64_t Teller = 0;
+  std::uint64_t SenderHash = 0;
   /// The relay's lists lacked no change at this moment, on the same clock.
   TimePoint ListsProvenAt{};
 };
 
 /// Changes that a relay has told: all behind `From` and up to `To`.
-struct RelayNews {
-  Revision From = 0;
-  Revision To = 0;
+struct RelayUpdate {
+  Revision AfterRevision = 0;
+  Revision ToRevision = 0;
   std::vector<FleetChange> Changes;
 };
 
-using RelayTold = std::variant<RelayWord, RelayNews>;
+using RelayMessage = std::variant<RelayStatus, RelayUpdate>;
 
 /// What a router does for others where changes of the fleet are concerned.
 enum class RelayRole {
   Unknown,  ///< It has not seen the list of routers yet.
   Relay,    ///< It reads the store, and others hear from it.
   Follower, ///< It hears from a relay.
-  Scout,    ///< As a follower; but where the relays' proofs grow old it reads
+  Verifier, ///< As a follower; but where the relays' proofs grow old it reads
             ///< the store whatever they say, and tells who asks.
 };
 
 /// Whether a router of this role hears of the fleet from another one.
-inline bool hearsFromRelay(RelayRole Role) {
-  return Role == RelayRole::Follower || Role == RelayRole::Scout;
+inline bool followsRelay(RelayRole Role) {
+  return Role == RelayRole::Follower || Role == RelayRole::Verifier;
 }
 
 /// Lets a few routers, the relays, read the store for the others: they prove
@@ -80,7 +80,7 @@
 /// Belongs to the loop's thread.
 class FleetExchange {
 public:
-  using Sink = std::function<void(const RelayTold &)>;
+  using MessageCallback = std::function<void(const RelayMessage &)>;
 
   /// `Process` tells this process from earlier ones of the router's name.
   FleetExchange(EventLoop &L, RouterExchange &R, std::uint64_t Process,
@@ -88,87 +88,89 @@
       : Loop(L), Routers(R), Process(Process), Times(T) {}
 
   /// What this router knows, for those whose relay it is.
-  void takeView(const std::shared_ptr<const FleetView> &New);
+  void updateView(const std::shared_ptr<const FleetView> &New);
 
   /// Asks a relay from now on.
-  void start(Sink Told);
+  void start(MessageCallback Told);
 
   /// Safe from any thread.
   RelayRole role() const { return this->Role; }
 
   /// The relay answers, and is cut off from the store where this router is not:
   /// another one is asked for a while.
-  void distrustRelay();
+  void switchRelay();
 
-  void onAsked(const FleetAsk &Asked, const Poco::Net::SocketAddress &From);
-  void onTold(const FleetTold &Told, const Poco::Net::SocketAddress &From);
-  void onNews(const FleetNews &News);
+  void onStatusRequest(const FleetStatusRequest &Asked,
+                       const Poco::Net::SocketAddress &From);
+  void onStatus(const FleetStatus &Told, const Poco::Net::SocketAddress &From);
+  void onUpdate(const FleetUpdate &News);
 
 private:
   /// A router that hears of the fleet from this one.
   struct Follower {
     /// Its last question, and when that was received here.
-    AskId Id;
-    TimePoint AskedAt{};
+    CorrelationId RequestId;
+    TimePoint RequestedAt{};
     /// What it has, or has been sent.
-    Revision SeenAt = 0;
+    Revision SeenRevision = 0;
     /// When changes were last sent to it once more.
-    TimePoint SentAgainAt{};
+    TimePoint ResentAt{};
   };
 
   /// A question of this router's.
-  struct Question {
+  struct SentRequest {
     std::uint64_t Number = 0;
-    TimePoint AskedAt{};
+    TimePoint SentAt{};
   };
 
   void tick();
-  void look();
-  void ask();
-  void askOthers();
-  AskId newQuestion();
-  void askIfBehind(Revision Told);
-  void noteTeller(const RelayWord &Word, const Poco::Net::SocketAddress &From);
-  void findClusters();
-  void findScouts(const RouterList &Listed);
-  RelayRole foundRole();
+  void checkRelay();
+  void requestStatus();
+  void requestOtherStatuses();
+  CorrelationId newRequestId();
+  void requestIfBehind(Revision Told);
+  void recordStatus(const RelayStatus &Word,
+                    const Poco::Net::SocketAddress &From);
+  void updateClusters();
+  void updateVerifiers(const RouterList &Listed);
+  RelayRole determineRole();
   /// Whether the router at this address is one of the relays of the moment.
   bool isRelay(const Poco::Net::SocketAddress &Address);
   std::string relayOf(const RelayCluster &Cluster);
-  bool findRelay();
-  void sendWord(const Poco::Net::SocketAddress &To, const Follower &Known);
-  void sendNews(const Poco::Net::SocketAddress &To, Follower &Behind);
+  bool updateRelay();
+  void sendStatus(const Poco::Net::SocketAddress &To, const Follower &Known);
+  void sendUpdates(const Poco::Net::SocketAddress &To, Follower &Behind);
 
   EventLoop &Loop;
   RouterExchange &Routers;
   std::uint64_t Process;
   RelayTimes Times;
-  Sink Tell;
-  Clock SuspendClock = Clock::sinceBoot();
+  MessageCallback OnMessage;
+  Clock BootClock = Clock::sinceBoot();
   std::shared_ptr<const FleetView> View = std::make_shared<FleetView>();
   /// The routers that the clusters were made for.
-  RouterCounts Counted;
+  RouterCounts ClusteredCounts;
   std::vector<RelayCluster> Clusters;
-  std::vector<std::string> Scouts;
+  std::vector<std::string> Verifiers;
   std::map<Poco::Net::SocketAddress, Follower> Followers;
   /// The last questions, the newest first.
-  std::deque<Question> Questions;
+  std::deque<SentRequest> SentRequests;
   std::uint64_t LastNumber = 0;
   /// All changes up to this revision have come, though the view may not show
   /// them yet.
-  Revision HeardUpTo = 0;
+  Revision ReceivedRevision = 0;
   /// When the relay's last word came.
-  TimePoint HeardAt{};
-  std::string ChosenRelay;
+  TimePoint StatusReceivedAt{};
+  std::string CurrentRelay;
   /// The first question that it has not answered.
   std::optional<TimePoint> UnansweredSince;
   /// What its last word proved, and the newest proof of any relay.
   TimePoint RelayProvenAt{};
-  TimePoint NewestProof{};
+  TimePoint NewestProvenAt{};
   /// A relay of another cluster in its place, and until when.
-  std::string Adopted;
-  TimePoint AdoptedUntil{};
-  TimePoint AskedOthersAt{};
+  std::string SubstituteRelay;
+  TimePoint SubstituteUntil{};
+  TimePoint OthersRequestedAt{};
   std::atomic<RelayRole> Role{RelayRole::Unknown};
 };
 
--- a/src/Gateway/FleetFeed.cpp
+++ b/src/Gateway/FleetFeed.cpp
@@ -38,25 +38,26 @@
           {"fleet_store_failures_total", "Such calls that failed.", ""})),
       Reloads(Into.counter(
           {"fleet_reloads_total", "Times that everything was read anew.", ""})),
-      Unusable(
+      UnusableEntries(
           Into.counter({"fleet_unusable_entries_total",
                         "Entries of servers that could not be read.", ""})),
-      ConfigurationsTaken(Into.counter(
+      ConfigurationsApplied(Into.counter(
           {"configurations_taken_total", "Versions that came in force.", ""})) {
-  for (const auto &[Cause, Name] : StoreCauseNames)
+  for (const auto &[Cause, Name] : StoreCallCauseNames)
     this->Calls[Cause] = &Into.counter(
         {"fleet_store_calls_total", "Calls on the store, by what they are for.",
          "cause=\"" + std::string(Name) + "\""});
 }
 
 FleetFeed::FleetFeed(Options O, std::function<FleetSource()> NewSource,
-                     Metrics &Into, Report R)
-    : Chosen(std::move(O)), Times(RelayTimes::of(this->Chosen.Bounds)),
-      MakeSource(std::move(NewSource)), Counters(Into), Tell(std::move(R)),
+                     Metrics &Into, ViewCallback R)
+    : Settings(std::move(O)), Times(RelayTimes::of(this->Settings.Bounds)),
+      MakeSource(std::move(NewSource)), Counters(Into), OnView(std::move(R)),
       Relays(this->Times),
-      Random(this->Chosen.Seed), ProofRetry{FirstRetry, LongestRelayRetry} {
-  this->Watcher = std::thread([this] { this->watch(); });
-  this->Prover = std::thread([this] { this->prove(); });
+      Random(this->Settings.Seed), ProofRetry{InitialRetryDelay,
+                                              MaxRelayRetryDelay} {
+  this->Watcher = std::thread([this] { this->runWatcher(); });
+  this->Prover = std::thread([this] { this->runProver(); });
 }
 
 FleetFeed::~FleetFeed() {
@@ -67,61 +68,62 @@
 
 void FleetFeed::stop() {
   {
-    const std::lock_guard<std::mutex> Lock(this->Guard);
+    const std::lock_guard<std::mutex> Lock(this->Mutex);
     this->Stopping = true;
   }
-  this->Woken.notify_all();
+  this->Wakeup.notify_all();
 }
 
 void FleetFeed::leave() {
   {
-    const std::lock_guard<std::mutex> Lock(this->Guard);
+    const std::lock_guard<std::mutex> Lock(this->Mutex);
     this->Leaving = true;
   }
-  this->Woken.notify_all();
+  this->Wakeup.notify_all();
 }
 
 bool FleetFeed::stopping() {
-  const std::lock_guard<std::mutex> Lock(this->Guard);
+  const std::lock_guard<std::mutex> Lock(this->Mutex);
   return this->Stopping;
 }
 
-bool FleetFeed::rest(Duration Wait) {
-  std::unique_lock<std::mutex> Lock(this->Guard);
-  this->Woken.wait_for(Lock, Wait, [this] { return this->Stopping; });
+bool FleetFeed::sleepUnlessStopped(Duration Wait) {
+  std::unique_lock<std::mutex> Lock(this->Mutex);
+  this->Wakeup.wait_for(Lock, Wait, [this] { return this->Stopping; });
   return !this->Stopping;
 }
 
 Duration FleetFeed::jittered(Duration Whole) {
-  const std::lock_guard<std::mutex> Lock(this->Guard);
+  const std::lock_guard<std::mutex> Lock(this->Mutex);
   std::uniform_real_distribution<double> Part(0.8, 1.2);
   return std::chrono::duration_cast<Duration>(Whole * Part(this->Random));
 }
 
-double FleetFeed::drawPart() {
+double FleetFeed::randomFraction() {
   return std::uniform_real_distribution<double>(0, 1)(this->Random);
 }
 
-bool FleetFeed::note(StoreCause Call, ReadAge Age, const Error *Problem) {
+bool FleetFeed::recordCall(StoreCallCause Call, ReadConsistency Age,
+                           const Error *Problem) {
   const bool Good = Problem == nullptr;
   this->Counters.Calls.at(Call)->add();
-  if (Age == ReadAge::MayBeStale || Call == StoreCause::Renewal)
+  if (Age == ReadConsistency::AllowStale || Call == StoreCallCause::Renewal)
     this->Counters.CheapCalls.add();
-  const TimePoint Now = this->Time.now();
-  const std::lock_guard<std::mutex> Lock(this->Guard);
+  const TimePoint Now = this->BootClock.now();
+  const std::lock_guard<std::mutex> Lock(this->Mutex);
   // While the relays reach the store, this router alone is turned away: what
   // they tell of it holds, and there is no outage whose end could be awaited.
   const bool Alone = !Good && this->relayIsFresh();
   if (!Alone)
-    this->Book.noteStore(Good, Now);
+    this->State.recordStoreReachable(Good, Now);
   if (!Good) {
     this->Counters.FailedCalls.add();
     this->FailedAt = Now;
     this->FailedAlone = Alone;
   }
-  if (Good != this->Reached) {
-    this->Reached = Good;
-    const std::string Name(nameOf(StoreCauseNames, Call));
+  if (Good != this->StoreReachable) {
+    this->StoreReachable = Good;
+    const std::string Name(nameOf(StoreCallCauseNames, Call));
     log(LogPart::Platform, Good ? LogLevel::Info : LogLevel::Warn,
         Good ? "store=regained call=" + Name
              : "store=lost call=" + Name + " problem=" + Problem->Message);
@@ -131,194 +133,198 @@
 
 void FleetFeed::publish() {
   // Three threads publish; an older view must not come after a newer one.
-  const std::lock_guard<std::mutex> Order(this->PublishGuard);
+  const std::lock_guard<std::mutex> Order(this->PublishMutex);
   std::shared_ptr<const FleetView> View;
   {
-    const std::lock_guard<std::mutex> Lock(this->Guard);
+    const std::lock_guard<std::mutex> Lock(this->Mutex);
     // A view without its lists would look like a fleet without others.
     if (!this->Loaded)
       return;
-    View = std::make_shared<FleetView>(this->Book.view());
+    View = std::make_shared<FleetView>(this->State.view());
   }
-  this->Tell(View);
+  this->OnView(View);
 }
 
-Duration FleetFeed::untilPublished() {
-  const Duration Least = PublishTime * static_cast<int>(this->Book.servers());
-  const Duration Gone = this->Time.now() - this->ChangesPublishedAt;
+Duration FleetFeed::publishDelay() {
+  const Duration Least =
+      PublishTime * static_cast<int>(this->State.serverCount());
+  const Duration Gone = this->BootClock.now() - this->ChangesPublishedAt;
   return std::max(Least - Gone, Duration::zero());
 }
 
 void FleetFeed::publishChanges() {
   bool Later = false;
   {
-    const std::lock_guard<std::mutex> Lock(this->Guard);
-    Later = this->untilPublished() > Duration::zero();
-    this->ChangesDue = Later;
+    const std::lock_guard<std::mutex> Lock(this->Mutex);
+    Later = this->publishDelay() > Duration::zero();
+    this->ChangesPending = Later;
     if (!Later)
-      this->ChangesPublishedAt = this->Time.now();
+      this->ChangesPublishedAt = this->BootClock.now();
   }
   // The prover does it in time.
   if (Later)
-    this->Woken.notify_all();
+    this->Wakeup.notify_all();
   else
     this->publish();
 }
 
-/// With `Guard` held. Once for each writing: lists show it again and again.
-void FleetFeed::noteUnusable(const UnusableServer &Written) {
-  Revision &Logged = this->UnusableAt[Written.Id];
-  if (Logged >= Written.At)
+/// With `Mutex` held. Once for each writing: lists show it again and again.
+void FleetFeed::reportUnusable(const UnusableServer &Written) {
+  Revision &Logged = this->ReportedUnusable[Written.Id];
+  if (Logged >= Written.ModRevision)
     return;
-  Logged = Written.At;
-  this->Counters.Unusable.add();
+  Logged = Written.ModRevision;
+  this->Counters.UnusableEntries.add();
   log(LogPart::Platform, LogLevel::Warn,
-      "server=" + Written.Id + " revision=" + std::to_string(Written.At) +
+      "server=" + Written.Id +
+          " revision=" + std::to_string(Written.ModRevision) +
           " entry cannot be used and names no server: " + Written.Reason);
-  if (this->UnusableAt.size() > MaxUnusableKept)
-    this->UnusableAt.erase(this->UnusableAt.begin());
+  if (this->ReportedUnusable.size() > MaxUnusableKept)
+    this->ReportedUnusable.erase(this->ReportedUnusable.begin());
 }
 
-/// With `Guard` held. The end of the lease of this router's earlier process may
+/// With `Mutex` held. The end of the lease of this router's earlier process may
 /// come late, when this one has taken the lease over.
-void FleetFeed::noteRemoved(const FleetChange &Change) {
+void FleetFeed::checkOwnRemoval(const FleetChange &Change) {
   const auto *Gone = std::get_if<RemovedRouter>(&Change);
-  if (Gone != nullptr && Gone->Name == this->Chosen.RouterName)
+  if (Gone != nullptr && Gone->Name == this->Settings.RouterName)
     this->EntryLost = true;
 }
 
-/// With `Guard` held.
-void FleetFeed::takeList(const StoredServers &Read) {
+/// With `Mutex` held.
+void FleetFeed::applyServerList(const StoredServers &Read) {
   for (const UnusableServer &Each : Read.Unusable)
-    this->noteUnusable(Each);
-  this->Book.take(Read, this->Time.now());
+    this->reportUnusable(Each);
+  this->State.applyServers(Read, this->BootClock.now());
 }
 
 RelayRole FleetFeed::role() const {
-  return this->Chosen.Role ? this->Chosen.Role() : RelayRole::Relay;
+  return this->Settings.Role ? this->Settings.Role() : RelayRole::Relay;
 }
 
-/// With `Guard` held.
+/// With `Mutex` held.
 bool FleetFeed::relayIsFresh() const {
-  return this->hasRelay() && this->Relays.isFresh(this->Time.now());
+  return this->hasRelay() && this->Relays.isFresh(this->BootClock.now());
 }
 
-/// With `Guard` held. The relays say that the store is away, and that is enough
+/// With `Mutex` held. The relays say that the store is away, and that is enough
 /// for this router.
-bool FleetFeed::takesRelaysWord(TimePoint Now) const {
-  return this->role() != RelayRole::Scout && this->Relays.storeSeemsAway(Now);
+bool FleetFeed::acceptsOutageReport(TimePoint Now) const {
+  return this->role() != RelayRole::Verifier &&
+         this->Relays.storeSeemsUnreachable(Now);
 }
 
 /// Another router reads the changes for this one, or is about to, or tells that
 /// it cannot. An own proof that is newer than the relays' shows that they are
 /// cut off, and this router is not.
 bool FleetFeed::reliesOnRelays() {
-  const std::lock_guard<std::mutex> Lock(this->Guard);
-  const TimePoint Now = this->Time.now();
+  const std::lock_guard<std::mutex> Lock(this->Mutex);
+  const TimePoint Now = this->BootClock.now();
   if (this->role() == RelayRole::Unknown)
     return Now - this->LoadedAt < RelayGrace;
   if (!this->hasRelay())
     return false;
   if (this->Relays.isFresh(Now) || Now - this->LoadedAt < RelayGrace)
     return true;
-  return this->takesRelaysWord(Now) &&
-         this->Book.provenAt() <= this->Relays.provenAt();
+  return this->acceptsOutageReport(Now) &&
+         this->State.provenAt() <= this->Relays.provenAt();
 }
 
 Revision FleetFeed::seenRevision() {
-  const std::lock_guard<std::mutex> Lock(this->Guard);
-  return this->Book.seenRevision();
+  const std::lock_guard<std::mutex> Lock(this->Mutex);
+  return this->State.seenRevision();
 }
 
-void FleetFeed::takeRelayTold(const RelayTold &Told) {
-  std::visit([this](const auto &Each) { this->take(Each); }, Told);
+void FleetFeed::onRelayMessage(const RelayMessage &Told) {
+  std::visit([this](const auto &Each) { this->apply(Each); }, Told);
 }
 
-/// With `Guard` held. A proof holds for one revision of the configuration only.
-void FleetFeed::proveByWord(const RelayWord &Word) {
-  if (Word.ConfigurationAt != this->Book.configurationRevision() ||
-      Word.ProvenAt <= this->Book.provenAt())
+/// With `Mutex` held. A proof holds for one revision of the configuration only.
+void FleetFeed::applyRelayProof(const RelayStatus &Word) {
+  if (Word.ConfigurationRevision != this->State.configurationRevision() ||
+      Word.ProvenAt <= this->State.provenAt())
     return;
-  this->Book.prove(Word.ProvenAt);
+  this->State.recordProof(Word.ProvenAt);
   this->OwnProofs = 0;
 }
 
-void FleetFeed::take(const RelayWord &Word) {
+void FleetFeed::apply(const RelayStatus &Word) {
   bool Proven = false;
   {
-    const std::lock_guard<std::mutex> Lock(this->Guard);
-    const TimePoint Now = this->Time.now();
-    const TimePoint Before = this->Book.provenAt();
-    this->Relays.noteWord(Word, Now);
-    if (Word.ProvenAt >= this->LastWord.ProvenAt)
-      this->LastWord = Word;
-    this->proveByWord(Word);
-    this->Book.proveLists(Word.SeenAt, Word.ListsProvenAt);
-    Proven = this->Book.provenAt() > Before;
-    if (!this->configurationIsTold())
-      this->ToldSince.reset();
-    else if (!this->ToldSince)
-      this->noteTold(Now);
+    const std::lock_guard<std::mutex> Lock(this->Mutex);
+    const TimePoint Now = this->BootClock.now();
+    const TimePoint Before = this->State.provenAt();
+    this->Relays.recordStatus(Word, Now);
+    if (Word.ProvenAt >= this->LastStatus.ProvenAt)
+      this->LastStatus = Word;
+    this->applyRelayProof(Word);
+    this->State.recordListsProof(Word.SeenRevision, Word.ListsProvenAt);
+    Proven = this->State.provenAt() > Before;
+    if (!this->relayHasNewerConfiguration())
+      this->NewerConfigurationSince.reset();
+    else if (!this->NewerConfigurationSince)
+      this->scheduleFetch(Now);
     // Routers that waited on as in the outage would refuse keys for up to 4 s
     // more where the configuration has changed meanwhile.
     const bool BehindFailure = Word.ProvenAt > this->FailedAt;
-    this->StoreBack = BehindFailure && !this->FailedAlone;
+    this->StoreRecovered = BehindFailure && !this->FailedAlone;
     if (BehindFailure)
-      this->ProofFails = false;
-    if (BehindFailure && !this->Reached) {
-      this->Reached = true;
+      this->LastProofFailed = false;
+    if (BehindFailure && !this->StoreReachable) {
+      this->StoreReachable = true;
       // From here on an entry that vanishes is no longer one that may have
       // lapsed while the store was away.
-      this->Book.noteStore(true, Now);
+      this->State.recordStoreReachable(true, Now);
       log(LogPart::Platform, LogLevel::Info, "store=regained call=relay");
     }
-    if (Word.IsOwn)
-      this->noteBehind(Word);
+    if (Word.IsOwnRelay)
+      this->checkBehindRelay(Word);
   }
-  this->Woken.notify_all();
+  this->Wakeup.notify_all();
   if (Proven)
     this->publish();
 }
 
-/// With `Guard` held. The store's copies have it a moment later.
-void FleetFeed::noteTold(TimePoint Now) {
-  this->ToldSince = Now;
-  this->NextFetch = Now + StaleLag;
+/// With `Mutex` held. The store's copies have it a moment later.
+void FleetFeed::scheduleFetch(TimePoint Now) {
+  this->NewerConfigurationSince = Now;
+  this->NextFetchAt = Now + StaleLag;
 }
 
-/// With `Guard` held. What the relay cannot tell is read.
-void FleetFeed::noteBehind(const RelayWord &Word) {
-  const Revision Seen = this->Book.seenRevision();
-  const TimePoint Now = this->Time.now();
-  if (Word.SeenAt <= Seen) {
+/// With `Mutex` held. What the relay cannot tell is read.
+void FleetFeed::checkBehindRelay(const RelayStatus &Word) {
+  const Revision Seen = this->State.seenRevision();
+  const TimePoint Now = this->BootClock.now();
+  if (Word.SeenRevision <= Seen) {
     this->BehindSince.reset();
-    this->StaleLists = 0;
+    this->StaleListReads = 0;
     return;
   }
   if (!this->BehindSince)
     this->BehindSince = Now;
   const bool Late = Now - *this->BehindSince > BehindPatience;
-  if (this->Loaded && (Late || Word.TellsSince > Seen))
-    this->LoadDue = true;
+  if (this->Loaded && (Late || Word.HistoryStartRevision > Seen))
+    this->ReloadDue = true;
 }
 
-/// With `Guard` held.
-bool FleetFeed::configurationIsTold() const {
-  return this->LastWord.ConfigurationAt > this->Book.configurationRevision();
+/// With `Mutex` held.
+bool FleetFeed::relayHasNewerConfiguration() const {
+  return this->LastStatus.ConfigurationRevision >
+         this->State.configurationRevision();
 }
 
-void FleetFeed::take(const RelayNews &News) {
+void FleetFeed::apply(const RelayUpdate &News) {
   {
-    const std::lock_guard<std::mutex> Lock(this->Guard);
-    const Revision Seen = this->Book.seenRevision();
+    const std::lock_guard<std::mutex> Lock(this->Mutex);
+    const Revision Seen = this->State.seenRevision();
     // Changes before these were lost on their way and come again.
-    if (!this->Loaded || News.From > Seen || News.To <= Seen)
+    if (!this->Loaded || News.AfterRevision > Seen || News.ToRevision <= Seen)
       return;
     for (const FleetChange &Each : News.Changes) {
-      this->noteRemoved(Each);
-      this->Book.take(Each, this->Time.now());
+      this->checkOwnRemoval(Each);
+      this->State.applyChange(Each, this->BootClock.now());
     }
-    this->Book.noteSeen(News.To);
+    this->State.recordSeenRevision(News.ToRevision);
   }
   this->publishChanges();
 }
--- a/src/Gateway/FleetFeed.h
+++ b/src/Gateway/FleetFeed.h
@@ -1,8 +1,8 @@
 #ifndef PARSLEYWING_GATEWAY_FLEETFEED_H
 #define PARSLEYWING_GATEWAY_FLEETFEED_H
 
-#include "Gateway/FleetBook.h"
 #include "Gateway/FleetExchange.h"
+#include "Gateway/FleetState.h"
 #include "Gateway/RelayTrust.h"
 #include "Runtime/Metrics.h"
 
@@ -19,7 +19,7 @@
 
 /// What a call on the store is for. Each costs; a list of several pages counts
 /// as one call here.
-enum class StoreCause {
+enum class StoreCallCause {
   List,          ///< All servers or routers, at a start or behind a gap.
   Compare,       ///< All servers, against a change that no watch told of.
   Configuration, ///< The content of a configuration.
@@ -29,14 +29,14 @@
   Renewal,       ///< The lease of that entry.
 };
 
-inline constexpr EnumNames<StoreCause, 7> StoreCauseNames{{
-    {StoreCause::List, "list"},
-    {StoreCause::Compare, "compare"},
-    {StoreCause::Configuration, "configuration"},
-    {StoreCause::Proof, "proof"},
-    {StoreCause::Watch, "watch"},
-    {StoreCause::Registration, "registration"},
-    {StoreCause::Renewal, "renewal"},
+inline constexpr EnumNames<StoreCallCause, 7> StoreCallCauseNames{{
+    {StoreCallCause::List, "list"},
+    {StoreCallCause::Compare, "compare"},
+    {StoreCallCause::Configuration, "configuration"},
+    {StoreCallCause::Proof, "proof"},
+    {StoreCallCause::Watch, "watch"},
+    {StoreCallCause::Registration, "registration"},
+    {StoreCallCause::Renewal, "renewal"},
 }};
 
 /// Counts of the calls that keep the view.
@@ -44,13 +44,13 @@
   explicit FleetFeedCounters(Metrics &Into);
 
   /// By what they are for.
-  std::map<StoreCause, Counter *> Calls;
+  std::map<StoreCallCause, Counter *> Calls;
   /// Those that may be stale, or only renew a lease: a tenth of the price.
   Counter &CheapCalls;
   Counter &FailedCalls;
   Counter &Reloads;
-  Counter &Unusable;
-  Counter &ConfigurationsTaken;
+  Counter &UnusableEntries;
+  Counter &ConfigurationsApplied;
 };
 
 /// Keeps the router's view of the fleet current, on two threads of its own: one
@@ -76,7 +76,7 @@
     std::string RouterName;
     std::string RouterAddress;
     /// Cores that this router has.
-    double RouterCapacity = 1;
+    double RouterCores = 1;
     std::string RouterZone;
     std::uint64_t Seed = 1;
     FleetBounds Bounds;
@@ -84,14 +84,14 @@
     /// function.
     std::function<RelayRole()> Role;
     /// This router has reached the store, and its relay has not.
-    std::function<void()> DistrustRelay;
+    std::function<void()> SwitchRelay;
   };
 
   /// Called with each new view, on one of the feed's threads.
-  using Report = std::function<void(std::shared_ptr<const FleetView>)>;
+  using ViewCallback = std::function<void(std::shared_ptr<const FleetView>)>;
 
   FleetFeed(Options O, std::function<FleetSource()> NewSource, Metrics &Into,
-            Report R);
+            ViewCallback R);
   ~FleetFeed();
   FleetFeed(const FleetFeed &) = delete;
   FleetFeed &operator=(const FleetFeed &) = delete;
@@ -104,154 +104,158 @@
 
   /// What the relay has told. A proof counts only where both have the same
   /// configuration; where the relay has a newer one, this router reads it.
-  void takeRelayTold(const RelayTold &Told);
+  void onRelayMessage(const RelayMessage &Told);
 
 private:
   /// The wait before a call is made again, doubled with each failure in a row.
   struct Backoff {
-    Duration First;
-    Duration Longest;
-    Duration Next = First;
+    Duration InitialDelay;
+    Duration MaxDelay;
+    Duration NextDelay = InitialDelay;
 
-    Duration take() {
-      return std::exchange(this->Next, std::min(this->Next * 2, this->Longest));
+    Duration nextDelay() {
+      return std::exchange(this->NextDelay,
+                           std::min(this->NextDelay * 2, this->MaxDelay));
     }
-    void reset() { this->Next = this->First; }
+    void reset() { this->NextDelay = this->InitialDelay; }
   };
 
-  void take(const RelayWord &Word);
-  void take(const RelayNews &News);
+  void apply(const RelayStatus &Word);
+  void apply(const RelayUpdate &News);
   /// Another router reads the store for this one.
-  void noteUnusable(const UnusableServer &Written);
-  void noteRemoved(const FleetChange &Change);
-  void takeList(const StoredServers &Read);
+  void reportUnusable(const UnusableServer &Written);
+  void checkOwnRemoval(const FleetChange &Change);
+  void applyServerList(const StoredServers &Read);
   RelayRole role() const;
-  bool hasRelay() const { return hearsFromRelay(this->role()); }
-  bool takesRelaysWord(TimePoint Now) const;
+  bool hasRelay() const { return followsRelay(this->role()); }
+  bool acceptsOutageReport(TimePoint Now) const;
   bool relayIsFresh() const;
   bool reliesOnRelays();
   void followRelay();
   Duration proofInterval() const;
 
-  void watch();
-  bool awaitStore();
-  ReadAge listAge();
+  void runWatcher();
+  bool waitForStore();
+  ReadConsistency nextListConsistency();
   bool readLists(FleetSource &Source, Revision &After);
   bool load(FleetSource &Source, Revision &After);
   void adoptLease(const StoredRouters &Listed);
-  bool knowsOthers();
+  bool knowsOtherRouters();
   void wakeProver();
 
-  void prove();
+  void runProver();
   bool proveOnce(FleetSource &Source);
-  void proveByWord(const RelayWord &Word);
-  bool proofDue(TimePoint Now);
+  void applyRelayProof(const RelayStatus &Word);
+  bool isProofDue(TimePoint Now);
   void renewProof(FleetSource &Source);
-  void noteStoreAway(TimePoint Now);
-  void noteTold(TimePoint Now);
-  void noteBehind(const RelayWord &Word);
-  bool configurationIsTold() const;
+  void recordReportedOutage(TimePoint Now);
+  void scheduleFetch(TimePoint Now);
+  void checkBehindRelay(const RelayStatus &Word);
+  bool relayHasNewerConfiguration() const;
   void fetchConfiguration(FleetSource &Source);
-  bool readConfiguration(FleetSource &Source, Revision Known, ReadAge Age);
-  Duration retryWait();
-  void takeConfiguration(const StoredConfiguration &Read, ReadAge Age);
-  void takeChanges(const FleetChanges &Read);
-  void noteStoreRevision(Revision StoreAt);
+  bool readConfiguration(FleetSource &Source, Revision Known,
+                         ReadConsistency Age);
+  Duration nextProofRetryDelay();
+  void applyConfiguration(const StoredConfiguration &Read, ReadConsistency Age);
+  void applyChanges(const FleetChanges &Read);
+  void checkWatchLag(Revision StoreAt);
   void catchUp(FleetSource &Source);
   Revision seenRevision();
   void compareServers(FleetSource &Source);
-  void keepRegistered(FleetSource &Source);
+  void maintainRegistration(FleetSource &Source);
 
   /// Counts and logs the outcome of a call; true where it went well.
-  bool note(StoreCause Call, ReadAge Age, const Error *Problem);
+  bool recordCall(StoreCallCause Call, ReadConsistency Age,
+                  const Error *Problem);
   template <typename Value>
-  bool note(StoreCause Call, ReadAge Age, const Result<Value> &Read) {
-    return this->note(Call, Age, Read ? nullptr : &Read.error());
+  bool recordCall(StoreCallCause Call, ReadConsistency Age,
+                  const Result<Value> &Read) {
+    return this->recordCall(Call, Age, Read ? nullptr : &Read.error());
   }
   void publish();
   /// The same for changes of the lists, at most once in a while.
   void publishChanges();
-  /// With `Guard` held: until changes may be published; zero where they may
+  /// With `Mutex` held: until changes may be published; zero where they may
   /// now.
-  Duration untilPublished();
+  Duration publishDelay();
   bool changesAreDue();
   bool stopping();
   /// Waits, or less where the feed stops. False where it stops.
-  bool rest(Duration Wait);
+  bool sleepUnlessStopped(Duration Wait);
   /// The same for the prover, or less where it is wanted sooner.
-  bool restUntilWanted(Duration Wait);
-  Duration proverRound();
+  bool sleepUntilWoken(Duration Wait);
+  Duration proverInterval();
   Duration jittered(Duration Whole);
-  /// With `Guard` held: a number from 0 to 1.
-  double drawPart();
+  /// With `Mutex` held: a number from 0 to 1.
+  double randomFraction();
 
-  Options Chosen;
+  Options Settings;
   RelayTimes Times;
   std::function<FleetSource()> MakeSource;
   FleetFeedCounters Counters;
-  Report Tell;
-  Clock Time = Clock::sinceBoot();
-  std::mutex PublishGuard;
-  std::mutex Guard;
-  std::condition_variable Woken;
-  FleetBook Book;
-  bool Reached = true;
+  ViewCallback OnView;
+  Clock BootClock = Clock::sinceBoot();
+  std::mutex PublishMutex;
+  std::mutex Mutex;
+  std::condition_variable Wakeup;
+  FleetState State;
+  bool StoreReachable = true;
   bool Stopping = false;
   bool Leaving = false;
   /// The lists were read once, so that others may ask this router.
-  bool Listable = false;
+  bool ListsRead = false;
   /// Everything was read once.
   bool Loaded = false;
   /// No other router was found at first, and the lists were read once more.
-  bool LookedAgain = false;
+  bool ListsRetried = false;
   /// The prover has something to do that it did not have before.
-  bool ProverWanted = false;
+  bool ProverWakeRequested = false;
   /// Changes of the lists that are not published yet, and the last time that
   /// any were.
-  bool ChangesDue = false;
+  bool ChangesPending = false;
   TimePoint ChangesPublishedAt{};
   /// The relay cannot tell all that this router lacks.
-  bool LoadDue = false;
+  bool ReloadDue = false;
   /// The watch has not told for too long what the store has.
   bool CatchUpDue = false;
   /// Relays reached the store when the last call failed.
   bool FailedAlone = false;
   /// A relay has reached the store since.
-  bool StoreBack = false;
+  bool StoreRecovered = false;
   /// The last plain read of the configuration failed.
-  bool ProofFails = false;
+  bool LastProofFailed = false;
   /// The entry of this router's earlier process was looked for.
-  bool LeaseSought = false;
+  bool LeaseLookedUp = false;
   /// This router's entry has gone, though it has not left.
   bool EntryLost = false;
   /// Lists in a row that may have been stale.
-  int StaleLists = 0;
+  int StaleListReads = 0;
   /// Own proofs since the relay's last one.
   int OwnProofs = 0;
   TimePoint LoadedAt{};
-  TimePoint ListedAt{};
+  TimePoint ListsReadAt{};
   /// A revision that the store has and the watch has not told, and since when.
-  Revision UnseenAt = 0;
+  Revision UnseenRevision = 0;
   TimePoint UnseenSince{};
   RelayTrust Relays;
   /// The newest of the relays' words.
-  RelayWord LastWord;
+  RelayStatus LastStatus;
   /// A relay has a newer configuration, since when, and when it is read next.
-  std::optional<TimePoint> ToldSince;
-  TimePoint NextFetch{};
+  std::optional<TimePoint> NewerConfigurationSince;
+  TimePoint NextFetchAt{};
   /// In an outage that the relays tell of: when this router tries for itself.
-  std::optional<TimePoint> OwnTryAt;
+  std::optional<TimePoint> OwnAttemptAt;
   /// Since when the relay has known changes that did not come.
   std::optional<TimePoint> BehindSince;
   std::mt19937_64 Random;
   /// The last call that failed, and when the configuration may be read again;
   /// sooner where a relay has reached the store since.
   TimePoint FailedAt{};
-  TimePoint NextProof{};
+  TimePoint NextProofAt{};
   Backoff ProofRetry;
   LeaseId Lease = 0;
   /// The last unusable writing of each key that was logged.
-  std::map<std::string, Revision> UnusableAt;
+  std::map<std::string, Revision> ReportedUnusable;
   std::thread Watcher;
   std::thread Prover;
 };
--- a/src/Gateway/FleetFeedProver.cpp
+++ b/src/Gateway/FleetFeedProver.cpp
@@ -57,120 +57,126 @@
 } // namespace
 
 bool FleetFeed::proveOnce(FleetSource &Source) {
-  const TimePoint AskedAt = this->Time.now();
+  const TimePoint AskedAt = this->BootClock.now();
   Revision Known = 0;
   {
-    const std::lock_guard<std::mutex> Lock(this->Guard);
-    Known = this->Book.configurationRevision();
+    const std::lock_guard<std::mutex> Lock(this->Mutex);
+    Known = this->State.configurationRevision();
   }
-  const auto Read = Source.Configuration(Known, ReadAge::Newest);
-  const bool Good = this->note(StoreCause::Proof, ReadAge::Newest, Read);
+  const auto Read = Source.Configuration(Known, ReadConsistency::Linearizable);
+  const bool Good = this->recordCall(StoreCallCause::Proof,
+                                     ReadConsistency::Linearizable, Read);
   {
-    const std::lock_guard<std::mutex> Lock(this->Guard);
-    this->ProofFails = !Good;
+    const std::lock_guard<std::mutex> Lock(this->Mutex);
+    this->LastProofFailed = !Good;
   }
   if (!Good)
     return false;
   if (*Read)
-    this->takeConfiguration(**Read, ReadAge::Newest);
-  const std::lock_guard<std::mutex> Lock(this->Guard);
+    this->applyConfiguration(**Read, ReadConsistency::Linearizable);
+  const std::lock_guard<std::mutex> Lock(this->Mutex);
   // That there is none yet is a proof too.
   if (*Read || Known == 0)
-    this->Book.prove(AskedAt);
+    this->State.recordProof(AskedAt);
   if (*Read) {
-    this->noteStoreRevision((*Read)->StoreAt);
-    if ((*Read)->StoreAt > 0)
-      this->Book.proveLists((*Read)->StoreAt, AskedAt);
+    this->checkWatchLag((*Read)->StoreRevision);
+    if ((*Read)->StoreRevision > 0)
+      this->State.recordListsProof((*Read)->StoreRevision, AskedAt);
   }
   return true;
 }
 
 /// Puts a configuration that was read in force where it is new. Not yet proven:
 /// a stale read says nothing of what is newest.
-void FleetFeed::takeConfiguration(const StoredConfiguration &Read,
-                                  ReadAge Age) {
+void FleetFeed::applyConfiguration(const StoredConfiguration &Read,
+                                   ReadConsistency Age) {
   {
-    const std::lock_guard<std::mutex> Lock(this->Guard);
-    if (!this->Book.take(Read))
+    const std::lock_guard<std::mutex> Lock(this->Mutex);
+    if (!this->State.applyConfiguration(Read))
       return;
-    this->proveByWord(this->LastWord);
-    if (!this->configurationIsTold())
-      this->ToldSince.reset();
+    this->applyRelayProof(this->LastStatus);
+    if (!this->relayHasNewerConfiguration())
+      this->NewerConfigurationSince.reset();
   }
   this->publish();
-  this->Counters.ConfigurationsTaken.add();
+  this->Counters.ConfigurationsApplied.add();
   log(LogPart::Platform, LogLevel::Info,
       "configuration=" + std::to_string(Read.Configuration->Version) +
-          " revision=" + std::to_string(Read.At) +
-          " source=" + (Age == ReadAge::MayBeStale ? "stale-read" : "read"));
+          " revision=" + std::to_string(Read.ModRevision) + " source=" +
+          (Age == ReadConsistency::AllowStale ? "stale-read" : "read"));
 }
 
 /// Reads the configuration that a relay has told of, of a series only the
 /// newest.
 void FleetFeed::fetchConfiguration(FleetSource &Source) {
   Revision Known = 0;
-  ReadAge Age = ReadAge::MayBeStale;
+  ReadConsistency Age = ReadConsistency::AllowStale;
   {
-    const std::lock_guard<std::mutex> Lock(this->Guard);
-    const TimePoint Now = this->Time.now();
-    if (!this->ToldSince || Now < this->NextFetch)
+    const std::lock_guard<std::mutex> Lock(this->Mutex);
+    const TimePoint Now = this->BootClock.now();
+    if (!this->NewerConfigurationSince || Now < this->NextFetchAt)
       return;
-    Known = this->Book.configurationRevision();
-    if (Now - *this->ToldSince >=
-        RelayTimes::partOf(this->Chosen.Bounds.Configuration,
+    Known = this->State.configurationRevision();
+    if (Now - *this->NewerConfigurationSince >=
+        RelayTimes::partOf(this->Settings.Bounds.Configuration,
                            StalePartOfChange))
-      Age = ReadAge::Newest;
-    this->NextFetch = Now + std::max(StaleAgain, Now - *this->ToldSince);
+      Age = ReadConsistency::Linearizable;
+    this->NextFetchAt =
+        Now + std::max(StaleAgain, Now - *this->NewerConfigurationSince);
   }
   if (this->readConfiguration(Source, Known, Age)) {
     this->publish();
     return;
   }
-  const Duration Wait = this->retryWait();
-  const std::lock_guard<std::mutex> Lock(this->Guard);
-  this->NextFetch = this->Time.now() + Wait;
+  const Duration Wait = this->nextProofRetryDelay();
+  const std::lock_guard<std::mutex> Lock(this->Mutex);
+  this->NextFetchAt = this->BootClock.now() + Wait;
 }
 
 /// True where the store answered.
 bool FleetFeed::readConfiguration(FleetSource &Source, Revision Known,
-                                  ReadAge Age) {
-  if (Age == ReadAge::Newest)
+                                  ReadConsistency Age) {
+  if (Age == ReadConsistency::Linearizable)
     return this->proveOnce(Source);
   const auto Read = Source.Configuration(Known, Age);
-  if (!this->note(StoreCause::Configuration, Age, Read))
+  if (!this->recordCall(StoreCallCause::Configuration, Age, Read))
     return false;
   if (*Read)
-    this->takeConfiguration(**Read, Age);
+    this->applyConfiguration(**Read, Age);
   return true;
 }
 
 /// The wait behind a read of the configuration that failed.
-Duration FleetFeed::retryWait() {
+Duration FleetFeed::nextProofRetryDelay() {
   const bool Follows = this->hasRelay();
-  this->ProofRetry.First = Follows ? FirstFollowerRetry : FirstRetry;
-  this->ProofRetry.Longest = Follows ? LongestFollowerRetry : LongestRelayRetry;
-  return this->jittered(this->ProofRetry.take());
+  this->ProofRetry.InitialDelay =
+      Follows ? InitialFollowerRetryDelay : InitialRetryDelay;
+  this->ProofRetry.MaxDelay =
+      Follows ? MaxFollowerRetryDelay : MaxRelayRetryDelay;
+  return this->jittered(this->ProofRetry.nextDelay());
 }
 
 void FleetFeed::compareServers(FleetSource &Source) {
-  const auto Read = Source.Servers(ReadAge::MayBeStale);
-  if (!this->note(StoreCause::Compare, ReadAge::MayBeStale, Read))
+  const auto Read = Source.Servers(ReadConsistency::AllowStale);
+  if (!this->recordCall(StoreCallCause::Compare, ReadConsistency::AllowStale,
+                        Read))
     return;
-  const auto Zones = Source.Evacuations(ReadAge::MayBeStale);
-  const bool Good = this->note(StoreCause::Compare, ReadAge::MayBeStale, Zones);
-  const std::lock_guard<std::mutex> Lock(this->Guard);
-  this->takeList(*Read);
+  const auto Zones = Source.Evacuations(ReadConsistency::AllowStale);
+  const bool Good = this->recordCall(StoreCallCause::Compare,
+                                     ReadConsistency::AllowStale, Zones);
+  const std::lock_guard<std::mutex> Lock(this->Mutex);
+  this->applyServerList(*Read);
   if (Good)
-    this->Book.take(*Zones, this->Time.now());
+    this->State.applyEvacuations(*Zones, this->BootClock.now());
 }
 
-void FleetFeed::keepRegistered(FleetSource &Source) {
+void FleetFeed::maintainRegistration(FleetSource &Source) {
   bool IsLeaving = false;
   {
-    const std::lock_guard<std::mutex> Lock(this->Guard);
+    const std::lock_guard<std::mutex> Lock(this->Mutex);
     IsLeaving = this->Leaving;
     // A router that is listed is asked for servers and for changes.
-    if (!IsLeaving && !this->Listable)
+    if (!IsLeaving && !this->ListsRead)
       return;
   }
   if (IsLeaving) {
@@ -180,7 +186,7 @@
     return;
   }
   if (this->Lease != 0) {
-    this->Counters.Calls.at(StoreCause::Renewal)->add();
+    this->Counters.Calls.at(StoreCallCause::Renewal)->add();
     this->Counters.CheapCalls.add();
     const auto Renewed = Source.Renew(this->Lease);
     if (Renewed)
@@ -190,12 +196,12 @@
     this->Lease = 0;
   }
   StoredRouter Self;
-  Self.Name = this->Chosen.RouterName;
-  Self.Address = this->Chosen.RouterAddress;
-  Self.Capacity = this->Chosen.RouterCapacity;
-  Self.Zone = this->Chosen.RouterZone;
+  Self.Name = this->Settings.RouterName;
+  Self.Address = this->Settings.RouterAddress;
+  Self.Cores = this->Settings.RouterCores;
+  Self.Zone = this->Settings.RouterZone;
   // A lease and an entry.
-  this->Counters.Calls.at(StoreCause::Registration)->add(2);
+  this->Counters.Calls.at(StoreCallCause::Registration)->add(2);
   const auto Granted = Source.Register(Self, LeaseLife);
   if (Granted)
     this->Lease = *Granted;
@@ -208,82 +214,82 @@
   if (!this->hasRelay())
     return this->Times.ProofInterval;
   // Others wait for what it finds.
-  if (this->role() == RelayRole::Scout)
-    return this->Times.DoubtAge;
-  const FleetBounds &Bounds = this->Chosen.Bounds;
+  if (this->role() == RelayRole::Verifier)
+    return this->Times.SuspectProofAge;
+  const FleetBounds &Bounds = this->Settings.Bounds;
   const Duration Own =
       std::min(RelayTimes::partOf(Bounds.Revocation, OwnProofPart),
                RelayTimes::partOf(Bounds.Configuration, OwnProofPartOfChange));
   // Not before it is known whether the relays reach the store.
-  return std::max(Own, this->Times.LongestAge);
+  return std::max(Own, this->Times.MaxProofAge);
 }
 
-/// With `Guard` held. The relays tell of an outage that this router has not
+/// With `Mutex` held. The relays tell of an outage that this router has not
 /// noticed, as it makes no calls: entries that lapse now may be back with the
 /// store.
-void FleetFeed::noteStoreAway(TimePoint Now) {
-  if (!std::exchange(this->Reached, false))
+void FleetFeed::recordReportedOutage(TimePoint Now) {
+  if (!std::exchange(this->StoreReachable, false))
     return;
-  this->Book.noteStore(false, Now);
+  this->State.recordStoreReachable(false, Now);
   this->FailedAt = Now;
   log(LogPart::Platform, LogLevel::Warn, "store=lost call=relays");
 }
 
 /// Whether a plain read of the configuration is due, to prove that it is the
 /// newest one.
-bool FleetFeed::proofDue(TimePoint Now) {
-  const std::lock_guard<std::mutex> Lock(this->Guard);
-  const bool Back = std::exchange(this->StoreBack, false);
+bool FleetFeed::isProofDue(TimePoint Now) {
+  const std::lock_guard<std::mutex> Lock(this->Mutex);
+  const bool Back = std::exchange(this->StoreRecovered, false);
   // A router that starts hears from its relay, if it has one.
   const bool Waits =
       this->role() != RelayRole::Relay && Now - this->LoadedAt < RelayGrace;
-  if (!this->Loaded || Waits || (Now < this->NextProof && !Back))
+  if (!this->Loaded || Waits || (Now < this->NextProofAt && !Back))
     return false;
-  if (Now - this->Book.provenAt() < this->proofInterval()) {
-    this->OwnTryAt.reset();
+  if (Now - this->State.provenAt() < this->proofInterval()) {
+    this->OwnAttemptAt.reset();
     return false;
   }
-  if (!this->hasRelay() || !this->takesRelaysWord(Now))
+  if (!this->hasRelay() || !this->acceptsOutageReport(Now))
     return true;
-  this->noteStoreAway(Now);
-  if (!this->OwnTryAt)
-    this->OwnTryAt = Now + std::chrono::duration_cast<Duration>(
-                               OwnTrySpread * this->drawPart());
-  return Now >= *this->OwnTryAt;
+  this->recordReportedOutage(Now);
+  if (!this->OwnAttemptAt)
+    this->OwnAttemptAt = Now + std::chrono::duration_cast<Duration>(
+                                   OwnTrySpread * this->randomFraction());
+  return Now >= *this->OwnAttemptAt;
 }
 
 void FleetFeed::renewProof(FleetSource &Source) {
-  if (!this->proofDue(this->Time.now()))
+  if (!this->isProofDue(this->BootClock.now()))
     return;
   if (this->proveOnce(Source)) {
     this->ProofRetry.reset();
     this->publish();
     bool CutOff = false;
     {
-      const std::lock_guard<std::mutex> Lock(this->Guard);
-      this->NextProof = TimePoint{};
+      const std::lock_guard<std::mutex> Lock(this->Mutex);
+      this->NextProofAt = TimePoint{};
       CutOff = this->hasRelay() && ++this->OwnProofs >= ProofsAgainstRelay;
       if (CutOff)
         this->OwnProofs = 0;
     }
-    if (CutOff && this->Chosen.DistrustRelay)
-      this->Chosen.DistrustRelay();
+    if (CutOff && this->Settings.SwitchRelay)
+      this->Settings.SwitchRelay();
     return;
   }
-  const Duration Wait = this->retryWait();
-  const std::lock_guard<std::mutex> Lock(this->Guard);
-  this->NextProof = this->Time.now() + Wait;
-  if (this->OwnTryAt)
-    this->OwnTryAt = this->Time.now() + OwnTrySpread;
+  const Duration Wait = this->nextProofRetryDelay();
+  const std::lock_guard<std::mutex> Lock(this->Mutex);
+  this->NextProofAt = this->BootClock.now() + Wait;
+  if (this->OwnAttemptAt)
+    this->OwnAttemptAt = this->BootClock.now() + OwnTrySpread;
 }
 
-void FleetFeed::prove() {
+void FleetFeed::runProver() {
   FleetSource Source = this->MakeSource();
   // Content to begin with, at a tenth of the price; what it lacks is told.
-  (void)this->readConfiguration(Source, 0, ReadAge::MayBeStale);
-  TimePoint Compared = this->Time.now();
+  (void)this->readConfiguration(Source, 0, ReadConsistency::AllowStale);
+  TimePoint Compared = this->BootClock.now();
   Duration Patience = this->jittered(CompareInterval);
-  TimePoint NextRenewal = this->Time.now();
+  TimePoint NextRenewal = this->BootClock.now();
   bool WasListable = false;
   do {
     this->fetchConfiguration(Source);
@@ -291,24 +297,24 @@
     this->catchUp(Source);
     bool Expired = false;
     {
-      const std::lock_guard<std::mutex> Lock(this->Guard);
+      const std::lock_guard<std::mutex> Lock(this->Mutex);
       const bool Lost = std::exchange(this->EntryLost, false);
-      this->ProverWanted = false;
-      if (this->Listable != WasListable || Lost ||
+      this->ProverWakeRequested = false;
+      if (this->ListsRead != WasListable || Lost ||
           (this->Leaving && this->Lease != 0))
-        NextRenewal = this->Time.now();
-      WasListable = this->Listable;
-      Expired = this->Book.expire(this->Time.now());
+        NextRenewal = this->BootClock.now();
+      WasListable = this->ListsRead;
+      Expired = this->State.expire(this->BootClock.now());
     }
-    if (this->Time.now() >= NextRenewal) {
-      this->keepRegistered(Source);
-      NextRenewal = this->Time.now() + this->jittered(RenewInterval);
+    if (this->BootClock.now() >= NextRenewal) {
+      this->maintainRegistration(Source);
+      NextRenewal = this->BootClock.now() + this->jittered(RenewInterval);
     }
     const Duration Longest =
         this->hasRelay() ? FollowerCompareInterval : CompareInterval;
-    if (this->Time.now() - Compared >= std::max(Patience, Longest)) {
+    if (this->BootClock.now() - Compared >= std::max(Patience, Longest)) {
       this->compareServers(Source);
-      Compared = this->Time.now();
+      Compared = this->BootClock.now();
       Patience = this->jittered(Longest);
       Expired = true;
     }
@@ -316,45 +322,46 @@
       this->publish();
     if (this->changesAreDue())
       this->publishChanges();
-  } while (this->restUntilWanted(this->proverRound()));
+  } while (this->sleepUntilWoken(this->proverInterval()));
   if (this->Lease != 0)
     (void)Source.Unregister(this->Lease);
 }
 
-Duration FleetFeed::proverRound() {
+Duration FleetFeed::proverInterval() {
   {
-    const std::lock_guard<std::mutex> Lock(this->Guard);
+    const std::lock_guard<std::mutex> Lock(this->Mutex);
     const bool JustLoaded =
-        this->Loaded && this->Time.now() - this->LoadedAt < FirstProofTime;
-    if (JustLoaded && this->Book.provenAt() == TimePoint{})
+        this->Loaded && this->BootClock.now() - this->LoadedAt < FirstProofTime;
+    if (JustLoaded && this->State.provenAt() == TimePoint{})
       return FirstProverRound;
   }
-  return this->hasRelay() ? this->jittered(ProverRound) : RelayProverRound;
+  return this->hasRelay() ? this->jittered(ProverRound) : RelayProverInterval;
 }
 
 bool FleetFeed::changesAreDue() {
-  const std::lock_guard<std::mutex> Lock(this->Guard);
-  return this->ChangesDue && this->untilPublished() == Duration::zero();
+  const std::lock_guard<std::mutex> Lock(this->Mutex);
+  return this->ChangesPending && this->publishDelay() == Duration::zero();
 }
 
-bool FleetFeed::restUntilWanted(Duration Wait) {
-  std::unique_lock<std::mutex> Lock(this->Guard);
-  const TimePoint End = this->Time.now() + Wait;
+bool FleetFeed::sleepUntilWoken(Duration Wait) {
+  std::unique_lock<std::mutex> Lock(this->Mutex);
+  const TimePoint End = this->BootClock.now() + Wait;
   const auto Wanted = [this] {
-    return (this->ToldSince && this->NextFetch <= this->Time.now()) ||
-           (this->ChangesDue && this->untilPublished() == Duration::zero()) ||
-           this->EntryLost || this->StoreBack || this->ProverWanted;
+    return (this->NewerConfigurationSince &&
+            this->NextFetchAt <= this->BootClock.now()) ||
+           (this->ChangesPending && this->publishDelay() == Duration::zero()) ||
+           this->EntryLost || this->StoreRecovered || this->ProverWakeRequested;
   };
   while (!this->Stopping && !Wanted()) {
-    const TimePoint Now = this->Time.now();
+    const TimePoint Now = this->BootClock.now();
     TimePoint Until = End;
-    if (this->ToldSince)
-      Until = std::min(Until, this->NextFetch);
-    if (this->ChangesDue)
-      Until = std::min(Until, Now + this->untilPublished());
+    if (this->NewerConfigurationSince)
+      Until = std::min(Until, this->NextFetchAt);
+    if (this->ChangesPending)
+      Until = std::min(Until, Now + this->publishDelay());
     if (Until <= Now)
       break;
-    this->Woken.wait_for(Lock, Until - Now);
+    this->Wakeup.wait_for(Lock, Until - Now);
   }
   return !this->Stopping;
 }
--- a/src/Gateway/FleetFeedWatch.cpp
+++ b/src/Gateway/FleetFeedWatch.cpp
@@ -39,72 +39,73 @@
 /// How old the next lists may be. Those that may be stale come first: what they
 /// lack is told by the relay or the watch. Where they did not help, since the
 /// relay does not remember that far back, the newest are read.
-ReadAge FleetFeed::listAge() {
+ReadConsistency FleetFeed::nextListConsistency() {
   TimePoint Last;
   {
-    const std::lock_guard<std::mutex> Lock(this->Guard);
-    if (this->StaleLists >= MaxStaleLists)
-      return ReadAge::Newest;
-    Last = ++this->StaleLists > 1 ? this->ListedAt : TimePoint{};
+    const std::lock_guard<std::mutex> Lock(this->Mutex);
+    if (this->StaleListReads >= MaxStaleLists)
+      return ReadConsistency::Linearizable;
+    Last = ++this->StaleListReads > 1 ? this->ListsReadAt : TimePoint{};
   }
   // A second one at once would be as stale as the first.
-  const Duration Since = this->Time.now() - Last;
+  const Duration Since = this->BootClock.now() - Last;
   if (Since < StalePause)
-    (void)this->rest(StalePause - Since);
-  return ReadAge::MayBeStale;
+    (void)this->sleepUnlessStopped(StalePause - Since);
+  return ReadConsistency::AllowStale;
 }
 
 /// Reads the lists. The changes after the first read are asked for next, so
 /// that none falls between.
 bool FleetFeed::readLists(FleetSource &Source, Revision &After) {
-  const ReadAge Age = this->listAge();
+  const ReadConsistency Age = this->nextListConsistency();
   auto Servers = Source.Servers(Age);
-  if (!this->note(StoreCause::List, Age, Servers))
+  if (!this->recordCall(StoreCallCause::List, Age, Servers))
     return false;
   const auto Routers = Source.Routers(Age);
-  if (!this->note(StoreCause::List, Age, Routers))
+  if (!this->recordCall(StoreCallCause::List, Age, Routers))
     return false;
   const auto Zones = Source.Evacuations(Age);
-  if (!this->note(StoreCause::List, Age, Zones))
+  if (!this->recordCall(StoreCallCause::List, Age, Zones))
     return false;
   // Reads that may be stale need not be of one age; what lies between is told
   // again.
-  Servers->At = std::min({Servers->At, Routers->At, Zones->At});
-  const std::lock_guard<std::mutex> Lock(this->Guard);
-  this->takeList(*Servers);
-  this->Book.take(*Routers);
-  this->Book.take(*Zones, this->Time.now());
+  Servers->ReadRevision = std::min(
+      {Servers->ReadRevision, Routers->ReadRevision, Zones->ReadRevision});
+  const std::lock_guard<std::mutex> Lock(this->Mutex);
+  this->applyServerList(*Servers);
+  this->State.applyRouters(*Routers);
+  this->State.applyEvacuations(*Zones, this->BootClock.now());
   this->adoptLease(*Routers);
-  this->ListedAt = this->Time.now();
-  this->Listable = true;
-  After = Servers->At;
+  this->ListsReadAt = this->BootClock.now();
+  this->ListsRead = true;
+  After = Servers->ReadRevision;
   return true;
 }
 
-/// With `Guard` held. The entry of this router's earlier process, which has the
+/// With `Mutex` held. The entry of this router's earlier process, which has the
 /// same address, is kept under its lease: one renewal in place of a new lease
 /// and a new entry.
 void FleetFeed::adoptLease(const StoredRouters &Listed) {
-  if (std::exchange(this->LeaseSought, true))
+  if (std::exchange(this->LeaseLookedUp, true))
     return;
   for (const StoredRouter &Each : Listed.Routers)
-    if (Each.Name == this->Chosen.RouterName &&
-        Each.Address == this->Chosen.RouterAddress &&
-        Each.Capacity == this->Chosen.RouterCapacity)
+    if (Each.Name == this->Settings.RouterName &&
+        Each.Address == this->Settings.RouterAddress &&
+        Each.Cores == this->Settings.RouterCores)
       this->Lease = Each.Lease;
 }
 
-bool FleetFeed::knowsOthers() {
-  const std::lock_guard<std::mutex> Lock(this->Guard);
-  return this->Book.knowsRouterBeside(this->Chosen.RouterName);
+bool FleetFeed::knowsOtherRouters() {
+  const std::lock_guard<std::mutex> Lock(this->Mutex);
+  return this->State.knowsRouterOtherThan(this->Settings.RouterName);
 }
 
 void FleetFeed::wakeProver() {
   {
-    const std::lock_guard<std::mutex> Lock(this->Guard);
-    this->ProverWanted = true;
+    const std::lock_guard<std::mutex> Lock(this->Mutex);
+    this->ProverWakeRequested = true;
   }
-  this->Woken.notify_all();
+  this->Wakeup.notify_all();
 }
 
 /// Reads everything and puts it in force. A router that finds no other, as all
@@ -114,18 +115,18 @@
   this->Counters.Reloads.add();
   if (!this->readLists(Source, After))
     return false;
-  if (!this->knowsOthers() && !std::exchange(this->LookedAgain, true)) {
+  if (!this->knowsOtherRouters() && !std::exchange(this->ListsRetried, true)) {
     this->wakeProver();
-    if (!this->rest(this->jittered(AlonePause)) ||
+    if (!this->sleepUnlessStopped(this->jittered(AlonePause)) ||
         !this->readLists(Source, After))
       return false;
   }
   {
-    const std::lock_guard<std::mutex> Lock(this->Guard);
-    this->Book.noteSeen(After);
+    const std::lock_guard<std::mutex> Lock(this->Mutex);
+    this->State.recordSeenRevision(After);
     if (!std::exchange(this->Loaded, true))
-      this->LoadedAt = this->Time.now();
-    this->LoadDue = false;
+      this->LoadedAt = this->BootClock.now();
+    this->ReloadDue = false;
     this->BehindSince.reset();
   }
   this->wakeProver();
@@ -137,31 +138,33 @@
 /// either.
 void FleetFeed::followRelay() {
   while (this->reliesOnRelays()) {
-    std::unique_lock<std::mutex> Lock(this->Guard);
-    if (this->Stopping || this->LoadDue)
+    std::unique_lock<std::mutex> Lock(this->Mutex);
+    if (this->Stopping || this->ReloadDue)
       return;
-    this->Woken.wait_for(Lock, RelayProverRound,
-                         [this] { return this->Stopping || this->LoadDue; });
+    this->Wakeup.wait_for(Lock, RelayProverInterval,
+                          [this] { return this->Stopping || this->ReloadDue; });
   }
 }
 
 /// Waits while the prover finds that the store is away: one thread tries, and
 /// the other profits. False where the feed stops.
-bool FleetFeed::awaitStore() {
-  std::unique_lock<std::mutex> Lock(this->Guard);
-  while (this->ProofFails && !this->Stopping)
-    this->Woken.wait_for(Lock, RelayProverRound);
+bool FleetFeed::waitForStore() {
+  std::unique_lock<std::mutex> Lock(this->Mutex);
+  while (this->LastProofFailed && !this->Stopping)
+    this->Wakeup.wait_for(Lock, RelayProverInterval);
   return !this->Stopping;
 }
 
-void FleetFeed::watch() {
+void FleetFeed::runWatcher() {
   FleetSource Source = this->MakeSource();
   Revision After = 0;
   Duration Pause = LongestWatchPause;
-  Backoff Retry{FirstRetry, LongestRelayRetry};
+  Backoff Retry{InitialRetryDelay, MaxRelayRetryDelay};
   const auto WaitToRetry = [this, &Retry] {
-    Retry.Longest = this->hasRelay() ? LongestFollowerRetry : LongestRelayRetry;
-    return this->rest(this->jittered(Retry.take())) && this->awaitStore();
+    Retry.MaxDelay =
+        this->hasRelay() ? MaxFollowerRetryDelay : MaxRelayRetryDelay;
+    return this->sleepUnlessStopped(this->jittered(Retry.nextDelay())) &&
+           this->waitForStore();
   };
   bool Current = false;
   while (!this->stopping()) {
@@ -175,8 +178,8 @@
     }
     if (this->reliesOnRelays()) {
       this->followRelay();
-      const std::lock_guard<std::mutex> Lock(this->Guard);
-      Current = !this->LoadDue;
+      const std::lock_guard<std::mutex> Lock(this->Mutex);
+      Current = !this->ReloadDue;
       continue;
     }
     After = std::max(After, this->seenRevision());
@@ -185,59 +188,60 @@
       log(LogPart::Platform, LogLevel::Info,
           "history after revision " + std::to_string(After) +
               " is gone; everything is read anew");
-      const std::lock_guard<std::mutex> Lock(this->Guard);
+      const std::lock_guard<std::mutex> Lock(this->Mutex);
       // Stale lists might be older than the history that is left.
-      this->StaleLists = MaxStaleLists;
+      this->StaleListReads = MaxStaleLists;
       Current = false;
       continue;
     }
-    if (!this->note(StoreCause::Watch, ReadAge::Newest, Read)) {
+    if (!this->recordCall(StoreCallCause::Watch, ReadConsistency::Linearizable,
+                          Read)) {
       if (!WaitToRetry())
         return;
       continue;
     }
     Retry.reset();
-    After = std::max(After, Read->At);
-    this->takeChanges(*Read);
+    After = std::max(After, Read->LastRevision);
+    this->applyChanges(*Read);
     if (Read->Changes.empty()) {
       Pause = WatchPause;
       continue;
     }
-    if (!this->rest(Pause))
+    if (!this->sleepUnlessStopped(Pause))
       return;
     Pause = std::min(Pause * 2, LongestWatchPause);
   }
 }
 
-void FleetFeed::takeChanges(const FleetChanges &Read) {
+void FleetFeed::applyChanges(const FleetChanges &Read) {
   {
-    const std::lock_guard<std::mutex> Lock(this->Guard);
+    const std::lock_guard<std::mutex> Lock(this->Mutex);
     for (const FleetChange &Each : Read.Changes) {
       if (const auto *Unusable = std::get_if<UnusableServer>(&Each))
-        this->noteUnusable(*Unusable);
-      this->noteRemoved(Each);
-      this->Book.take(Each, this->Time.now());
+        this->reportUnusable(*Unusable);
+      this->checkOwnRemoval(Each);
+      this->State.applyChange(Each, this->BootClock.now());
     }
-    this->Book.noteSeen(Read.At);
-    this->StaleLists = 0;
+    this->State.recordSeenRevision(Read.LastRevision);
+    this->StaleListReads = 0;
   }
   // Also where only the revision is new: routers that hear of changes from
   // this one wait for it.
   this->publish();
 }
 
-/// Compares what the watch has told with what the store has. With `Guard` held.
+/// Compares what the watch has told with what the store has. With `Mutex` held.
 /// A waiting call that was cut off without a word looks like a quiet store, for
 /// up to its whole wait behind the end of the trouble.
-void FleetFeed::noteStoreRevision(Revision StoreAt) {
-  const Revision Seen = this->Book.seenRevision();
-  const TimePoint Now = this->Time.now();
+void FleetFeed::checkWatchLag(Revision StoreAt) {
+  const Revision Seen = this->State.seenRevision();
+  const TimePoint Now = this->BootClock.now();
   if (StoreAt <= Seen || this->relayIsFresh()) {
-    this->UnseenAt = 0;
+    this->UnseenRevision = 0;
     return;
   }
-  if (this->UnseenAt <= Seen) {
-    this->UnseenAt = StoreAt;
+  if (this->UnseenRevision <= Seen) {
+    this->UnseenRevision = StoreAt;
     this->UnseenSince = Now;
     return;
   }
@@ -248,20 +252,21 @@
 void FleetFeed::catchUp(FleetSource &Source) {
   Revision After = 0;
   {
-    const std::lock_guard<std::mutex> Lock(this->Guard);
+    const std::lock_guard<std::mutex> Lock(this->Mutex);
     if (!std::exchange(this->CatchUpDue, false))
       return;
-    After = this->Book.seenRevision();
+    After = this->State.seenRevision();
   }
   const auto Read = Source.Changes(After, Duration::zero());
   if (!Read && Read.error().Code == ErrorCode::NotFound) {
-    const std::lock_guard<std::mutex> Lock(this->Guard);
-    this->StaleLists = MaxStaleLists;
-    this->LoadDue = this->Loaded;
+    const std::lock_guard<std::mutex> Lock(this->Mutex);
+    this->StaleListReads = MaxStaleLists;
+    this->ReloadDue = this->Loaded;
     return;
   }
-  if (this->note(StoreCause::Watch, ReadAge::Newest, Read))
-    this->takeChanges(*Read);
+  if (this->recordCall(StoreCallCause::Watch, ReadConsistency::Linearizable,
+                       Read))
+    this->applyChanges(*Read);
 }
 
 } // namespace parsleywing
