--- a/src/Gateway/FleetNewsItems.cpp
+++ b/src/Gateway/FleetNewsItems.cpp
@@ -12,11 +12,11 @@
 /// Changes in one message: one takes some 110 bytes, and a datagram 1,400.
 constexpr std::size_t UsualItems = 10;
 
-NewsItem itemOf(const StoredServer &Listed) {
-  NewsItem Item;
-  Item.Kind = NewsKind::ServerListed;
+FleetUpdateItem itemOf(const StoredServer &Listed) {
+  FleetUpdateItem Item;
+  Item.Kind = FleetUpdateKind::ServerListed;
   Item.Name = Listed.Server.Id;
-  Item.At = Listed.At;
+  Item.ModRevision = Listed.ModRevision;
   Item.Address = Listed.Server.Address.toString();
   Item.Service = Listed.Server.Service;
   Item.Zone = Listed.Server.Zone;
@@ -31,74 +31,80 @@
 }
 
 /// An item that says no more than what has changed, and when.
-NewsItem plainItem(NewsKind Kind, const std::string &Name, Revision At) {
-  NewsItem Item;
+FleetUpdateItem plainItem(FleetUpdateKind Kind, const std::string &Name,
+                          Revision At) {
+  FleetUpdateItem Item;
   Item.Kind = Kind;
   Item.Name = Name;
-  Item.At = At;
+  Item.ModRevision = At;
   return Item;
 }
 
-NewsItem itemOf(const RemovedServer &Gone) {
-  return plainItem(NewsKind::ServerRemoved, Gone.Id, Gone.At);
+FleetUpdateItem itemOf(const RemovedServer &Gone) {
+  return plainItem(FleetUpdateKind::ServerRemoved, Gone.Id, Gone.ModRevision);
 }
 
-NewsItem itemOf(const UnusableServer &Written) {
-  return plainItem(NewsKind::ServerUnusable, Written.Id, Written.At);
+FleetUpdateItem itemOf(const UnusableServer &Written) {
+  return plainItem(FleetUpdateKind::ServerUnusable, Written.Id,
+                   Written.ModRevision);
 }
 
-NewsItem itemOf(const StoredRouter &Listed) {
-  NewsItem Item;
-  Item.Kind = NewsKind::RouterListed;
+FleetUpdateItem itemOf(const StoredRouter &Listed) {
+  FleetUpdateItem Item;
+  Item.Kind = FleetUpdateKind::RouterListed;
   Item.Name = Listed.Name;
-  Item.At = Listed.At;
+  Item.ModRevision = Listed.ModRevision;
   Item.Address = Listed.Address;
-  Item.Capacity = Listed.Capacity;
+  Item.Cores = Listed.Cores;
   Item.Zone = Listed.Zone;
   return Item;
 }
 
-NewsItem itemOf(const RemovedRouter &Gone) {
-  return plainItem(NewsKind::RouterRemoved, Gone.Name, Gone.At);
+FleetUpdateItem itemOf(const RemovedRouter &Gone) {
+  return plainItem(FleetUpdateKind::RouterRemoved, Gone.Name, Gone.ModRevision);
 }
 
-NewsItem itemOf(const EvacuatedZone &Asked) {
-  return plainItem(NewsKind::ZoneEvacuated, Asked.Zone, Asked.At);
+FleetUpdateItem itemOf(const EvacuatedZone &Asked) {
+  return plainItem(FleetUpdateKind::ZoneEvacuated, Asked.Zone,
+                   Asked.ModRevision);
 }
 
-NewsItem itemOf(const ReturnedZone &Taken) {
-  return plainItem(NewsKind::ZoneReturned, Taken.Zone, Taken.At);
+FleetUpdateItem itemOf(const RestoredZone &Taken) {
+  return plainItem(FleetUpdateKind::ZoneRestored, Taken.Zone,
+                   Taken.ModRevision);
 }
 
 } // namespace
 
-std::vector<NewsItem> itemsBehind(const FleetHistory &History, Revision Seen) {
-  std::vector<NewsItem> Items;
+std::vector<FleetUpdateItem> itemsAfter(const FleetHistory &History,
+                                        Revision Seen) {
+  std::vector<FleetUpdateItem> Items;
   const auto Add = [&Items, Seen](const auto &Change) {
-    if (Change.At > Seen)
+    if (Change.ModRevision > Seen)
       Items.push_back(itemOf(Change));
   };
   for (const auto &Each : History.Changes)
     std::visit(Overloaded{[](const StoredConfiguration &) {}, Add}, *Each);
-  std::stable_sort(Items.begin(), Items.end(),
-                   [](const NewsItem &Left, const NewsItem &Right) {
-                     return Left.At < Right.At;
-                   });
+  std::stable_sort(
+      Items.begin(), Items.end(),
+      [](const FleetUpdateItem &Left, const FleetUpdateItem &Right) {
+        return Left.ModRevision < Right.ModRevision;
+      });
   return Items;
 }
 
-std::size_t endOfMessage(const std::vector<NewsItem> &Items,
+std::size_t endOfMessage(const std::vector<FleetUpdateItem> &Items,
                          std::size_t First) {
   std::size_t Last = std::min(First + UsualItems, Items.size());
   while (Last > First && Last < Items.size() &&
-         Items[Last].At == Items[Last - 1].At)
+         Items[Last].ModRevision == Items[Last - 1].ModRevision)
     ++Last;
   return Last;
 }
 
-FleetChange changeOf(const NewsItem &Item) {
+FleetChange changeOf(const FleetUpdateItem &Item) {
   switch (Item.Kind) {
-  case NewsKind::ServerListed: {
+  case FleetUpdateKind::ServerListed: {
     GatewayServer Server;
     Server.Id = Item.Name;
     Server.Service = Item.Service;
@@ -109,21 +115,21 @@
     Server.StartedMs = Item.StartedMs;
     if (Item.WarmUpLeftMs >= 0)
       Server.WarmUpLeft = std::chrono::milliseconds(Item.WarmUpLeftMs);
-    return StoredServer{std::move(Server), Item.At};
+    return StoredServer{std::move(Server), Item.ModRevision};
   }
-  case NewsKind::ServerRemoved:
-    return RemovedServer{Item.Name, Item.At};
-  case NewsKind::ServerUnusable:
-    return UnusableServer{Item.Name, Item.At, "told by the relay"};
-  case NewsKind::RouterListed:
-    return StoredRouter{Item.Name, Item.Address, Item.Capacity, Item.At,
+  case FleetUpdateKind::ServerRemoved:
+    return RemovedServer{Item.Name, Item.ModRevision};
+  case FleetUpdateKind::ServerUnusable:
+    return UnusableServer{Item.Name, Item.ModRevision, "told by the relay"};
+  case FleetUpdateKind::RouterListed:
+    return StoredRouter{Item.Name, Item.Address, Item.Cores, Item.ModRevision,
                         0,         Item.Zone};
-  case NewsKind::RouterRemoved:
-    return RemovedRouter{Item.Name, Item.At};
-  case NewsKind::ZoneEvacuated:
-    return EvacuatedZone{Item.Name, Item.At};
-  case NewsKind::ZoneReturned:
-    return ReturnedZone{Item.Name, Item.At};
+  case FleetUpdateKind::RouterRemoved:
+    return RemovedRouter{Item.Name, Item.ModRevision};
+  case FleetUpdateKind::ZoneEvacuated:
+    return EvacuatedZone{Item.Name, Item.ModRevision};
+  case FleetUpdateKind::ZoneRestored:
+    return RestoredZone{Item.Name, Item.ModRevision};
   }
   throw Poco::DataFormatException("an unknown kind of change");
 }
--- a/src/Gateway/FleetSource.h
+++ b/src/Gateway/FleetSource.h
@@ -16,29 +16,29 @@
 /// The configuration as it stands in the store.
 struct StoredConfiguration {
   std::shared_ptr<const GatewayConfiguration> Configuration;
-  Revision At = 0;
+  Revision ModRevision = 0;
   /// The store's newest revision at the time of the read; 0 where it is not
   /// known.
-  Revision StoreAt = 0;
+  Revision StoreRevision = 0;
 };
 
 /// The entry of a server, and when it was written.
 struct StoredServer {
   GatewayServer Server;
-  Revision At = 0;
+  Revision ModRevision = 0;
 };
 
 /// A server's entry is gone.
 struct RemovedServer {
   std::string Id;
-  Revision At = 0;
+  Revision ModRevision = 0;
 };
 
 /// A server's entry is there and cannot be used: it is no server's own writing.
 /// It names no server until the server writes again.
 struct UnusableServer {
   std::string Id;
-  Revision At = 0;
+  Revision ModRevision = 0;
   /// What is wrong with the entry, for the log.
   std::string Reason;
 };
@@ -48,8 +48,8 @@
   std::string Name;
   std::string Address;
   /// Cores that it has.
-  double Capacity = 1;
-  Revision At = 0;
+  double Cores = 1;
+  Revision ModRevision = 0;
   /// The lease that its entry hangs on; 0 where it is not known.
   LeaseId Lease = 0;
   /// Its availability zone; empty where it does not say.
@@ -58,38 +58,38 @@
 
 struct RemovedRouter {
   std::string Name;
-  Revision At = 0;
+  Revision ModRevision = 0;
 };
 
 /// The operators ask that nothing more be sent to the servers of an
 /// availability zone.
 struct EvacuatedZone {
   std::string Zone;
-  Revision At = 0;
+  Revision ModRevision = 0;
 };
 
 /// An evacuation was taken back.
-struct ReturnedZone {
+struct RestoredZone {
   std::string Zone;
-  Revision At = 0;
+  Revision ModRevision = 0;
 };
 
 /// One change in the store that concerns the fleet.
 using FleetChange = std::variant<StoredConfiguration, StoredServer,
                                  RemovedServer, UnusableServer, StoredRouter,
-                                 RemovedRouter, EvacuatedZone, ReturnedZone>;
+                                 RemovedRouter, EvacuatedZone, RestoredZone>;
 
 /// Changes after a revision, and the revision to go on from.
 struct FleetChanges {
   std::vector<FleetChange> Changes;
-  Revision At = 0;
+  Revision LastRevision = 0;
 };
 
 /// The latest changes of servers and routers in the order in which they were
 /// learnt: whoever has seen all before `Since` lacks nothing with them. Each is
 /// shared by all copies, which are made at each change of a large fleet.
 struct FleetHistory {
-  Revision Since = 0;
+  Revision StartRevision = 0;
   std::vector<std::shared_ptr<const FleetChange>> Changes;
 };
 
@@ -98,26 +98,26 @@
   std::vector<StoredServer> Servers;
   /// The revision of the store when the read began: an entry that is missing
   /// and older than this is gone.
-  Revision At = 0;
+  Revision ReadRevision = 0;
   std::vector<UnusableServer> Unusable{};
 };
 
 struct StoredRouters {
   std::vector<StoredRouter> Routers;
-  Revision At = 0;
+  Revision ReadRevision = 0;
 };
 
 /// All zones that are evacuated at one time.
 struct StoredEvacuations {
   std::vector<EvacuatedZone> Zones;
-  Revision At = 0;
+  Revision ReadRevision = 0;
 };
 
 /// How new a read has to be.
-enum class ReadAge {
-  Newest,     ///< All that was acknowledged before the read is in it.
-  MayBeStale, ///< Some seconds old perhaps; a tenth of the price. It says by
-              ///< its revision how old.
+enum class ReadConsistency {
+  Linearizable, ///< All that was acknowledged before the read is in it.
+  AllowStale,   ///< Some seconds old perhaps; a tenth of the price. It says by
+                ///< its revision how old.
 };
 
 /// Reads the fleet from the platform's store, for one thread. The functions
@@ -127,11 +127,11 @@
   /// Nothing where there is none yet. `Known` is the revision that the reader
   /// has: a configuration that has not changed comes without its content.
   std::function<Result<std::optional<StoredConfiguration>>(Revision Known,
-                                                           ReadAge Age)>
+                                                           ReadConsistency Age)>
       Configuration;
-  std::function<Result<StoredServers>(ReadAge Age)> Servers;
-  std::function<Result<StoredRouters>(ReadAge Age)> Routers;
-  std::function<Result<StoredEvacuations>(ReadAge Age)> Evacuations;
+  std::function<Result<StoredServers>(ReadConsistency Age)> Servers;
+  std::function<Result<StoredRouters>(ReadConsistency Age)> Routers;
+  std::function<Result<StoredEvacuations>(ReadConsistency Age)> Evacuations;
   /// Waits for changes for at most this long.
   std::function<Result<FleetChanges>(Revision After, Duration Wait)> Changes;
   /// Lists this router under a lease of this life; returns the lease.
--- a/src/Gateway/GatewayContext.cpp
+++ b/src/Gateway/GatewayContext.cpp
@@ -27,29 +27,32 @@
       Served(outcome(Into, "served")), Refused(outcome(Into, "refused")),
       Failed(outcome(Into, "failed")),
       FailedByServer(outcome(Into, "failed_by_server")),
-      Denied(outcome(Into, "denied")), CutOff(outcome(Into, "cut_off")),
-      CallersLeft(outcome(Into, "caller_left")),
-      TurnedAway(Into.counter({"callers_turned_away_total",
-                               "Requests refused for want of room.", ""})),
-      ClosedUnsent(loss(Into, "unsent")), ClosedUnread(loss(Into, "unread")),
-      ClosedDiscarding(loss(Into, "discarded")),
-      Sends(Into.counter({"sends_total", "Requests sent to servers.", ""})),
-      Repeats(Into.counter(
+      Denied(outcome(Into, "denied")), Truncated(outcome(Into, "cut_off")),
+      CallersDisconnected(outcome(Into, "caller_left")),
+      CallersOverLimit(
+          Into.counter({"callers_turned_away_total",
+                        "Requests refused for want of room.", ""})),
+      ClosedWithUnsent(loss(Into, "unsent")),
+      ClosedWithUnread(loss(Into, "unread")),
+      ClosedWithDiscarded(loss(Into, "discarded")),
+      Attempts(Into.counter({"sends_total", "Requests sent to servers.", ""})),
+      Retries(Into.counter(
           {"repeats_total", "Requests sent to a server once more.", ""})),
       Resumed(Into.counter(
           {"resumed_total", "Streams continued at another server.", ""})),
       NewConnections(Into.counter(
           {"server_connections_total", "New connections to servers.", ""})),
-      Events(Into.counter(
+      StreamEvents(Into.counter(
           {"stream_events_total", "Stream events passed on to callers.", ""})),
-      FirstPiece(Into.latency({"first_piece_seconds",
-                               "From a request's arrival to the first byte of "
-                               "its answer.",
-                               ""})),
-      Total(Into.latency(
+      TimeToFirstChunk(
+          Into.latency({"first_piece_seconds",
+                        "From a request's arrival to the first byte of "
+                        "its answer.",
+                        ""})),
+      RequestDuration(Into.latency(
           {"request_seconds", "From a request's arrival to its end.", ""})) {
   for (const auto &[Why, Name] : RefusalReasonNames)
-    this->Refusals[Why] =
+    this->RefusedByReason[Why] =
         &Into.counter({"requests_refused_total", "Requests refused, by reason.",
                        "reason=\"" + std::string(Name) + "\""});
 }
--- a/src/Gateway/GatewayContext.h
+++ b/src/Gateway/GatewayContext.h
@@ -2,12 +2,12 @@
 #define PARSLEYWING_GATEWAY_GATEWAYCONTEXT_H
 
 #include "Gateway/AllocationAgent.h"
-#include "Gateway/CrashWatch.h"
+#include "Gateway/CrashDetector.h"
 #include "Gateway/RefusalReason.h"
 #include "Gateway/RelayTimes.h"
 #include "Gateway/UpstreamPool.h"
 #include "Placement/RetryAllowance.h"
-#include "Placement/ServerBook.h"
+#include "Placement/ServerTable.h"
 #include "Runtime/Log.h"
 #include "Runtime/Metrics.h"
 
@@ -30,7 +30,7 @@
   /// Datagrams of other routers; empty for none.
   std::string PeerAddress;
   /// Cores that this router has. Those with more do more for the others.
-  double Capacity = 1;
+  double Cores = 1;
   RetryBounds Retries;
   /// What the fleet may send to a server that warms up.
   WarmUpBounds WarmUps;
@@ -44,13 +44,13 @@
   /// asked for.
   Duration EvacuationBound = std::chrono::seconds(5);
   /// From the stop signal to the end of the process.
-  Duration DrainLimit = std::chrono::seconds(8);
+  Duration DrainTimeout = std::chrono::seconds(8);
   /// Connections of callers that are open at once.
-  std::uint32_t MaxCallers = 1500;
-  LogLevel Level = LogLevel::Info;
+  std::uint32_t MaxCallerConnections = 1500;
+  LogLevel MinLogLevel = LogLevel::Info;
   std::string LogTarget = "stdout";
 
-  FleetBounds bounds() const {
+  FleetBounds fleetBounds() const {
     return {this->RevocationBound, this->ConfigurationBound,
             std::min(this->RemovalBound, this->EvacuationBound)};
   }
@@ -64,29 +64,31 @@
   Counter &Served;
   Counter &Refused;
   /// How often each reason refused a request.
-  Counter &refusal(RefusalReason Why) const { return *this->Refusals.at(Why); }
+  Counter &refusedBy(RefusalReason Why) const {
+    return *this->RefusedByReason.at(Why);
+  }
   Counter &Failed;
   Counter &FailedByServer;
   Counter &Denied;
-  Counter &CutOff;
-  Counter &CallersLeft;
-  Counter &TurnedAway;
+  Counter &Truncated;
+  Counter &CallersDisconnected;
+  Counter &CallersOverLimit;
   /// Connections of callers that ended with bytes of an answer not sent.
-  Counter &ClosedUnsent;
+  Counter &ClosedWithUnsent;
   /// Those that ended with bytes of their caller not read.
-  Counter &ClosedUnread;
+  Counter &ClosedWithUnread;
   /// Those on which bytes came behind the end that the router had given them.
-  Counter &ClosedDiscarding;
-  Counter &Sends;
-  Counter &Repeats;
+  Counter &ClosedWithDiscarded;
+  Counter &Attempts;
+  Counter &Retries;
   Counter &Resumed;
   Counter &NewConnections;
-  Counter &Events;
-  LatencyHistogram &FirstPiece;
-  LatencyHistogram &Total;
+  Counter &StreamEvents;
+  LatencyHistogram &TimeToFirstChunk;
+  LatencyHistogram &RequestDuration;
 
 private:
-  std::map<RefusalReason, Counter *> Refusals;
+  std::map<RefusalReason, Counter *> RefusedByReason;
 };
 
 class GatewayRequest;
@@ -97,35 +99,35 @@
   EventLoop &Loop;
   const WireFormat &Format;
   const GatewaySettings &Settings;
-  ServerBook &Servers;
+  ServerTable &Servers;
   UpstreamPool &Pool;
   AllocationAgent &Agent;
   GatewayCounters &Counters;
-  CrashWatch &Crashes;
+  CrashDetector &Crashes;
   /// Counts suspended time, as the ages of proofs must.
-  Clock SuspendClock = Clock::sinceBoot();
+  Clock BootClock = Clock::sinceBoot();
   std::shared_ptr<const FleetView> View = std::make_shared<FleetView>();
   /// Requests that have not ended.
-  std::set<GatewayRequest *> Open{};
-  std::map<std::string, RetryAllowance> Allowances{};
+  std::set<GatewayRequest *> ActiveRequests{};
+  std::map<std::string, RetryAllowance> RetryAllowances{};
   /// The longest time that callers of a route have given, by the route's name:
   /// what one has left less than this has passed since its first attempt.
-  std::map<std::string, Duration> LongestTime{};
+  std::map<std::string, Duration> MaxTimeoutByRoute{};
   /// A stop signal came: connections are closed behind their answers.
   bool Draining = false;
   /// More callers are connected than are served; the newest is refused.
-  bool Crowded = false;
+  bool CallerLimitExceeded = false;
   /// New requests are refused: too little of the drain is left for them.
-  bool Refusing = false;
+  bool RefusingNewRequests = false;
 
-  RetryAllowance &allowance(const std::string &Service) {
-    return this->Allowances.try_emplace(Service, this->Settings.Retries)
+  RetryAllowance &retryAllowance(const std::string &Service) {
+    return this->RetryAllowances.try_emplace(Service, this->Settings.Retries)
         .first->second;
   }
 
   /// How old the proof is that the configuration is the newest one.
   Duration proofAge() const {
-    return this->SuspendClock.now() - this->View->ProvenAt;
+    return this->BootClock.now() - this->View->ProvenAt;
   }
 };
 
--- a/src/Gateway/GatewayFront.cpp
+++ b/src/Gateway/GatewayFront.cpp
@@ -92,14 +92,15 @@
 } // namespace
 
 GatewayFront::GatewayFront(GatewaySettings S, const WireFormat &F, Metrics &M)
-    : Settings(std::move(S)), Measured(M), Loop(Clock::steady()), Counters(M),
-      Pool(Loop), Routers(Loop,
-                          {Settings.Name, Settings.PeerAddress,
-                           Settings.Capacity, Settings.Zone},
-                          M),
-      Fleet(Loop, Routers, processNumber(), RelayTimes::of(Settings.bounds())),
+    : Settings(std::move(S)), MetricsRegistry(M), Loop(Clock::steady()),
+      Counters(M), Pool(Loop), Routers(Loop,
+                                       {Settings.Name, Settings.PeerAddress,
+                                        Settings.Cores, Settings.Zone},
+                                       M),
+      Fleet(Loop, Routers, processNumber(),
+            RelayTimes::of(Settings.fleetBounds())),
       Agent(Loop, Routers, processNumber(), Settings.WarmUps, M),
-      Kept(Loop, F, Pool, M),
+      PartsReader(Loop, F, Pool, M),
       Crashes(Loop, Routers, processNumber(), M), Context{Loop,     F,
                                                           Settings, Servers,
                                                           Pool,     Agent,
@@ -110,24 +111,24 @@
 
 GatewayFront::~GatewayFront() {
   // Sessions tell their end to the maps; emptied first, they find nothing.
-  const auto Gone = std::exchange(this->Callers, {});
-  const auto GoneOthers = std::exchange(this->Others, {});
+  const auto Gone = std::exchange(this->CallerSessions, {});
+  const auto GoneOthers = std::exchange(this->AdminSessions, {});
 }
 
 void GatewayFront::addGauges() {
-  this->Measured.callback(
+  this->MetricsRegistry.callback(
       MetricKind::Gauge,
       {"loop_lag_seconds", "How late the last timer was served.", ""}, [this] {
         return std::chrono::duration<double>(this->Loop.lag()).count();
       });
-  this->Measured.callback(
+  this->MetricsRegistry.callback(
       MetricKind::Gauge,
       {"configuration_proof_age_seconds",
        "Time since the configuration was proved to be the newest one.", ""},
       [this] {
         return std::chrono::duration<double>(this->Context.proofAge()).count();
       });
-  this->Measured.callback(
+  this->MetricsRegistry.callback(
       MetricKind::Gauge,
       {"configuration_version", "Version in force; 0 where none is known.", ""},
       [this] {
@@ -135,32 +136,33 @@
         return Known == nullptr ? 0.0 : static_cast<double>(Known->Version);
       });
   const auto WarmUps = [this] {
-    return this->Agent.allocator().book().warmUps(this->Loop.clock().now());
+    return this->Agent.allocator().serverTable().warmUpTotals(
+        this->Loop.clock().now());
   };
-  this->Measured.callback(
+  this->MetricsRegistry.callback(
       MetricKind::Gauge,
       {"warming_servers", "Servers that warm up behind their start.", ""},
       [WarmUps] { return static_cast<double>(WarmUps().Servers); });
-  this->Measured.callback(
+  this->MetricsRegistry.callback(
       MetricKind::Gauge,
       {"warm_up_grants_allowed_per_second",
        "What those of them bear together that this router alone grants.", ""},
       [WarmUps] { return WarmUps().GrantedPerSecond; });
-  this->Measured.callback(
+  this->MetricsRegistry.callback(
       MetricKind::Gauge,
       {"evacuated_zones", "Availability zones that are to be left.", ""},
       [this] {
         const auto &Zones = this->Context.View->EvacuatedZones;
         return Zones == nullptr ? 0.0 : static_cast<double>(Zones->size());
       });
-  this->Measured.callback(
+  this->MetricsRegistry.callback(
       MetricKind::Gauge,
       {"caller_connections", "Open connections of callers.", ""},
       [this] { return static_cast<double>(this->CallerChannels.size()); });
-  this->Measured.callback(
+  this->MetricsRegistry.callback(
       MetricKind::Gauge,
       {"idle_server_connections", "Kept connections to servers.", ""},
-      [this] { return static_cast<double>(this->Pool.idle()); });
+      [this] { return static_cast<double>(this->Pool.idleCount()); });
 }
 
 Result<void> GatewayFront::open() {
@@ -175,7 +177,7 @@
     Opened = this->listenOn(
         this->Settings.ReadyAddress,
         [this](const Session &From, const IncomingRequest &) {
-          this->serveReady(From);
+          this->serveReadiness(From);
         },
         false);
   if (Opened && !this->Settings.OperatorAddress.empty())
@@ -192,8 +194,8 @@
     });
   if (!Opened)
     return Opened;
-  this->askWhatIsKept();
-  this->Crashes.start([this] { this->endRefused(); });
+  this->startCachedPartsQueries();
+  this->Crashes.start([this] { this->endRefusedRequests(); });
   this->Agent.start();
   this->housekeeping();
   return Opened;
@@ -210,7 +212,7 @@
     this->Loop.add(Listening, Poco::Net::PollSet::POLL_READ,
                    [this, Listening, Handle = std::move(Handle),
                     FromCallers](int) mutable {
-                     this->accept(Listening, Handle, FromCallers);
+                     this->acceptPending(Listening, Handle, FromCallers);
                    });
   } catch (const Poco::Exception &Problem) {
     return failure(ErrorCode::Unreachable, "cannot listen on " + Address +
@@ -219,14 +221,14 @@
   return {};
 }
 
-void GatewayFront::accept(Poco::Net::ServerSocket &Listening,
-                          const Handler &Handle, bool FromCallers) {
+void GatewayFront::acceptPending(Poco::Net::ServerSocket &Listening,
+                                 const Handler &Handle, bool FromCallers) {
   // Several at a time: with one a round, a queue of new callers would outgrow
   // the rounds of a busy loop, and the system would drop their first packets.
   for (int Count = 0; Count < MaxAcceptedPerTurn; ++Count) {
     const std::size_t Open =
-        FromCallers ? this->CallerChannels.size() : this->Others.size();
-    if (Open >= this->Settings.MaxCallers + RefusedAtOnce) {
+        FromCallers ? this->CallerChannels.size() : this->AdminSessions.size();
+    if (Open >= this->Settings.MaxCallerConnections + RefusedAtOnce) {
       this->pauseAccepting(Listening);
       return;
     }
@@ -254,18 +256,19 @@
 
 void GatewayFront::serveConnection(Poco::Net::StreamSocket &Accepted,
                                    const Handler &Handle, bool FromCallers) {
-  Sessions &Open = FromCallers ? this->Callers : this->Others;
-  if (Open.size() >= this->Settings.MaxCallers)
-    closeIdle(Open);
-  auto Channel = ByteChannel::accepted(this->Loop, Accepted);
+  Sessions &Open = FromCallers ? this->CallerSessions : this->AdminSessions;
+  if (Open.size() >= this->Settings.MaxCallerConnections)
+    closeIdleSessions(Open);
+  auto Channel = ByteChannel::fromAccepted(this->Loop, Accepted);
   if (Channel == nullptr)
     return;
   if (FromCallers) {
     this->CallerChannels.insert(Channel);
-    Channel->whenReleased([this, Of = Channel.get()](const ChannelLoss &Loss) {
-      this->CallerChannels.erase(Of->shared_from_this());
-      this->noteLoss(Loss);
-    });
+    Channel->setReleaseCallback(
+        [this, Of = Channel.get()](const ChannelLoss &Loss) {
+          this->CallerChannels.erase(Of->shared_from_this());
+          this->recordLoss(Loss);
+        });
   }
   const auto &Known = this->Context.View->Configuration;
   GatewayLimits Limits = FromCallers ? GatewayLimits{} : operatorLimits();
@@ -275,30 +278,30 @@
       this->Loop, std::move(Channel), Limits, Handle,
       [&Open](CallerSession *Gone) { Open.erase(Gone); });
   Open.emplace(Session.get(), Session);
-  Session->begin();
+  Session->start();
 }
 
-void GatewayFront::noteLoss(const ChannelLoss &Loss) {
+void GatewayFront::recordLoss(const ChannelLoss &Loss) {
   if (!Loss.any())
     return;
-  if (Loss.Unsent > 0)
-    this->Counters.ClosedUnsent.add();
-  if (Loss.Unread)
-    this->Counters.ClosedUnread.add();
-  if (Loss.Discarded > 0)
-    this->Counters.ClosedDiscarding.add();
-  logEach(LogPart::Caller, [&] {
-    return "connection=" + Loss.Peer +
-           " ended: unsent=" + std::to_string(Loss.Unsent) +
-           " discarded=" + std::to_string(Loss.Discarded) +
-           " unread=" + (Loss.Unread ? "yes" : "no") +
+  if (Loss.UnsentBytes > 0)
+    this->Counters.ClosedWithUnsent.add();
+  if (Loss.HasUnreadInput)
+    this->Counters.ClosedWithUnread.add();
+  if (Loss.DiscardedBytes > 0)
+    this->Counters.ClosedWithDiscarded.add();
+  logLazily(LogPart::Caller, [&] {
+    return "connection=" + Loss.PeerAddress +
+           " ended: unsent=" + std::to_string(Loss.UnsentBytes) +
+           " discarded=" + std::to_string(Loss.DiscardedBytes) +
+           " unread=" + (Loss.HasUnreadInput ? "yes" : "no") +
            " draining=" + (this->Context.Draining ? "yes" : "no");
   });
 }
 
 /// Makes room for new callers: an idle connection costs its caller one round
 /// trip, a refused one its request.
-void GatewayFront::closeIdle(const Sessions &Among) {
+void GatewayFront::closeIdleSessions(const Sessions &Among) {
   std::vector<std::shared_ptr<CallerSession>> Idle;
   for (const auto &[Key, Session] : Among) {
     if (Session->idleFor(IdleBeforeClose))
@@ -307,17 +310,18 @@
       break;
   }
   for (const auto &Each : Idle)
-    Each->closeWhenDone();
+    Each->closeWhenIdle();
 }
 
 void GatewayFront::serveCaller(const std::shared_ptr<CallerSession> &Session,
                                IncomingRequest Request) {
   if (this->Context.Draining)
-    Session->closeWhenDone();
-  this->Context.Crowded = this->Callers.size() > this->Settings.MaxCallers;
-  if (this->Context.Crowded) {
-    this->Counters.TurnedAway.add();
-    Session->closeAfterAnswer();
+    Session->closeWhenIdle();
+  this->Context.CallerLimitExceeded =
+      this->CallerSessions.size() > this->Settings.MaxCallerConnections;
+  if (this->Context.CallerLimitExceeded) {
+    this->Counters.CallersOverLimit.add();
+    Session->closeAfterResponse();
   }
   std::make_shared<GatewayRequest>(this->Context, Session, std::move(Request))
       ->start();
@@ -333,32 +337,32 @@
                  this->Settings.RevocationBound * ReadyProofPart);
 }
 
-void GatewayFront::serveReady(
+void GatewayFront::serveReadiness(
     const std::shared_ptr<CallerSession> &Session) const {
   if (this->ready())
-    Session->answer(ownAnswerHead(HttpOk, "OK"), "ready\n");
+    Session->sendResponse(localReplyHead(HttpOk, "OK"), "ready\n");
   else
-    Session->answer(
-        ownAnswerHead(HttpServiceUnavailable, "Service Unavailable"),
+    Session->sendResponse(
+        localReplyHead(HttpServiceUnavailable, "Service Unavailable"),
         "not ready\n");
 }
 
 void GatewayFront::serveOperator(const std::shared_ptr<CallerSession> &Session,
                                  const IncomingRequest &Request) {
-  HttpHead Head = ownAnswerHead(HttpOk, "OK");
+  HttpHead Head = localReplyHead(HttpOk, "OK");
   const bool Dump = Request.Head.Target.starts_with("/dump");
   Head.add("Content-Type", Dump ? "application/json" : "text/plain");
-  Session->answer(std::move(Head),
-                  Dump ? this->dump() : this->Measured.render());
+  Session->sendResponse(std::move(Head), Dump ? this->dumpState()
+                                              : this->MetricsRegistry.render());
 }
 
-std::string GatewayFront::dump() const {
+std::string GatewayFront::dumpState() const {
   Poco::JSON::Object Whole;
   const FleetView &View = *this->Context.View;
   Whole.set("router", this->Settings.Name);
   Whole.set("ready", this->ready());
   Whole.set("draining", this->Context.Draining);
-  Whole.set("routers", View.Routers);
+  Whole.set("routers", View.RouterCount);
   Whole.set("configuration",
             View.Configuration == nullptr ? 0 : View.Configuration->Version);
   Whole.set("proofAgeMs", std::chrono::duration_cast<std::chrono::milliseconds>(
@@ -384,8 +388,8 @@
   }
   Whole.set("servers", Listed);
   Poco::JSON::Array::Ptr Suspects = new Poco::JSON::Array;
-  this->Crashes.book().visit([&Suspects](const RequestIdentity &Request,
-                                         std::size_t Count, bool Refused) {
+  this->Crashes.registry().visit([&Suspects](const RequestIdentity &Request,
+                                             std::size_t Count, bool Refused) {
     Poco::JSON::Object::Ptr One = new Poco::JSON::Object;
     One->set("content", textOf(Request));
     One->set("crashes", Count);
@@ -400,12 +404,12 @@
 
 void GatewayFront::drain() {
   this->Loop.post(
-      [this, Asked = this->Loop.clock().now()] { this->beginDrain(Asked); });
+      [this, Asked = this->Loop.clock().now()] { this->startDrain(Asked); });
 }
 
 /// The limit runs from the signal: a loop that stands still as it comes has
 /// that much less time.
-void GatewayFront::beginDrain(TimePoint Asked) {
+void GatewayFront::startDrain(TimePoint Asked) {
   if (this->Context.Draining)
     return;
   log(LogPart::Caller, LogLevel::Info,
@@ -413,45 +417,46 @@
           " connections of callers");
   this->Context.Draining = true;
   this->Routers.leave();
-  this->DrainBegan = Asked;
-  for (const auto &[Key, Session] : this->Callers)
-    Session->closeAfterAnswer();
+  this->DrainStartedAt = Asked;
+  for (const auto &[Key, Session] : this->CallerSessions)
+    Session->closeAfterResponse();
   this->Loop.after(IdleDrain, [this] {
-    const auto Open = this->Callers;
+    const auto Open = this->CallerSessions;
     for (const auto &[Key, Session] : Open)
-      Session->closeWhenDone();
+      Session->closeWhenIdle();
   });
-  this->Loop.after(AcceptingDrain, [this] { this->Context.Refusing = true; });
-  this->watchDrain();
+  this->Loop.after(AcceptingDrain,
+                   [this] { this->Context.RefusingNewRequests = true; });
+  this->checkDrain();
 }
 
-void GatewayFront::watchDrain() {
-  const Duration Gone = this->Loop.clock().now() - this->DrainBegan;
-  const Duration Left = this->Settings.DrainLimit - DrainReserve - Gone;
+void GatewayFront::checkDrain() {
+  const Duration Gone = this->Loop.clock().now() - this->DrainStartedAt;
+  const Duration Left = this->Settings.DrainTimeout - DrainReserve - Gone;
   const bool Idle = Gone > AcceptingDrain && this->CallerChannels.empty();
   if (Left < FinalAnswers)
-    this->stopCallers();
+    this->stopSessions();
   if (Idle || Left < Duration::zero()) {
     log(LogPart::Caller, LogLevel::Info,
         "drain ends with " + std::to_string(this->CallerChannels.size()) +
             " connections of callers");
-    this->cutWhatIsUnsent();
+    this->abortUnsentChannels();
     this->Loop.stop();
     return;
   }
-  this->Loop.after(DrainCheck, [this] { this->watchDrain(); });
+  this->Loop.after(DrainCheck, [this] { this->checkDrain(); });
 }
 
 /// The end of the process would cut what is in hand without a word.
-void GatewayFront::stopCallers() {
-  const auto Open = this->Callers;
+void GatewayFront::stopSessions() {
+  const auto Open = this->CallerSessions;
   for (const auto &[Key, Session] : Open)
     Session->stop();
 }
 
 /// The system would end these in order, and what has come of them could be
 /// taken for the whole.
-void GatewayFront::cutWhatIsUnsent() {
+void GatewayFront::abortUnsentChannels() {
   const auto Open = this->CallerChannels;
   for (const auto &Channel : Open)
     if (Channel->unsent() > 0)
@@ -459,7 +464,7 @@
 }
 
 void GatewayFront::housekeeping() {
-  this->Pool.closeOld();
+  this->Pool.closeExpired();
   // Short of processor time for a whole second; the balancer's next callers go
   // elsewhere. Ready again only once there is time to spare, so that the flood
   // does not come back with the first quiet moment.
--- a/src/Gateway/GatewayFront.h
+++ b/src/Gateway/GatewayFront.h
@@ -1,11 +1,11 @@
 #ifndef PARSLEYWING_GATEWAY_GATEWAYFRONT_H
 #define PARSLEYWING_GATEWAY_GATEWAYFRONT_H
 
+#include "Gateway/CachedPartsReader.h"
 #include "Gateway/CallerSession.h"
-#include "Gateway/CrashWatch.h"
+#include "Gateway/CrashDetector.h"
 #include "Gateway/FleetExchange.h"
 #include "Gateway/GatewayContext.h"
-#include "Gateway/KeptPartsReader.h"
 
 #include <Poco/Net/ServerSocket.h>
 #include <atomic>
@@ -40,20 +40,20 @@
   /// Ends `run` at once, without a drain. Safe from any thread.
   void stop() { this->Loop.stop(); }
 
-  void takeView(std::shared_ptr<const FleetView> View);
+  void updateView(std::shared_ptr<const FleetView> View);
 
   /// Begins to stop: not ready from now on, connections are closed behind
   /// their answers, and the loop ends when none is left or at the drain limit.
   void drain();
 
   /// Hears of the fleet from a relay. Before `run`.
-  void askRelay(FleetExchange::Sink Told) {
+  void subscribeToRelay(FleetExchange::MessageCallback Told) {
     this->Fleet.start(std::move(Told));
   }
   RelayRole relayRole() const { return this->Fleet.role(); }
   /// Safe from any thread.
-  void distrustRelay() {
-    this->Loop.post([this] { this->Fleet.distrustRelay(); });
+  void switchRelay() {
+    this->Loop.post([this] { this->Fleet.switchRelay(); });
   }
 
   /// Whether the balancer may send callers here.
@@ -65,54 +65,54 @@
 
   Result<void> listenOn(const std::string &Address, Handler Handle,
                         bool Callers);
-  void accept(Poco::Net::ServerSocket &Listening, const Handler &Handle,
-              bool Callers);
+  void acceptPending(Poco::Net::ServerSocket &Listening, const Handler &Handle,
+                     bool Callers);
   void serveConnection(Poco::Net::StreamSocket &Accepted, const Handler &Handle,
                        bool Callers);
   /// Counts and logs what a caller's connection lost as it ended.
-  void noteLoss(const ChannelLoss &Loss);
+  void recordLoss(const ChannelLoss &Loss);
   void pauseAccepting(const Poco::Net::ServerSocket &Listening);
-  static void closeIdle(const Sessions &Among);
+  static void closeIdleSessions(const Sessions &Among);
   void serveCaller(const std::shared_ptr<CallerSession> &Session,
                    IncomingRequest Request);
-  void serveReady(const std::shared_ptr<CallerSession> &Session) const;
+  void serveReadiness(const std::shared_ptr<CallerSession> &Session) const;
   void serveOperator(const std::shared_ptr<CallerSession> &Session,
                      const IncomingRequest &Request);
-  std::string dump() const;
-  void beginDrain(TimePoint Asked);
-  void watchDrain();
-  void stopCallers();
-  void cutWhatIsUnsent();
+  std::string dumpState() const;
+  void startDrain(TimePoint Asked);
+  void checkDrain();
+  void stopSessions();
+  void abortUnsentChannels();
   void housekeeping();
-  void askWhatIsKept();
+  void startCachedPartsQueries();
   /// Ends what is in hand of requests that are refused by now.
-  void endRefused();
-  void dropOldConnections(const ServerList &New);
-  void putInForce(const std::shared_ptr<const FleetView> &View);
+  void endRefusedRequests();
+  void closeStaleConnections(const ServerList &New);
+  void applyView(const std::shared_ptr<const FleetView> &View);
   void onRouterMessage(const RouterMessage &Message,
                        const Poco::Net::SocketAddress &From);
   void addGauges();
 
   GatewaySettings Settings;
-  Metrics &Measured;
+  Metrics &MetricsRegistry;
   EventLoop Loop;
   GatewayCounters Counters;
-  ServerBook Servers;
+  ServerTable Servers;
   UpstreamPool Pool;
   RouterExchange Routers;
   FleetExchange Fleet;
   AllocationAgent Agent;
-  KeptPartsReader Kept;
-  CrashWatch Crashes;
+  CachedPartsReader PartsReader;
+  CrashDetector Crashes;
   GatewayContext Context;
   std::vector<Poco::Net::ServerSocket> Listeners;
-  Sessions Callers;
-  Sessions Others;
+  Sessions CallerSessions;
+  Sessions AdminSessions;
   /// Open connections of callers, with those that only send their last answer.
   std::set<std::shared_ptr<ByteChannel>> CallerChannels;
   /// What the feed has told last, until the loop takes it.
-  std::atomic<std::shared_ptr<const FleetView>> NewestView;
-  TimePoint DrainBegan{};
+  std::atomic<std::shared_ptr<const FleetView>> PendingView;
+  TimePoint DrainStartedAt{};
   bool WasReady = false;
   bool Overloaded = false;
 };
--- a/src/Gateway/GatewayRequest.cpp
+++ b/src/Gateway/GatewayRequest.cpp
@@ -29,45 +29,47 @@
 
 void GatewayRequest::start() {
   this->Context.Counters.Requests.add();
-  CallerEvents Wanted;
-  Wanted.Left = [Self = this->shared_from_this()] { Self->onCallerLeft(); };
-  Wanted.Drained = [Self = this->shared_from_this()] {
-    if (Self->Paused && Self->Upstream != nullptr) {
-      Self->Paused = false;
+  CallerListener Wanted;
+  Wanted.Disconnected = [Self = this->shared_from_this()] {
+    Self->onCallerDisconnected();
+  };
+  Wanted.SendBufferDrained = [Self = this->shared_from_this()] {
+    if (Self->UpstreamPaused && Self->Upstream != nullptr) {
+      Self->UpstreamPaused = false;
       Self->Upstream->resumeReading();
     }
   };
   Wanted.Stopping = [Self = this->shared_from_this()] {
     Self->giveUp(RefusalReason::Stopping);
   };
-  this->Session->serve(std::move(Wanted));
-  this->Context.Open.insert(this);
+  this->Session->setListener(std::move(Wanted));
+  this->Context.ActiveRequests.insert(this);
   if (!this->admit())
     return;
   if (this->crashesServers()) {
-    this->Trying = this->Context.Crashes.takeTry(this->identity());
-    if (!this->Trying) {
+    this->IsProbe = this->Context.Crashes.acquireProbe(this->identity());
+    if (!this->IsProbe) {
       this->refuse(RefusalReason::CrashesServers);
       return;
     }
   }
   this->chooseService();
   this->ServiceHash = hashName(this->Service);
-  this->Context.allowance(this->Service)
-      .noteRequest(this->Context.Loop.clock().now());
+  this->Context.retryAllowance(this->Service)
+      .recordRequest(this->Context.Loop.clock().now());
   this->DeadlineTimer = this->Context.Loop.after(
-      std::max(this->left(), Duration::zero()),
+      std::max(this->timeLeft(), Duration::zero()),
       [Self = this->shared_from_this()] { Self->onDeadline(); });
-  this->sendNext();
+  this->startAttempt();
 }
 
 bool GatewayRequest::admit() {
-  auto Read = this->Context.Format.ReadCallerHead(this->Incoming.Head);
+  auto Read = this->Context.Format.ParseCallerRequest(this->Incoming.Head);
   if (!Read) {
-    this->answerOwn(HttpBadRequest, "Bad Request");
+    this->sendLocalReply(HttpBadRequest, "Bad Request");
     return false;
   }
-  this->Info = std::move(*Read);
+  this->CallerFields = std::move(*Read);
   this->Configuration = this->Context.View->Configuration;
   if (this->Configuration == nullptr) {
     this->refuse(RefusalReason::NoConfiguration);
@@ -76,20 +78,21 @@
   // An answer costs some 0.2 ms and a refusal a tenth: refusing part of a flood
   // leaves time for the rest, where serving all would make all late.
   if (this->Context.Loop.lag() > OverloadLag) {
-    this->refuse(RefusalReason::ShortOfTime);
+    this->refuse(RefusalReason::RouterOverloaded);
     return false;
   }
-  if (this->Context.Crowded) {
+  if (this->Context.CallerLimitExceeded) {
     this->refuse(RefusalReason::TooManyCallers);
     return false;
   }
-  if (this->Context.Refusing) {
+  if (this->Context.RefusingNewRequests) {
     this->refuse(RefusalReason::Stopping);
     return false;
   }
   const std::string_view Target = this->Incoming.Head.Target;
   const std::string_view TargetPath = Target.substr(0, Target.find('?'));
-  this->Route = this->Configuration->findRoute(this->Info.Host, TargetPath);
+  this->Route =
+      this->Configuration->findRoute(this->CallerFields.Host, TargetPath);
   const Duration Certain = std::chrono::duration_cast<Duration>(
       this->Context.Settings.ConfigurationBound * ConfigurationPart);
   if (this->Route == nullptr) {
@@ -97,14 +100,15 @@
     if (this->Context.proofAge() > Certain)
       this->refuse(RefusalReason::RouteMayBeNew);
     else
-      this->answerOwn(HttpNotFound, "Not Found");
+      this->sendLocalReply(HttpNotFound, "Not Found");
     return false;
   }
   this->Progress.Repeatable = this->Route->repeatable();
-  this->Progress.MaxAttempts = this->Route->MaxAttempts;
-  this->Deadline = this->Incoming.Arrived +
-                   std::min(this->Info.TimeLeft.value_or(this->Route->Timeout),
-                            this->Route->Timeout);
+  this->Progress.MaxRuns = this->Route->MaxRuns;
+  this->Deadline =
+      this->Incoming.ReceivedAt +
+      std::min(this->CallerFields.Timeout.value_or(this->Route->Timeout),
+               this->Route->Timeout);
   return this->authorize();
 }
 
@@ -114,12 +118,12 @@
   // A key that was taken away must not work at a router that cannot hear of it.
   if (this->Context.proofAge() >
       this->Context.Settings.RevocationBound - RevocationMargin) {
-    this->Session->closeWhenDone();
+    this->Session->closeWhenIdle();
     this->refuse(RefusalReason::KeysMayBeRevoked);
     return false;
   }
   const auto Found =
-      this->Configuration->AccountOfKey.find(this->Info.AccountKey);
+      this->Configuration->AccountOfKey.find(this->CallerFields.AccountKey);
   if (Found != this->Configuration->AccountOfKey.end()) {
     this->Account = Found->second;
     return true;
@@ -129,7 +133,7 @@
   if (this->Context.proofAge() > Certain)
     this->refuse(RefusalReason::KeyMayBeNew);
   else
-    this->answerOwn(HttpUnauthorized, "Unauthorized");
+    this->sendLocalReply(HttpUnauthorized, "Unauthorized");
   return false;
 }
 
@@ -139,7 +143,8 @@
   std::uint64_t Whole = 0;
   for (const RouteTarget &Target : this->Route->Targets)
     Whole += Target.Weight;
-  std::uint64_t Place = Whole == 0 ? 0 : hashName(this->Info.RequestId) % Whole;
+  std::uint64_t Place =
+      Whole == 0 ? 0 : hashName(this->CallerFields.RequestId) % Whole;
   for (const RouteTarget &Target : this->Route->Targets) {
     if (Place < Target.Weight) {
       this->Service = Target.Service;
@@ -150,31 +155,31 @@
 }
 
 Duration GatewayRequest::elapsed() const {
-  return this->Context.Loop.clock().now() - this->Incoming.Arrived;
+  return this->Context.Loop.clock().now() - this->Incoming.ReceivedAt;
 }
 
-Duration GatewayRequest::left() const {
+Duration GatewayRequest::timeLeft() const {
   return this->Deadline - this->Context.Loop.clock().now();
 }
 
-bool GatewayRequest::allocated() const {
+bool GatewayRequest::usesAllocator() const {
   const auto Found = this->Configuration->Services.find(this->Service);
   return Found != this->Configuration->Services.end() &&
-         Found->second.EngineTokens > 0;
+         Found->second.KvCapacityTokens > 0;
 }
 
 /// What of the caller's time had passed before it sent this attempt: one that
 /// was refused comes back with less than it began with.
-Duration GatewayRequest::age() const {
-  if (!this->Info.TimeLeft)
+Duration GatewayRequest::elapsedBeforeArrival() const {
+  if (!this->CallerFields.Timeout)
     return Duration::zero();
-  Duration &Longest = this->Context.LongestTime[this->Route->Name];
-  Longest = std::max(Longest, *this->Info.TimeLeft);
-  return Longest - *this->Info.TimeLeft;
+  Duration &Longest = this->Context.MaxTimeoutByRoute[this->Route->Name];
+  Longest = std::max(Longest, *this->CallerFields.Timeout);
+  return Longest - *this->CallerFields.Timeout;
 }
 
 RequestContent GatewayRequest::content() const {
-  return {this->Account, this->Info.Host, this->Incoming.Head.Method,
+  return {this->Account, this->CallerFields.Host, this->Incoming.Head.Method,
           this->Incoming.Head.Target, this->Incoming.Body};
 }
 
@@ -185,113 +190,116 @@
 }
 
 bool GatewayRequest::mayBeSuspect() {
-  const CrashBook &Book = this->Context.Crashes.book();
+  const CrashRegistry &Book = this->Context.Crashes.registry();
   if (Book.size() == 0)
     return false;
   if (!this->Sketch)
-    this->Sketch = sketchOf(this->content());
-  return Book.mayKnow(*this->Sketch);
+    this->Sketch = shortHashOf(this->content());
+  return Book.mayContain(*this->Sketch);
 }
 
 bool GatewayRequest::crashesServers() {
-  return !this->Trying && this->mayBeSuspect() &&
-         this->Context.Crashes.refuses(this->identity());
+  return !this->IsProbe && this->mayBeSuspect() &&
+         this->Context.Crashes.checkRefused(this->identity());
 }
 
 /// Its server is freed of it before it crashes too, where it can be.
 void GatewayRequest::endIfRefused() {
   if (this->Ended || this->Route == nullptr || !this->crashesServers())
     return;
-  this->withdrawAsk();
+  this->cancelAllocation();
   if (this->Upstream != nullptr) {
-    if (this->Upstream->mayHaveLeft())
+    if (this->Upstream->mayHaveSent())
       ++this->Progress.Runs;
     this->closeUpstream();
-    this->settleSend(ServerVerdict::Sound);
+    this->recordAttemptEnd(ServerVerdict::Healthy);
   }
   this->endUnserved(RefusalReason::CrashesServers);
 }
 
 void GatewayRequest::onDeadline() {
   this->DeadlineTimer = 0;
-  this->giveUp(RefusalReason::TimeIsOver);
+  this->giveUp(RefusalReason::DeadlineExceeded);
 }
 
 void GatewayRequest::giveUp(RefusalReason Why) {
   if (this->Ended)
     return;
-  this->withdrawAsk();
-  const bool Sent = this->Upstream != nullptr && this->Upstream->mayHaveLeft();
+  this->cancelAllocation();
+  const bool Sent = this->Upstream != nullptr && this->Upstream->mayHaveSent();
   if (this->Upstream != nullptr) {
     this->closeUpstream();
     // A router that stops says nothing of its servers.
-    const bool Blamed = !this->HeadCame && Why != RefusalReason::Stopping;
+    const bool Blamed = !this->HeadReceived && Why != RefusalReason::Stopping;
     if (Sent && Blamed)
-      this->noteServerInDoubt(CrashWatch::SendEnd::Silent);
-    this->settleSend(Blamed ? ServerVerdict::Silent : ServerVerdict::Sound);
+      this->reportSuspectedCrash(CrashDetector::AttemptEnd::Silent);
+    this->recordAttemptEnd(Blamed ? ServerVerdict::Silent
+                                  : ServerVerdict::Healthy);
   }
-  logEach(LogPart::Caller, [this, Sent, Why] {
-    return "request=" + this->Info.RequestId +
+  logLazily(LogPart::Caller, [this, Sent, Why] {
+    return "request=" + this->CallerFields.RequestId +
            " given up: " + std::string(nameOf(RefusalReasonNames, Why)) +
            " server=" + (Sent ? this->ServerId : "-") +
-           " answer-begun=" + (this->Progress.AnswerBegun ? "yes" : "no") +
+           " answer-begun=" + (this->Progress.ResponseStarted ? "yes" : "no") +
            " after=" + secondsText(this->elapsed());
   });
-  if (this->Progress.AnswerBegun) {
-    this->carryOut(NextStep::CutOff);
+  if (this->Progress.ResponseStarted) {
+    this->executeStep(NextStep::Truncate);
     return;
   }
   if (Sent || this->mayHaveRun())
-    this->answerOwn(HttpGatewayTimeout, "Gateway Timeout");
+    this->sendLocalReply(HttpGatewayTimeout, "Gateway Timeout");
   else
     this->refuse(Why);
 }
 
-void GatewayRequest::onCallerLeft() {
+void GatewayRequest::onCallerDisconnected() {
   if (this->Ended)
     return;
-  this->withdrawAsk();
+  this->cancelAllocation();
   if (this->Upstream != nullptr) {
     // Closing the connection stops the server's work.
     this->closeUpstream();
-    this->settleSend(ServerVerdict::Sound);
+    this->recordAttemptEnd(ServerVerdict::Healthy);
   }
-  this->finish("caller-left", this->Context.Counters.CallersLeft);
+  this->finish("caller-left", this->Context.Counters.CallersDisconnected);
 }
 
-void GatewayRequest::withdrawAsk() {
-  if (this->Asking)
-    this->Context.Agent.withdraw(*this->Asking);
-  this->Asking.reset();
+void GatewayRequest::cancelAllocation() {
+  if (this->PendingAllocation)
+    this->Context.Agent.cancel(*this->PendingAllocation);
+  this->PendingAllocation.reset();
 }
 
 void GatewayRequest::finish(const char *Outcome, Counter &Counted) {
   if (this->Ended)
     return;
   this->Ended = true;
-  this->Context.Open.erase(this);
+  this->Context.ActiveRequests.erase(this);
   Counted.add();
   this->Context.Loop.cancel(this->DeadlineTimer);
-  this->Context.Loop.cancel(this->WatchTimer);
-  this->Context.Counters.Total.observe(this->elapsed());
+  this->Context.Loop.cancel(this->ProgressTimer);
+  this->Context.Counters.RequestDuration.observe(this->elapsed());
   this->logEnd(Outcome);
 }
 
 void GatewayRequest::logEnd(const char *Outcome) const {
-  logEach(LogPart::Caller, [this, Outcome] {
-    return "request=" + this->Info.RequestId + " account=" + this->Account +
+  logLazily(LogPart::Caller, [this, Outcome] {
+    return "request=" + this->CallerFields.RequestId +
+           " account=" + this->Account +
            " route=" + (this->Route == nullptr ? "-" : this->Route->Name) +
            " outcome=" + Outcome +
            " status=" + std::to_string(this->FinalStatus) +
-           this->refusalText() + " servers=" + this->Path +
-           (this->Allocator.empty()
+           this->refusalText() + " servers=" + this->ServerPath +
+           (this->AllocatorName.empty()
                 ? ""
-                : " allocator=" + this->Allocator +
-                      " allocated=" + secondsText(this->Allocating)) +
-           " unread=" + std::to_string(this->Choice.UnreadTokens) +
-           " backlog=" + std::to_string(this->Choice.Backlog) +
-           (this->Choice.Source == 0 ? "" : " fetched=yes") + " first=" +
-           (this->FirstPieceAfter ? secondsText(*this->FirstPieceAfter) : "-") +
+                : " allocator=" + this->AllocatorName +
+                      " allocated=" + secondsText(this->AllocationTime)) +
+           " unread=" + std::to_string(this->Choice.PrefillTokens) +
+           " backlog=" + std::to_string(this->Choice.BacklogTokens) +
+           (this->Choice.FetchSource == 0 ? "" : " fetched=yes") + " first=" +
+           (this->TimeToFirstChunk ? secondsText(*this->TimeToFirstChunk)
+                                   : "-") +
            " total=" + secondsText(this->elapsed()) + " configuration=" +
            (this->Configuration == nullptr
                 ? "-"
@@ -301,11 +309,12 @@
 
 /// Why the request was refused, and what that rested on.
 std::string GatewayRequest::refusalText() const {
-  if (!this->Refused)
+  if (!this->Refusal)
     return {};
-  return " refused=" + std::string(nameOf(RefusalReasonNames, *this->Refused)) +
+  return " refused=" + std::string(nameOf(RefusalReasonNames, *this->Refusal)) +
          " proof-age=" + secondsText(this->Context.proofAge()) +
-         (this->RefusedAsk ? " ask=" + textOf(*this->RefusedAsk) : "");
+         (this->RefusedAllocation ? " ask=" + textOf(*this->RefusedAllocation)
+                                  : "");
 }
 
 } // namespace parsleywing
--- a/src/Gateway/GatewayRequest.h
+++ b/src/Gateway/GatewayRequest.h
@@ -33,62 +33,62 @@
   bool authorize();
   void chooseService();
 
-  void sendNext();
+  void startAttempt();
   /// Whether servers that had this request in hand have crashed too often.
   bool crashesServers();
   /// Where the request is under suspicion: see `CrashWatch::spreadOf`.
-  std::optional<std::uint32_t> spread();
+  std::optional<std::uint32_t> spreadKey();
   /// No further server will have it: refused where it has not run.
   void endUnserved(RefusalReason Why, Duration ReturnAfter = Duration::zero());
   /// Asks the allocator of an engine service.
-  void askForServer();
+  void requestAllocation();
   void onAllocated(const AllocationOutcome &Outcome);
-  void noteStart(const ServerGranted &Granted);
+  void recordServerStart(const AllocationGrant &Granted);
   /// A grant is not used.
-  void giveGrantBack(const ServerGranted &Granted, ServerVerdict Verdict);
-  bool grantIsOver() const;
-  std::function<bool()> sendGate() const;
-  void placeAlone();
-  void send(const ServerChoice &Choice);
-  bool allocated() const;
-  Duration age() const;
+  void releaseGrant(const AllocationGrant &Granted, ServerVerdict Verdict);
+  bool isGrantExpired() const;
+  std::function<bool()> sendCondition() const;
+  void placeLocally();
+  void sendAttempt(const ServerChoice &Choice);
+  bool usesAllocator() const;
+  Duration elapsedBeforeArrival() const;
   std::shared_ptr<UpstreamConnection> connectionTo(const GatewayServer &Server);
-  std::string encode(const GatewayServer &Server);
-  UpstreamListener listener();
+  std::string encodeRequest(const GatewayServer &Server);
+  UpstreamListener makeListener();
 
-  void onHead(const HttpHead &Head, const ServerHead &Read);
-  void beginStream(const HttpHead &Head);
-  void onPayload(std::string_view Payload);
-  void passEvents(std::string_view Payload);
+  void onResponseHead(const HttpHead &Head, const ServerResponseFields &Read);
+  void startStream(const HttpHead &Head);
+  void onResponsePayload(std::string_view Payload);
+  void forwardEvents(std::string_view Payload);
   void onUpstreamEnd(UpstreamEnd How);
-  void onSilence();
+  void onProgressTimeout();
   void onDeadline();
   /// The last answer, whatever has been reached: a stream is cut, a request
   /// that has not left is refused for the reason.
   void giveUp(RefusalReason Why);
-  void onCallerLeft();
+  void onCallerDisconnected();
 
   /// Ends the present send and decides what comes next.
-  void endSend(SendOutcome Outcome, ServerVerdict Verdict);
-  void noteServerInDoubt(CrashWatch::SendEnd How);
+  void endAttempt(AttemptResult Outcome, ServerVerdict Verdict);
+  void reportSuspectedCrash(CrashDetector::AttemptEnd How);
   void closeUpstream();
-  void settleSend(ServerVerdict Verdict);
-  void withdrawAsk();
-  void carryOut(NextStep Step);
-  SendOutcome outcomeOfAnswer() const;
+  void recordAttemptEnd(ServerVerdict Verdict);
+  void cancelAllocation();
+  void executeStep(NextStep Step);
+  AttemptResult responseResult() const;
 
-  void passAnswer();
-  void answerOwn(int Status, const char *Reason);
+  void forwardResponse();
+  void sendLocalReply(int Status, const char *Reason);
   void refuse(RefusalReason Why, Duration ReturnAfter = Duration::zero());
-  std::string returnAfterText(Duration AtLeast) const;
+  std::string retryAfterText(Duration AtLeast) const;
   void finishServed();
   void finish(const char *Outcome, Counter &Counted);
 
-  void armWatch(Duration Limit);
-  void noteFirstPiece();
+  void armProgressTimer(Duration Limit);
+  void recordFirstChunk();
   Duration elapsed() const;
-  Duration left() const;
-  Duration firstPieceLimit() const;
+  Duration timeLeft() const;
+  Duration firstChunkTimeout() const;
   bool mayHaveRun() const { return this->Progress.Runs > 0; }
   void logEnd(const char *Outcome) const;
   RequestContent content() const;
@@ -97,18 +97,18 @@
   const RequestIdentity &identity();
   /// Whether it may have been in hand at a server that crashed.
   bool mayBeSuspect();
-  std::string brokenSendText();
+  std::string brokenAttemptText();
   std::string refusalText() const;
 
   GatewayContext &Context;
   std::shared_ptr<CallerSession> Session;
   IncomingRequest Incoming;
-  CallerHead Info;
+  CallerRequestFields CallerFields;
   std::optional<RequestIdentity> Identity;
   std::optional<std::uint32_t> Sketch;
   /// Refused as a rule, it is sent once to find out whether it still crashes
   /// servers.
-  bool Trying = false;
+  bool IsProbe = false;
   /// Kept with the configuration that it stands in.
   std::shared_ptr<const GatewayConfiguration> Configuration;
   const GatewayRoute *Route = nullptr;
@@ -116,47 +116,47 @@
   std::string Service;
   TimePoint Deadline{};
   TimerId DeadlineTimer = 0;
-  TimerId WatchTimer = 0;
+  TimerId ProgressTimer = 0;
   RequestProgress Progress;
-  std::set<std::uint64_t> Tried;
+  std::set<std::uint64_t> TriedServers;
   /// An ask that its allocator has not answered.
-  std::optional<AskId> Asking;
-  AskId SendId;
+  std::optional<CorrelationId> PendingAllocation;
+  CorrelationId AttemptId;
   /// The allocator that decided last, and how long that took in all.
-  std::string Allocator;
-  Duration Allocating{};
+  std::string AllocatorName;
+  Duration AllocationTime{};
   std::uint64_t ServiceHash = 0;
 
   // The present send.
   /// Its server warms up: nothing of it may leave later than this, on the clock
   /// that counts suspended time.
-  std::optional<TimePoint> SendUntil;
+  std::optional<TimePoint> SendDeadline;
   std::shared_ptr<UpstreamConnection> Upstream;
   ServerChoice Choice;
   /// What it is for its server; its prompt is unread until the first piece.
-  SendWork Work;
+  AttemptLoad Work;
   bool PromptRead = false;
   TimePoint SentAt{};
-  TimePoint HeardAt{};
+  TimePoint LastReceivedAt{};
   std::string ServerId;
-  bool Kept = false;
-  bool HeadCame = false;
-  HttpHead AnswerHead;
-  ServerHead AnswerRead;
-  std::string AnswerBody;
+  bool ReusedConnection = false;
+  bool HeadReceived = false;
+  HttpHead ResponseHead;
+  ServerResponseFields ResponseFields;
+  std::string ResponseBody;
 
   // The answer's stream, over all sends.
   bool Streaming = false;
-  EventSplitter Events;
-  std::optional<std::uint64_t> LastEvent;
-  bool Paused = false;
+  EventSplitter Splitter;
+  std::optional<std::uint64_t> LastEventId;
+  bool UpstreamPaused = false;
   bool Ended = false;
-  std::string Path;
+  std::string ServerPath;
   int FinalStatus = 0;
-  std::optional<RefusalReason> Refused;
+  std::optional<RefusalReason> Refusal;
   /// The ask that its allocator refused.
-  std::optional<AskId> RefusedAsk;
-  std::optional<Duration> FirstPieceAfter;
+  std::optional<CorrelationId> RefusedAllocation;
+  std::optional<Duration> TimeToFirstChunk;
 };
 
 } // namespace parsleywing
--- a/src/Gateway/GatewayRequestAnswer.cpp
+++ b/src/Gateway/GatewayRequestAnswer.cpp
@@ -22,103 +22,104 @@
 /// Answers by which a router promises that the request has not run.
 bool promisesNotRun(int Status) {
   return Status == HttpTooManyRequests || Status == HttpServiceUnavailable ||
-         Status == HttpRequestTimeout || Status == HttpMisdirected;
+         Status == HttpRequestTimeout || Status == HttpMisdirectedRequest;
 }
 
 } // namespace
 
-void GatewayRequest::noteFirstPiece() {
+void GatewayRequest::recordFirstChunk() {
   if (!this->PromptRead) {
     this->PromptRead = true;
-    this->Context.Servers.noteRead(this->Choice.Server, this->Work,
-                                   this->Info.PromptParts);
-    this->Work.UnreadTokens = 0;
-    if (this->allocated())
-      this->Context.Agent.began(this->SendId);
+    this->Context.Servers.recordPrefilled(this->Choice.Server, this->Work,
+                                          this->CallerFields.PromptParts);
+    this->Work.PrefillTokens = 0;
+    if (this->usesAllocator())
+      this->Context.Agent.onAttemptStarted(this->AttemptId);
   }
-  if (!this->FirstPieceAfter) {
-    this->FirstPieceAfter = this->elapsed();
-    this->Context.Counters.FirstPiece.observe(*this->FirstPieceAfter);
+  if (!this->TimeToFirstChunk) {
+    this->TimeToFirstChunk = this->elapsed();
+    this->Context.Counters.TimeToFirstChunk.observe(*this->TimeToFirstChunk);
   }
 }
 
-void GatewayRequest::onHead(const HttpHead &Head, const ServerHead &Read) {
+void GatewayRequest::onResponseHead(const HttpHead &Head,
+                                    const ServerResponseFields &Read) {
   const TimePoint Now = this->Context.Loop.clock().now();
-  this->HeardAt = Now;
-  this->HeadCame = true;
-  this->Context.Servers.noteHeard(this->Choice.Server, Now);
-  this->AnswerHead = Head;
-  this->AnswerRead = Read;
-  const bool Success = Head.Status >= HttpOk && Head.Status < HttpFirstFailure;
+  this->LastReceivedAt = Now;
+  this->HeadReceived = true;
+  this->Context.Servers.recordActivity(this->Choice.Server, Now);
+  this->ResponseHead = Head;
+  this->ResponseFields = Read;
+  const bool Success = Head.Status >= HttpOk && Head.Status < HttpSuccessEnd;
   if (Success && !Read.HasReceipt) {
     this->closeUpstream();
-    this->endSend(this->Progress.AnswerBegun ? SendOutcome::BrokenOff
-                                             : SendOutcome::Lost,
-                  ServerVerdict::Failed);
+    this->endAttempt(this->Progress.ResponseStarted ? AttemptResult::Truncated
+                                                    : AttemptResult::NoResponse,
+                     ServerVerdict::Failed);
     return;
   }
   if (Success && this->Route->Kind == RequestKind::Stream)
-    this->beginStream(Head);
+    this->startStream(Head);
 }
 
 /// The answer keeps the head of its first server.
-void GatewayRequest::beginStream(const HttpHead &Head) {
+void GatewayRequest::startStream(const HttpHead &Head) {
   this->Streaming = true;
-  if (this->Progress.AnswerBegun)
+  if (this->Progress.ResponseStarted)
     return;
-  this->Progress.AnswerBegun = true;
+  this->Progress.ResponseStarted = true;
   this->FinalStatus = Head.Status;
-  this->Session->beginAnswer(this->Context.Format.WriteCallerAnswer(Head));
+  this->Session->startResponse(this->Context.Format.BuildCallerResponse(Head));
 }
 
-void GatewayRequest::onPayload(std::string_view Payload) {
+void GatewayRequest::onResponsePayload(std::string_view Payload) {
   const TimePoint Now = this->Context.Loop.clock().now();
-  this->HeardAt = Now;
-  this->Context.Servers.noteHeard(this->Choice.Server, Now);
-  this->noteFirstPiece();
-  if (this->Streaming && this->AnswerHead.Status < HttpFirstFailure) {
-    this->passEvents(Payload);
+  this->LastReceivedAt = Now;
+  this->Context.Servers.recordActivity(this->Choice.Server, Now);
+  this->recordFirstChunk();
+  if (this->Streaming && this->ResponseHead.Status < HttpSuccessEnd) {
+    this->forwardEvents(Payload);
     return;
   }
-  this->AnswerBody.append(Payload);
-  if (this->AnswerBody.size() > this->Configuration->Limits.MaxBodyBytes) {
+  this->ResponseBody.append(Payload);
+  if (this->ResponseBody.size() > this->Configuration->Limits.MaxBodyBytes) {
     this->closeUpstream();
-    this->endSend(SendOutcome::Lost, ServerVerdict::Failed);
+    this->endAttempt(AttemptResult::NoResponse, ServerVerdict::Failed);
   }
 }
 
-void GatewayRequest::passEvents(std::string_view Payload) {
+void GatewayRequest::forwardEvents(std::string_view Payload) {
   std::string Whole;
-  for (StreamEvent &Event : this->Events.add(Payload)) {
-    if (Event.Id && this->LastEvent && *Event.Id <= *this->LastEvent)
+  for (StreamEvent &Event : this->Splitter.add(Payload)) {
+    if (Event.Id && this->LastEventId && *Event.Id <= *this->LastEventId)
       continue;
-    if (Event.Id && this->LastEvent && *Event.Id != *this->LastEvent + 1) {
+    if (Event.Id && this->LastEventId && *Event.Id != *this->LastEventId + 1) {
       // A piece is missing; what is behind it must not follow.
-      this->Session->piece(Whole);
+      this->Session->sendChunk(Whole);
       this->closeUpstream();
-      this->endSend(SendOutcome::BrokenOff, ServerVerdict::Failed);
+      this->endAttempt(AttemptResult::Truncated, ServerVerdict::Failed);
       return;
     }
     if (Event.Id)
-      this->LastEvent = Event.Id;
-    this->Context.Counters.Events.add();
+      this->LastEventId = Event.Id;
+    this->Context.Counters.StreamEvents.add();
     Whole += Event.Text;
   }
-  this->Session->piece(Whole);
-  if (this->Session->unsent() > SlowCallerBytes && !this->Paused) {
-    this->Paused = true;
+  this->Session->sendChunk(Whole);
+  if (this->Session->unsent() > SlowCallerBytes && !this->UpstreamPaused) {
+    this->UpstreamPaused = true;
     this->Upstream->pauseReading();
   }
 }
 
-SendOutcome GatewayRequest::outcomeOfAnswer() const {
-  if (this->AnswerRead.NotRun || this->AnswerRead.WrongServer)
-    return SendOutcome::NotRun;
-  if (this->AnswerHead.Status >= HttpFirstFailure)
-    return SendOutcome::Failure;
-  if (this->Streaming && !this->Events.rest().empty())
-    return SendOutcome::BrokenOff;
-  return SendOutcome::Served;
+AttemptResult GatewayRequest::responseResult() const {
+  if (this->ResponseFields.NotRun || this->ResponseFields.WrongServer)
+    return AttemptResult::NotRun;
+  if (this->ResponseHead.Status >= HttpSuccessEnd)
+    return AttemptResult::ErrorResponse;
+  if (this->Streaming && !this->Splitter.partialEvent().empty())
+    return AttemptResult::Truncated;
+  return AttemptResult::Served;
 }
 
 void GatewayRequest::onUpstreamEnd(UpstreamEnd How) {
@@ -126,53 +127,53 @@
     return;
   const auto Connection = std::exchange(this->Upstream, nullptr);
   if (How == UpstreamEnd::Complete) {
-    this->noteFirstPiece();
-    this->Context.Pool.put(this->ServerId, Connection);
-    const SendOutcome Outcome = this->outcomeOfAnswer();
-    ServerVerdict Verdict = ServerVerdict::Sound;
-    if (Outcome == SendOutcome::NotRun)
-      Verdict = this->AnswerRead.WrongServer ? ServerVerdict::Unreachable
-                                             : ServerVerdict::Full;
-    else if (Outcome != SendOutcome::Served)
+    this->recordFirstChunk();
+    this->Context.Pool.release(this->ServerId, Connection);
+    const AttemptResult Outcome = this->responseResult();
+    ServerVerdict Verdict = ServerVerdict::Healthy;
+    if (Outcome == AttemptResult::NotRun)
+      Verdict = this->ResponseFields.WrongServer ? ServerVerdict::Unreachable
+                                                 : ServerVerdict::Full;
+    else if (Outcome != AttemptResult::Served)
       Verdict = ServerVerdict::Failed;
-    this->endSend(Outcome, Verdict);
+    this->endAttempt(Outcome, Verdict);
     return;
   }
   if (How == UpstreamEnd::NotSent) {
-    this->endSend(SendOutcome::NotSent, ServerVerdict::Unreachable);
+    this->endAttempt(AttemptResult::NotSent, ServerVerdict::Unreachable);
     return;
   }
-  this->Trying = false;
+  this->IsProbe = false;
   // The server's statement stands, even if the text behind it did not come.
-  if (this->HeadCame && this->outcomeOfAnswer() == SendOutcome::NotRun) {
-    this->endSend(SendOutcome::NotRun, ServerVerdict::Full);
+  if (this->HeadReceived && this->responseResult() == AttemptResult::NotRun) {
+    this->endAttempt(AttemptResult::NotRun, ServerVerdict::Full);
     return;
   }
   if (How == UpstreamEnd::Broken)
-    this->noteServerInDoubt(CrashWatch::SendEnd::Broken);
-  this->endSend(this->Progress.AnswerBegun ? SendOutcome::BrokenOff
-                                           : SendOutcome::Lost,
-                ServerVerdict::Failed);
+    this->reportSuspectedCrash(CrashDetector::AttemptEnd::Broken);
+  this->endAttempt(this->Progress.ResponseStarted ? AttemptResult::Truncated
+                                                  : AttemptResult::NoResponse,
+                   ServerVerdict::Failed);
 }
 
-void GatewayRequest::passAnswer() {
-  const int Status = this->AnswerHead.Status;
-  if (this->Streaming && Status < HttpFirstFailure) {
-    this->Session->endAnswer();
+void GatewayRequest::forwardResponse() {
+  const int Status = this->ResponseHead.Status;
+  if (this->Streaming && Status < HttpSuccessEnd) {
+    this->Session->finishResponse();
     this->finishServed();
     return;
   }
   // These statuses promise that the request has not run; from a server they do
   // so only with its statement, and then they do not come here.
   if (promisesNotRun(Status)) {
-    this->answerOwn(HttpBadGateway, "Bad Gateway");
+    this->sendLocalReply(HttpBadGateway, "Bad Gateway");
     return;
   }
   this->FinalStatus = Status;
-  this->Session->answer(
-      this->Context.Format.WriteCallerAnswer(this->AnswerHead),
-      this->AnswerBody);
-  if (Status < HttpFirstFailure)
+  this->Session->sendResponse(
+      this->Context.Format.BuildCallerResponse(this->ResponseHead),
+      this->ResponseBody);
+  if (Status < HttpSuccessEnd)
     this->finishServed();
   else
     this->finish("failed-by-server", this->Context.Counters.FailedByServer);
@@ -181,15 +182,15 @@
 /// A request that crashes servers gets no whole answer.
 void GatewayRequest::finishServed() {
   if (this->mayBeSuspect())
-    this->Context.Crashes.onServed(this->identity());
+    this->Context.Crashes.onCompleted(this->identity());
   this->finish("served", this->Context.Counters.Served);
 }
 
-void GatewayRequest::answerOwn(int Status, const char *Reason) {
+void GatewayRequest::sendLocalReply(int Status, const char *Reason) {
   this->FinalStatus = Status;
-  HttpHead Head = ownAnswerHead(Status, Reason);
-  this->Context.Format.MarkOwnAnswer(Head, this->Info.RequestId);
-  this->Session->answer(std::move(Head), {});
+  HttpHead Head = localReplyHead(Status, Reason);
+  this->Context.Format.MarkLocalReply(Head, this->CallerFields.RequestId);
+  this->Session->sendResponse(std::move(Head), {});
   if (Status < HttpBadGateway)
     this->finish("denied", this->Context.Counters.Denied);
   else
@@ -198,23 +199,23 @@
 
 /// Spread by the request's identity: callers refused together would else come
 /// back together.
-std::string GatewayRequest::returnAfterText(Duration AtLeast) const {
+std::string GatewayRequest::retryAfterText(Duration AtLeast) const {
   const Duration Spread{static_cast<Duration::rep>(
-      hashName(this->Info.RequestId) %
+      hashName(this->CallerFields.RequestId) %
       static_cast<std::uint64_t>(ReturnSpread.count()))};
   return secondsText(std::max(ReturnAfter, AtLeast) + Spread);
 }
 
 void GatewayRequest::refuse(RefusalReason Why, Duration ReturnAfterAtLeast) {
   this->FinalStatus = HttpServiceUnavailable;
-  HttpHead Head = ownAnswerHead(HttpServiceUnavailable, "Service Unavailable");
-  this->Context.Format.MarkOwnAnswer(Head, this->Info.RequestId);
+  HttpHead Head = localReplyHead(HttpServiceUnavailable, "Service Unavailable");
+  this->Context.Format.MarkLocalReply(Head, this->CallerFields.RequestId);
   // Nothing that the caller could wait for changes what its request does.
   if (Why != RefusalReason::CrashesServers)
-    Head.add("Retry-After", this->returnAfterText(ReturnAfterAtLeast));
-  this->Session->answer(std::move(Head), {});
-  this->Refused = Why;
-  this->Context.Counters.refusal(Why).add();
+    Head.add("Retry-After", this->retryAfterText(ReturnAfterAtLeast));
+  this->Session->sendResponse(std::move(Head), {});
+  this->Refusal = Why;
+  this->Context.Counters.refusedBy(Why).add();
   this->finish("refused", this->Context.Counters.Refused);
 }
 
--- a/src/Gateway/GatewayRequestSend.cpp
+++ b/src/Gateway/GatewayRequestSend.cpp
@@ -47,43 +47,44 @@
 
 } // namespace
 
-void GatewayRequest::sendNext() {
+void GatewayRequest::startAttempt() {
   if (this->crashesServers())
     this->endUnserved(RefusalReason::CrashesServers);
-  else if (this->allocated())
-    this->askForServer();
+  else if (this->usesAllocator())
+    this->requestAllocation();
   else
-    this->placeAlone();
+    this->placeLocally();
 }
 
-void GatewayRequest::askForServer() {
+void GatewayRequest::requestAllocation() {
   const auto Milliseconds = [](Duration Time) {
     return static_cast<std::int32_t>(
         std::chrono::duration_cast<std::chrono::milliseconds>(Time).count());
   };
-  ServerAsk Ask;
+  AllocationRequest Ask;
   Ask.Id = this->Context.Agent.newId();
   Ask.Service = this->ServiceHash;
   Ask.Account = hashName(this->Account);
   Ask.Zone = hashName(this->Context.Settings.Zone);
-  Ask.Parts = this->Info.PromptParts;
-  Ask.PromptTokens = this->Info.PromptTokens;
-  Ask.OutputTokens = this->Info.MaxOutputTokens;
-  Ask.Excluded.assign(this->Tried.begin(), this->Tried.end());
-  Ask.SpreadBy = this->spread();
-  const Duration OnTimeFor =
-      this->Route->Objective - this->age() - this->elapsed();
+  Ask.Parts = this->CallerFields.PromptParts;
+  Ask.PromptTokens = this->CallerFields.PromptTokens;
+  Ask.OutputTokens = this->CallerFields.MaxOutputTokens;
+  Ask.ExcludedServers.assign(this->TriedServers.begin(),
+                             this->TriedServers.end());
+  Ask.SpreadKey = this->spreadKey();
+  const Duration OnTimeFor = this->Route->LatencyObjective -
+                             this->elapsedBeforeArrival() - this->elapsed();
   Duration WaitFor = OnTimeFor;
   if (OnTimeFor <= Duration::zero())
-    WaitFor = std::min(this->left() / LateWaitDivisor, LongestLateWait);
+    WaitFor = std::min(this->timeLeft() / LateWaitDivisor, LongestLateWait);
   // A stream that was begun is not given up for others that have not.
-  if (this->Progress.AnswerBegun)
-    WaitFor = std::min(this->left(), ResumeWait);
-  Ask.OnTimeForMs =
-      Milliseconds(this->Progress.AnswerBegun ? WaitFor : OnTimeFor);
-  Ask.WaitForMs = Milliseconds(WaitFor);
-  this->Asking = Ask.Id;
-  this->Context.Agent.ask(
+  if (this->Progress.ResponseStarted)
+    WaitFor = std::min(this->timeLeft(), ResumeWait);
+  Ask.ObjectiveLeftMs =
+      Milliseconds(this->Progress.ResponseStarted ? WaitFor : OnTimeFor);
+  Ask.MaxWaitMs = Milliseconds(WaitFor);
+  this->PendingAllocation = Ask.Id;
+  this->Context.Agent.request(
       std::move(Ask),
       [Self = this->shared_from_this()](const AllocationOutcome &Outcome) {
         Self->onAllocated(Outcome);
@@ -91,184 +92,189 @@
 }
 
 void GatewayRequest::onAllocated(const AllocationOutcome &Outcome) {
-  this->Asking.reset();
-  this->Allocator = Outcome.Allocator;
-  this->Allocating += Outcome.Waited;
+  this->PendingAllocation.reset();
+  this->AllocatorName = Outcome.Allocator;
+  this->AllocationTime += Outcome.WaitTime;
   if (this->Ended)
     return;
-  if (const auto *Refused = std::get_if<ServerRefused>(&Outcome.Answer)) {
-    this->RefusedAsk = Refused->Id;
-    this->endUnserved(RefusalReason::NoRoomInTime,
-                      std::chrono::milliseconds(Refused->ReturnAfterMs));
+  if (const auto *Refused = std::get_if<AllocationRefusal>(&Outcome.Reply)) {
+    this->RefusedAllocation = Refused->Id;
+    this->endUnserved(RefusalReason::NoCapacityInTime,
+                      std::chrono::milliseconds(Refused->RetryAfterMs));
     return;
   }
-  const auto &Granted = std::get<ServerGranted>(Outcome.Answer);
+  const auto &Granted = std::get<AllocationGrant>(Outcome.Reply);
   const TimePoint Now = this->Context.Loop.clock().now();
-  this->noteStart(Granted);
-  this->SendUntil = Outcome.SendUntil;
+  this->recordServerStart(Granted);
+  this->SendDeadline = Outcome.SendDeadline;
   // A frozen router, or one whose datagrams were held up, would else send all
   // that it was granted meanwhile within one second.
-  if (this->grantIsOver()) {
-    this->Context.Agent.noteLateGrant();
-    this->giveGrantBack(Granted, ServerVerdict::Sound);
-    this->sendNext();
+  if (this->isGrantExpired()) {
+    this->Context.Agent.recordLateGrant();
+    this->releaseGrant(Granted, ServerVerdict::Healthy);
+    this->startAttempt();
     return;
   }
   // What this router has seen of a server counts for more than the allocator's
   // choice.
   const bool Usable =
-      this->SendUntil
+      this->SendDeadline
           ? this->Context.Servers.usableIfGranted(Granted.Server, Now)
           : this->Context.Servers.usable(Granted.Server, Now);
   if (!Usable) {
-    this->giveGrantBack(Granted, ServerVerdict::Unreachable);
-    this->placeAlone();
+    this->releaseGrant(Granted, ServerVerdict::Unreachable);
+    this->placeLocally();
     return;
   }
-  this->SendId = Granted.Id;
-  this->send(
-      {Granted.Server, Granted.UnreadTokens, Granted.Backlog, Granted.Source});
+  this->AttemptId = Granted.Id;
+  this->sendAttempt({Granted.Server, Granted.PrefillTokens,
+                     Granted.BacklogTokens, Granted.FetchSource});
 }
 
 /// The allocator may have heard of a restart before this router's list says it.
-void GatewayRequest::noteStart(const ServerGranted &Granted) {
+void GatewayRequest::recordServerStart(const AllocationGrant &Granted) {
   if (Granted.ServerStartedMs <= this->Context.Servers.startOf(Granted.Server))
     return;
-  this->Context.Servers.noteStart(Granted.Server, Granted.ServerStartedMs);
+  this->Context.Servers.recordStart(Granted.Server, Granted.ServerStartedMs);
   if (const GatewayServer *Listed = this->Context.Servers.find(Granted.Server))
-    this->Context.Pool.drop(Listed->Id);
+    this->Context.Pool.closeIdle(Listed->Id);
 }
 
-void GatewayRequest::giveGrantBack(const ServerGranted &Granted,
-                                   ServerVerdict Verdict) {
-  this->Context.Agent.sent(
+void GatewayRequest::releaseGrant(const AllocationGrant &Granted,
+                                  ServerVerdict Verdict) {
+  this->Context.Agent.onAttemptSent(
       Granted.Id, this->ServiceHash, Granted.Server,
-      {Granted.UnreadTokens, 0, this->Context.Servers.startOf(Granted.Server)});
-  this->Context.Agent.ended(Granted.Id, Verdict);
+      {Granted.PrefillTokens, 0,
+       this->Context.Servers.startOf(Granted.Server)});
+  this->Context.Agent.onAttemptEnded(Granted.Id, Verdict);
 }
 
-bool GatewayRequest::grantIsOver() const {
-  return this->SendUntil && this->Context.SuspendClock.now() > *this->SendUntil;
+bool GatewayRequest::isGrantExpired() const {
+  return this->SendDeadline &&
+         this->Context.BootClock.now() > *this->SendDeadline;
 }
 
-std::optional<std::uint32_t> GatewayRequest::spread() {
+std::optional<std::uint32_t> GatewayRequest::spreadKey() {
   if (!this->mayBeSuspect())
     return std::nullopt;
   return this->Context.Crashes.spreadOf(this->identity());
 }
 
-void GatewayRequest::placeAlone() {
-  this->SendUntil.reset();
-  PlacementQuestion Asked;
+void GatewayRequest::placeLocally() {
+  this->SendDeadline.reset();
+  PlacementQuery Asked;
   Asked.Service = this->ServiceHash;
   Asked.Zone = hashName(this->Context.Settings.Zone);
-  Asked.Parts = &this->Info.PromptParts;
-  Asked.PromptTokens = this->Info.PromptTokens;
-  Asked.OutputTokens = this->Info.MaxOutputTokens;
-  Asked.Excluded = &this->Tried;
-  Asked.SpreadBy = this->spread();
+  Asked.Parts = &this->CallerFields.PromptParts;
+  Asked.PromptTokens = this->CallerFields.PromptTokens;
+  Asked.OutputTokens = this->CallerFields.MaxOutputTokens;
+  Asked.ExcludedServers = &this->TriedServers;
+  Asked.SpreadKey = this->spreadKey();
   Asked.Now = this->Context.Loop.clock().now();
   const auto Found = this->Context.Servers.place(Asked);
   if (!Found) {
     this->endUnserved(RefusalReason::NoUsableServer);
     return;
   }
-  this->SendId = this->Context.Agent.newId();
-  this->send(*Found);
+  this->AttemptId = this->Context.Agent.newId();
+  this->sendAttempt(*Found);
 }
 
 void GatewayRequest::endUnserved(RefusalReason Why, Duration ReturnAfter) {
-  if (this->Progress.AnswerBegun)
-    this->carryOut(NextStep::CutOff);
+  if (this->Progress.ResponseStarted)
+    this->executeStep(NextStep::Truncate);
   else if (this->mayHaveRun())
-    this->carryOut(NextStep::FailUnknown);
+    this->executeStep(NextStep::FailUncertain);
   else
     this->refuse(Why, ReturnAfter);
 }
 
-void GatewayRequest::send(const ServerChoice &Wanted) {
+void GatewayRequest::sendAttempt(const ServerChoice &Wanted) {
   const GatewayServer *Listed = this->Context.Servers.find(Wanted.Server);
   PARSLEYWING_INVARIANT(Listed != nullptr,
                         "a request is sent to a server of the list");
   const GatewayServer Server = *Listed;
   this->Choice = Wanted;
   this->ServerId = Server.Id;
-  this->Tried.insert(Wanted.Server);
-  ++this->Progress.Sends;
-  this->Context.Counters.Sends.add();
+  this->TriedServers.insert(Wanted.Server);
+  ++this->Progress.Attempts;
+  this->Context.Counters.Attempts.add();
   this->SentAt = this->Context.Loop.clock().now();
-  this->HeardAt = this->SentAt;
-  this->HeadCame = false;
+  this->LastReceivedAt = this->SentAt;
+  this->HeadReceived = false;
   this->PromptRead = false;
-  this->AnswerBody.clear();
-  this->Events.clear();
-  this->Path += (this->Path.empty() ? "" : ",") + Server.Id;
-  this->Work = {Wanted.UnreadTokens, this->Info.MaxOutputTokens,
+  this->ResponseBody.clear();
+  this->Splitter.clear();
+  this->ServerPath += (this->ServerPath.empty() ? "" : ",") + Server.Id;
+  this->Work = {Wanted.PrefillTokens, this->CallerFields.MaxOutputTokens,
                 this->Context.Servers.startOf(Wanted.Server)};
-  this->Context.Servers.noteSent(Wanted.Server, this->Work,
-                                 this->Info.PromptParts, this->SentAt);
-  if (this->allocated())
-    this->Context.Agent.sent(this->SendId, this->ServiceHash, Wanted.Server,
-                             this->Work);
+  this->Context.Servers.recordSent(
+      Wanted.Server, this->Work, this->CallerFields.PromptParts, this->SentAt);
+  if (this->usesAllocator())
+    this->Context.Agent.onAttemptSent(this->AttemptId, this->ServiceHash,
+                                      Wanted.Server, this->Work);
   this->Upstream = this->connectionTo(Server);
   if (this->Upstream == nullptr) {
-    this->endSend(SendOutcome::NotSent, ServerVerdict::Unreachable);
+    this->endAttempt(AttemptResult::NotSent, ServerVerdict::Unreachable);
     return;
   }
-  this->Upstream->send(this->encode(Server), this->Incoming.Head.Method,
-                       this->Info.RequestId, this->listener(),
-                       this->sendGate());
-  this->armWatch(this->Kept ? this->firstPieceLimit() : ConnectLimit);
+  this->Upstream->send(this->encodeRequest(Server), this->Incoming.Head.Method,
+                       this->CallerFields.RequestId, this->makeListener(),
+                       this->sendCondition());
+  this->armProgressTimer(this->ReusedConnection ? this->firstChunkTimeout()
+                                                : ConnectLimit);
 }
 
 /// The send is over at the server; what is kept of it is settled.
-void GatewayRequest::settleSend(ServerVerdict Verdict) {
-  this->Context.Servers.noteEnded(this->Choice.Server, this->Work,
-                                  this->Info.PromptParts, Verdict,
-                                  this->Context.Loop.clock().now());
-  if (this->allocated())
-    this->Context.Agent.ended(this->SendId, Verdict);
+void GatewayRequest::recordAttemptEnd(ServerVerdict Verdict) {
+  this->Context.Servers.recordEnded(this->Choice.Server, this->Work,
+                                    this->CallerFields.PromptParts, Verdict,
+                                    this->Context.Loop.clock().now());
+  if (this->usesAllocator())
+    this->Context.Agent.onAttemptEnded(this->AttemptId, Verdict);
 }
 
 std::shared_ptr<UpstreamConnection>
 GatewayRequest::connectionTo(const GatewayServer &Server) {
   const Duration MaxIdle =
       this->Progress.Repeatable ? RepeatableMaxIdle : UnsafeMaxIdle;
-  auto Idle = this->Context.Pool.take(Server.Id, MaxIdle);
-  this->Kept = Idle != nullptr;
-  if (this->Kept)
+  auto Idle = this->Context.Pool.acquire(Server.Id, MaxIdle);
+  this->ReusedConnection = Idle != nullptr;
+  if (this->ReusedConnection)
     return Idle;
   this->Context.Counters.NewConnections.add();
   return UpstreamConnection::connect(this->Context.Loop, this->Context.Format,
                                      Server.Address);
 }
 
-std::string GatewayRequest::encode(const GatewayServer &Server) {
-  ServerRequest Added;
-  Added.TimeLeft = std::max(this->left(), Duration::zero());
+std::string GatewayRequest::encodeRequest(const GatewayServer &Server) {
+  ServerRequestFields Added;
+  Added.TimeLeft = std::max(this->timeLeft(), Duration::zero());
   Added.ServerId = Server.Id;
   Added.Account = this->Account;
-  Added.ResumeAfter =
-      this->LastEvent ? this->LastEvent : this->Info.ResumeAfter;
+  Added.LastEventId =
+      this->LastEventId ? this->LastEventId : this->CallerFields.LastEventId;
   if (const GatewayServer *Source =
-          this->Context.Servers.find(this->Choice.Source))
-    Added.KeptAt = Source->Address.toString();
+          this->Context.Servers.find(this->Choice.FetchSource))
+    Added.CacheSourceAddress = Source->Address.toString();
   Added.BodyBytes = this->Incoming.Body.size();
   Added.HasBody = this->Incoming.HasBody;
-  return writeRequestHead(this->Context.Format.WriteServerRequest(
+  return writeRequestHead(this->Context.Format.BuildServerRequest(
              this->Incoming.Head, Added)) +
          this->Incoming.Body;
 }
 
-UpstreamListener GatewayRequest::listener() {
+UpstreamListener GatewayRequest::makeListener() {
   UpstreamListener Made;
-  Made.Head = [Self = this->shared_from_this()](const HttpHead &Head,
-                                                const ServerHead &Read) {
-    Self->onHead(Head, Read);
-  };
-  Made.Payload = [Self = this->shared_from_this()](std::string_view Bytes) {
-    Self->onPayload(Bytes);
-  };
+  Made.HeadReceived =
+      [Self = this->shared_from_this()](const HttpHead &Head,
+                                        const ServerResponseFields &Read) {
+        Self->onResponseHead(Head, Read);
+      };
+  Made.PayloadReceived =
+      [Self = this->shared_from_this()](std::string_view Bytes) {
+        Self->onResponsePayload(Bytes);
+      };
   Made.Ended = [Self = this->shared_from_this()](UpstreamEnd How) {
     Self->onUpstreamEnd(How);
   };
@@ -277,42 +283,42 @@
 
 /// Nothing where the server does not warm up. A new connection's time is part
 /// of what a grant may slip by; more of it, behind a freeze, is not.
-std::function<bool()> GatewayRequest::sendGate() const {
-  if (!this->SendUntil)
+std::function<bool()> GatewayRequest::sendCondition() const {
+  if (!this->SendDeadline)
     return {};
-  const TimePoint Until = *this->SendUntil + (WarmUpSlip - WarmUpGrantLife);
-  return [&Time = this->Context.SuspendClock, Until] {
-    return Time.now() <= Until;
-  };
+  const TimePoint Until =
+      *this->SendDeadline + (MaxWarmUpSendDelay - WarmUpGrantLifetime);
+  return
+      [&Time = this->Context.BootClock, Until] { return Time.now() <= Until; };
 }
 
-Duration GatewayRequest::firstPieceLimit() const {
-  return std::max(this->Route->Objective * 2, LeastFirstPieceLimit);
+Duration GatewayRequest::firstChunkTimeout() const {
+  return std::max(this->Route->LatencyObjective * 2, LeastFirstPieceLimit);
 }
 
-void GatewayRequest::armWatch(Duration Limit) {
-  this->Context.Loop.cancel(this->WatchTimer);
-  this->WatchTimer = this->Context.Loop.after(
-      Limit, [Self = this->shared_from_this()] { Self->onSilence(); });
+void GatewayRequest::armProgressTimer(Duration Limit) {
+  this->Context.Loop.cancel(this->ProgressTimer);
+  this->ProgressTimer = this->Context.Loop.after(
+      Limit, [Self = this->shared_from_this()] { Self->onProgressTimeout(); });
 }
 
 /// Nothing came for a while. A server that may not be asked again is waited
 /// for: the answer may still come, and it would be the only one.
-void GatewayRequest::onSilence() {
-  this->WatchTimer = 0;
+void GatewayRequest::onProgressTimeout() {
+  this->ProgressTimer = 0;
   if (this->Ended || this->Upstream == nullptr)
     return;
   const TimePoint Now = this->Context.Loop.clock().now();
-  if (!this->Kept && !this->Upstream->mayHaveLeft()) {
+  if (!this->ReusedConnection && !this->Upstream->mayHaveSent()) {
     this->closeUpstream();
-    this->endSend(SendOutcome::NotSent, ServerVerdict::Unreachable);
+    this->endAttempt(AttemptResult::NotSent, ServerVerdict::Unreachable);
     return;
   }
   const Duration Limit =
-      this->HeadCame ? StreamSilence : this->firstPieceLimit();
-  const Duration Silent = Now - this->HeardAt;
+      this->HeadReceived ? StreamSilence : this->firstChunkTimeout();
+  const Duration Silent = Now - this->LastReceivedAt;
   if (Silent < Limit) {
-    this->armWatch(Limit - Silent);
+    this->armProgressTimer(Limit - Silent);
     return;
   }
   // A process that started since the send knows nothing of the request, also
@@ -321,31 +327,32 @@
   const bool Restarted = this->Work.ServerStartedMs <
                          this->Context.Servers.startOf(this->Choice.Server);
   const bool ServerHeard =
-      !Restarted &&
-      this->Context.Servers.heardSince(this->Choice.Server, this->HeardAt);
+      !Restarted && this->Context.Servers.activeSince(this->Choice.Server,
+                                                      this->LastReceivedAt);
   RequestProgress After = this->Progress;
   ++After.Runs;
-  const SendOutcome Outcome =
-      this->Progress.AnswerBegun ? SendOutcome::BrokenOff : SendOutcome::Lost;
-  After.Left = this->left();
+  const AttemptResult Outcome = this->Progress.ResponseStarted
+                                    ? AttemptResult::Truncated
+                                    : AttemptResult::NoResponse;
+  After.TimeLeft = this->timeLeft();
   // Without a repeat left the answer that may still come is the only one.
-  const bool MayRepeat = this->Context.allowance(this->Service)
-                             .has(Now, this->Context.View->Routers);
-  const bool Waits = !maySendAgain(After, Outcome) || !MayRepeat;
+  const bool MayRepeat = this->Context.retryAllowance(this->Service)
+                             .hasRetry(Now, this->Context.View->RouterCount);
+  const bool Waits = !mayRetry(After, Outcome) || !MayRepeat;
   if (ServerHeard || (Waits && !Restarted)) {
-    this->armWatch(Limit);
+    this->armProgressTimer(Limit);
     return;
   }
   this->closeUpstream();
-  this->noteServerInDoubt(CrashWatch::SendEnd::Silent);
-  this->endSend(Outcome, ServerVerdict::Silent);
+  this->reportSuspectedCrash(CrashDetector::AttemptEnd::Silent);
+  this->endAttempt(Outcome, ServerVerdict::Silent);
 }
 
 /// Nothing whole came of the send: the server may have crashed with it.
-void GatewayRequest::noteServerInDoubt(CrashWatch::SendEnd How) {
-  this->Context.Crashes.onLost(this->identity(),
-                               this->Context.Servers.find(this->Choice.Server),
-                               this->Work.ServerStartedMs, How);
+void GatewayRequest::reportSuspectedCrash(CrashDetector::AttemptEnd How) {
+  this->Context.Crashes.onAttemptLost(
+      this->identity(), this->Context.Servers.find(this->Choice.Server),
+      this->Work.ServerStartedMs, How);
 }
 
 void GatewayRequest::closeUpstream() {
@@ -353,41 +360,43 @@
     Connection->close();
 }
 
-void GatewayRequest::endSend(SendOutcome Outcome, ServerVerdict Verdict) {
-  this->Context.Loop.cancel(this->WatchTimer);
-  this->WatchTimer = 0;
-  this->Paused = false;
+void GatewayRequest::endAttempt(AttemptResult Outcome, ServerVerdict Verdict) {
+  this->Context.Loop.cancel(this->ProgressTimer);
+  this->ProgressTimer = 0;
+  this->UpstreamPaused = false;
   const TimePoint Now = this->Context.Loop.clock().now();
-  this->settleSend(Verdict);
+  this->recordAttemptEnd(Verdict);
   const bool MayHaveRun =
-      Outcome != SendOutcome::NotSent && Outcome != SendOutcome::NotRun;
+      Outcome != AttemptResult::NotSent && Outcome != AttemptResult::NotRun;
   if (MayHaveRun)
     ++this->Progress.Runs;
-  this->Progress.Left = this->left();
-  bool Again = maySendAgain(this->Progress, Outcome);
-  if (Again && countsAsRepeat(Outcome))
-    Again = this->Context.allowance(this->Service)
-                .take(Now, this->Context.View->Routers);
+  this->Progress.TimeLeft = this->timeLeft();
+  bool Again = mayRetry(this->Progress, Outcome);
+  if (Again && countsAsRetry(Outcome))
+    Again = this->Context.retryAllowance(this->Service)
+                .tryAcquire(Now, this->Context.View->RouterCount);
   const NextStep Step = nextStep(this->Progress, Outcome, Again);
-  const bool Broke =
-      Outcome == SendOutcome::Lost || Outcome == SendOutcome::BrokenOff;
+  const bool Broke = Outcome == AttemptResult::NoResponse ||
+                     Outcome == AttemptResult::Truncated;
   if (Step != NextStep::Done)
-    logEach(LogPart::Caller, [&, this] {
-      return "request=" + this->Info.RequestId + " server=" + this->ServerId +
-             " send=" + std::string(nameOf(SendOutcomeNames, Outcome)) +
+    logLazily(LogPart::Caller, [&, this] {
+      return "request=" + this->CallerFields.RequestId +
+             " server=" + this->ServerId +
+             " send=" + std::string(nameOf(AttemptResultNames, Outcome)) +
              " verdict=" + std::string(nameOf(ServerVerdictNames, Verdict)) +
              " status=" +
-             std::to_string(this->HeadCame ? this->AnswerHead.Status : 0) +
+             std::to_string(this->HeadReceived ? this->ResponseHead.Status
+                                               : 0) +
              " after=" + secondsText(Now - this->SentAt) +
              " next=" + std::string(nameOf(NextStepNames, Step)) +
-             (Broke ? this->brokenSendText() : "");
+             (Broke ? this->brokenAttemptText() : "");
     });
-  this->carryOut(Step);
+  this->executeStep(Step);
 }
 
 /// What tells a server that crashed from a connection that broke, and one
 /// request that crashes servers from others that were there.
-std::string GatewayRequest::brokenSendText() {
+std::string GatewayRequest::brokenAttemptText() {
   const GatewayServer *Listed = this->Context.Servers.find(this->Choice.Server);
   return " content=" + textOf(this->identity()) +
          " server-listed=" + (Listed == nullptr ? "no" : "yes") +
@@ -395,33 +404,33 @@
          (Listed != nullptr && Listed->Draining ? "yes" : "no");
 }
 
-void GatewayRequest::carryOut(NextStep Step) {
+void GatewayRequest::executeStep(NextStep Step) {
   switch (Step) {
-  case NextStep::SendAgain:
-    this->Context.Counters.Repeats.add();
-    if (this->Progress.AnswerBegun)
+  case NextStep::Retry:
+    this->Context.Counters.Retries.add();
+    if (this->Progress.ResponseStarted)
       this->Context.Counters.Resumed.add();
     // A request that has just crashed its third server must not leave again.
-    this->Context.Crashes.whenChecked(
+    this->Context.Crashes.afterCheck(
         {this->Choice.Server, this->Work.ServerStartedMs},
         [Self = this->shared_from_this()] {
           if (!Self->Ended)
-            Self->sendNext();
+            Self->startAttempt();
         });
     return;
   case NextStep::Done:
-  case NextStep::PassFailure:
-    this->passAnswer();
+  case NextStep::ForwardError:
+    this->forwardResponse();
     return;
   case NextStep::Refuse:
     this->refuse(RefusalReason::NoServerRanIt);
     return;
-  case NextStep::FailUnknown:
-    this->answerOwn(HttpBadGateway, "Bad Gateway");
+  case NextStep::FailUncertain:
+    this->sendLocalReply(HttpBadGateway, "Bad Gateway");
     return;
-  case NextStep::CutOff:
-    this->Session->cutAnswer();
-    this->finish("cut-off", this->Context.Counters.CutOff);
+  case NextStep::Truncate:
+    this->Session->abortResponse();
+    this->finish("cut-off", this->Context.Counters.Truncated);
     return;
   }
 }
--- a/src/Gateway/GatewaySettingsReader.cpp
+++ b/src/Gateway/GatewaySettingsReader.cpp
@@ -113,16 +113,16 @@
     G.ReadyAddress = address(Reader, "ready", false);
     G.OperatorAddress = address(Reader, "operators", false);
     G.PeerAddress = address(Reader, "peers", false);
-    G.Capacity = positive(Reader, "cores", G.Capacity);
-    if (G.Capacity <= 0)
+    G.Cores = positive(Reader, "cores", G.Cores);
+    if (G.Cores <= 0)
       Reader.failAt("cores", "must be above zero");
     const auto Descriptors =
         Reader.count("descriptors", UnstatedDescriptors, MaxConnections);
     const auto Memory =
         Reader.count("memory-mb", UnstatedMemoryMb, MaxMemoryMb);
-    G.MaxCallers = Reader.count("max-callers", callersFor(Descriptors, Memory),
-                                MaxConnections);
-    G.DrainLimit = seconds(Reader, "drain-limit-s", G.DrainLimit);
+    G.MaxCallerConnections = Reader.count(
+        "max-callers", callersFor(Descriptors, Memory), MaxConnections);
+    G.DrainTimeout = seconds(Reader, "drain-limit-s", G.DrainTimeout);
   }
 
   void store(SectionReader &Reader) {
@@ -138,7 +138,8 @@
     G.RemovalBound = milliseconds(Reader, "removal-ms", G.RemovalBound);
     G.EvacuationBound =
         milliseconds(Reader, "evacuation-ms", G.EvacuationBound);
-    G.WarmUps.Over = positive(Reader, "warm-up-over", G.WarmUps.Over);
+    G.WarmUps.RateFactor =
+        positive(Reader, "warm-up-over", G.WarmUps.RateFactor);
     G.WarmUps.Slack = positive(Reader, "warm-up-slack", G.WarmUps.Slack);
     G.Retries.Ratio = positive(Reader, "retry-ratio", G.Retries.Ratio);
     G.Retries.Slack = positive(Reader, "retry-slack", G.Retries.Slack);
@@ -147,7 +148,7 @@
 
   void logging(SectionReader &Reader) {
     GatewaySettings &G = this->Into.Gateway;
-    G.Level = Reader.choice("level", LogLevelNames, G.Level);
+    G.MinLogLevel = Reader.choice("level", LogLevelNames, G.MinLogLevel);
     G.LogTarget = Reader.text("target", G.LogTarget);
   }
 
--- a/src/Gateway/RefusalReason.h
+++ b/src/Gateway/RefusalReason.h
@@ -9,31 +9,31 @@
 /// says it, and each reason has a counter.
 enum class RefusalReason {
   NoConfiguration,  ///< None is known yet.
-  ShortOfTime,      ///< The router's loop is late.
+  RouterOverloaded, ///< The router's loop is late.
   TooManyCallers,   ///< More are connected than are served.
   Stopping,         ///< The drain is nearly over.
   RouteMayBeNew,    ///< Unknown route, and the configuration may be old.
   KeyMayBeNew,      ///< Unknown key, and the configuration may be old.
   KeysMayBeRevoked, ///< The proof of the configuration is too old for keys.
-  NoRoomInTime,     ///< The allocator had no server in time.
+  NoCapacityInTime, ///< The allocator had no server in time.
   NoUsableServer,   ///< No server of the service is listed and sound.
   NoServerRanIt,    ///< Those that were tried did not run it.
-  TimeIsOver,       ///< The caller's time ended before a server was found.
+  DeadlineExceeded, ///< The caller's time ended before a server was found.
   CrashesServers,   ///< Servers that had it in hand have crashed.
 };
 
 inline constexpr EnumNames<RefusalReason, 12> RefusalReasonNames{{
     {RefusalReason::NoConfiguration, "no-configuration"},
-    {RefusalReason::ShortOfTime, "short-of-time"},
+    {RefusalReason::RouterOverloaded, "short-of-time"},
     {RefusalReason::TooManyCallers, "too-many-callers"},
     {RefusalReason::Stopping, "stopping"},
     {RefusalReason::RouteMayBeNew, "route-may-be-new"},
     {RefusalReason::KeyMayBeNew, "key-may-be-new"},
     {RefusalReason::KeysMayBeRevoked, "keys-may-be-revoked"},
-    {RefusalReason::NoRoomInTime, "no-room-in-time"},
+    {RefusalReason::NoCapacityInTime, "no-room-in-time"},
     {RefusalReason::NoUsableServer, "no-usable-server"},
     {RefusalReason::NoServerRanIt, "no-server-ran-it"},
-    {RefusalReason::TimeIsOver, "time-is-over"},
+    {RefusalReason::DeadlineExceeded, "time-is-over"},
     {RefusalReason::CrashesServers, "crashes-servers"},
 }};
 
--- a/src/Gateway/RelayTimes.h
+++ b/src/Gateway/RelayTimes.h
@@ -25,13 +25,13 @@
   /// proofs and more fit into each bound, so that one may be lost.
   Duration ProofInterval;
   /// Without a word for so long a router asks its relay at once.
-  Duration LongestSilence;
+  Duration MaxSilence;
   /// With a proof older than this a router asks the other relays too.
-  Duration DoubtAge;
+  Duration SuspectProofAge;
   /// With a proof older than this a router reads the store for itself, unless
   /// several relays say that they do not reach it either. Two proofs and their
   /// way, and two thirds of the shortest bound: the rest is for the own read.
-  Duration LongestAge;
+  Duration MaxProofAge;
 
   static RelayTimes of(const FleetBounds &Bounds) {
     constexpr double PartOfRevocation = 0.24;
--- a/src/Gateway/RelayTrust.cpp
+++ b/src/Gateway/RelayTrust.cpp
@@ -16,22 +16,22 @@
 
 } // namespace
 
-void RelayTrust::noteWord(const RelayWord &Word, TimePoint Now) {
+void RelayTrust::recordStatus(const RelayStatus &Word, TimePoint Now) {
   this->ProvenAt = std::max(this->ProvenAt, Word.ProvenAt);
   if (Word.ReadsStore)
-    this->Witnesses[Word.Teller] = {Now, Word.ProvenAt};
+    this->Witnesses[Word.SenderHash] = {Now, Word.ProvenAt};
   std::erase_if(this->Witnesses, [this, Now](const auto &Each) {
-    return Now - Each.second.HeardAt >
+    return Now - Each.second.ReceivedAt >
            this->Times.ProofInterval * WitnessIntervals;
   });
 }
 
-bool RelayTrust::storeSeemsAway(TimePoint Now) const {
+bool RelayTrust::storeSeemsUnreachable(TimePoint Now) const {
   if (this->isFresh(Now))
     return false;
   return std::count_if(this->Witnesses.begin(), this->Witnesses.end(),
                        [this, Now](const auto &Each) {
-                         return Now - Each.second.HeardAt <=
+                         return Now - Each.second.ReceivedAt <=
                                 this->Times.ProofInterval * WitnessIntervals;
                        }) >= LeastWitnesses;
 }
--- a/src/Gateway/RelayTrust.h
+++ b/src/Gateway/RelayTrust.h
@@ -22,20 +22,20 @@
 public:
   explicit RelayTrust(const RelayTimes &T) : Times(T) {}
 
-  void noteWord(const RelayWord &Word, TimePoint Now);
+  void recordStatus(const RelayStatus &Word, TimePoint Now);
 
   /// What the newest word proves.
   TimePoint provenAt() const { return this->ProvenAt; }
   bool isFresh(TimePoint Now) const {
-    return Now - this->ProvenAt < this->Times.LongestAge;
+    return Now - this->ProvenAt < this->Times.MaxProofAge;
   }
 
   /// Relays answer, and none of them reaches the store.
-  bool storeSeemsAway(TimePoint Now) const;
+  bool storeSeemsUnreachable(TimePoint Now) const;
 
 private:
   struct Witness {
-    TimePoint HeardAt{};
+    TimePoint ReceivedAt{};
     TimePoint ProvenAt{};
   };
 
--- a/src/Gateway/RouterExchange.cpp
+++ b/src/Gateway/RouterExchange.cpp
@@ -35,8 +35,8 @@
 constexpr int MaxDatagramsPerTurn = 2048;
 
 std::size_t sizeBound(const RouterMessage &Message) {
-  const bool Fills = std::holds_alternative<FleetNews>(Message) ||
-                     std::holds_alternative<CrashNews>(Message);
+  const bool Fills = std::holds_alternative<FleetUpdate>(Message) ||
+                     std::holds_alternative<CrashReport>(Message);
   return Fills ? MaxDatagram : UsualMessage;
 }
 
@@ -54,7 +54,7 @@
 } // namespace
 
 RouterExchange::RouterExchange(EventLoop &L, Options O, Metrics &M)
-    : Loop(L), Chosen(std::move(O)),
+    : Loop(L), Settings(std::move(O)),
       Datagrams(M.counter(
           {"allocation_datagrams_total", "Datagrams sent to routers.", ""})),
       Malformed(M.counter({"allocation_malformed_total",
@@ -66,19 +66,19 @@
 }
 
 Result<void> RouterExchange::open(Receiver Into) {
-  this->Tell = std::move(Into);
-  if (this->Chosen.Address.empty())
+  this->OnMessage = std::move(Into);
+  if (this->Settings.Address.empty())
     return {};
   try {
-    this->Socket.bind(Poco::Net::SocketAddress(this->Chosen.Address), true);
+    this->Socket.bind(Poco::Net::SocketAddress(this->Settings.Address), true);
     this->Socket.setBlocking(false);
   } catch (const Poco::Exception &Problem) {
     return failure(ErrorCode::Unreachable, "cannot listen on " +
-                                               this->Chosen.Address + ": " +
+                                               this->Settings.Address + ": " +
                                                Problem.displayText());
   }
   this->Opened = true;
-  this->forgetOrders();
+  this->clearFirstCache();
   this->Loop.add(this->Socket, Poco::Net::PollSet::POLL_READ,
                  [this](int) { this->onReadable(); });
   return {};
@@ -91,12 +91,12 @@
       Router &Each = Listed[Name];
       Each.Address = Poco::Net::SocketAddress(Place.Address);
       Each.Hash = hashName(Name);
-      Each.Capacity = Place.Capacity;
+      Each.Cores = Place.Cores;
       Each.Zone = Place.Zone;
       if (const auto Known = this->Routers.find(Name);
           Known != this->Routers.end()) {
         Each.SuspectUntil = Known->second.SuspectUntil;
-        Each.SuspectFor = Known->second.SuspectFor;
+        Each.SuspectDuration = Known->second.SuspectDuration;
       }
     } catch (const Poco::Exception &Problem) {
       Listed.erase(Name);
@@ -108,7 +108,7 @@
   this->Counts.clear();
   for (const auto &[Name, Each] : this->Routers)
     ++this->Counts[Each.Zone];
-  this->forgetOrders();
+  this->clearFirstCache();
 }
 
 const Poco::Net::SocketAddress *
@@ -125,25 +125,26 @@
   return Found == this->Routers.end() ? std::string() : Found->first;
 }
 
-void RouterExchange::forgetOrders() {
-  this->FirstOf.clear();
-  this->OrdersUntil = TimePoint::max();
+void RouterExchange::clearFirstCache() {
+  this->FirstCache.clear();
+  this->FirstCacheValidUntil = TimePoint::max();
   const TimePoint Now = this->Loop.clock().now();
   for (const auto &[Name, Listed] : this->Routers)
     if (Listed.SuspectUntil > Now)
-      this->OrdersUntil = std::min(this->OrdersUntil, Listed.SuspectUntil);
+      this->FirstCacheValidUntil =
+          std::min(this->FirstCacheValidUntil, Listed.SuspectUntil);
 }
 
 /// What is remembered for the key: empty where nothing is yet.
-std::string *RouterExchange::rememberedFirst(std::uint64_t Key) {
-  if (this->Loop.clock().now() >= this->OrdersUntil ||
-      this->FirstOf.size() >= MaxOrders)
-    this->forgetOrders();
-  return &this->FirstOf[Key];
+std::string *RouterExchange::cachedFirst(std::uint64_t Key) {
+  if (this->Loop.clock().now() >= this->FirstCacheValidUntil ||
+      this->FirstCache.size() >= MaxOrders)
+    this->clearFirstCache();
+  return &this->FirstCache[Key];
 }
 
 const std::string &RouterExchange::firstFor(std::uint64_t Key) {
-  std::string *Known = this->rememberedFirst(Key);
+  std::string *Known = this->cachedFirst(Key);
   if (Known->empty())
     *Known = this->findFirst(Key, this->Loop.clock().now());
   return *Known;
@@ -151,7 +152,7 @@
 
 const std::string &RouterExchange::firstIn(std::uint64_t Key,
                                            const std::set<std::string> &Zones) {
-  std::string *Known = this->rememberedFirst(Key);
+  std::string *Known = this->cachedFirst(Key);
   const TimePoint Now = this->Loop.clock().now();
   if (Known->empty())
     *Known = this->findFirst(Key, Now, &Zones);
@@ -163,14 +164,15 @@
 std::string
 RouterExchange::findFirst(std::uint64_t Key, TimePoint Now,
                           const std::set<std::string> *Zones) const {
-  std::string Best = this->Chosen.RouterName;
+  std::string Best = this->Settings.RouterName;
   if (!this->Opened)
     return Best;
-  const bool Outside = Zones != nullptr && !Zones->contains(this->Chosen.Zone);
+  const bool Outside =
+      Zones != nullptr && !Zones->contains(this->Settings.Zone);
   double BestScore =
       this->Leaving || Outside
           ? 0
-          : orderScore(hashName(Best), Key, this->Chosen.Capacity);
+          : routerScore(hashName(Best), Key, this->Settings.Cores);
   if (Outside)
     Best.clear();
   for (const auto &[Name, Listed] : this->Routers) {
@@ -179,9 +181,9 @@
     if (Zones != nullptr && !Zones->contains(Listed.Zone))
       continue;
     // A leaving router's own listing may not have gone yet.
-    if (this->Leaving && Name == this->Chosen.RouterName)
+    if (this->Leaving && Name == this->Settings.RouterName)
       continue;
-    const double Score = orderScore(Listed.Hash, Key, Listed.Capacity);
+    const double Score = routerScore(Listed.Hash, Key, Listed.Cores);
     if (Score > BestScore) {
       Best = Name;
       BestScore = Score;
@@ -198,17 +200,18 @@
   const TimePoint Now = this->Loop.clock().now();
   if (Known.SuspectUntil > Now)
     return;
-  const bool Again = Known.SuspectFor > Duration::zero() &&
+  const bool Again = Known.SuspectDuration > Duration::zero() &&
                      Now - Known.SuspectUntil < SuspectMemory;
-  Known.SuspectFor = Again ? std::min(Known.SuspectFor * 2, LongestSuspectTime)
-                           : FirstSuspectTime;
-  Known.SuspectUntil = Now + Known.SuspectFor;
-  this->forgetOrders();
+  Known.SuspectDuration =
+      Again ? std::min(Known.SuspectDuration * 2, LongestSuspectTime)
+            : FirstSuspectTime;
+  Known.SuspectUntil = Now + Known.SuspectDuration;
+  this->clearFirstCache();
 }
 
 void RouterExchange::leave() {
   this->Leaving = true;
-  this->forgetOrders();
+  this->clearFirstCache();
 }
 
 void RouterExchange::send(const std::string &Router, RouterMessage Message) {
@@ -228,14 +231,14 @@
 
 void RouterExchange::sendToAll(const RouterMessage &Message) {
   for (const auto &[Name, Listed] : this->Routers)
-    if (Name != this->Chosen.RouterName)
+    if (Name != this->Settings.RouterName)
       this->send(Listed.Address, Message);
 }
 
 std::vector<std::string> RouterExchange::others() const {
   std::vector<std::string> Names;
   for (const auto &[Name, Listed] : this->Routers)
-    if (Name != this->Chosen.RouterName)
+    if (Name != this->Settings.RouterName)
       Names.push_back(Name);
   return Names;
 }
@@ -288,7 +291,7 @@
     return;
   }
   for (const RouterMessage &Each : *Messages)
-    this->Tell(Each, From);
+    this->OnMessage(Each, From);
 }
 
 } // namespace parsleywing
--- a/src/Gateway/RouterExchange.h
+++ b/src/Gateway/RouterExchange.h
@@ -28,7 +28,7 @@
     /// Numeric IP and port for datagrams of other routers; empty for none.
     std::string Address;
     /// Cores that this router has; the same as others read of it.
-    double Capacity = 1;
+    double Cores = 1;
     std::string Zone{};
   };
 
@@ -46,8 +46,8 @@
   /// Takes the routers that are listed now.
   void setRouters(const RouterList &Places);
 
-  const std::string &self() const { return this->Chosen.RouterName; }
-  const std::string &zone() const { return this->Chosen.Zone; }
+  const std::string &self() const { return this->Settings.RouterName; }
+  const std::string &zone() const { return this->Settings.Zone; }
   /// Listed routers by their zone.
   const RouterCounts &counts() const { return this->Counts; }
   /// Where a listed router takes datagrams; null where it is listed no more.
@@ -85,38 +85,38 @@
   struct Router {
     Poco::Net::SocketAddress Address;
     std::uint64_t Hash = 0;
-    double Capacity = 1;
+    double Cores = 1;
     std::string Zone;
     /// Passed over until then, for so long.
     TimePoint SuspectUntil{};
-    Duration SuspectFor{};
+    Duration SuspectDuration{};
   };
 
   /// Where `Zones` is given, empty if these have no live router.
   std::string findFirst(std::uint64_t Key, TimePoint Now,
                         const std::set<std::string> *Zones = nullptr) const;
-  std::string *rememberedFirst(std::uint64_t Key);
+  std::string *cachedFirst(std::uint64_t Key);
   /// The orders may have changed.
-  void forgetOrders();
+  void clearFirstCache();
   void flush();
   void onReadable();
   void onDatagram(std::string_view Bytes, const Poco::Net::SocketAddress &From);
 
   EventLoop &Loop;
-  Options Chosen;
+  Options Settings;
   Counter &Datagrams;
   Counter &Malformed;
   Poco::Net::DatagramSocket Socket;
   bool Opened = false;
   bool Leaving = false;
-  Receiver Tell;
+  Receiver OnMessage;
   std::map<std::string, Router> Routers;
   RouterCounts Counts;
   /// Orders found since the list changed: a request costs one look-up here in
   /// place of one score for each router (85 routers: 6 microseconds).
-  std::unordered_map<std::uint64_t, std::string> FirstOf;
+  std::unordered_map<std::uint64_t, std::string> FirstCache;
   /// From then on a suspected router may be the first again.
-  TimePoint OrdersUntil = TimePoint::max();
+  TimePoint FirstCacheValidUntil = TimePoint::max();
   std::map<Poco::Net::SocketAddress, std::vector<RouterMessage>> Outbox;
   bool FlushDue = false;
 };
--- a/src/Gateway/UpstreamConnection.cpp
+++ b/src/Gateway/UpstreamConnection.cpp
@@ -21,7 +21,7 @@
 std::shared_ptr<UpstreamConnection>
 UpstreamConnection::connect(EventLoop &Loop, const WireFormat &Format,
                             const Poco::Net::SocketAddress &Address) {
-  auto Channel = ByteChannel::connecting(Loop, Address);
+  auto Channel = ByteChannel::connect(Loop, Address);
   if (Channel == nullptr)
     return nullptr;
   auto Made = std::make_shared<UpstreamConnection>(Loop, Format, Channel);
@@ -39,7 +39,7 @@
     const auto Alive = Self->shared_from_this();
     Self->onEnded(How);
   };
-  Channel->listen(std::move(Listener));
+  Channel->setListener(std::move(Listener));
   return Made;
 }
 
@@ -54,113 +54,117 @@
                               const std::string &Id, UpstreamListener Told,
                               std::function<bool()> MaySend) {
   this->Listener = std::move(Told);
-  this->StillWanted = std::move(MaySend);
+  this->SendAllowed = std::move(MaySend);
   this->Method = AskedMethod;
   this->RequestId = Id;
-  this->Now = State::Head;
+  this->CurrentState = State::ReadingHead;
   this->Reusable = false;
   this->Channel->write(Bytes);
 }
 
 void UpstreamConnection::onConnected() {
-  if (this->Now == State::Head && this->StillWanted && !this->StillWanted())
-    this->end(UpstreamEnd::NotSent);
+  if (this->CurrentState == State::ReadingHead && this->SendAllowed &&
+      !this->SendAllowed())
+    this->failExchange(UpstreamEnd::NotSent);
 }
 
-bool UpstreamConnection::mayHaveLeft() const {
+bool UpstreamConnection::mayHaveSent() const {
   return this->Used || this->Channel->anySent();
 }
 
 void UpstreamConnection::close() {
-  this->Now = State::Over;
+  this->CurrentState = State::Closed;
   this->Reusable = false;
   this->Channel->close();
 }
 
 void UpstreamConnection::onReceived(std::string_view Bytes) {
-  if (this->Now == State::Idle) {
+  if (this->CurrentState == State::Idle) {
     // Bytes that belong to no request.
     this->close();
-    if (this->IdleEnded)
-      this->IdleEnded();
+    if (this->IdleClosed)
+      this->IdleClosed();
     return;
   }
-  this->In.append(Bytes);
+  this->Input.append(Bytes);
   bool More = true;
-  while (More && this->Channel->open())
-    More = this->Now == State::Head ? this->takeHead() : this->takeBody();
+  while (More && this->Channel->isOpen())
+    More = this->CurrentState == State::ReadingHead ? this->parseHead()
+                                                    : this->parseBody();
 }
 
-bool UpstreamConnection::takeHead() {
-  const std::size_t Length = headLength(this->In);
+bool UpstreamConnection::parseHead() {
+  const std::size_t Length = headLength(this->Input);
   if (Length == 0) {
-    if (this->In.size() > MaxHeadBytes)
-      this->end(UpstreamEnd::Spoilt);
+    if (this->Input.size() > MaxHeadBytes)
+      this->failExchange(UpstreamEnd::Malformed);
     return false;
   }
-  auto Head = parseResponseHead(std::string_view(this->In).substr(0, Length));
-  this->In.erase(0, Length);
+  auto Head =
+      parseResponseHead(std::string_view(this->Input).substr(0, Length));
+  this->Input.erase(0, Length);
   if (!Head) {
-    this->end(UpstreamEnd::Spoilt);
+    this->failExchange(UpstreamEnd::Malformed);
     return false;
   }
   if (Head->Status < FirstFinalStatus)
     return true;
-  this->acceptHead(*Head);
-  return this->Now == State::Body || this->Now == State::StrayBody;
+  this->handleHead(*Head);
+  return this->CurrentState == State::ReadingBody ||
+         this->CurrentState == State::SkippingBody;
 }
 
-void UpstreamConnection::acceptHead(const HttpHead &Head) {
-  const auto Plan = planResponseBody(Head, this->Method);
+void UpstreamConnection::handleHead(const HttpHead &Head) {
+  const auto Plan = responseBodyLength(Head, this->Method);
   if (!Plan) {
-    this->end(UpstreamEnd::Spoilt);
+    this->failExchange(UpstreamEnd::Malformed);
     return;
   }
-  const ServerHead Read = this->Format.ReadServerHead(Head);
-  this->Body = BodyDecoder(*Plan);
+  const ServerResponseFields Read = this->Format.ParseServerResponse(Head);
+  this->Decoder = BodyDecoder(*Plan);
   const bool Stray =
       !Read.RequestId.empty() && Read.RequestId != this->RequestId;
   if (Stray) {
-    this->Now = State::StrayBody;
+    this->CurrentState = State::SkippingBody;
     return;
   }
-  this->KeepAfter = keepsConnection(Head) && !this->Body.endsWithConnection();
-  const Duration Idle = Read.IdleLimit.value_or(UnstatedIdleLimit);
-  this->IdleUntil = this->Loop.clock().now() + Idle - IdleMargin;
-  this->Now = State::Body;
-  this->Listener.Head(Head, Read);
+  this->KeepAlive = isKeepAlive(Head) && !this->Decoder.isCloseDelimited();
+  const Duration Idle = Read.IdleTimeout.value_or(UnstatedIdleLimit);
+  this->ReusableUntil = this->Loop.clock().now() + Idle - IdleMargin;
+  this->CurrentState = State::ReadingBody;
+  this->Listener.HeadReceived(Head, Read);
 }
 
-bool UpstreamConnection::takeBody() {
+bool UpstreamConnection::parseBody() {
   std::string Payload;
-  const std::size_t Used = this->Body.feed(this->In, Payload);
-  this->In.erase(0, Used);
-  const bool Stray = this->Now == State::StrayBody;
+  const std::size_t Used = this->Decoder.feed(this->Input, Payload);
+  this->Input.erase(0, Used);
+  const bool Stray = this->CurrentState == State::SkippingBody;
   if (!Stray && !Payload.empty())
-    this->Listener.Payload(Payload);
-  if (!this->Channel->open())
+    this->Listener.PayloadReceived(Payload);
+  if (!this->Channel->isOpen())
     return false;
-  if (this->Body.malformed()) {
-    this->end(UpstreamEnd::Spoilt);
+  if (this->Decoder.malformed()) {
+    this->failExchange(UpstreamEnd::Malformed);
     return false;
   }
-  if (!this->Body.complete())
+  if (!this->Decoder.complete())
     return false;
   if (Stray) {
-    this->Now = State::Head;
-    return !this->In.empty();
+    this->CurrentState = State::ReadingHead;
+    return !this->Input.empty();
   }
-  this->complete();
+  this->completeExchange();
   return false;
 }
 
-void UpstreamConnection::complete() {
+void UpstreamConnection::completeExchange() {
   // A request that has not gone out whole leaves the server waiting for its
   // rest, and whatever came next would be taken for it.
   this->Reusable =
-      this->KeepAfter && this->In.empty() && this->Channel->unsent() == 0;
-  this->In.clear();
-  this->Now = State::Idle;
+      this->KeepAlive && this->Input.empty() && this->Channel->unsent() == 0;
+  this->Input.clear();
+  this->CurrentState = State::Idle;
   this->Used = true;
   this->IdleSince = this->Loop.clock().now();
   if (!this->Reusable)
@@ -171,25 +175,26 @@
 }
 
 void UpstreamConnection::onEnded(ChannelEnd How) {
-  if (this->Now == State::Idle) {
+  if (this->CurrentState == State::Idle) {
     this->Reusable = false;
-    if (this->IdleEnded)
-      this->IdleEnded();
+    if (this->IdleClosed)
+      this->IdleClosed();
     return;
   }
-  if (this->Now == State::Over)
+  if (this->CurrentState == State::Closed)
     return;
-  const bool Whole = this->Now == State::Body &&
-                     this->Body.endsWithConnection() &&
+  const bool Whole = this->CurrentState == State::ReadingBody &&
+                     this->Decoder.isCloseDelimited() &&
                      How == ChannelEnd::Finished;
   if (Whole) {
-    this->complete();
+    this->completeExchange();
     return;
   }
-  this->end(this->mayHaveLeft() ? UpstreamEnd::Broken : UpstreamEnd::NotSent);
+  this->failExchange(this->mayHaveSent() ? UpstreamEnd::Broken
+                                         : UpstreamEnd::NotSent);
 }
 
-void UpstreamConnection::end(UpstreamEnd How) {
+void UpstreamConnection::failExchange(UpstreamEnd How) {
   this->close();
   const auto Told = this->Listener.Ended;
   Told(How);
--- a/src/Gateway/UpstreamConnection.h
+++ b/src/Gateway/UpstreamConnection.h
@@ -12,23 +12,24 @@
 
 /// How the exchange of one request with a server ended.
 enum class UpstreamEnd {
-  Complete, ///< The whole answer came.
-  NotSent,  ///< No connection came about: nothing of the request has left.
-  Broken,   ///< The connection ended early; the request may have run.
-  Spoilt,   ///< The server sent something that is no answer to it.
+  Complete,  ///< The whole answer came.
+  NotSent,   ///< No connection came about: nothing of the request has left.
+  Broken,    ///< The connection ended early; the request may have run.
+  Malformed, ///< The server sent something that is no answer to it.
 };
 
 inline constexpr EnumNames<UpstreamEnd, 4> UpstreamEndNames{{
     {UpstreamEnd::Complete, "complete"},
     {UpstreamEnd::NotSent, "not-sent"},
     {UpstreamEnd::Broken, "broken"},
-    {UpstreamEnd::Spoilt, "spoilt"},
+    {UpstreamEnd::Malformed, "spoilt"},
 }};
 
 /// What an exchange tells its request. `Ended` is the last call.
 struct UpstreamListener {
-  std::function<void(const HttpHead &, const ServerHead &)> Head;
-  std::function<void(std::string_view)> Payload;
+  std::function<void(const HttpHead &, const ServerResponseFields &)>
+      HeadReceived;
+  std::function<void(std::string_view)> PayloadReceived;
   std::function<void(UpstreamEnd)> Ended;
 };
 
@@ -56,7 +57,7 @@
             std::function<bool()> MaySend = {});
 
   /// Whether any byte of the present request may have left.
-  bool mayHaveLeft() const;
+  bool mayHaveSent() const;
 
   /// Slows the server down to what the caller takes.
   void pauseReading() { this->Channel->pauseReading(); }
@@ -66,51 +67,51 @@
   void close();
 
   /// Can carry another request: the answer was whole, nothing came behind it.
-  bool reusable() const { return this->Reusable && this->Channel->open(); }
+  bool reusable() const { return this->Reusable && this->Channel->isOpen(); }
 
   /// The same, with a look at what the server has sent since the last read. A
   /// loop that is late has not heard of a server's close: a request sent behind
   /// it is lost, and nobody knows whether it ran. Costs a call of the system.
-  bool reusableNow() const {
-    return this->reusable() && this->Channel->quiet();
+  bool verifyReusable() const {
+    return this->reusable() && this->Channel->inputIdle();
   }
 
   /// Called where an idle connection turns out to be of no more use.
-  void whenIdleEnds(std::function<void()> Gone) {
-    this->IdleEnded = std::move(Gone);
+  void onIdleClosed(std::function<void()> Gone) {
+    this->IdleClosed = std::move(Gone);
   }
 
   /// Until when the server keeps it; set with each answer.
-  TimePoint IdleUntil{};
+  TimePoint ReusableUntil{};
   TimePoint IdleSince{};
   /// It has carried a request before.
   bool Used = false;
 
 private:
-  enum class State { Idle, Head, Body, StrayBody, Over };
+  enum class State { Idle, ReadingHead, ReadingBody, SkippingBody, Closed };
 
   void onConnected();
   void onReceived(std::string_view Bytes);
   void onEnded(ChannelEnd How);
   /// Whether there may be more to take out of the buffer.
-  bool takeHead();
-  bool takeBody();
-  void acceptHead(const HttpHead &Head);
-  void complete();
-  void end(UpstreamEnd How);
+  bool parseHead();
+  bool parseBody();
+  void handleHead(const HttpHead &Head);
+  void completeExchange();
+  void failExchange(UpstreamEnd How);
 
   EventLoop &Loop;
   const WireFormat &Format;
   std::shared_ptr<ByteChannel> Channel;
   UpstreamListener Listener;
-  std::function<void()> IdleEnded;
-  std::function<bool()> StillWanted;
+  std::function<void()> IdleClosed;
+  std::function<bool()> SendAllowed;
   std::string Method;
   std::string RequestId;
-  std::string In;
-  BodyDecoder Body;
-  State Now = State::Idle;
-  bool KeepAfter = false;
+  std::string Input;
+  BodyDecoder Decoder;
+  State CurrentState = State::Idle;
+  bool KeepAlive = false;
   bool Reusable = false;
 };
 
--- a/src/Gateway/UpstreamPool.cpp
+++ b/src/Gateway/UpstreamPool.cpp
@@ -13,75 +13,75 @@
 } // namespace
 
 UpstreamPool::~UpstreamPool() {
-  for (auto &[Server, Connections] : this->Kept)
+  for (auto &[Server, Connections] : this->IdleByServer)
     for (const auto &Each : Connections)
       Each->close();
 }
 
 std::shared_ptr<UpstreamConnection>
-UpstreamPool::take(const std::string &ServerId, Duration MaxIdle) {
-  const auto Found = this->Kept.find(ServerId);
-  if (Found == this->Kept.end())
+UpstreamPool::acquire(const std::string &ServerId, Duration MaxIdle) {
+  const auto Found = this->IdleByServer.find(ServerId);
+  if (Found == this->IdleByServer.end())
     return nullptr;
   const TimePoint Now = this->Loop.clock().now();
-  Idle &Connections = Found->second;
+  ConnectionList &Connections = Found->second;
   while (!Connections.empty()) {
     auto Last = Connections.back();
-    const bool Usable = Last->reusable() && Last->IdleUntil > Now;
+    const bool Usable = Last->reusable() && Last->ReusableUntil > Now;
     // Those below have been idle for even longer.
     if (Usable && Now - Last->IdleSince > MaxIdle)
       return nullptr;
     Connections.pop_back();
-    if (Usable && Last->reusableNow())
+    if (Usable && Last->verifyReusable())
       return Last;
     Last->close();
   }
   return nullptr;
 }
 
-void UpstreamPool::put(const std::string &ServerId,
-                       std::shared_ptr<UpstreamConnection> Connection) {
+void UpstreamPool::release(const std::string &ServerId,
+                           std::shared_ptr<UpstreamConnection> Connection) {
   if (!Connection->reusable())
     return;
-  Idle &Connections = this->Kept[ServerId];
+  ConnectionList &Connections = this->IdleByServer[ServerId];
   if (Connections.size() >= MaxIdleForServer) {
     Connections.front()->close();
     Connections.erase(Connections.begin());
   }
-  Connection->whenIdleEnds([this, ServerId, Ended = std::weak_ptr(Connection)] {
+  Connection->onIdleClosed([this, ServerId, Ended = std::weak_ptr(Connection)] {
     const auto Gone = Ended.lock();
-    const auto Found = this->Kept.find(ServerId);
-    if (Found != this->Kept.end())
+    const auto Found = this->IdleByServer.find(ServerId);
+    if (Found != this->IdleByServer.end())
       std::erase(Found->second, Gone);
   });
   Connections.push_back(std::move(Connection));
 }
 
-void UpstreamPool::drop(const std::string &ServerId) {
-  const auto Found = this->Kept.find(ServerId);
-  if (Found == this->Kept.end())
+void UpstreamPool::closeIdle(const std::string &ServerId) {
+  const auto Found = this->IdleByServer.find(ServerId);
+  if (Found == this->IdleByServer.end())
     return;
   for (const auto &Each : Found->second)
     Each->close();
-  this->Kept.erase(Found);
+  this->IdleByServer.erase(Found);
 }
 
-void UpstreamPool::closeOld() {
+void UpstreamPool::closeExpired() {
   const TimePoint Now = this->Loop.clock().now();
-  for (auto &[Server, Connections] : this->Kept)
+  for (auto &[Server, Connections] : this->IdleByServer)
     std::erase_if(Connections, [Now](const auto &Each) {
-      if (Each->reusable() && Each->IdleUntil > Now)
+      if (Each->reusable() && Each->ReusableUntil > Now)
         return false;
       Each->close();
       return true;
     });
-  std::erase_if(this->Kept,
+  std::erase_if(this->IdleByServer,
                 [](const auto &Each) { return Each.second.empty(); });
 }
 
-std::size_t UpstreamPool::idle() const {
+std::size_t UpstreamPool::idleCount() const {
   std::size_t Count = 0;
-  for (const auto &[Server, Connections] : this->Kept)
+  for (const auto &[Server, Connections] : this->IdleByServer)
     Count += Connections.size();
   return Count;
 }
--- a/src/Gateway/UpstreamPool.h
+++ b/src/Gateway/UpstreamPool.h
@@ -23,25 +23,25 @@
 
   /// The connection that was used last, if it has not been idle for longer
   /// than `MaxIdle` nor than the server keeps it. Null otherwise.
-  std::shared_ptr<UpstreamConnection> take(const std::string &ServerId,
-                                           Duration MaxIdle);
+  std::shared_ptr<UpstreamConnection> acquire(const std::string &ServerId,
+                                              Duration MaxIdle);
 
-  void put(const std::string &ServerId,
-           std::shared_ptr<UpstreamConnection> Connection);
+  void release(const std::string &ServerId,
+               std::shared_ptr<UpstreamConnection> Connection);
 
   /// Closes the idle connections to a server.
-  void drop(const std::string &ServerId);
+  void closeIdle(const std::string &ServerId);
 
   /// Closes what has been idle for too long. Called now and then.
-  void closeOld();
+  void closeExpired();
 
-  std::size_t idle() const;
+  std::size_t idleCount() const;
 
 private:
-  using Idle = std::vector<std::shared_ptr<UpstreamConnection>>;
+  using ConnectionList = std::vector<std::shared_ptr<UpstreamConnection>>;
 
   EventLoop &Loop;
-  std::map<std::string, Idle> Kept;
+  std::map<std::string, ConnectionList> IdleByServer;
 };
 
 } // namespace parsleywing
--- a/src/Gateway/WireFormat.h
+++ b/src/Gateway/WireFormat.h
@@ -13,12 +13,12 @@
 namespace parsleywing {
 
 /// What the head of a caller's request says.
-struct CallerHead {
+struct CallerRequestFields {
   /// Names this attempt of the caller; each of its retries has another.
   std::string RequestId;
   std::string Host;
   /// How long the caller waits, from when it sent the request.
-  std::optional<Duration> TimeLeft;
+  std::optional<Duration> Timeout;
   std::string AccountKey;
   std::uint32_t PromptTokens = 0;
   std::uint32_t MaxOutputTokens = 0;
@@ -27,20 +27,20 @@
   /// In the order of the prompt; the last belongs to the request alone.
   std::vector<PromptPart> PromptParts;
   /// The caller has the stream's events up to this one.
-  std::optional<std::uint64_t> ResumeAfter;
+  std::optional<std::uint64_t> LastEventId;
 };
 
 /// What the router adds to a request that it sends to a server.
-struct ServerRequest {
+struct ServerRequestFields {
   Duration TimeLeft{};
   /// The server for which it is meant: another one at the address refuses.
   std::string ServerId;
   /// The client account; empty on public routes.
   std::string Account;
-  std::optional<std::uint64_t> ResumeAfter;
+  std::optional<std::uint64_t> LastEventId;
   /// The address of a server that keeps more of the prompt: the server fetches
   /// that in place of reading it. Empty for none.
-  std::string KeptAt;
+  std::string CacheSourceAddress;
   std::size_t BodyBytes = 0;
   bool HasBody = false;
 };
@@ -53,7 +53,7 @@
 };
 
 /// What the head of a server's answer says.
-struct ServerHead {
+struct ServerResponseFields {
   std::string RequestId;
   /// It carries the receipt without which a success does not count.
   bool HasReceipt = false;
@@ -63,23 +63,23 @@
   bool WrongServer = false;
   std::optional<ServerLoad> Load;
   /// How long the server keeps an idle connection, where it says so.
-  std::optional<Duration> IdleLimit;
+  std::optional<Duration> IdleTimeout;
 };
 
 /// How requests and answers are written on the wire. The gateway knows only
 /// these functions; the names of fields stand with their implementation.
 struct WireFormat {
-  Result<CallerHead> (*ReadCallerHead)(const HttpHead &Head);
-  HttpHead (*WriteServerRequest)(const HttpHead &Caller,
-                                 const ServerRequest &Added);
-  ServerHead (*ReadServerHead)(const HttpHead &Head);
+  Result<CallerRequestFields> (*ParseCallerRequest)(const HttpHead &Head);
+  HttpHead (*BuildServerRequest)(const HttpHead &Caller,
+                                 const ServerRequestFields &Added);
+  ServerResponseFields (*ParseServerResponse)(const HttpHead &Head);
   /// Leaves of a server's answer what the caller is to see.
-  HttpHead (*WriteCallerAnswer)(const HttpHead &Server);
+  HttpHead (*BuildCallerResponse)(const HttpHead &Server);
   /// Asks an engine which parts of prompts it keeps, and reads its answer.
-  HttpHead (*KeptPartsQuestion)(const std::string &Host);
-  Result<KeptParts> (*ReadKeptParts)(const std::string &Body);
+  HttpHead (*BuildCachedPartsRequest)(const std::string &Host);
+  Result<CachedParts> (*ParseCachedParts)(const std::string &Body);
   /// Adds the caller's identity of the request to an answer of the router.
-  void (*MarkOwnAnswer)(HttpHead &Answer, const std::string &RequestId);
+  void (*MarkLocalReply)(HttpHead &Answer, const std::string &RequestId);
 };
 
 } // namespace parsleywing
--- a/src/Http/BodyDecoder.cpp
+++ b/src/Http/BodyDecoder.cpp
@@ -15,7 +15,7 @@
 constexpr int NotModified = 304;
 constexpr int FirstFinalStatus = 200;
 
-Result<BodyPlan> planOf(const HttpHead &Head, BodyFraming Otherwise) {
+Result<BodyLength> planOf(const HttpHead &Head, BodyFraming Otherwise) {
   const bool Encoded = Head.count("Transfer-Encoding") > 0;
   const std::size_t Lengths = Head.count("Content-Length");
   if (Encoded && Lengths > 0)
@@ -24,43 +24,44 @@
     if (Head.count("Transfer-Encoding") > 1 ||
         !equalIgnoringCase(Head.value("Transfer-Encoding"), "chunked"))
       return failure(ErrorCode::Malformed, "an unknown transfer encoding");
-    return BodyPlan{BodyFraming::Chunked, 0};
+    return BodyLength{BodyFraming::Chunked, 0};
   }
   if (Lengths == 0)
-    return BodyPlan{Otherwise, 0};
+    return BodyLength{Otherwise, 0};
   const auto Length = parseDecimal(Head.value("Content-Length"));
   if (Lengths > 1 || !Length)
     return failure(ErrorCode::Malformed, "the length is not one number");
-  return BodyPlan{BodyFraming::Length, *Length};
+  return BodyLength{BodyFraming::ContentLength, *Length};
 }
 
 } // namespace
 
-Result<BodyPlan> planRequestBody(const HttpHead &Head) {
+Result<BodyLength> requestBodyLength(const HttpHead &Head) {
   return planOf(Head, BodyFraming::None);
 }
 
-Result<BodyPlan> planResponseBody(const HttpHead &Head,
-                                  std::string_view Method) {
+Result<BodyLength> responseBodyLength(const HttpHead &Head,
+                                      std::string_view Method) {
   if (Method == "HEAD" || Head.Status == NoContent ||
       Head.Status == NotModified || Head.Status < FirstFinalStatus)
-    return BodyPlan{};
-  return planOf(Head, BodyFraming::UntilClose);
+    return BodyLength{};
+  return planOf(Head, BodyFraming::CloseDelimited);
 }
 
-BodyDecoder::BodyDecoder(BodyPlan P) : Plan(P), Left(P.Length) {
+BodyDecoder::BodyDecoder(BodyLength P)
+    : Expected(P), RemainingBytes(P.ContentLength) {
   switch (P.Framing) {
   case BodyFraming::None:
-    this->Where = Place::Done;
+    this->Current = State::Done;
     break;
-  case BodyFraming::Length:
-    this->Where = P.Length == 0 ? Place::Done : Place::Payload;
+  case BodyFraming::ContentLength:
+    this->Current = P.ContentLength == 0 ? State::Done : State::Payload;
     break;
   case BodyFraming::Chunked:
-    this->Where = Place::ChunkSize;
+    this->Current = State::ChunkSize;
     break;
-  case BodyFraming::UntilClose:
-    this->Where = Place::Payload;
+  case BodyFraming::CloseDelimited:
+    this->Current = State::Payload;
     break;
   }
 }
@@ -68,69 +69,70 @@
 std::size_t BodyDecoder::feed(std::string_view In, std::string &Out) {
   std::size_t Used = 0;
   while (Used < In.size() && !this->complete() && !this->malformed()) {
-    if (this->Where == Place::Payload) {
-      Used += this->takePayload(In.substr(Used), Out);
+    if (this->Current == State::Payload) {
+      Used += this->consumePayload(In.substr(Used), Out);
       continue;
     }
     std::size_t Taken = 0;
-    const bool Whole = this->takeLine(In.substr(Used), Taken);
+    const bool Whole = this->consumeLine(In.substr(Used), Taken);
     Used += Taken;
     if (Whole)
-      this->endLine();
+      this->processLine();
   }
   return Used;
 }
 
-std::size_t BodyDecoder::takePayload(std::string_view In, std::string &Out) {
-  if (this->endsWithConnection()) {
+std::size_t BodyDecoder::consumePayload(std::string_view In, std::string &Out) {
+  if (this->isCloseDelimited()) {
     Out.append(In);
     return In.size();
   }
-  const auto Count =
-      static_cast<std::size_t>(std::min<std::uint64_t>(this->Left, In.size()));
+  const auto Count = static_cast<std::size_t>(
+      std::min<std::uint64_t>(this->RemainingBytes, In.size()));
   Out.append(In.substr(0, Count));
-  this->Left -= Count;
-  if (this->Left == 0)
-    this->Where = this->Plan.Framing == BodyFraming::Chunked ? Place::ChunkEnd
-                                                             : Place::Done;
+  this->RemainingBytes -= Count;
+  if (this->RemainingBytes == 0)
+    this->Current = this->Expected.Framing == BodyFraming::Chunked
+                        ? State::ChunkEnd
+                        : State::Done;
   return Count;
 }
 
-bool BodyDecoder::takeLine(std::string_view In, std::size_t &Used) {
+bool BodyDecoder::consumeLine(std::string_view In, std::size_t &Used) {
   const std::size_t End = In.find('\n');
   const bool Whole = End != std::string_view::npos;
   Used = Whole ? End + 1 : In.size();
   this->Line.append(In.substr(0, Used));
   if (this->Line.size() > MaxFramingLine)
-    this->Where = Place::Broken;
+    this->Current = State::Malformed;
   return Whole && !this->malformed();
 }
 
-void BodyDecoder::endLine() {
+void BodyDecoder::processLine() {
   const std::string Whole = std::exchange(this->Line, {});
   if (!Whole.ends_with("\r\n")) {
-    this->Where = Place::Broken;
+    this->Current = State::Malformed;
     return;
   }
   const std::string_view Text(Whole.data(), Whole.size() - 2);
-  if (this->Where == Place::ChunkEnd) {
-    this->Where = Text.empty() ? Place::ChunkSize : Place::Broken;
+  if (this->Current == State::ChunkEnd) {
+    this->Current = Text.empty() ? State::ChunkSize : State::Malformed;
     return;
   }
-  if (this->Where == Place::Trailer) {
+  if (this->Current == State::Trailer) {
     if (Text.empty())
-      this->Where = Place::Done;
+      this->Current = State::Done;
     return;
   }
   const std::string_view Digits = Text.substr(0, Text.find(';'));
   const char *Stop = Digits.data() + Digits.size();
   const auto [Read, Problem] =
-      std::from_chars(Digits.data(), Stop, this->Left, HexBase);
+      std::from_chars(Digits.data(), Stop, this->RemainingBytes, HexBase);
   if (Digits.empty() || Problem != std::errc() || Read != Stop) {
-    this->Where = Place::Broken;
+    this->Current = State::Malformed;
     return;
   }
-  this->Where = this->Left == 0 ? Place::Trailer : Place::Payload;
+  this->Current = this->RemainingBytes == 0 ? State::Trailer : State::Payload;
 }
 
 } // namespace parsleywing
--- a/src/Http/EventSplitter.h
+++ b/src/Http/EventSplitter.h
@@ -25,7 +25,7 @@
   std::vector<StreamEvent> add(std::string_view Payload);
 
   /// Bytes of an event that has not ended.
-  std::string_view rest() const { return this->Pending; }
+  std::string_view partialEvent() const { return this->Pending; }
   void clear() { this->Pending.clear(); }
 
 private:
--- a/src/Http/HttpHead.cpp
+++ b/src/Http/HttpHead.cpp
@@ -86,7 +86,7 @@
     return malformed("the protocol's version is not known");
   Into.Method = Method;
   Into.Target = Target;
-  Into.OldVersion = Version == PreviousVersion;
+  Into.IsHttp10 = Version == PreviousVersion;
   return {};
 }
 
@@ -105,7 +105,7 @@
     return malformed("the status has more than three digits");
   Into.Status = static_cast<int>(*Status);
   Into.Reason = trimSpaces(Line);
-  Into.OldVersion = Version == PreviousVersion;
+  Into.IsHttp10 = Version == PreviousVersion;
   return {};
 }
 
@@ -188,7 +188,7 @@
   });
 }
 
-bool HttpHead::hasWord(std::string_view Name, std::string_view Word) const {
+bool HttpHead::hasToken(std::string_view Name, std::string_view Word) const {
   for (const HttpField &Field : this->Fields) {
     if (!equalIgnoringCase(Field.Name, Name))
       continue;
@@ -231,17 +231,17 @@
                      Head);
 }
 
-bool keepsConnection(const HttpHead &Head) {
-  if (Head.hasWord("Connection", "close"))
+bool isKeepAlive(const HttpHead &Head) {
+  if (Head.hasToken("Connection", "close"))
     return false;
-  return !Head.OldVersion || Head.hasWord("Connection", "keep-alive");
+  return !Head.IsHttp10 || Head.hasToken("Connection", "keep-alive");
 }
 
-void removeConnectionFields(HttpHead &Head) {
+void removeHopByHopFields(HttpHead &Head) {
   std::vector<std::string> Named;
   for (const HttpField &Field : Head.Fields)
     if (!equalIgnoringCase(Field.Name, "Connection") &&
-        Head.hasWord("Connection", Field.Name))
+        Head.hasToken("Connection", Field.Name))
       Named.push_back(Field.Name);
   for (const std::string &Name : Named)
     Head.remove(Name);
--- a/src/Http/HttpHead.h
+++ b/src/Http/HttpHead.h
@@ -26,7 +26,7 @@
   int Status = 0;
   std::string Reason;
   /// The peer speaks HTTP/1.0: no chunks, and no kept connection unless asked.
-  bool OldVersion = false;
+  bool IsHttp10 = false;
   std::vector<HttpField> Fields;
 
   /// The value of the first field of this name (case does not matter), or null.
@@ -40,7 +40,7 @@
   void remove(std::string_view Name);
 
   /// Whether a comma-separated field holds this word (case does not matter).
-  bool hasWord(std::string_view Name, std::string_view Word) const;
+  bool hasToken(std::string_view Name, std::string_view Word) const;
 };
 
 /// The bytes up to and with the empty line that ends a head; 0 where it has not
@@ -58,11 +58,11 @@
 std::string writeResponseHead(const HttpHead &Head);
 
 /// Whether the peer keeps the connection open after this message.
-bool keepsConnection(const HttpHead &Head);
+bool isKeepAlive(const HttpHead &Head);
 
 /// Removes the fields that concern one connection only, with those that the
 /// Connection field names.
-void removeConnectionFields(HttpHead &Head);
+void removeHopByHopFields(HttpHead &Head);
 
 bool equalIgnoringCase(std::string_view Left, std::string_view Right);
 
--- a/src/Http/HttpStatus.h
+++ b/src/Http/HttpStatus.h
@@ -5,7 +5,7 @@
 
 // The statuses that the program gives or tells apart (RFC 9110, 15).
 inline constexpr int HttpOk = 200;
-inline constexpr int HttpFirstFailure = 300;
+inline constexpr int HttpSuccessEnd = 300;
 inline constexpr int HttpBadRequest = 400;
 inline constexpr int HttpUnauthorized = 401;
 inline constexpr int HttpNotFound = 404;
@@ -13,7 +13,7 @@
 inline constexpr int HttpGone = 410;
 inline constexpr int HttpPreconditionFailed = 412;
 inline constexpr int HttpContentTooLarge = 413;
-inline constexpr int HttpMisdirected = 421;
+inline constexpr int HttpMisdirectedRequest = 421;
 inline constexpr int HttpTooManyRequests = 429;
 inline constexpr int HttpHeaderFieldsTooLarge = 431;
 inline constexpr int HttpBadGateway = 502;
--- a/src/Loop/ByteChannel.cpp
+++ b/src/Loop/ByteChannel.cpp
@@ -31,10 +31,11 @@
 } // namespace
 
 std::shared_ptr<ByteChannel>
-ByteChannel::accepted(EventLoop &Loop, const Poco::Net::StreamSocket &Socket) {
+ByteChannel::fromAccepted(EventLoop &Loop,
+                          const Poco::Net::StreamSocket &Socket) {
   try {
     auto Channel = std::make_shared<ByteChannel>(Loop, Socket, false);
-    Channel->begin();
+    Channel->start();
     return Channel;
   } catch (const Poco::Exception &) {
     // Its peer may have reset it already; the socket closes with its owner.
@@ -43,13 +44,12 @@
 }
 
 std::shared_ptr<ByteChannel>
-ByteChannel::connecting(EventLoop &Loop,
-                        const Poco::Net::SocketAddress &Address) {
+ByteChannel::connect(EventLoop &Loop, const Poco::Net::SocketAddress &Address) {
   try {
     Poco::Net::StreamSocket Socket;
     Socket.connectNB(Address);
     auto Channel = std::make_shared<ByteChannel>(Loop, Socket, true);
-    Channel->begin();
+    Channel->start();
     return Channel;
   } catch (const Poco::Exception &) {
     // The caller takes null as "no connection", like a refused one.
@@ -61,7 +61,7 @@
                          bool NotYetConnected)
     : Loop(L), Socket(S), Connecting(NotYetConnected) {}
 
-void ByteChannel::begin() {
+void ByteChannel::start() {
   this->Socket.setNoDelay(true);
   const int Modes = this->Connecting ? Poco::Net::PollSet::POLL_WRITE
                                      : Poco::Net::PollSet::POLL_READ;
@@ -79,7 +79,7 @@
   if (!this->Closed && !this->Connecting &&
       (Modes & Poco::Net::PollSet::POLL_WRITE) != 0) {
     this->flush();
-    if (!this->Closed && this->Out.empty() && !this->Finishing &&
+    if (!this->Closed && this->SendBuffer.empty() && !this->Finishing &&
         this->Listener.Drained)
       this->Listener.Drained();
   }
@@ -87,12 +87,12 @@
 
 void ByteChannel::onConnected() {
   // A loop that was late may find the peer's end behind the connection's begin.
-  if (this->Socket.impl()->socketError() != 0 || !this->quiet()) {
-    this->peerEnded(ChannelEnd::Reset);
+  if (this->Socket.impl()->socketError() != 0 || !this->inputIdle()) {
+    this->onPeerEnd(ChannelEnd::Reset);
     return;
   }
   this->Connecting = false;
-  this->watchModes();
+  this->updatePollModes();
   if (this->Listener.Connected)
     this->Listener.Connected();
 }
@@ -120,69 +120,69 @@
   else if (Filled > 0 && this->Listener.Received)
     this->Listener.Received({Buffer.data(), Filled});
   if (End)
-    this->peerEnded(*End);
+    this->onPeerEnd(*End);
 }
 
 void ByteChannel::write(std::string_view Bytes) {
   if (this->Closed || this->Finishing)
     return;
-  this->Out.append(Bytes);
+  this->SendBuffer.append(Bytes);
   if (!this->Connecting)
     this->flush();
 }
 
-bool ByteChannel::quiet() const {
-  return !this->Closed && this->peek() == Waiting::Nothing;
+bool ByteChannel::inputIdle() const {
+  return !this->Closed && this->peekInput() == PendingInput::None;
 }
 
-ByteChannel::Waiting ByteChannel::peek() const {
+ByteChannel::PendingInput ByteChannel::peekInput() const {
   char First = 0;
   const ::ssize_t Count = ::recv(this->Socket.impl()->sockfd(), &First,
                                  sizeof(First), MSG_PEEK | MSG_DONTWAIT);
   if (Count > 0)
-    return Waiting::Bytes;
+    return PendingInput::Bytes;
   const bool Nothing = Count < 0 && (errno == EAGAIN || errno == EWOULDBLOCK);
-  return Nothing ? Waiting::Nothing : Waiting::End;
+  return Nothing ? PendingInput::None : PendingInput::End;
 }
 
 /// Whether the peer's system has confirmed all that was sent: a reset would
 /// destroy the rest on its way.
-bool ByteChannel::allConfirmed() const {
-  return unconfirmedBytes(this->Socket.impl()->sockfd()) == 0;
+bool ByteChannel::allAcknowledged() const {
+  return unacknowledgedBytes(this->Socket.impl()->sockfd()) == 0;
 }
 
 void ByteChannel::flush() {
-  this->sendWaiting();
-  if (this->Out.empty() && this->Finishing && !this->SendingEnded)
-    this->endSending();
-  this->watchTaking();
-  this->watchModes();
+  this->sendPending();
+  if (this->SendBuffer.empty() && this->Finishing && !this->SendShutDown)
+    this->shutdownSend();
+  this->startStallTimer();
+  this->updatePollModes();
 }
 
-void ByteChannel::sendWaiting() {
-  while (!this->Out.empty()) {
+void ByteChannel::sendPending() {
+  while (!this->SendBuffer.empty()) {
     const ::ssize_t Count =
-        ::send(this->Socket.impl()->sockfd(), this->Out.data(),
-               this->Out.size(), MSG_NOSIGNAL | MSG_DONTWAIT);
+        ::send(this->Socket.impl()->sockfd(), this->SendBuffer.data(),
+               this->SendBuffer.size(), MSG_NOSIGNAL | MSG_DONTWAIT);
     if (Count < 0 && errno == EINTR)
       continue;
     // The read side reports the end with what the peer still sent, also where
     // reading was paused.
     if (Count < 0 && errno != EAGAIN && errno != EWOULDBLOCK) {
-      this->Out.clear();
-      this->Paused = false;
+      this->SendBuffer.clear();
+      this->ReadingPaused = false;
     }
     if (Count <= 0)
       break;
     this->SentBytes += static_cast<std::uint64_t>(Count);
-    this->Out.erase(0, static_cast<std::size_t>(Count));
+    this->SendBuffer.erase(0, static_cast<std::size_t>(Count));
   }
 }
 
 /// Only from here on does the peer's close count as late: until now it had no
 /// end to answer.
-void ByteChannel::endSending() {
-  this->SendingEnded = true;
+void ByteChannel::shutdownSend() {
+  this->SendShutDown = true;
   try {
     this->Socket.shutdownSend();
   } catch (const Poco::Exception &) {
@@ -198,53 +198,54 @@
       Limit, [Self = this->shared_from_this()] { Self->release(); });
 }
 
-void ByteChannel::watchTaking() {
-  if (this->Closed || this->Out.empty() || this->TakingTimer != 0)
+void ByteChannel::startStallTimer() {
+  if (this->Closed || this->SendBuffer.empty() || this->StallTimer != 0)
     return;
-  this->TakingTimer = this->Loop.after(
+  this->StallTimer = this->Loop.after(
       TakingLimit, [Self = this->shared_from_this(), Before = this->SentBytes] {
-        Self->TakingTimer = 0;
-        if (Self->SentBytes == Before && !Self->Out.empty())
-          Self->peerEnded(ChannelEnd::Reset);
+        Self->StallTimer = 0;
+        if (Self->SentBytes == Before && !Self->SendBuffer.empty())
+          Self->onPeerEnd(ChannelEnd::Reset);
         else
-          Self->watchTaking();
+          Self->startStallTimer();
       });
 }
 
-void ByteChannel::watchModes() {
+void ByteChannel::updatePollModes() {
   if (this->Closed || this->Connecting)
     return;
   int Modes = Poco::Net::PollSet::POLL_ERROR;
-  if (!this->Paused)
+  if (!this->ReadingPaused)
     Modes |= Poco::Net::PollSet::POLL_READ;
-  if (!this->Out.empty())
+  if (!this->SendBuffer.empty())
     Modes |= Poco::Net::PollSet::POLL_WRITE;
   this->Loop.update(this->Socket, Modes);
 }
 
 void ByteChannel::pauseReading() {
-  this->Paused = true;
-  this->watchModes();
+  this->ReadingPaused = true;
+  this->updatePollModes();
 }
 
 void ByteChannel::resumeReading() {
-  this->Paused = false;
-  this->watchModes();
+  this->ReadingPaused = false;
+  this->updatePollModes();
 }
 
 void ByteChannel::finish() {
   if (this->Closed || this->Finishing)
     return;
   this->Finishing = true;
-  this->Paused = false;
+  this->ReadingPaused = false;
   this->releaseAfter(SendingLimit);
   this->flush();
 }
 
 void ByteChannel::close() { this->release(); }
 
-bool ByteChannel::closeIfQuiet() {
-  if (!this->Out.empty() || !this->quiet() || !this->allConfirmed())
+bool ByteChannel::closeIfIdle() {
+  if (!this->SendBuffer.empty() || !this->inputIdle() ||
+      !this->allAcknowledged())
     return false;
   this->release();
   return true;
@@ -253,11 +254,11 @@
 void ByteChannel::abort() {
   if (this->Closed)
     return;
-  this->resetOnClose();
+  this->enableResetOnClose();
   this->release();
 }
 
-void ByteChannel::resetOnClose() {
+void ByteChannel::enableResetOnClose() {
   try {
     this->Socket.setLinger(true, 0);
   } catch (const Poco::Exception &) {
@@ -265,7 +266,7 @@
   }
 }
 
-void ByteChannel::peerEnded(ChannelEnd How) {
+void ByteChannel::onPeerEnd(ChannelEnd How) {
   if (this->Closed)
     return;
   const bool Tell = !this->Finishing && this->Listener.Ended;
@@ -278,33 +279,34 @@
   if (this->Closed)
     return;
   const auto Self = this->shared_from_this();
-  const ChannelLoss Loss = this->loss();
-  if (!this->Out.empty() || (this->EndIsMeant && !this->Finishing))
-    this->resetOnClose();
+  const ChannelLoss Loss = this->lossAtRelease();
+  if (!this->SendBuffer.empty() || (this->CloseDelimited && !this->Finishing))
+    this->enableResetOnClose();
   this->Closed = true;
   this->Loop.cancel(this->FinishTimer);
-  this->Loop.cancel(this->TakingTimer);
+  this->Loop.cancel(this->StallTimer);
   this->Loop.remove(this->Socket);
   this->Socket.close();
-  this->Out.clear();
-  if (const auto Tell = std::exchange(this->TellReleased, {}))
+  this->SendBuffer.clear();
+  if (const auto Tell = std::exchange(this->ReleaseCallback, {}))
     Tell(Loss);
 }
 
-ChannelLoss ByteChannel::loss() const {
+ChannelLoss ByteChannel::lossAtRelease() const {
   ChannelLoss Loss;
   if (!this->PeerClosed)
-    Loss.Unsent = this->Out.size();
-  if (!this->TellReleased)
+    Loss.UnsentBytes = this->SendBuffer.size();
+  if (!this->ReleaseCallback)
     return Loss;
-  Loss.Discarded = this->DiscardedBytes;
-  Loss.Unread = !this->PeerClosed && this->peek() == Waiting::Bytes;
+  Loss.DiscardedBytes = this->DiscardedBytes;
+  Loss.HasUnreadInput =
+      !this->PeerClosed && this->peekInput() == PendingInput::Bytes;
   if (Loss.any())
-    Loss.Peer = this->peer();
+    Loss.PeerAddress = this->peerAddress();
   return Loss;
 }
 
-std::string ByteChannel::peer() const {
+std::string ByteChannel::peerAddress() const {
   try {
     return this->Socket.peerAddress().toString();
   } catch (const Poco::Exception &) {
--- a/src/Loop/ByteChannel.h
+++ b/src/Loop/ByteChannel.h
@@ -21,17 +21,17 @@
 struct ChannelLoss {
   /// Bytes that were written and that the system had not taken, where the peer
   /// had not ended the connection before.
-  std::size_t Unsent = 0;
+  std::size_t UnsentBytes = 0;
   /// Bytes that came behind `finish` and were told nobody.
-  std::size_t Discarded = 0;
+  std::size_t DiscardedBytes = 0;
   /// Bytes of the peer waited in the system.
-  bool Unread = false;
+  bool HasUnreadInput = false;
   /// The peer's IP and port where anything was lost; empty where the system
   /// does not know them any more.
-  std::string Peer;
+  std::string PeerAddress;
 
   bool any() const {
-    return this->Unsent + this->Discarded > 0 || this->Unread;
+    return this->UnsentBytes + this->DiscardedBytes > 0 || this->HasUnreadInput;
   }
 };
 
@@ -55,36 +55,38 @@
 public:
   /// Takes over an accepted connection. Null where it is of no use any more.
   static std::shared_ptr<ByteChannel>
-  accepted(EventLoop &Loop, const Poco::Net::StreamSocket &Socket);
+  fromAccepted(EventLoop &Loop, const Poco::Net::StreamSocket &Socket);
 
   /// Begins to connect; `Connected` or `Ended` tells the outcome. Null where
   /// the system refuses at once (no descriptor left, no way there).
   static std::shared_ptr<ByteChannel>
-  connecting(EventLoop &Loop, const Poco::Net::SocketAddress &Address);
+  connect(EventLoop &Loop, const Poco::Net::SocketAddress &Address);
 
   ByteChannel(EventLoop &L, const Poco::Net::StreamSocket &S,
               bool NotYetConnected);
   ByteChannel(const ByteChannel &) = delete;
   ByteChannel &operator=(const ByteChannel &) = delete;
 
-  void listen(ChannelListener Wanted) { this->Listener = std::move(Wanted); }
+  void setListener(ChannelListener Wanted) {
+    this->Listener = std::move(Wanted);
+  }
 
   /// Called once as the connection is released, by whichever side, with what it
   /// lost. Costs a call of the system then.
-  void whenReleased(std::function<void(const ChannelLoss &)> Told) {
-    this->TellReleased = std::move(Told);
+  void setReleaseCallback(std::function<void(const ChannelLoss &)> Told) {
+    this->ReleaseCallback = std::move(Told);
   }
 
   /// Sends what the system takes at once and keeps the rest.
   void write(std::string_view Bytes);
 
-  std::size_t unsent() const { return this->Out.size(); }
+  std::size_t unsent() const { return this->SendBuffer.size(); }
   /// Whether any byte has been handed to the system.
   bool anySent() const { return this->SentBytes > 0; }
-  bool open() const { return !this->Closed; }
+  bool isOpen() const { return !this->Closed; }
   /// Whether the peer has sent neither bytes nor its end since the last read.
   /// Costs a call.
-  bool quiet() const;
+  bool inputIdle() const;
   /// The peer's end was read behind the bytes that are being told.
   bool peerClosed() const { return this->PeerClosed; }
   /// `finish` was called and the peer has not closed yet.
@@ -107,54 +109,54 @@
   /// the peer; false where it stays open. Bytes that come later are answered by
   /// a reset, unread: their sender learns that nobody has acted on them.
   /// `finish` would read and drop them.
-  bool closeIfQuiet();
+  bool closeIfIdle();
 
   /// Closes with a reset, so that the peer cannot take what it has for whole.
   void abort();
 
   /// From now on any end but `finish` is a reset: the peer takes the end of the
   /// connection for the end of the answer.
-  void resetUnlessFinished() { this->EndIsMeant = true; }
+  void resetUnlessFinished() { this->CloseDelimited = true; }
 
 private:
   /// What of the peer waits in the system.
-  enum class Waiting { Nothing, Bytes, End };
+  enum class PendingInput { None, Bytes, End };
 
-  void begin();
+  void start();
   void onReady(int Modes);
   void onConnected();
   void readAvailable();
   void flush();
-  void sendWaiting();
-  void endSending();
+  void sendPending();
+  void shutdownSend();
   void releaseAfter(Duration Limit);
-  void watchTaking();
-  void watchModes();
-  void peerEnded(ChannelEnd How);
+  void startStallTimer();
+  void updatePollModes();
+  void onPeerEnd(ChannelEnd How);
   void release();
-  void resetOnClose();
-  ChannelLoss loss() const;
-  Waiting peek() const;
-  bool allConfirmed() const;
-  std::string peer() const;
+  void enableResetOnClose();
+  ChannelLoss lossAtRelease() const;
+  PendingInput peekInput() const;
+  bool allAcknowledged() const;
+  std::string peerAddress() const;
 
   EventLoop &Loop;
   Poco::Net::StreamSocket Socket;
   ChannelListener Listener;
-  std::function<void(const ChannelLoss &)> TellReleased;
-  std::string Out;
+  std::function<void(const ChannelLoss &)> ReleaseCallback;
+  std::string SendBuffer;
   std::uint64_t SentBytes = 0;
   std::size_t DiscardedBytes = 0;
   TimerId FinishTimer = 0;
-  TimerId TakingTimer = 0;
+  TimerId StallTimer = 0;
   bool Connecting;
-  bool Paused = false;
+  bool ReadingPaused = false;
   bool Finishing = false;
-  bool SendingEnded = false;
+  bool SendShutDown = false;
   bool Closed = false;
   bool PeerClosed = false;
   /// An orderly end tells the peer that the answer is whole.
-  bool EndIsMeant = false;
+  bool CloseDelimited = false;
 };
 
 } // namespace parsleywing
--- a/src/Loop/EventLoop.cpp
+++ b/src/Loop/EventLoop.cpp
@@ -38,31 +38,31 @@
 }
 
 TimerId EventLoop::after(Duration Delay, Task Due) {
-  const TimerId Timer = ++this->LastTimer;
+  const TimerId Timer = ++this->LastTimerId;
   const TimePoint When = this->Time.now() + Delay;
   this->Timers.emplace(std::pair(When, Timer), std::move(Due));
-  this->TimerDue.emplace(Timer, When);
+  this->TimerDeadlines.emplace(Timer, When);
   return Timer;
 }
 
 void EventLoop::cancel(TimerId Timer) {
-  const auto Found = this->TimerDue.find(Timer);
-  if (Found == this->TimerDue.end())
+  const auto Found = this->TimerDeadlines.find(Timer);
+  if (Found == this->TimerDeadlines.end())
     return;
   this->Timers.erase({Found->second, Timer});
-  this->TimerDue.erase(Found);
+  this->TimerDeadlines.erase(Found);
 }
 
 void EventLoop::post(Task Added) {
-  const std::lock_guard<std::mutex> Lock(this->Guard);
-  this->Posted.push_back(std::move(Added));
+  const std::lock_guard<std::mutex> Lock(this->Mutex);
+  this->PostedTasks.push_back(std::move(Added));
 }
 
 void EventLoop::run() {
   while (!this->Stopping) {
-    this->serveSockets(this->untilNextTimer());
-    this->servePosted();
-    this->serveTimers();
+    this->pollSockets(this->untilNextTimer());
+    this->runPostedTasks();
+    this->runDueTimers();
   }
 }
 
@@ -73,11 +73,11 @@
   return std::clamp(Left, Duration::zero(), LongestWait);
 }
 
-void EventLoop::servePosted() {
+void EventLoop::runPostedTasks() {
   std::vector<Task> Taken;
   {
-    const std::lock_guard<std::mutex> Lock(this->Guard);
-    Taken.swap(this->Posted);
+    const std::lock_guard<std::mutex> Lock(this->Mutex);
+    Taken.swap(this->PostedTasks);
   }
   for (const Task &Each : Taken)
     Each();
@@ -85,7 +85,7 @@
 
 /// A handler or a task may stand still for long. What the system has taken in
 /// meanwhile is read before a timer says that nothing came.
-void EventLoop::serveTimers() {
+void EventLoop::runDueTimers() {
   const TimePoint Now = this->PolledAt;
   if (!this->Timers.empty() && this->Timers.begin()->first.first <= Now) {
     const Duration::rep Late =
@@ -95,13 +95,13 @@
   while (!this->Timers.empty() && this->Timers.begin()->first.first <= Now) {
     const auto First = this->Timers.begin();
     const Task Due = std::move(First->second);
-    this->TimerDue.erase(First->first.second);
+    this->TimerDeadlines.erase(First->first.second);
     this->Timers.erase(First);
     Due();
   }
 }
 
-void EventLoop::serveSockets(Duration Wait) {
+void EventLoop::pollSockets(Duration Wait) {
   // The library's wait counts whole milliseconds; rounding up keeps the loop
   // from turning without a pause until the timer is due.
   const auto Rounded = std::chrono::ceil<std::chrono::milliseconds>(Wait);
--- a/src/Loop/EventLoop.h
+++ b/src/Loop/EventLoop.h
@@ -56,26 +56,26 @@
   Duration lag() const { return Duration(this->Lag.load()); }
 
 private:
-  struct Watched {
+  struct SocketEntry {
     int Modes = 0;
     std::shared_ptr<SocketHandler> Handler;
   };
 
   Duration untilNextTimer() const;
-  void servePosted();
-  void serveTimers();
-  void serveSockets(Duration Wait);
+  void runPostedTasks();
+  void runDueTimers();
+  void pollSockets(Duration Wait);
 
   Clock Time;
   Poco::Net::PollSet Poll;
-  std::unordered_map<Poco::Net::SocketImpl *, Watched> Sockets;
+  std::unordered_map<Poco::Net::SocketImpl *, SocketEntry> Sockets;
   std::map<std::pair<TimePoint, TimerId>, Task> Timers;
-  std::unordered_map<TimerId, TimePoint> TimerDue;
-  TimerId LastTimer = 0;
+  std::unordered_map<TimerId, TimePoint> TimerDeadlines;
+  TimerId LastTimerId = 0;
   /// When the sockets that are served were looked at.
   TimePoint PolledAt{};
-  std::mutex Guard;
-  std::vector<Task> Posted;
+  std::mutex Mutex;
+  std::vector<Task> PostedTasks;
   std::atomic<bool> Stopping{false};
   std::atomic<Duration::rep> Lag{0};
 };
--- a/src/Operator/StateSources.cpp
+++ b/src/Operator/StateSources.cpp
@@ -5,7 +5,7 @@
 namespace parsleywing {
 
 void StateSources::add(const std::string &Name, StateSource Source) {
-  std::lock_guard<std::mutex> Lock(this->Guard);
+  std::lock_guard<std::mutex> Lock(this->Mutex);
   const bool Added = this->Sources.emplace(Name, std::move(Source)).second;
   PARSLEYWING_INVARIANT(Added, "each part of the state has its own name");
 }
@@ -13,7 +13,7 @@
 Poco::JSON::Object::Ptr StateSources::collect() const {
   std::map<std::string, StateSource> Copy;
   {
-    std::lock_guard<std::mutex> Lock(this->Guard);
+    std::lock_guard<std::mutex> Lock(this->Mutex);
     Copy = this->Sources;
   }
   Poco::JSON::Object::Ptr All =
--- a/src/Operator/StateSources.h
+++ b/src/Operator/StateSources.h
@@ -24,7 +24,7 @@
   Poco::JSON::Object::Ptr collect() const;
 
 private:
-  mutable std::mutex Guard;
+  mutable std::mutex Mutex;
   std::map<std::string, StateSource> Sources;
 };
 
--- a/src/Peer/PeerTransport.cpp
+++ b/src/Peer/PeerTransport.cpp
@@ -87,7 +87,7 @@
   PeerCounters Counters;
   std::string Address;
 
-  std::mutex Guard; ///< Of the members below, up to the threads.
+  std::mutex Mutex; ///< Of the members below, up to the threads.
   std::map<RouterId, std::string> AddressBook;
   std::set<RouterId> Blocked;
   PeerFaults Faults;
@@ -164,7 +164,7 @@
 }
 
 void PeerTransport::Impl::send(const SendToPeer &Order) {
-  std::unique_lock<std::mutex> Lock(this->Guard);
+  std::unique_lock<std::mutex> Lock(this->Mutex);
   const auto Known = this->AddressBook.find(Order.To);
   if (Known == this->AddressBook.end())
     return this->Counters.drop(PeerDrop::NoAddress);
@@ -178,7 +178,7 @@
 
 void PeerTransport::Impl::sendToAddress(const std::string &Destination,
                                         const PeerPart &Part) {
-  std::unique_lock<std::mutex> Lock(this->Guard);
+  std::unique_lock<std::mutex> Lock(this->Mutex);
   const auto Known = this->RouterAt.find(Destination);
   if (Known != this->RouterAt.end() && this->Blocked.contains(Known->second))
     return this->Counters.drop(PeerDrop::Injected);
@@ -211,7 +211,7 @@
 }
 
 void PeerTransport::Impl::runSender() {
-  std::unique_lock<std::mutex> Lock(this->Guard);
+  std::unique_lock<std::mutex> Lock(this->Mutex);
   while (!this->Stopping) {
     const TimePoint Now = this->Time.now();
     if (const auto Batch = this->Waiting.take(Now)) {
@@ -277,7 +277,7 @@
     return this->Counters.drop(PeerDrop::Malformed);
   PeerFaults Asked;
   {
-    std::lock_guard<std::mutex> Lock(this->Guard);
+    std::lock_guard<std::mutex> Lock(this->Mutex);
     Asked = this->Faults;
   }
   if (this->Random() % 100 < Asked.LossPercent)
@@ -316,7 +316,7 @@
 }
 
 bool PeerTransport::Impl::admit(const PeerHeader &Header, bool Bulk) {
-  std::lock_guard<std::mutex> Lock(this->Guard);
+  std::lock_guard<std::mutex> Lock(this->Mutex);
   const bool ForAnybody = Header.To == RouterId{};
   if (Header.From == this->Settings.Self ||
       (!ForAnybody && Header.To != this->Settings.Self)) {
@@ -346,7 +346,7 @@
       continue;
     PeerHeader Header;
     {
-      std::lock_guard<std::mutex> Lock(this->Guard);
+      std::lock_guard<std::mutex> Lock(this->Mutex);
       --this->BulkWaiting;
       Header = this->headerTo(Order->To);
     }
@@ -361,7 +361,7 @@
 }
 
 Poco::JSON::Object::Ptr PeerTransport::Impl::dump() {
-  std::lock_guard<std::mutex> Lock(this->Guard);
+  std::lock_guard<std::mutex> Lock(this->Mutex);
   Poco::JSON::Object::Ptr Book = new Poco::JSON::Object;
   for (const auto &[Peer, Where] : this->AddressBook)
     Book->set(std::to_string(Peer.Value), Where);
@@ -406,14 +406,14 @@
     return failure(ErrorCode::InvalidInput, "not an IP:port: " + Address);
   }
   this->removeAddress(Peer);
-  std::lock_guard<std::mutex> Lock(this->State->Guard);
+  std::lock_guard<std::mutex> Lock(this->State->Mutex);
   this->State->AddressBook[Peer] = Canonical;
   this->State->RouterAt[Canonical] = Peer;
   return {};
 }
 
 void PeerTransport::removeAddress(RouterId Peer) {
-  std::lock_guard<std::mutex> Lock(this->State->Guard);
+  std::lock_guard<std::mutex> Lock(this->State->Mutex);
   const auto Known = this->State->AddressBook.find(Peer);
   if (Known == this->State->AddressBook.end())
     return;
@@ -427,7 +427,7 @@
 Result<void> PeerTransport::setBlockedPeers(std::set<RouterId> Peers) {
   if (!this->State->allowsFaults())
     return failure(ErrorCode::Denied, "fault injection is off");
-  std::lock_guard<std::mutex> Lock(this->State->Guard);
+  std::lock_guard<std::mutex> Lock(this->State->Mutex);
   this->State->Blocked = std::move(Peers);
   return {};
 }
@@ -435,7 +435,7 @@
 Result<void> PeerTransport::setFaults(PeerFaults Faults) {
   if (!this->State->allowsFaults())
     return failure(ErrorCode::Denied, "fault injection is off");
-  std::lock_guard<std::mutex> Lock(this->State->Guard);
+  std::lock_guard<std::mutex> Lock(this->State->Mutex);
   this->State->Faults = Faults;
   return {};
 }
--- a/src/Placement/Allocator.cpp
+++ b/src/Placement/Allocator.cpp
@@ -26,41 +26,42 @@
 
 } // namespace
 
-Allocator::Allocator(AllocatorChoices C) : Choices(C) {
+Allocator::Allocator(AllocatorOptions C) : Options(C) {
   // The answers are read by the routers; here nothing is ever heard.
-  this->Servers.judgeSilence(false);
+  this->Servers.setSilenceDetection(false);
 }
 
 void Allocator::setServers(const std::shared_ptr<const ServerList> &Listed,
                            const GatewayConfiguration *Stated,
-                           const ServerGroups &Groups, const ViewMoment &At) {
+                           const ServerGroups &Groups, const ViewTime &At) {
   this->Servers.setServers(Listed, Stated, &Groups, At);
-  this->dropLostSends();
+  this->dropLostGrants();
   this->ServiceOf.clear();
   if (Stated == nullptr)
     return;
   std::uint32_t Engines = 0;
   for (const auto &[Id, Server] : *Listed) {
-    this->ServiceOf[hashName(Id)] = Groups.groupOf(Id, Server.Service);
+    this->ServiceOf[hashName(Id)] = Groups.groupOfServer(Id, Server.Service);
     const auto Known = Stated->Services.find(Server.Service);
     const bool IsEngine =
-        Known != Stated->Services.end() && Known->second.EngineTokens > 0;
+        Known != Stated->Services.end() && Known->second.KvCapacityTokens > 0;
     if (IsEngine && !Server.Draining)
       ++Engines;
   }
   if (Engines == 0 || Stated->Limits.TokensPerSecond == 0)
     return;
   AllocationLimits Made;
-  Made.ReadPerMs =
+  Made.PrefillTokensPerMs =
       static_cast<double>(Stated->Limits.TokensPerSecond) / Engines / 1000.0;
-  Made.RoomTokens = std::max<std::uint64_t>(
-      static_cast<std::uint64_t>(Made.ReadPerMs * RoomMs), LeastRoomTokens);
+  Made.MaxPendingPrefillTokens = std::max<std::uint64_t>(
+      static_cast<std::uint64_t>(Made.PrefillTokensPerMs * RoomMs),
+      LeastRoomTokens);
   for (const auto &[Id, Server] : *Listed) {
     const auto Known = Stated->Services.find(Server.Service);
     if (Known == Stated->Services.end())
       continue;
-    if (this->Choices.FetchKept)
-      Made.Fetch = fetchCostOf(Known->second, Made.ReadPerMs);
+    if (this->Options.FetchCached)
+      Made.Fetch = fetchCostOf(Known->second, Made.PrefillTokensPerMs);
     this->Limits[this->ServiceOf.at(hashName(Id))] = Made;
   }
 }
@@ -76,198 +77,205 @@
 
 /// An allocator that takes servers over believes that they keep nothing, and
 /// has all that they keep read again elsewhere.
-void Allocator::noteAsked(std::uint64_t Service, TimePoint Now) {
-  const auto [Last, Fresh] = this->LastAsked.try_emplace(Service, Now);
+void Allocator::recordRequest(std::uint64_t Service, TimePoint Now) {
+  const auto [Last, Fresh] = this->LastRequestAt.try_emplace(Service, Now);
   const bool Continues = !Fresh && Now - Last->second < KnowledgeLife;
   Last->second = Now;
   if (Continues || !this->limitsOf(Service).Fetch.PerToken)
     return;
   for (const auto &[Server, Group] : this->ServiceOf)
     if (Group == Service && this->Servers.usable(Server, Now))
-      this->Unknown.push_back(Server);
+      this->UnknownCaches.push_back(Server);
 }
 
-std::vector<std::uint64_t> Allocator::takeUnknown() {
-  return std::exchange(this->Unknown, {});
+std::vector<std::uint64_t> Allocator::takeUnknownCaches() {
+  return std::exchange(this->UnknownCaches, {});
 }
 
-std::vector<RouterMessage> Allocator::takeAnswers() {
-  return std::exchange(this->Answers, {});
+std::vector<RouterMessage> Allocator::takeReplies() {
+  return std::exchange(this->Replies, {});
 }
 
-double Allocator::lowestPosition(std::uint64_t Service) const {
+double Allocator::lowestVirtualTime(std::uint64_t Service) const {
   double Lowest = 0;
   bool Any = false;
   for (const auto &[Key, State] : this->Accounts) {
     if (Key.first != Service || State.Queue.empty())
       continue;
-    Lowest = Any ? std::min(Lowest, State.Position) : State.Position;
+    Lowest = Any ? std::min(Lowest, State.VirtualTime) : State.VirtualTime;
     Any = true;
   }
   return Lowest;
 }
 
-void Allocator::take(const ServerAsk &Ask, TimePoint Now) {
+void Allocator::take(const AllocationRequest &Ask, TimePoint Now) {
   // Asked again since the answer was lost or late.
-  if (const auto Known = this->Open.find(Ask.Id); Known != this->Open.end()) {
-    this->Answers.emplace_back(ServerGranted{
-        Ask.Id, Known->second.Server, Known->second.Work.UnreadTokens, 0,
-        Known->second.Work.ServerStartedMs, Known->second.Source,
+  if (const auto Known = this->ActiveGrants.find(Ask.Id);
+      Known != this->ActiveGrants.end()) {
+    this->Replies.emplace_back(AllocationGrant{
+        Ask.Id, Known->second.Server, Known->second.Load.PrefillTokens, 0,
+        Known->second.Load.ServerStartedMs, Known->second.FetchSource,
         Known->second.SendWithinMs});
     return;
   }
-  if (this->Waiting.contains(Ask.Id)) {
-    this->Answers.emplace_back(AskQueued{Ask.Id});
+  if (this->QueuedRequests.contains(Ask.Id)) {
+    this->Replies.emplace_back(AllocationQueued{Ask.Id});
     return;
   }
-  this->noteAsked(Ask.Service, Now);
-  WaitingAsk Asked;
-  Asked.Ask = Ask;
-  Asked.Arrived = Now;
-  Asked.OnTimeUntil = Now + std::chrono::milliseconds(Ask.OnTimeForMs);
-  Asked.GiveUpAt = Now + std::chrono::milliseconds(Ask.WaitForMs);
-  Asked.Late = Ask.OnTimeForMs <= 0;
-  Asked.CameLate = Asked.Late;
-  Asked.Excluded.insert(Ask.Excluded.begin(), Ask.Excluded.end());
+  this->recordRequest(Ask.Service, Now);
+  QueuedRequest Asked;
+  Asked.Request = Ask;
+  Asked.ArrivedAt = Now;
+  Asked.ObjectiveDeadline =
+      Now + std::chrono::milliseconds(Ask.ObjectiveLeftMs);
+  Asked.WaitDeadline = Now + std::chrono::milliseconds(Ask.MaxWaitMs);
+  Asked.Late = Ask.ObjectiveLeftMs <= 0;
+  Asked.ArrivedLate = Asked.Late;
+  Asked.ExcludedServers.insert(Ask.ExcludedServers.begin(),
+                               Ask.ExcludedServers.end());
   const AccountKey Key{Ask.Service, Ask.Account};
   AccountState &State = this->Accounts[Key];
   // An account that asked for nothing meanwhile has saved nothing up.
   if (State.Queue.empty())
-    State.Position =
-        std::max(State.Position, this->lowestPosition(Ask.Service));
-  Asked.Number = ++this->LastNumber;
+    State.VirtualTime =
+        std::max(State.VirtualTime, this->lowestVirtualTime(Ask.Service));
+  Asked.ArrivalNumber = ++this->LastArrivalNumber;
   const bool IsBehind = !State.Queue.empty() &&
-                        State.Queue.begin()->first <= this->orderOf(Asked);
+                        State.Queue.begin()->first <= this->queueKey(Asked);
   // One that was sent before may have run, and its answer have begun: refused,
   // it would fail or be cut off, so it waits while there is hope.
-  const bool IsNew = Ask.Excluded.empty();
-  if (this->Choices.RefuseVain && IsNew && IsBehind &&
-      State.vain(Asked.Late).isVain(this->orderOf(Asked), Now)) {
+  const bool IsNew = Ask.ExcludedServers.empty();
+  if (this->Options.RefuseLikelyTimeouts && IsNew && IsBehind &&
+      State.timeouts(Asked.Late).wouldTimeOut(this->queueKey(Asked), Now)) {
     this->refuse(Ask);
     return;
   }
-  State.Queue.emplace(this->orderOf(Asked), Ask.Id);
-  ++this->WaitingFor[Ask.Service];
-  this->Waiting.emplace(Ask.Id, std::move(Asked));
+  State.Queue.emplace(this->queueKey(Asked), Ask.Id);
+  ++this->QueuedCounts[Ask.Service];
+  this->QueuedRequests.emplace(Ask.Id, std::move(Asked));
   this->dispatch(Now);
-  if (this->Waiting.contains(Ask.Id))
-    this->Answers.emplace_back(AskQueued{Ask.Id});
+  if (this->QueuedRequests.contains(Ask.Id))
+    this->Replies.emplace_back(AllocationQueued{Ask.Id});
 }
 
-void Allocator::take(const AskWithdrawn &Message, TimePoint Now) {
-  this->removeWaiting(Message.Id);
-  this->take(GrantEnded{Message.Id, ServerVerdict::Sound}, Now);
+void Allocator::take(const AllocationCancelled &Message, TimePoint Now) {
+  this->removeQueued(Message.Id);
+  this->take(GrantEnded{Message.Id, ServerVerdict::Healthy}, Now);
 }
 
-void Allocator::take(const GrantBegan &Message, TimePoint) {
-  const auto Found = this->Open.find(Message.Id);
-  if (Found == this->Open.end())
+void Allocator::take(const GrantStarted &Message, TimePoint) {
+  const auto Found = this->ActiveGrants.find(Message.Id);
+  if (Found == this->ActiveGrants.end())
     return;
-  this->Servers.noteRead(Found->second.Server, Found->second.Work,
-                         Found->second.Parts);
-  Found->second.Work.UnreadTokens = 0;
+  this->Servers.recordPrefilled(Found->second.Server, Found->second.Load,
+                                Found->second.Parts);
+  Found->second.Load.PrefillTokens = 0;
 }
 
 void Allocator::take(const GrantEnded &Message, TimePoint Now) {
-  const auto Found = this->Open.find(Message.Id);
-  if (Found == this->Open.end())
+  const auto Found = this->ActiveGrants.find(Message.Id);
+  if (Found == this->ActiveGrants.end())
     return;
-  this->Servers.noteEnded(Found->second.Server, Found->second.Work,
-                          Found->second.Parts, Message.Verdict, Now);
-  this->Open.erase(Found);
+  this->Servers.recordEnded(Found->second.Server, Found->second.Load,
+                            Found->second.Parts, Message.Verdict, Now);
+  this->ActiveGrants.erase(Found);
 }
 
-void Allocator::dropLostSends() {
-  std::erase_if(this->Open, [this](const auto &Each) {
-    return Each.second.Work.ServerStartedMs <
+void Allocator::dropLostGrants() {
+  std::erase_if(this->ActiveGrants, [this](const auto &Each) {
+    return Each.second.Load.ServerStartedMs <
            this->Servers.startOf(Each.second.Server);
   });
 }
 
-void Allocator::take(const SendOpen &Message, TimePoint Now) {
+void Allocator::take(const GrantActive &Message, TimePoint Now) {
   const std::int64_t Known = this->Servers.startOf(Message.Server);
   if (Message.ServerStartedMs > Known) {
-    this->Servers.noteStart(Message.Server, Message.ServerStartedMs);
-    this->dropLostSends();
+    this->Servers.recordStart(Message.Server, Message.ServerStartedMs);
+    this->dropLostGrants();
   }
   // Sent to a process that is gone. A send that was granted here is to the
   // present one, whatever its router has heard.
-  if (Message.ServerStartedMs < Known && !this->Open.contains(Message.Id))
+  if (Message.ServerStartedMs < Known &&
+      !this->ActiveGrants.contains(Message.Id))
     return;
-  const auto [Found, Fresh] = this->Open.try_emplace(
-      Message.Id, OpenSend{Message.Server,
-                           0,
-                           {Message.UnreadTokens, Message.OutputTokens,
-                            Message.ServerStartedMs},
-                           Now});
+  const auto [Found, Fresh] = this->ActiveGrants.try_emplace(
+      Message.Id, ActiveGrant{Message.Server,
+                              0,
+                              {Message.PrefillTokens, Message.OutputTokens,
+                               Message.ServerStartedMs},
+                              Now});
   if (Fresh) {
-    this->Servers.noteSent(Message.Server, Found->second.Work, {}, Now);
+    this->Servers.recordSent(Message.Server, Found->second.Load, {}, Now);
     return;
   }
   // Its router has sent it elsewhere since.
   if (Found->second.Server != Message.Server) {
-    this->take(GrantEnded{Message.Id, ServerVerdict::Sound}, Now);
+    this->take(GrantEnded{Message.Id, ServerVerdict::Healthy}, Now);
     this->take(Message, Now);
     return;
   }
-  Found->second.LastTold = Now;
-  if (Message.UnreadTokens == 0)
-    this->take(GrantBegan{Message.Id}, Now);
+  Found->second.LastReported = Now;
+  if (Message.PrefillTokens == 0)
+    this->take(GrantStarted{Message.Id}, Now);
 }
 
 void Allocator::tick(TimePoint Now) {
   if (Now - this->LastExpiry >= ExpiryInterval) {
     this->LastExpiry = Now;
-    this->expireOpen(Now);
+    this->expireGrants(Now);
   }
-  this->expireWaiting(Now);
+  this->expireQueued(Now);
   this->dispatch(Now);
 }
 
-void Allocator::expireOpen(TimePoint Now) {
-  for (auto Each = this->Open.begin(); Each != this->Open.end();) {
-    if (Now - Each->second.LastTold < OpenLife) {
+void Allocator::expireGrants(TimePoint Now) {
+  for (auto Each = this->ActiveGrants.begin();
+       Each != this->ActiveGrants.end();) {
+    if (Now - Each->second.LastReported < OpenLife) {
       ++Each;
       continue;
     }
-    this->Servers.noteEnded(Each->second.Server, Each->second.Work,
-                            Each->second.Parts, ServerVerdict::Sound, Now);
-    Each = this->Open.erase(Each);
+    this->Servers.recordEnded(Each->second.Server, Each->second.Load,
+                              Each->second.Parts, ServerVerdict::Healthy, Now);
+    Each = this->ActiveGrants.erase(Each);
   }
 }
 
-void Allocator::expireWaiting(TimePoint Now) {
-  std::vector<AskId> Over;
-  for (auto &[Id, Asked] : this->Waiting) {
+void Allocator::expireQueued(TimePoint Now) {
+  std::vector<CorrelationId> Over;
+  for (auto &[Id, Asked] : this->QueuedRequests) {
     const double Reading =
-        Asked.MeantTokens / this->limitsOf(Asked.Ask.Service).ReadPerMs;
+        Asked.PlannedTokens /
+        this->limitsOf(Asked.Request.Service).PrefillTokensPerMs;
     const Duration Needed{static_cast<Duration::rep>(Reading * 1000)};
-    if (Now >= Asked.GiveUpAt)
+    if (Now >= Asked.WaitDeadline)
       Over.push_back(Id);
-    else if (Now + Needed >= Asked.OnTimeUntil)
+    else if (Now + Needed >= Asked.ObjectiveDeadline)
       Asked.Late = true;
   }
-  for (const AskId &Id : Over) {
-    const WaitingAsk &Asked = this->Waiting.at(Id);
-    this->Accounts[{Asked.Ask.Service, Asked.Ask.Account}]
-        .vain(Asked.CameLate)
-        .noteVain(this->orderOf(Asked), Now);
-    this->refuse(Asked.Ask);
-    this->removeWaiting(Id);
+  for (const CorrelationId &Id : Over) {
+    const QueuedRequest &Asked = this->QueuedRequests.at(Id);
+    this->Accounts[{Asked.Request.Service, Asked.Request.Account}]
+        .timeouts(Asked.ArrivedLate)
+        .recordTimeout(this->queueKey(Asked), Now);
+    this->refuse(Asked.Request);
+    this->removeQueued(Id);
   }
 }
 
-void Allocator::removeWaiting(const AskId &Id) {
-  const auto Found = this->Waiting.find(Id);
-  if (Found == this->Waiting.end())
+void Allocator::removeQueued(const CorrelationId &Id) {
+  const auto Found = this->QueuedRequests.find(Id);
+  if (Found == this->QueuedRequests.end())
     return;
-  this->meanFor(Found->second, 0, 0);
-  const AccountKey Key{Found->second.Ask.Service, Found->second.Ask.Account};
-  this->Accounts[Key].Queue.erase({this->orderOf(Found->second), Id});
-  const auto Count = this->WaitingFor.find(Found->second.Ask.Service);
+  this->planFor(Found->second, 0, 0);
+  const AccountKey Key{Found->second.Request.Service,
+                       Found->second.Request.Account};
+  this->Accounts[Key].Queue.erase({this->queueKey(Found->second), Id});
+  const auto Count = this->QueuedCounts.find(Found->second.Request.Service);
   if (--Count->second == 0)
-    this->WaitingFor.erase(Count);
-  this->Waiting.erase(Found);
+    this->QueuedCounts.erase(Count);
+  this->QueuedRequests.erase(Found);
 }
 
 } // namespace parsleywing
--- a/src/Placement/AllocatorGrants.cpp
+++ b/src/Placement/AllocatorGrants.cpp
@@ -34,7 +34,7 @@
 /// that keep them, while others are served by all.
 constexpr double BehindSeconds = 8;
 
-double costOf(const ServerAsk &Ask) {
+double costOf(const AllocationRequest &Ask) {
   return Ask.PromptTokens + OutputWeight * Ask.OutputTokens;
 }
 
@@ -44,7 +44,7 @@
 std::uint32_t sendWithin(Duration SinceArrival) {
   return static_cast<std::uint32_t>(
       std::chrono::duration_cast<std::chrono::milliseconds>(SinceArrival +
-                                                            WarmUpGrantLife)
+                                                            WarmUpGrantLifetime)
           .count());
 }
 
@@ -53,7 +53,7 @@
 
 /// What the request is for an engine, in tokens. Shared parts are kept there or
 /// fetched as a rule.
-double workOf(const ServerAsk &Ask) {
+double workOf(const AllocationRequest &Ask) {
   double Shared = 0;
   for (std::size_t I = 0; I + 1 < Ask.Parts.size(); ++I)
     Shared += Ask.Parts[I].Tokens;
@@ -63,18 +63,18 @@
 
 } // namespace
 
-double Allocator::orderOf(const WaitingAsk &Asked) const {
-  return this->Choices.SmallestFirst ? workOf(Asked.Ask)
-                                     : static_cast<double>(Asked.Number);
+double Allocator::queueKey(const QueuedRequest &Asked) const {
+  return this->Options.SmallestFirst ? workOf(Asked.Request)
+                                     : static_cast<double>(Asked.ArrivalNumber);
 }
 
-bool Allocator::anyRoom(std::uint64_t Service, TimePoint Now) const {
-  return this->Servers.any(Service, Now, [this](std::uint64_t Server) {
-    return this->hasRoom(Server, 0);
+bool Allocator::anyCapacity(std::uint64_t Service, TimePoint Now) const {
+  return this->Servers.anyUsable(Service, Now, [this](std::uint64_t Server) {
+    return this->hasCapacity(Server, 0);
   });
 }
 
-bool Allocator::hasSlot(std::uint64_t Server) const {
+bool Allocator::hasFreeSlot(std::uint64_t Server) const {
   const GatewayServer *Listed = this->Servers.find(Server);
   if (Listed == nullptr)
     return false;
@@ -82,64 +82,68 @@
   return this->Servers.running(Server) + 1 <= std::max(Slots, 1.0);
 }
 
-ServerRoom Allocator::roomOf(std::uint64_t Service, TimePoint Now) const {
-  ServerRoom Room;
+CapacitySummary Allocator::capacityOf(std::uint64_t Service,
+                                      TimePoint Now) const {
+  CapacitySummary Room;
   for (const auto &[Server, Group] : this->ServiceOf) {
     if (Group != Service)
       continue;
     if (!this->Servers.usableIfGranted(Server, Now))
-      ++Room.Unsound;
+      ++Room.Unhealthy;
     else if (!this->Servers.usable(Server, Now))
       ++Room.WarmingUp;
-    else if (!this->hasSlot(Server))
-      ++Room.SlotsTaken;
-    else if (!this->hasRoom(Server, 0))
-      ++Room.PromptsWait;
+    else if (!this->hasFreeSlot(Server))
+      ++Room.SlotsFull;
+    else if (!this->hasCapacity(Server, 0))
+      ++Room.PrefillFull;
     else
       ++Room.Free;
   }
   return Room;
 }
 
-bool Allocator::hasRoom(std::uint64_t Server, std::uint32_t Unread) const {
+bool Allocator::hasCapacity(std::uint64_t Server, std::uint32_t Unread) const {
   const auto Service = this->ServiceOf.find(Server);
-  if (Service == this->ServiceOf.end() || !this->hasSlot(Server))
+  if (Service == this->ServiceOf.end() || !this->hasFreeSlot(Server))
     return false;
-  const std::uint64_t Ahead = this->Servers.unread(Server);
+  const std::uint64_t Ahead = this->Servers.pendingPrefillTokens(Server);
   return Ahead == 0 ||
-         Ahead + Unread / 2 <= this->limitsOf(Service->second).RoomTokens;
+         Ahead + Unread / 2 <=
+             this->limitsOf(Service->second).MaxPendingPrefillTokens;
 }
 
 void Allocator::dispatch(TimePoint Now) {
   for (const bool Late : {false, true})
-    for (const auto &[Service, Count] : std::map(this->WaitingFor))
-      while (this->anyRoom(Service, Now) && this->grantOne(Service, Now, Late))
+    for (const auto &[Service, Count] : std::map(this->QueuedCounts))
+      while (this->anyCapacity(Service, Now) &&
+             this->grantNext(Service, Now, Late))
         continue;
 }
 
 /// Grants to the account that has had least, of those for which there is a
 /// server with room.
-bool Allocator::grantOne(std::uint64_t Service, TimePoint Now, bool Late) {
+bool Allocator::grantNext(std::uint64_t Service, TimePoint Now, bool Late) {
   std::vector<std::pair<double, AccountKey>> Order;
   const auto First = this->Accounts.lower_bound({Service, 0});
   for (auto Each = First;
        Each != this->Accounts.end() && Each->first.first == Service; ++Each)
     if (!Each->second.Queue.empty())
-      Order.emplace_back(Each->second.Position, Each->first);
+      Order.emplace_back(Each->second.VirtualTime, Each->first);
   std::sort(Order.begin(), Order.end());
   for (const auto &[Position, Key] : Order) {
-    const bool Behind = this->isBehind(Key, Order.back().first);
+    const bool Behind = this->isUnderserved(Key, Order.back().first);
     int Looked = 0;
     for (const auto &[Work, Id] : this->Accounts.at(Key).Queue) {
-      WaitingAsk &Asked = this->Waiting.at(Id);
+      QueuedRequest &Asked = this->QueuedRequests.at(Id);
       if (Asked.Late != Late)
         continue;
       if (++Looked > LookAhead)
         break;
       // Placed a moment ago, and the server that it is meant for is still full.
-      const bool Known = Asked.MeantTokens > 0 && !Behind &&
-                         Now - Asked.MeantAt < PlacementLife &&
-                         !this->hasRoom(Asked.Meant, Asked.MeantTokens);
+      const bool Known =
+          Asked.PlannedTokens > 0 && !Behind &&
+          Now - Asked.PlannedAt < PlacementLife &&
+          !this->hasCapacity(Asked.PlannedServer, Asked.PlannedTokens);
       if (Known)
         continue;
       if (this->tryGrant(Asked, Now, false) ||
@@ -150,87 +154,89 @@
   return false;
 }
 
-bool Allocator::isBehind(const AccountKey &Key, double MostPosition) const {
-  const double PerSecond = this->limitsOf(Key.first).ReadPerMs * 1000;
-  return this->Choices.BehindTakesAny &&
-         MostPosition - this->Accounts.at(Key).Position >
+bool Allocator::isUnderserved(const AccountKey &Key,
+                              double MostPosition) const {
+  const double PerSecond = this->limitsOf(Key.first).PrefillTokensPerMs * 1000;
+  return this->Options.UnderservedUseAnyServer &&
+         MostPosition - this->Accounts.at(Key).VirtualTime >
              PerSecond * BehindSeconds;
 }
 
-bool Allocator::tryGrant(WaitingAsk &Asked, TimePoint Now, bool AnyServer) {
+bool Allocator::tryGrant(QueuedRequest &Asked, TimePoint Now, bool AnyServer) {
   // Its own tokens must not speak against the server that it is meant for.
-  this->meanFor(Asked, 0, 0);
-  PlacementQuestion Question;
-  Question.Service = Asked.Ask.Service;
-  Question.Zone = Asked.Ask.Zone;
-  Question.Parts = &Asked.Ask.Parts;
-  Question.PromptTokens = Asked.Ask.PromptTokens;
-  Question.OutputTokens = Asked.Ask.OutputTokens;
-  const AllocationLimits Limit = this->limitsOf(Asked.Ask.Service);
-  Question.ReadPerSecond = Limit.ReadPerMs * 1000;
+  this->planFor(Asked, 0, 0);
+  PlacementQuery Question;
+  Question.Service = Asked.Request.Service;
+  Question.Zone = Asked.Request.Zone;
+  Question.Parts = &Asked.Request.Parts;
+  Question.PromptTokens = Asked.Request.PromptTokens;
+  Question.OutputTokens = Asked.Request.OutputTokens;
+  const AllocationLimits Limit = this->limitsOf(Asked.Request.Service);
+  Question.PrefillTokensPerSecond = Limit.PrefillTokensPerMs * 1000;
   Question.Fetch = Limit.Fetch;
-  Question.Weights = this->Choices.Weights;
-  Question.Excluded = &Asked.Excluded;
+  Question.Weights = this->Options.Weights;
+  Question.ExcludedServers = &Asked.ExcludedServers;
   Question.Now = Now;
-  Question.SpreadBy = Asked.Ask.SpreadBy;
-  if (AnyServer || Question.SpreadBy)
-    Question.HasRoom = [this](std::uint64_t Server, std::uint32_t Unread) {
-      return this->hasRoom(Server, Unread);
+  Question.SpreadKey = Asked.Request.SpreadKey;
+  if (AnyServer || Question.SpreadKey)
+    Question.HasCapacity = [this](std::uint64_t Server, std::uint32_t Unread) {
+      return this->hasCapacity(Server, Unread);
     };
   const auto Choice = this->Servers.place(Question);
   if (!Choice)
     return false;
-  if (!this->hasRoom(Choice->Server, Choice->UnreadTokens)) {
-    this->meanFor(Asked, Choice->Server, Choice->UnreadTokens);
-    Asked.MeantAt = Now;
+  if (!this->hasCapacity(Choice->Server, Choice->PrefillTokens)) {
+    this->planFor(Asked, Choice->Server, Choice->PrefillTokens);
+    Asked.PlannedAt = Now;
     return false;
   }
   this->grant(Asked, *Choice, Now);
   return true;
 }
 
-void Allocator::grant(const WaitingAsk &Asked, const ServerChoice &Choice,
+void Allocator::grant(const QueuedRequest &Asked, const ServerChoice &Choice,
                       TimePoint Now) {
-  const ServerAsk &Ask = Asked.Ask;
-  const SendWork Work{Choice.UnreadTokens, Ask.OutputTokens,
-                      this->Servers.startOf(Choice.Server)};
+  const AllocationRequest &Ask = Asked.Request;
+  const AttemptLoad Work{Choice.PrefillTokens, Ask.OutputTokens,
+                         this->Servers.startOf(Choice.Server)};
   std::uint32_t SendWithinMs = 0;
   if (this->Servers.isWarmingUp(Choice.Server, Now))
-    SendWithinMs = sendWithin(Now - Asked.Arrived);
-  this->Servers.noteSent(Choice.Server, Work, Ask.Parts, Now);
-  this->Open[Ask.Id] = {Choice.Server, Choice.Source, Work,
-                        Now,           Ask.Parts,     SendWithinMs};
+    SendWithinMs = sendWithin(Now - Asked.ArrivedAt);
+  this->Servers.recordSent(Choice.Server, Work, Ask.Parts, Now);
+  this->ActiveGrants[Ask.Id] = {Choice.Server, Choice.FetchSource, Work, Now,
+                                Ask.Parts,     SendWithinMs};
   AccountState &Account = this->Accounts[{Ask.Service, Ask.Account}];
-  Account.Position += costOf(Ask);
-  Account.vain(Asked.CameLate).noteServed(this->orderOf(Asked));
-  this->Answers.emplace_back(
-      ServerGranted{Ask.Id, Choice.Server, Choice.UnreadTokens, Choice.Backlog,
-                    Work.ServerStartedMs, Choice.Source, SendWithinMs});
-  this->removeWaiting(AskId(Ask.Id));
+  Account.VirtualTime += costOf(Ask);
+  Account.timeouts(Asked.ArrivedLate).recordServed(this->queueKey(Asked));
+  this->Replies.emplace_back(AllocationGrant{
+      Ask.Id, Choice.Server, Choice.PrefillTokens, Choice.BacklogTokens,
+      Work.ServerStartedMs, Choice.FetchSource, SendWithinMs});
+  this->removeQueued(CorrelationId(Ask.Id));
 }
 
-void Allocator::refuse(const ServerAsk &Ask) {
+void Allocator::refuse(const AllocationRequest &Ask) {
   double Queued = 0;
-  for (const auto &[Id, Each] : this->Waiting)
-    if (Each.Ask.Service == Ask.Service)
-      Queued += Each.MeantTokens;
+  for (const auto &[Id, Each] : this->QueuedRequests)
+    if (Each.Request.Service == Ask.Service)
+      Queued += Each.PlannedTokens;
   const std::uint32_t Engines =
-      std::max(this->Servers.countOf(Ask.Service), 1U);
-  const double Drain = Queued / Engines / this->limitsOf(Ask.Service).ReadPerMs;
+      std::max(this->Servers.serverCount(Ask.Service), 1U);
+  const double Drain =
+      Queued / Engines / this->limitsOf(Ask.Service).PrefillTokensPerMs;
   const auto After = static_cast<std::uint32_t>(
       std::clamp<double>(Drain, LeastReturnMs, MostReturnMs));
-  this->Answers.emplace_back(ServerRefused{Ask.Id, After, Ask.Service});
+  this->Replies.emplace_back(AllocationRefusal{Ask.Id, After, Ask.Service});
 }
 
-void Allocator::meanFor(WaitingAsk &Asked, std::uint64_t Server,
+void Allocator::planFor(QueuedRequest &Asked, std::uint64_t Server,
                         std::uint32_t Tokens) {
-  if (Asked.MeantTokens > 0)
-    this->Servers.addQueued(Asked.Meant,
-                            -static_cast<std::int64_t>(Asked.MeantTokens));
-  Asked.Meant = Server;
-  Asked.MeantTokens = Tokens;
+  if (Asked.PlannedTokens > 0)
+    this->Servers.addQueuedTokens(
+        Asked.PlannedServer, -static_cast<std::int64_t>(Asked.PlannedTokens));
+  Asked.PlannedServer = Server;
+  Asked.PlannedTokens = Tokens;
   if (Tokens > 0)
-    this->Servers.addQueued(Server, Tokens);
+    this->Servers.addQueuedTokens(Server, Tokens);
 }
 
 } // namespace parsleywing
--- a/src/Placement/AttemptPolicy.cpp
+++ b/src/Placement/AttemptPolicy.cpp
@@ -16,40 +16,42 @@
 
 } // namespace
 
-bool maySendAgain(const RequestProgress &Known, SendOutcome Ended) {
-  if (Known.Sends >= MaxSends || Known.Left < LeastUsefulTime)
+bool mayRetry(const RequestProgress &Known, AttemptResult Ended) {
+  if (Known.Attempts >= MaxSends || Known.TimeLeft < LeastUsefulTime)
     return false;
   switch (Ended) {
-  case SendOutcome::Served:
+  case AttemptResult::Served:
     return false;
-  case SendOutcome::NotSent:
-  case SendOutcome::NotRun:
+  case AttemptResult::NotSent:
+  case AttemptResult::NotRun:
     return true;
-  case SendOutcome::Failure:
-  case SendOutcome::Lost:
-  case SendOutcome::BrokenOff:
-    return Known.Repeatable && Known.Runs < Known.MaxAttempts;
+  case AttemptResult::ErrorResponse:
+  case AttemptResult::NoResponse:
+  case AttemptResult::Truncated:
+    return Known.Repeatable && Known.Runs < Known.MaxRuns;
   }
   return false;
 }
 
-bool countsAsRepeat(SendOutcome Ended) { return Ended != SendOutcome::NotSent; }
+bool countsAsRetry(AttemptResult Ended) {
+  return Ended != AttemptResult::NotSent;
+}
 
-NextStep nextStep(const RequestProgress &Known, SendOutcome Ended,
+NextStep nextStep(const RequestProgress &Known, AttemptResult Ended,
                   bool SendAgain) {
-  if (Ended == SendOutcome::Served)
+  if (Ended == AttemptResult::Served)
     return NextStep::Done;
   if (SendAgain) {
     PARSLEYWING_INVARIANT(Known.Repeatable || Known.Runs == 0,
                           "a request that may run once at most is not sent "
                           "again after it may have run");
-    return NextStep::SendAgain;
+    return NextStep::Retry;
   }
-  if (Known.AnswerBegun)
-    return NextStep::CutOff;
-  if (Ended == SendOutcome::Failure)
-    return NextStep::PassFailure;
-  return Known.Runs == 0 ? NextStep::Refuse : NextStep::FailUnknown;
+  if (Known.ResponseStarted)
+    return NextStep::Truncate;
+  if (Ended == AttemptResult::ErrorResponse)
+    return NextStep::ForwardError;
+  return Known.Runs == 0 ? NextStep::Refuse : NextStep::FailUncertain;
 }
 
 } // namespace parsleywing
