--- a/src/Placement/CacheModel.cpp
+++ b/src/Placement/CacheModel.cpp
@@ -4,63 +4,65 @@
 
 namespace parsleywing {
 
-void CacheModel::use(const std::vector<PromptPart> &Parts) {
+void CacheModel::insert(const std::vector<PromptPart> &Parts) {
   // The first part last: it is needed by all behind it and yields last.
   for (auto Part = Parts.rbegin(); Part != Parts.rend(); ++Part) {
-    const auto Found = this->Places.find(Part->Id);
-    if (Found != this->Places.end()) {
-      this->ByUse.splice(this->ByUse.begin(), this->ByUse, Found->second);
+    const auto Found = this->Index.find(Part->Id);
+    if (Found != this->Index.end()) {
+      this->Lru.splice(this->Lru.begin(), this->Lru, Found->second);
       continue;
     }
-    this->ByUse.push_front({*Part, false});
-    this->Places[Part->Id] = this->ByUse.begin();
-    this->Held += Part->Tokens;
+    this->Lru.push_front({*Part, false});
+    this->Index[Part->Id] = this->Lru.begin();
+    this->UsedTokens += Part->Tokens;
   }
-  while (this->Held > this->Capacity && !this->ByUse.empty())
-    this->drop(std::prev(this->ByUse.end()));
+  while (this->UsedTokens > this->Capacity && !this->Lru.empty())
+    this->evict(std::prev(this->Lru.end()));
 }
 
-void CacheModel::noteRead(const std::vector<PromptPart> &Parts) {
+void CacheModel::markPrefilled(const std::vector<PromptPart> &Parts) {
   for (const PromptPart &Part : Parts)
-    if (const auto Found = this->Places.find(Part.Id);
-        Found != this->Places.end())
-      Found->second->IsRead = true;
+    if (const auto Found = this->Index.find(Part.Id);
+        Found != this->Index.end())
+      Found->second->Resident = true;
 }
 
-void CacheModel::noteKept(const std::vector<PromptPart> &Parts) {
-  this->noteRead(Parts);
+void CacheModel::addReported(const std::vector<PromptPart> &Parts) {
+  this->markPrefilled(Parts);
   for (const PromptPart &Part : Parts) {
-    if (this->Places.contains(Part.Id) ||
-        this->Held + Part.Tokens > this->Capacity)
+    if (this->Index.contains(Part.Id) ||
+        this->UsedTokens + Part.Tokens > this->Capacity)
       continue;
-    this->ByUse.push_back({Part, true});
-    this->Places[Part.Id] = std::prev(this->ByUse.end());
-    this->Held += Part.Tokens;
+    this->Lru.push_back({Part, true});
+    this->Index[Part.Id] = std::prev(this->Lru.end());
+    this->UsedTokens += Part.Tokens;
   }
 }
 
-void CacheModel::noteLost(const std::vector<PromptPart> &Parts) {
+void CacheModel::evictUnfilled(const std::vector<PromptPart> &Parts) {
   for (const PromptPart &Part : Parts)
-    if (const auto Found = this->Places.find(Part.Id);
-        Found != this->Places.end() && !Found->second->IsRead)
-      this->drop(Found->second);
+    if (const auto Found = this->Index.find(Part.Id);
+        Found != this->Index.end() && !Found->second->Resident)
+      this->evict(Found->second);
 }
 
-std::uint64_t CacheModel::kept(const std::vector<PromptPart> &Parts) const {
+std::uint64_t
+CacheModel::expectedTokens(const std::vector<PromptPart> &Parts) const {
   std::uint64_t Tokens = 0;
   for (const PromptPart &Part : Parts) {
-    if (!this->Places.contains(Part.Id))
+    if (!this->Index.contains(Part.Id))
       break;
     Tokens += Part.Tokens;
   }
   return Tokens;
 }
 
-std::uint64_t CacheModel::keptNow(const std::vector<PromptPart> &Parts) const {
+std::uint64_t
+CacheModel::residentTokens(const std::vector<PromptPart> &Parts) const {
   std::uint64_t Tokens = 0;
   for (const PromptPart &Part : Parts) {
-    const auto Found = this->Places.find(Part.Id);
-    if (Found == this->Places.end() || !Found->second->IsRead)
+    const auto Found = this->Index.find(Part.Id);
+    if (Found == this->Index.end() || !Found->second->Resident)
       break;
     Tokens += Part.Tokens;
   }
@@ -68,15 +70,15 @@
 }
 
 void CacheModel::clear() {
-  this->ByUse.clear();
-  this->Places.clear();
-  this->Held = 0;
+  this->Lru.clear();
+  this->Index.clear();
+  this->UsedTokens = 0;
 }
 
-void CacheModel::drop(Entries::iterator Which) {
-  this->Held -= Which->Part.Tokens;
-  this->Places.erase(Which->Part.Id);
-  this->ByUse.erase(Which);
+void CacheModel::evict(LruList::iterator Which) {
+  this->UsedTokens -= Which->Part.Tokens;
+  this->Index.erase(Which->Part.Id);
+  this->Lru.erase(Which);
 }
 
 } // namespace parsleywing
--- a/src/Placement/CacheModel.h
+++ b/src/Placement/CacheModel.h
@@ -19,41 +19,41 @@
 
   /// A prompt was sent there: all of its parts become the newest. Those that
   /// are new there are still to be read.
-  void use(const std::vector<PromptPart> &Parts);
+  void insert(const std::vector<PromptPart> &Parts);
   /// The prompt has been read: its parts are there.
-  void noteRead(const std::vector<PromptPart> &Parts);
+  void markPrefilled(const std::vector<PromptPart> &Parts);
   /// The prompt was not read: what was only expected of it is not there.
-  void noteLost(const std::vector<PromptPart> &Parts);
+  void evictUnfilled(const std::vector<PromptPart> &Parts);
 
   /// The engine says that it keeps these, with what it has been sent since the
   /// question: they are older than all that is known here. No more than fit.
-  void noteKept(const std::vector<PromptPart> &Parts);
+  void addReported(const std::vector<PromptPart> &Parts);
 
   /// Tokens at the start of the prompt that are kept, or will be by the time at
   /// which a request that is sent now is begun: a part helps only if all before
   /// it are kept too.
-  std::uint64_t kept(const std::vector<PromptPart> &Parts) const;
+  std::uint64_t expectedTokens(const std::vector<PromptPart> &Parts) const;
   /// The same of what is there already, for others to fetch.
-  std::uint64_t keptNow(const std::vector<PromptPart> &Parts) const;
+  std::uint64_t residentTokens(const std::vector<PromptPart> &Parts) const;
 
-  bool holds(std::uint64_t Part) const { return this->Places.contains(Part); }
+  bool contains(std::uint64_t Part) const { return this->Index.contains(Part); }
 
   void clear();
 
 private:
-  struct KeptPart {
+  struct Entry {
     PromptPart Part;
-    bool IsRead = false;
+    bool Resident = false;
   };
-  using Entries = std::list<KeptPart>;
+  using LruList = std::list<Entry>;
 
-  void drop(Entries::iterator Which);
+  void evict(LruList::iterator Which);
 
   std::uint64_t Capacity = 0;
-  std::uint64_t Held = 0;
+  std::uint64_t UsedTokens = 0;
   /// The newest first.
-  Entries ByUse;
-  std::unordered_map<std::uint64_t, Entries::iterator> Places;
+  LruList Lru;
+  std::unordered_map<std::uint64_t, LruList::iterator> Index;
 };
 
 } // namespace parsleywing
--- a/src/Placement/CrashBook.cpp
+++ b/src/Placement/CrashRegistry.cpp
@@ -1,4 +1,4 @@
-#include "Placement/CrashBook.h"
+#include "Placement/CrashRegistry.h"
 
 #include <algorithm>
 
@@ -47,45 +47,45 @@
 
 } // namespace
 
-std::size_t CrashBook::Record::counted() const {
+std::size_t CrashRegistry::Suspect::activeCrashes() const {
   return static_cast<std::size_t>(
       std::count_if(this->Crashes.begin(), this->Crashes.end(),
                     [](const auto &Each) { return !Each.second; }));
 }
 
-bool CrashBook::note(const CrashFact &Fact, TimePoint Now) {
+bool CrashRegistry::record(const CrashFact &Fact, TimePoint Now) {
   const TimePoint Seen = Now - std::chrono::seconds(Fact.AgeSeconds);
   if (Now - Seen > RecordLife)
     return false;
-  const auto [Place, Fresh] = this->Records.try_emplace(Fact.Request);
-  Record &Known = Place->second;
+  const auto [Place, Fresh] = this->Suspects.try_emplace(Fact.Request);
+  Suspect &Known = Place->second;
   if (Fresh)
-    this->Sketches.insert(Fact.Request.Sketch);
+    this->ShortHashes.insert(Fact.Request.ShortHash);
   Known.LastSeen = Fresh ? Seen : std::max(Known.LastSeen, Seen);
   const auto [Crash, New] =
       Known.Crashes.try_emplace(Fact.Process, Fact.Cleared);
   const bool ClearedNow = Fact.Cleared && !Crash->second;
   const bool Changed = New || ClearedNow;
   if (New)
-    Known.LastCrashOrTry = std::max(Known.LastCrashOrTry, Seen);
-  const bool WasOfWeight = isOfWeight(Known);
+    Known.LastCrashOrProbe = std::max(Known.LastCrashOrProbe, Seen);
+  const bool WasOfWeight = affectsRefusals(Known);
   Crash->second = Crash->second || Fact.Cleared;
   if (Known.Crashes.size() > MaxCrashes)
     dropCleared(Known.Crashes);
-  if (Changed && (WasOfWeight || isOfWeight(Known)))
-    this->judge();
+  if (Changed && (WasOfWeight || affectsRefusals(Known)))
+    this->updateRefusals();
   if (Fresh)
-    this->makeRoom();
+    this->evictExcess();
   return Changed;
 }
 
-std::vector<CrashFact> CrashBook::clear(const RequestIdentity &Request,
-                                        TimePoint Now) {
+std::vector<CrashFact> CrashRegistry::clear(const RequestIdentity &Request,
+                                            TimePoint Now) {
   std::vector<CrashFact> Changed;
-  const auto Found = this->Records.find(Request);
-  if (Found == this->Records.end())
+  const auto Found = this->Suspects.find(Request);
+  if (Found == this->Suspects.end())
     return Changed;
-  const bool Matters = isOfWeight(Found->second);
+  const bool Matters = affectsRefusals(Found->second);
   for (auto &[Process, Cleared] : Found->second.Crashes) {
     if (Cleared)
       continue;
@@ -96,109 +96,112 @@
     return Changed;
   Found->second.LastSeen = Now;
   if (Matters)
-    this->judge();
+    this->updateRefusals();
   return Changed;
 }
 
-bool CrashBook::refuses(const RequestIdentity &Request) const {
-  const auto Found = this->Records.find(Request);
-  return Found != this->Records.end() && Found->second.Refused;
+bool CrashRegistry::isRefused(const RequestIdentity &Request) const {
+  const auto Found = this->Suspects.find(Request);
+  return Found != this->Suspects.end() && Found->second.Refused;
 }
 
-void CrashBook::noteRefused(const RequestIdentity &Request, TimePoint Now) {
-  const auto Found = this->Records.find(Request);
-  if (Found != this->Records.end())
+void CrashRegistry::recordRefused(const RequestIdentity &Request,
+                                  TimePoint Now) {
+  const auto Found = this->Suspects.find(Request);
+  if (Found != this->Suspects.end())
     Found->second.LastSeen = Now;
 }
 
-bool CrashBook::mayTry(const RequestIdentity &Request, TimePoint Now) const {
-  const auto Found = this->Records.find(Request);
-  if (Found == this->Records.end() || !Found->second.Refused)
+bool CrashRegistry::mayProbe(const RequestIdentity &Request,
+                             TimePoint Now) const {
+  const auto Found = this->Suspects.find(Request);
+  if (Found == this->Suspects.end() || !Found->second.Refused)
     return false;
-  const std::size_t Crashes = Found->second.counted();
+  const std::size_t Crashes = Found->second.activeCrashes();
   const Duration Rest = Crashes <= CrashesToRefuse ? FirstRest : SecondRest;
   return Crashes < CrashesToRefuseAlways &&
-         Now - Found->second.LastCrashOrTry >= Rest;
+         Now - Found->second.LastCrashOrProbe >= Rest;
 }
 
-void CrashBook::noteTry(const RequestIdentity &Request, TimePoint Now) {
-  const auto Found = this->Records.find(Request);
-  if (Found != this->Records.end())
-    Found->second.LastCrashOrTry = Now;
+void CrashRegistry::recordProbe(const RequestIdentity &Request, TimePoint Now) {
+  const auto Found = this->Suspects.find(Request);
+  if (Found != this->Suspects.end())
+    Found->second.LastCrashOrProbe = Now;
 }
 
-std::size_t CrashBook::crashesOf(const RequestIdentity &Request) const {
-  const auto Found = this->Records.find(Request);
-  return Found == this->Records.end() ? 0 : Found->second.counted();
+std::size_t CrashRegistry::crashCount(const RequestIdentity &Request) const {
+  const auto Found = this->Suspects.find(Request);
+  return Found == this->Suspects.end() ? 0 : Found->second.activeCrashes();
 }
 
-std::size_t CrashBook::refused() const {
+std::size_t CrashRegistry::refusedCount() const {
   return static_cast<std::size_t>(
-      std::count_if(this->Records.begin(), this->Records.end(),
+      std::count_if(this->Suspects.begin(), this->Suspects.end(),
                     [](const auto &Each) { return Each.second.Refused; }));
 }
 
-bool CrashBook::isOfWeight(const Record &Known) {
-  return Known.counted() >= CrashesToRefuse;
+bool CrashRegistry::affectsRefusals(const Suspect &Known) {
+  return Known.activeCrashes() >= CrashesToRefuse;
 }
 
-void CrashBook::judge() {
-  std::vector<Record *> Open;
-  for (auto &[Request, Known] : this->Records) {
-    const std::size_t Count = Known.counted();
+void CrashRegistry::updateRefusals() {
+  std::vector<Suspect *> Open;
+  for (auto &[Request, Known] : this->Suspects) {
+    const std::size_t Count = Known.activeCrashes();
     Known.Refused = Count >= CrashesToRefuseAlways;
     if (Count >= CrashesToRefuse)
       Open.push_back(&Known);
   }
   std::set<ServerProcess> Explained;
-  const auto Unexplained = [&Explained](const Record &Of) {
+  const auto Unexplained = [&Explained](const Suspect &Of) {
     return std::count_if(
         Of.Crashes.begin(), Of.Crashes.end(), [&Explained](const auto &Each) {
           return !Each.second && !Explained.contains(Each.first);
         });
   };
   while (!Open.empty()) {
-    std::map<const Record *, std::ptrdiff_t> Left;
+    std::map<const Suspect *, std::ptrdiff_t> Left;
     std::ptrdiff_t Most = 0;
-    for (const Record *Each : Open) {
+    for (const Suspect *Each : Open) {
       Left[Each] = Unexplained(*Each);
       Most = std::max(Most, Left[Each]);
     }
     if (Most < static_cast<std::ptrdiff_t>(CrashesToRefuse))
       return;
     // Requests that cannot be told apart are refused together.
-    for (Record *Each : Open)
+    for (Suspect *Each : Open)
       if (Left[Each] == Most) {
         Each->Refused = true;
         for (const auto &[Process, Cleared] : Each->Crashes)
           if (!Cleared)
             Explained.insert(Process);
       }
-    std::erase_if(Open, [&](const Record *Each) { return Left[Each] == Most; });
+    std::erase_if(Open,
+                  [&](const Suspect *Each) { return Left[Each] == Most; });
   }
 }
 
 /// The least suspicious that was seen longest ago goes first.
-void CrashBook::makeRoom() {
-  if (this->Records.size() <= MaxRecords)
+void CrashRegistry::evictExcess() {
+  if (this->Suspects.size() <= MaxRecords)
     return;
   const auto Least = std::min_element(
-      this->Records.begin(), this->Records.end(),
+      this->Suspects.begin(), this->Suspects.end(),
       [](const auto &Left, const auto &Right) {
-        return std::pair(Left.second.counted(), Left.second.LastSeen) <
-               std::pair(Right.second.counted(), Right.second.LastSeen);
+        return std::pair(Left.second.activeCrashes(), Left.second.LastSeen) <
+               std::pair(Right.second.activeCrashes(), Right.second.LastSeen);
       });
   this->erase(Least);
 }
 
-void CrashBook::erase(RecordMap::iterator Each) {
-  this->Sketches.erase(this->Sketches.find(Each->first.Sketch));
-  this->Records.erase(Each);
+void CrashRegistry::erase(SuspectMap::iterator Each) {
+  this->ShortHashes.erase(this->ShortHashes.find(Each->first.ShortHash));
+  this->Suspects.erase(Each);
 }
 
-void CrashBook::forgetOld(TimePoint Now) {
+void CrashRegistry::removeExpired(TimePoint Now) {
   bool Changed = false;
-  for (auto Each = this->Records.begin(); Each != this->Records.end();) {
+  for (auto Each = this->Suspects.begin(); Each != this->Suspects.end();) {
     const auto Next = std::next(Each);
     if (Now - Each->second.LastSeen > RecordLife) {
       this->erase(Each);
@@ -207,11 +210,11 @@
     Each = Next;
   }
   if (Changed)
-    this->judge();
+    this->updateRefusals();
 }
 
-void CrashBook::addFacts(const RecordMap::value_type &Of, TimePoint Now,
-                         std::vector<CrashFact> &Into) {
+void CrashRegistry::appendFacts(const SuspectMap::value_type &Of, TimePoint Now,
+                                std::vector<CrashFact> &Into) {
   const auto &[Request, Known] = Of;
   if (!Known.Refused && Now - Known.LastSeen >= TellingLife)
     return;
@@ -220,24 +223,25 @@
         {Request, Process, Cleared, secondsBetween(Known.LastSeen, Now)});
 }
 
-std::vector<CrashFact> CrashBook::allToTell(TimePoint Now) const {
+std::vector<CrashFact> CrashRegistry::allFacts(TimePoint Now) const {
   std::vector<CrashFact> Facts;
-  for (const auto &Each : this->Records)
-    addFacts(Each, Now, Facts);
+  for (const auto &Each : this->Suspects)
+    appendFacts(Each, Now, Facts);
   return Facts;
 }
 
-std::vector<CrashFact> CrashBook::nextToTell(std::size_t Most, TimePoint Now) {
+std::vector<CrashFact> CrashRegistry::nextFacts(std::size_t Most,
+                                                TimePoint Now) {
   std::vector<CrashFact> Facts;
-  auto Each = this->Records.upper_bound(this->Told);
+  auto Each = this->Suspects.upper_bound(this->LastSent);
   for (std::size_t Looked = 0;
-       Looked < this->Records.size() && Facts.size() < Most; ++Looked) {
-    if (Each == this->Records.end())
-      Each = this->Records.begin();
+       Looked < this->Suspects.size() && Facts.size() < Most; ++Looked) {
+    if (Each == this->Suspects.end())
+      Each = this->Suspects.begin();
     if (Facts.size() + Each->second.Crashes.size() > Most)
       break;
-    addFacts(*Each, Now, Facts);
-    this->Told = Each->first;
+    appendFacts(*Each, Now, Facts);
+    this->LastSent = Each->first;
     ++Each;
   }
   return Facts;
--- a/src/Placement/CrashBook.h
+++ b/src/Placement/CrashRegistry.h
@@ -1,5 +1,5 @@
-#ifndef PARSLEYWING_PLACEMENT_CRASHBOOK_H
-#define PARSLEYWING_PLACEMENT_CRASHBOOK_H
+#ifndef PARSLEYWING_PLACEMENT_CRASHREGISTRY_H
+#define PARSLEYWING_PLACEMENT_CRASHREGISTRY_H
 
 #include "Placement/RequestIdentity.h"
 #include "Runtime/Clock.h"
@@ -59,79 +59,79 @@
 /// answered whole begins anew.
 ///
 /// Makes no calls and has no clock of its own.
-class CrashBook {
+class CrashRegistry {
 public:
   /// False where the fact was known.
-  bool note(const CrashFact &Fact, TimePoint Now);
+  bool record(const CrashFact &Fact, TimePoint Now);
 
   /// The request has been answered whole: nothing known speaks against it any
   /// more. The facts that changed by it.
   std::vector<CrashFact> clear(const RequestIdentity &Request, TimePoint Now);
 
   /// Whether the request must not be sent to a server.
-  bool refuses(const RequestIdentity &Request) const;
+  bool isRefused(const RequestIdentity &Request) const;
   /// It came again and was refused: it is remembered for longer.
-  void noteRefused(const RequestIdentity &Request, TimePoint Now);
+  void recordRefused(const RequestIdentity &Request, TimePoint Now);
 
   /// Whether a refused request may be sent once to find out whether it still
   /// crashes servers: it was innocent, or servers have been mended. Twice in
   /// its life, long behind its last crash and the last try.
-  bool mayTry(const RequestIdentity &Request, TimePoint Now) const;
-  void noteTry(const RequestIdentity &Request, TimePoint Now);
+  bool mayProbe(const RequestIdentity &Request, TimePoint Now) const;
+  void recordProbe(const RequestIdentity &Request, TimePoint Now);
 
   /// Crashes of servers that speak against the request.
-  std::size_t crashesOf(const RequestIdentity &Request) const;
+  std::size_t crashCount(const RequestIdentity &Request) const;
 
   /// Whether a request with this sketch may be known. False spares its
   /// identity's digest.
-  bool mayKnow(std::uint32_t Sketch) const {
-    return this->Sketches.contains(Sketch);
+  bool mayContain(std::uint32_t Sketch) const {
+    return this->ShortHashes.contains(Sketch);
   }
 
   /// The next facts to tell another router, at most so many (and at least 12),
   /// round after round:
   /// of refused requests, and of those that were seen lately.
-  std::vector<CrashFact> nextToTell(std::size_t Most, TimePoint Now);
+  std::vector<CrashFact> nextFacts(std::size_t Most, TimePoint Now);
   /// All of these.
-  std::vector<CrashFact> allToTell(TimePoint Now) const;
+  std::vector<CrashFact> allFacts(TimePoint Now) const;
 
   /// Drops what was not seen for long. Called now and then.
-  void forgetOld(TimePoint Now);
+  void removeExpired(TimePoint Now);
 
-  std::size_t size() const { return this->Records.size(); }
-  std::size_t refused() const;
+  std::size_t size() const { return this->Suspects.size(); }
+  std::size_t refusedCount() const;
 
   /// For the dump of state.
   template <typename Visitor> void visit(Visitor Each) const {
-    for (const auto &[Request, Known] : this->Records)
-      Each(Request, Known.counted(), Known.Refused);
+    for (const auto &[Request, Known] : this->Suspects)
+      Each(Request, Known.activeCrashes(), Known.Refused);
   }
 
 private:
-  struct Record {
+  struct Suspect {
     /// Each with whether it was cleared.
     std::map<ServerProcess, bool> Crashes;
     TimePoint LastSeen{};
-    TimePoint LastCrashOrTry{};
+    TimePoint LastCrashOrProbe{};
     bool Refused = false;
 
-    std::size_t counted() const;
+    std::size_t activeCrashes() const;
   };
-  using RecordMap = std::map<RequestIdentity, Record>;
+  using SuspectMap = std::map<RequestIdentity, Suspect>;
 
   /// Whether a change of the record may change what is refused.
-  static bool isOfWeight(const Record &Known);
-  void judge();
-  void makeRoom();
-  void erase(RecordMap::iterator Each);
+  static bool affectsRefusals(const Suspect &Known);
+  void updateRefusals();
+  void evictExcess();
+  void erase(SuspectMap::iterator Each);
   /// Where they are to be told.
-  static void addFacts(const RecordMap::value_type &Of, TimePoint Now,
-                       std::vector<CrashFact> &Into);
+  static void appendFacts(const SuspectMap::value_type &Of, TimePoint Now,
+                          std::vector<CrashFact> &Into);
 
-  RecordMap Records;
-  std::multiset<std::uint32_t> Sketches;
+  SuspectMap Suspects;
+  std::multiset<std::uint32_t> ShortHashes;
   /// The request whose facts were told last.
-  RequestIdentity Told;
+  RequestIdentity LastSent;
 };
 
 } // namespace parsleywing
--- a/src/Placement/FleetView.h
+++ b/src/Placement/FleetView.h
@@ -47,9 +47,9 @@
   Duration Timeout{};
   /// The time within which an answer earns all it can (for streams: its first
   /// event).
-  Duration Objective{};
+  Duration LatencyObjective{};
   /// Servers that one request may run on.
-  std::uint32_t MaxAttempts = 1;
+  std::uint32_t MaxRuns = 1;
   /// Served without an account's key.
   bool Public = false;
   /// Requests carry the parts of their prompt, and servers cache them.
@@ -72,10 +72,10 @@
   std::uint32_t MaxConnections = 0;
   /// Tokens that one engine keeps, cache and running requests together; 0 for
   /// services that are no engines.
-  std::uint64_t EngineTokens = 0;
+  std::uint64_t KvCapacityTokens = 0;
   /// Bytes of a kept token, and what the link of an engine carries of them in a
   /// millisecond; 0 where engines cannot fetch from each other.
-  double KeptTokenBytes = 0;
+  double KvBytesPerToken = 0;
   double LinkBytesPerMs = 0;
   /// What a server bears behind its start.
   WarmUpLoad WarmUp;
@@ -125,28 +125,28 @@
   std::optional<Duration> WarmUpLeft{};
   /// By that, and by all else that is known of it: it warms up until then, on
   /// the clock that counts suspended time. Set where the entry is put in force.
-  TimePoint WarmUntil{};
+  TimePoint WarmUpEndsAt{};
   /// The operators have asked that nothing be sent to its availability zone.
   bool Evacuated = false;
 
   /// Whether new requests may be sent to it.
-  bool takesRequests() const { return !this->Draining && !this->Evacuated; }
+  bool acceptsRequests() const { return !this->Draining && !this->Evacuated; }
 };
 
 using ServerList = std::map<std::string, GatewayServer>;
 
 /// Where a router takes datagrams of the others, and how many cores it has.
-struct RouterPlace {
+struct RouterEndpoint {
   std::string Address;
-  double Capacity = 1;
+  double Cores = 1;
   /// The revision of its entry: another one after a gap in the list.
-  std::int64_t ListedAt = 0;
+  std::int64_t ListedRevision = 0;
   std::string Zone{};
 };
 
 struct FleetHistory;
 
-using RouterList = std::map<std::string, RouterPlace>;
+using RouterList = std::map<std::string, RouterEndpoint>;
 
 /// What the router believes of the fleet, as one immutable whole. The control
 /// thread makes a new one at each change; the traffic thread reads it. What has
@@ -155,23 +155,23 @@
   std::shared_ptr<const GatewayConfiguration> Configuration;
   std::shared_ptr<const ServerList> Servers;
   /// Routers that share the servers, this one included.
-  std::uint32_t Routers = 1;
+  std::uint32_t RouterCount = 1;
   /// The listed routers, this one included.
-  std::shared_ptr<const RouterList> RouterPlaces;
+  std::shared_ptr<const RouterList> RouterEndpoints;
   /// The configuration was the newest one at this moment (a clock that counts
   /// suspended time), the moment of the question.
   TimePoint ProvenAt{};
   /// The configuration's revision in the store.
-  std::int64_t ConfigurationAt = 0;
+  std::int64_t ConfigurationRevision = 0;
   /// All changes of servers and routers up to this revision are in the lists.
-  std::int64_t SeenAt = 0;
+  std::int64_t SeenRevision = 0;
   /// The lists lacked no change of the store at this moment, on the same clock.
   TimePoint ListsProvenAt{};
   /// Availability zones that the operators have asked to be left, and the
   /// revision at which they did.
   std::shared_ptr<const std::map<std::string, std::int64_t>> EvacuatedZones;
   /// The latest of these changes, for routers that hear of them from this one.
-  std::shared_ptr<const FleetHistory> Recent;
+  std::shared_ptr<const FleetHistory> History;
 };
 
 } // namespace parsleywing
--- a/src/Placement/PromptPart.h
+++ b/src/Placement/PromptPart.h
@@ -18,7 +18,7 @@
 };
 
 /// What an engine says that it keeps.
-struct KeptParts {
+struct CachedParts {
   /// The start of its process; 0 where it does not say.
   std::int64_t ServerStartedMs = 0;
   std::vector<PromptPart> Parts;
--- a/src/Placement/VainWaits.h
+++ b/src/Placement/RecentTimeouts.h
@@ -1,5 +1,5 @@
-#ifndef PARSLEYWING_PLACEMENT_VAINWAITS_H
-#define PARSLEYWING_PLACEMENT_VAINWAITS_H
+#ifndef PARSLEYWING_PLACEMENT_RECENTTIMEOUTS_H
+#define PARSLEYWING_PLACEMENT_RECENTTIMEOUTS_H
 
 #include "Runtime/Clock.h"
 
@@ -21,32 +21,32 @@
 /// `slow-links`. A forecast from the rate at which a queue drains was tried
 /// beside it and hardly ever foretold a refusal: queues of smallest-first
 /// accounts are short.
-class VainWaits {
+class RecentTimeouts {
 public:
   /// A request of this work has waited for its whole time.
-  void noteVain(double Work, TimePoint Now) {
+  void recordTimeout(double Work, TimePoint Now) {
     const bool Known = Now < this->Until;
-    this->LeastWork = Known ? std::min(this->LeastWork, Work) : Work;
-    this->Until = Now + Life;
+    this->MinWork = Known ? std::min(this->MinWork, Work) : Work;
+    this->Until = Now + Lifetime;
   }
 
   /// A request of this work was served.
-  void noteServed(double Work) {
-    if (Work >= this->LeastWork)
+  void recordServed(double Work) {
+    if (Work >= this->MinWork)
       this->Until = TimePoint{};
   }
 
   /// Whether a request of this work would wait in vain now.
-  bool isVain(double Work, TimePoint Now) const {
-    return Now < this->Until && Work >= this->LeastWork;
+  bool wouldTimeOut(double Work, TimePoint Now) const {
+    return Now < this->Until && Work >= this->MinWork;
   }
 
 private:
   /// The shortest objectives are 0.3 to 0.6 s: what waits in vain does so about
   /// as long.
-  static constexpr Duration Life = std::chrono::milliseconds(500);
+  static constexpr Duration Lifetime = std::chrono::milliseconds(500);
 
-  double LeastWork = 0;
+  double MinWork = 0;
   TimePoint Until{};
 };
 
--- a/src/Placement/RequestIdentity.cpp
+++ b/src/Placement/RequestIdentity.cpp
@@ -35,10 +35,10 @@
   add(Digest, Content.Body);
   const Poco::DigestEngine::Digest &Bytes = Digest.digest();
   return {numberAt(Bytes, 0), numberAt(Bytes, sizeof(std::uint64_t)),
-          sketchOf(Content)};
+          shortHashOf(Content)};
 }
 
-std::uint32_t sketchOf(const RequestContent &Content) {
+std::uint32_t shortHashOf(const RequestContent &Content) {
   return static_cast<std::uint32_t>(
       rendezvousScore(hashName(Content.Target), hashName(Content.Body)));
 }
--- a/src/Placement/RequestIdentity.h
+++ b/src/Placement/RequestIdentity.h
@@ -16,18 +16,18 @@
   std::uint64_t High = 0;
   std::uint64_t Low = 0;
   /// Tells almost all requests apart at a fiftieth of the digest's cost.
-  std::uint32_t Sketch = 0;
+  std::uint32_t ShortHash = 0;
 
   friend bool operator==(const RequestIdentity &,
                          const RequestIdentity &) = default;
   friend bool operator<(const RequestIdentity &Left,
                         const RequestIdentity &Right) {
-    return std::tie(Left.High, Left.Low, Left.Sketch) <
-           std::tie(Right.High, Right.Low, Right.Sketch);
+    return std::tie(Left.High, Left.Low, Left.ShortHash) <
+           std::tie(Right.High, Right.Low, Right.ShortHash);
   }
 
   template <class Archive> void serialize(Archive &Ar) {
-    Ar(this->High, this->Low, this->Sketch);
+    Ar(this->High, this->Low, this->ShortHash);
   }
 };
 
@@ -45,7 +45,7 @@
 RequestIdentity identityOf(const RequestContent &Content);
 
 /// The sketch in this identity.
-std::uint32_t sketchOf(const RequestContent &Content);
+std::uint32_t shortHashOf(const RequestContent &Content);
 
 /// The identity in log lines.
 std::string textOf(const RequestIdentity &Identity);
--- a/src/Placement/RetryAllowance.cpp
+++ b/src/Placement/RetryAllowance.cpp
@@ -10,34 +10,34 @@
 
 } // namespace
 
-void RetryAllowance::noteRequest(TimePoint Now) {
+void RetryAllowance::recordRequest(TimePoint Now) {
   this->Requests.push_back(Now);
-  this->forget(Now);
+  this->dropExpired(Now);
 }
 
-bool RetryAllowance::has(TimePoint Now, std::uint32_t Routers) {
-  this->forget(Now);
+bool RetryAllowance::hasRetry(TimePoint Now, std::uint32_t Routers) {
+  this->dropExpired(Now);
   const double OwnSlack = this->Bounds.Slack / static_cast<double>(Routers);
   const double Allowed =
       UsedPart *
       (this->Bounds.Ratio * static_cast<double>(this->Requests.size()) +
        OwnSlack);
-  return static_cast<double>(this->Repeats.size()) + 1 <= Allowed;
+  return static_cast<double>(this->Retries.size()) + 1 <= Allowed;
 }
 
-bool RetryAllowance::take(TimePoint Now, std::uint32_t Routers) {
-  const bool Left = this->has(Now, Routers);
+bool RetryAllowance::tryAcquire(TimePoint Now, std::uint32_t Routers) {
+  const bool Left = this->hasRetry(Now, Routers);
   if (Left)
-    this->Repeats.push_back(Now);
+    this->Retries.push_back(Now);
   return Left;
 }
 
-void RetryAllowance::forget(TimePoint Now) {
+void RetryAllowance::dropExpired(TimePoint Now) {
   const TimePoint Start = Now - this->Bounds.Window;
   while (!this->Requests.empty() && this->Requests.front() < Start)
     this->Requests.pop_front();
-  while (!this->Repeats.empty() && this->Repeats.front() < Start)
-    this->Repeats.pop_front();
+  while (!this->Retries.empty() && this->Retries.front() < Start)
+    this->Retries.pop_front();
 }
 
 } // namespace parsleywing
--- a/src/Placement/RetryAllowance.h
+++ b/src/Placement/RetryAllowance.h
@@ -25,20 +25,20 @@
 public:
   explicit RetryAllowance(RetryBounds B) : Bounds(B) {}
 
-  void noteRequest(TimePoint Now);
+  void recordRequest(TimePoint Now);
 
   /// Whether a repeat is left; `Routers` share the slack.
-  bool has(TimePoint Now, std::uint32_t Routers);
+  bool hasRetry(TimePoint Now, std::uint32_t Routers);
 
   /// Takes one repeat where there is one left.
-  bool take(TimePoint Now, std::uint32_t Routers);
+  bool tryAcquire(TimePoint Now, std::uint32_t Routers);
 
 private:
-  void forget(TimePoint Now);
+  void dropExpired(TimePoint Now);
 
   RetryBounds Bounds;
   std::deque<TimePoint> Requests;
-  std::deque<TimePoint> Repeats;
+  std::deque<TimePoint> Retries;
 };
 
 } // namespace parsleywing
--- a/src/Placement/RouterMessages.cpp
+++ b/src/Placement/RouterMessages.cpp
@@ -29,7 +29,7 @@
 
 } // namespace
 
-std::string textOf(const AskId &Id) {
+std::string textOf(const CorrelationId &Id) {
   return Poco::NumberFormatter::formatHex(Id.Process) + "-" +
          std::to_string(Id.Number);
 }
--- a/src/Placement/RouterOrder.cpp
+++ b/src/Placement/RouterOrder.cpp
@@ -4,15 +4,15 @@
 
 namespace parsleywing {
 
-double orderScore(std::uint64_t Router, std::uint64_t Key, double Cores) {
+double routerScore(std::uint64_t Router, std::uint64_t Key, double Cores) {
   return weightedRendezvousScore(Router, Key, Cores * Cores * Cores);
 }
 
-std::string firstListed(const RouterList &Listed, std::uint64_t Key) {
+std::string topRankedRouter(const RouterList &Listed, std::uint64_t Key) {
   std::string Best;
   double BestScore = 0;
   for (const auto &[Name, Place] : Listed) {
-    const double Score = orderScore(hashName(Name), Key, Place.Capacity);
+    const double Score = routerScore(hashName(Name), Key, Place.Cores);
     if (Best.empty() || Score > BestScore) {
       Best = Name;
       BestScore = Score;
--- a/src/Placement/ServerGroups.cpp
+++ b/src/Placement/ServerGroups.cpp
@@ -30,13 +30,13 @@
   for (const auto &[Id, Server] : Servers)
     ++Counts[hashName(Server.Service)];
   for (const auto &[Service, Count] : Counts) {
-    Cut &Made = this->Cuts[Service];
+    Partition &Made = this->Partitions[Service];
     Made.Groups = groupsFor(Count);
     Made.Sizes.resize(Made.Groups);
   }
   for (const auto &[Id, Server] : Servers) {
-    Cut &Known = this->Cuts[hashName(Server.Service)];
-    if (Server.takesRequests())
+    Partition &Known = this->Partitions[hashName(Server.Service)];
+    if (Server.acceptsRequests())
       ++Known.Sizes[hashName(Id) % Known.Groups];
   }
 }
@@ -46,27 +46,28 @@
   return Index == 0 ? Service : rendezvousScore(Service, Index);
 }
 
-std::uint64_t ServerGroups::groupOf(const std::string &ServerId,
-                                    const std::string &Service) const {
+std::uint64_t ServerGroups::groupOfServer(const std::string &ServerId,
+                                          const std::string &Service) const {
   const std::uint64_t Hash = hashName(Service);
-  const auto Found = this->Cuts.find(Hash);
-  if (Found == this->Cuts.end())
+  const auto Found = this->Partitions.find(Hash);
+  if (Found == this->Partitions.end())
     return Hash;
   return groupKey(Hash, hashName(ServerId) % Found->second.Groups);
 }
 
-std::uint64_t ServerGroups::groupFor(std::uint64_t Service,
-                                     const std::vector<PromptPart> &Parts,
-                                     std::uint64_t Otherwise) const {
-  const auto Found = this->Cuts.find(Service);
-  if (Found == this->Cuts.end() || Found->second.Groups == 1)
+std::uint64_t
+ServerGroups::groupForRequest(std::uint64_t Service,
+                              const std::vector<PromptPart> &Parts,
+                              std::uint64_t Otherwise) const {
+  const auto Found = this->Partitions.find(Service);
+  if (Found == this->Partitions.end() || Found->second.Groups == 1)
     return Service;
   const PromptPart *Shared = sharedPart(Parts);
   const std::uint64_t Gathered = Shared == nullptr ? Otherwise : Shared->Id;
   // Weighted rendezvous: the chance of each group follows its size.
   std::uint64_t Best = 0;
   double BestScore = -1;
-  const Cut &Known = Found->second;
+  const Partition &Known = Found->second;
   for (std::uint64_t Index = 0; Index < Known.Groups; ++Index) {
     if (Known.Sizes[Index] == 0)
       continue;
--- a/src/Placement/ServerGroups.h
+++ b/src/Placement/ServerGroups.h
@@ -19,18 +19,18 @@
   explicit ServerGroups(const ServerList &Servers = {});
 
   /// The group of a server; the service itself where it is not cut.
-  std::uint64_t groupOf(const std::string &ServerId,
-                        const std::string &Service) const;
+  std::uint64_t groupOfServer(const std::string &ServerId,
+                              const std::string &Service) const;
 
   /// The group for a request to the service: all requests that share a prompt
   /// part come to the same one, and each group gets its part of them by its
   /// number of servers.
-  std::uint64_t groupFor(std::uint64_t Service,
-                         const std::vector<PromptPart> &Parts,
-                         std::uint64_t Otherwise) const;
+  std::uint64_t groupForRequest(std::uint64_t Service,
+                                const std::vector<PromptPart> &Parts,
+                                std::uint64_t Otherwise) const;
 
 private:
-  struct Cut {
+  struct Partition {
     std::uint64_t Groups = 1;
     /// Servers that take requests, in each group.
     std::vector<std::uint32_t> Sizes;
@@ -38,7 +38,7 @@
 
   static std::uint64_t groupKey(std::uint64_t Service, std::uint64_t Index);
 
-  std::map<std::uint64_t, Cut> Cuts;
+  std::map<std::uint64_t, Partition> Partitions;
 };
 
 } // namespace parsleywing
--- a/src/Placement/SoleAllocator.h
+++ b/src/Placement/ServerOwnership.h
@@ -1,5 +1,5 @@
-#ifndef PARSLEYWING_PLACEMENT_SOLEALLOCATOR_H
-#define PARSLEYWING_PLACEMENT_SOLEALLOCATOR_H
+#ifndef PARSLEYWING_PLACEMENT_SERVEROWNERSHIP_H
+#define PARSLEYWING_PLACEMENT_SERVEROWNERSHIP_H
 
 #include "Placement/FleetView.h"
 #include "Placement/ServerGroups.h"
@@ -26,39 +26,40 @@
 /// allocator was lost or has started, nor while the store is away. Takes no
 /// calls and has no clock of its own; all moments are on the clock that counts
 /// suspended time.
-class SoleAllocator {
+class ServerOwnership {
 public:
   /// A list that was complete so long ago still counts. Relays prove theirs
   /// about once a second, and three proofs fit.
-  static constexpr Duration ListsLife = std::chrono::seconds(3);
+  static constexpr Duration MaxListAge = std::chrono::seconds(3);
   /// The life of the other's list, the slip of its last grant, and the second
   /// over which requests are counted.
-  static constexpr Duration TakeOver =
-      ListsLife + std::chrono::milliseconds(1600);
+  static constexpr Duration TakeoverDelay =
+      MaxListAge + std::chrono::milliseconds(1600);
 
-  explicit SoleAllocator(std::string Router) : Self(std::move(Router)) {}
+  explicit ServerOwnership(std::string Router)
+      : RouterName(std::move(Router)) {}
 
   /// Takes what this router has learnt of the fleet.
-  void takeView(const FleetView &View, const ServerGroups &Groups,
-                TimePoint Now);
+  void updateView(const FleetView &View, const ServerGroups &Groups,
+                  TimePoint Now);
 
   /// Whether this router alone may grant the server (by the hash of its
   /// identity).
   bool owns(std::uint64_t Server, TimePoint Now) const;
 
 private:
-  bool isFirstOf(std::uint64_t Group);
+  bool isFirstFor(std::uint64_t Group);
 
-  std::string Self;
+  std::string RouterName;
   /// The revision of this router's entry.
-  std::int64_t ListedAt = 0;
+  std::int64_t ListedRevision = 0;
   TimePoint ListsProvenAt{};
   /// Since when this router has been the first for a server. Only servers
   /// whose service states a warm-up are in it.
   std::unordered_map<std::uint64_t, TimePoint> FirstSince;
   /// Whether this router is the first of a group by that list of routers.
-  std::shared_ptr<const RouterList> OrderedBy;
-  std::unordered_map<std::uint64_t, bool> FirstOf;
+  std::shared_ptr<const RouterList> Routers;
+  std::unordered_map<std::uint64_t, bool> FirstForGroup;
 };
 
 } // namespace parsleywing
--- a/src/Placement/WarmUp.cpp
+++ b/src/Placement/WarmUp.cpp
@@ -20,33 +20,35 @@
 
 } // namespace
 
-WarmUpLimit::WarmUpLimit(const WarmUpLoad &Load, const WarmUpBounds &Bounds)
+WarmUpLimiter::WarmUpLimiter(const WarmUpLoad &Load, const WarmUpBounds &Bounds)
     : Limited(Load.PerSecond > 0) {
-  const double Bound = Load.PerSecond * Bounds.Over + Bounds.Slack;
+  const double Bound = Load.PerSecond * Bounds.RateFactor + Bounds.Slack;
   this->Burst = std::max(Bounds.Slack * BurstPart, LeastBurst);
   const double Left = Bound * (1 - ReservedPart) - this->Burst;
-  this->Rate =
-      std::clamp(Left / (1 + secondsOf(WarmUpSlip)), 0.0, Load.PerSecond);
+  this->Rate = std::clamp(Left / (1 + secondsOf(MaxWarmUpSendDelay)), 0.0,
+                          Load.PerSecond);
   this->Tokens = this->Burst;
 }
 
-double WarmUpLimit::tokensAt(TimePoint Now) const {
-  const double Passed = std::max(secondsOf(Now - this->CountedAt), 0.0);
+double WarmUpLimiter::tokensAt(TimePoint Now) const {
+  const double Passed = std::max(secondsOf(Now - this->RefilledAt), 0.0);
   return std::min(this->Tokens + Passed * this->Rate, this->Burst);
 }
 
-bool WarmUpLimit::has(TimePoint Now) const { return this->tokensAt(Now) >= 1; }
+bool WarmUpLimiter::hasToken(TimePoint Now) const {
+  return this->tokensAt(Now) >= 1;
+}
 
-void WarmUpLimit::noteSent(TimePoint Now) {
+void WarmUpLimiter::recordSent(TimePoint Now) {
   // Behind the load of a warm server, the debt of one second: older sends no
   // longer count, and without this floor the server would stand idle for as
   // long as it has been loaded.
-  const double Floor = -this->Rate * (1 + secondsOf(WarmUpSlip));
+  const double Floor = -this->Rate * (1 + secondsOf(MaxWarmUpSendDelay));
   this->Tokens = std::max(this->tokensAt(Now) - 1, Floor);
-  this->CountedAt = Now;
+  this->RefilledAt = Now;
 }
 
-void WarmUpLimit::setLoad(const WarmUpLimit &Load) {
+void WarmUpLimiter::copyRateFrom(const WarmUpLimiter &Load) {
   if (!this->Limited)
     this->Tokens = Load.Tokens;
   this->Limited = Load.Limited;
--- a/src/Placement/WarmUp.h
+++ b/src/Placement/WarmUp.h
@@ -9,7 +9,7 @@
 /// configuration. A rate of zero: they bear what they bear later.
 struct WarmUpLoad {
   /// From a start to the end of the warm-up.
-  Duration Life{};
+  Duration Period{};
   /// Requests a second.
   double PerSecond = 0;
 };
@@ -18,19 +18,19 @@
 /// operators' settings: in no second more than `Over` times the rate, and
 /// `Slack` requests. Above, the server crashes.
 struct WarmUpBounds {
-  double Over = 1.5;
+  double RateFactor = 1.5;
   double Slack = 5;
 };
 
 /// A grant to a server that warms up is void at its router after this. It
 /// covers a datagram's way and a loop that is a few turns late; what comes
 /// later, after a freeze or a cut, must not be sent.
-inline constexpr Duration WarmUpGrantLife = std::chrono::milliseconds(100);
+inline constexpr Duration WarmUpGrantLifetime = std::chrono::milliseconds(100);
 
 /// The longest from such a grant to the request's first byte: its life, and a
 /// new connection to the server.
-inline constexpr Duration WarmUpSlip =
-    WarmUpGrantLife + std::chrono::milliseconds(400);
+inline constexpr Duration MaxWarmUpSendDelay =
+    WarmUpGrantLifetime + std::chrono::milliseconds(400);
 
 /// The requests that one allocator lets a server have while it warms up: a
 /// token bucket. What fails without it: servers that come back together get
@@ -43,20 +43,20 @@
 ///
 /// Sends are counted at all times, also to warm servers: one that says that it
 /// has turned cold has had requests in the second before.
-class WarmUpLimit {
+class WarmUpLimiter {
 public:
-  WarmUpLimit() = default;
-  WarmUpLimit(const WarmUpLoad &Load, const WarmUpBounds &Bounds);
+  WarmUpLimiter() = default;
+  WarmUpLimiter(const WarmUpLoad &Load, const WarmUpBounds &Bounds);
 
   /// Whether the service's servers are limited at all.
-  bool limited() const { return this->Limited; }
-  double perSecond() const { return this->Rate; }
+  bool isLimited() const { return this->Limited; }
+  double ratePerSecond() const { return this->Rate; }
 
-  bool has(TimePoint Now) const;
-  void noteSent(TimePoint Now);
+  bool hasToken(TimePoint Now) const;
+  void recordSent(TimePoint Now);
 
   /// Takes rate and burst over from another limit, and keeps the count.
-  void setLoad(const WarmUpLimit &Load);
+  void copyRateFrom(const WarmUpLimiter &Load);
 
 private:
   double tokensAt(TimePoint Now) const;
@@ -65,7 +65,7 @@
   double Rate = 0;
   double Burst = 0;
   double Tokens = 0;
-  TimePoint CountedAt{};
+  TimePoint RefilledAt{};
 };
 
 } // namespace parsleywing
--- a/src/Platform/Backoff.h
+++ b/src/Platform/Backoff.h
@@ -12,7 +12,7 @@
 namespace internal {
 
 /// The chosen seed, or where it is zero one of the system's.
-inline std::uint64_t seedOr(std::uint64_t Chosen) {
+inline std::uint64_t seedOrRandom(std::uint64_t Chosen) {
   if (Chosen != 0)
     return Chosen;
   std::random_device Device;
@@ -28,22 +28,23 @@
 class Backoff {
 public:
   Backoff(Duration First, Duration Limit, std::uint64_t Seed)
-      : First(First), Limit(Limit), Next(First), Random(Seed) {}
+      : InitialDelay(First), MaxDelay(Limit), NextDelay(First), Random(Seed) {}
 
   /// The wait before the next try.
-  Duration next() {
-    std::uniform_int_distribution<Duration::rep> Wait(0, this->Next.count());
-    this->Next = std::min(this->Limit, this->Next * 2);
+  Duration nextDelay() {
+    std::uniform_int_distribution<Duration::rep> Wait(0,
+                                                      this->NextDelay.count());
+    this->NextDelay = std::min(this->MaxDelay, this->NextDelay * 2);
     return Duration(Wait(this->Random));
   }
 
   /// A try went well.
-  void reset() { this->Next = this->First; }
+  void reset() { this->NextDelay = this->InitialDelay; }
 
 private:
-  Duration First;
-  Duration Limit;
-  Duration Next;
+  Duration InitialDelay;
+  Duration MaxDelay;
+  Duration NextDelay;
   std::mt19937_64 Random;
 };
 
--- a/src/Platform/ConfigurationStore.cpp
+++ b/src/Platform/ConfigurationStore.cpp
@@ -76,29 +76,29 @@
   }
 }
 
-struct ConfigurationStore::Attempt {
+struct ConfigurationStore::ApplyState {
   ConfigurationText Text;
   std::vector<std::string> Parts;
-  ConfigurationManifest Wanted;
-  ConfigurationManifest Base;
+  ConfigurationManifest NewManifest;
+  ConfigurationManifest BaseManifest;
   /// The manifest's revision that the swap compares; zero where there is none.
   Revision BaseRevision = 0;
-  Revision Collector = 0;
+  Revision CollectorRevision = 0;
   /// The generation that the operator began from, where one was named.
-  std::optional<std::uint64_t> Expected;
+  std::optional<std::uint64_t> ExpectedGeneration;
   /// What is in force instead, where the swap was lost.
-  ConfigurationChange Current;
+  ConfigurationChange CurrentChange;
   bool HasBase = false;
   bool Uploaded = false;
   /// A swap was sent and its reply is missing.
-  bool InDoubt = false;
-  Error Last{ErrorCode::Unreachable, "the store was not asked in time"};
+  bool OutcomeUnknown = false;
+  Error LastError{ErrorCode::Unreachable, "the store was not asked in time"};
 };
 
 ConfigurationStore::ConfigurationStore(ConfigurationStoreSettings C,
                                        StoreClient S, Clock T)
     : Settings(std::move(C)), Store(std::move(S)), Time(std::move(T)),
-      Random(internal::seedOr(Settings.Seed)) {}
+      Random(internal::seedOrRandom(Settings.Seed)) {}
 
 std::string ConfigurationStore::partKey(const TextHash &Part) const {
   return this->Settings.Prefix + "parts/" + toString(Part);
@@ -148,7 +148,7 @@
 }
 
 Result<StoredConfiguration> ConfigurationStore::read() {
-  const TimePoint Deadline = this->Time.now() + this->Settings.Patience;
+  const TimePoint Deadline = this->Time.now() + this->Settings.Timeout;
   Backoff Waits(FirstWait, LongestWait, this->Random());
   while (true) {
     Error Last;
@@ -165,7 +165,7 @@
     } else {
       Last = Manifest.error();
     }
-    const Duration Wait = Waits.next();
+    const Duration Wait = Waits.nextDelay();
     if (this->Time.now() + Wait >= Deadline)
       return tl::unexpected(Last);
     std::this_thread::sleep_for(Wait);
@@ -186,56 +186,57 @@
 ApplyOutcome ConfigurationStore::apply(const std::string &File,
                                        const std::string &Operator,
                                        std::optional<std::uint64_t> Base) {
-  Attempt Try;
-  Try.Expected = Base;
+  ApplyState Try;
+  Try.ExpectedGeneration = Base;
   Try.Text = ConfigurationText(File);
   Try.Parts = Try.Text.parts(this->Settings.MaxPartBytes);
   for (const std::string &Part : Try.Parts) {
     if (Part.size() > LargestValue)
       return ApplyFailed{{ErrorCode::InvalidInput,
                           "a section is larger than one value may be"}};
-    Try.Wanted.Parts.push_back(hashBytes(Part));
+    Try.NewManifest.Parts.push_back(hashBytes(Part));
   }
-  Try.Wanted.ApplyId = toString(TextHash{this->Random(), this->Random()});
-  Try.Wanted.Operator = Operator;
-  Try.Wanted.Time = Poco::DateTimeFormatter::format(
+  Try.NewManifest.ApplyId = toString(TextHash{this->Random(), this->Random()});
+  Try.NewManifest.Operator = Operator;
+  Try.NewManifest.Time = Poco::DateTimeFormatter::format(
       Poco::Timestamp(), Poco::DateTimeFormat::ISO8601_FORMAT);
-  Try.Wanted.Hash = Try.Text.hash();
+  Try.NewManifest.Hash = Try.Text.hash();
 
-  const TimePoint Deadline = this->Time.now() + this->Settings.Patience;
+  const TimePoint Deadline = this->Time.now() + this->Settings.Timeout;
   Backoff Waits(FirstWait, LongestWait, this->Random());
   while (true) {
     if (auto Outcome = this->tryApply(Try))
       return *Outcome;
-    const Duration Wait = Waits.next();
+    const Duration Wait = Waits.nextDelay();
     if (this->Time.now() + Wait >= Deadline)
       break;
     std::this_thread::sleep_for(Wait);
   }
-  if (Try.InDoubt)
-    return ApplyUnknown{Try.Wanted.ApplyId};
-  return ApplyFailed{Try.Last};
+  if (Try.OutcomeUnknown)
+    return ApplyUnknown{Try.NewManifest.ApplyId};
+  return ApplyFailed{Try.LastError};
 }
 
-std::optional<ApplyOutcome> ConfigurationStore::tryApply(Attempt &Try) {
+std::optional<ApplyOutcome> ConfigurationStore::tryApply(ApplyState &Try) {
   Result<void> Step;
   if (!Try.HasBase)
-    Step = this->readBase(Try);
-  if (Step && Try.Expected.value_or(Try.Base.Generation) != Try.Base.Generation)
-    return this->lost(Try);
+    Step = this->readBaseManifest(Try);
+  if (Step && Try.ExpectedGeneration.value_or(Try.BaseManifest.Generation) !=
+                  Try.BaseManifest.Generation)
+    return this->makeConflict(Try);
   if (Step && !Try.Uploaded)
-    Step = this->openCollection(Try);
+    Step = this->fenceCollector(Try);
   if (Step && !Try.Uploaded)
-    Step = this->upload(Try);
+    Step = this->uploadMissingParts(Try);
   if (!Step) {
-    Try.Last = Step.error();
+    Try.LastError = Step.error();
     return std::nullopt;
   }
   Try.Uploaded = true;
-  return this->swap(Try);
+  return this->swapManifest(Try);
 }
 
-Result<void> ConfigurationStore::readBase(Attempt &Try) {
+Result<void> ConfigurationStore::readBaseManifest(ApplyState &Try) {
   const auto Read = this->Store.get(this->manifestKey());
   if (!Read)
     return tl::unexpected(Read.error());
@@ -243,11 +244,11 @@
     const auto Manifest = decodeManifest(Read->Entries.front().Value);
     if (!Manifest)
       return tl::unexpected(Manifest.error());
-    Try.Base = *Manifest;
-    Try.BaseRevision = Read->Entries.front().Modified;
+    Try.BaseManifest = *Manifest;
+    Try.BaseRevision = Read->Entries.front().ModRevision;
   }
-  Try.Current = changeOf(Try.Base);
-  Try.Wanted.Generation = Try.Base.Generation + 1;
+  Try.CurrentChange = changeOf(Try.BaseManifest);
+  Try.NewManifest.Generation = Try.BaseManifest.Generation + 1;
   Try.HasBase = true;
   return {};
 }
@@ -256,26 +257,27 @@
 /// the mark's revision. An apply begins by turning such a mark off, so that no
 /// removal still under way takes effect, and its swap compares the revision, so
 /// that it fails where a removal began after the parts were looked for.
-Result<void> ConfigurationStore::openCollection(Attempt &Try) {
+Result<void> ConfigurationStore::fenceCollector(ApplyState &Try) {
   const auto Read = this->Store.get(this->collectorKey());
   if (!Read)
     return tl::unexpected(Read.error());
-  Try.Collector = Read->Entries.empty() ? 0 : Read->Entries.front().Modified;
+  Try.CollectorRevision =
+      Read->Entries.empty() ? 0 : Read->Entries.front().ModRevision;
   if (Read->Entries.empty() || Read->Entries.front().Value == CollectorIdle)
     return {};
   const auto Closed = this->Store.commit(
-      {{keyModifiedAt(this->collectorKey(), Try.Collector)},
+      {{keyModRevisionIs(this->collectorKey(), Try.CollectorRevision)},
        {putKey(this->collectorKey(), std::string(CollectorIdle))},
        {}});
   if (!Closed)
     return tl::unexpected(Closed.error());
   if (!Closed->Succeeded)
     return failure(ErrorCode::Conflict, "old parts are being removed");
-  Try.Collector = Closed->At;
+  Try.CollectorRevision = Closed->CommitRevision;
   return {};
 }
 
-Result<void> ConfigurationStore::upload(const Attempt &Try) {
+Result<void> ConfigurationStore::uploadMissingParts(const ApplyState &Try) {
   const auto Present =
       this->Store.getPrefix(this->Settings.Prefix + "parts/", true);
   if (!Present)
@@ -287,12 +289,12 @@
   std::size_t Bytes = 0;
   for (std::size_t Index = 0; Index < Try.Parts.size(); ++Index) {
     const std::string &Part = Try.Parts[Index];
-    if (!Keys.insert(this->partKey(Try.Wanted.Parts[Index])).second)
+    if (!Keys.insert(this->partKey(Try.NewManifest.Parts[Index])).second)
       continue;
     const bool Full = Bytes + Part.size() > BytesPerTransaction ||
                       Batch.size() >= StepsPerTransaction;
     if (Full && !Batch.empty()) {
-      if (Result<void> Sent = this->uploadSome(Batch); !Sent)
+      if (Result<void> Sent = this->uploadBatch(Batch); !Sent)
         return Sent;
       Batch.clear();
       Bytes = 0;
@@ -300,11 +302,11 @@
     Batch.push_back(&Part);
     Bytes += Part.size();
   }
-  return Batch.empty() ? Result<void>() : this->uploadSome(Batch);
+  return Batch.empty() ? Result<void>() : this->uploadBatch(Batch);
 }
 
 Result<void>
-ConfigurationStore::uploadSome(const std::vector<const std::string *> &Parts) {
+ConfigurationStore::uploadBatch(const std::vector<const std::string *> &Parts) {
   StoreTransaction Writes;
   for (const std::string *Part : Parts)
     Writes.Then.push_back(putKey(this->partKey(hashBytes(*Part)), *Part));
@@ -314,93 +316,99 @@
   return {};
 }
 
-std::optional<ApplyOutcome> ConfigurationStore::swap(Attempt &Try) {
-  const std::string Text = encodeManifest(Try.Wanted);
+std::optional<ApplyOutcome> ConfigurationStore::swapManifest(ApplyState &Try) {
+  const std::string Text = encodeManifest(Try.NewManifest);
   const auto Outcome = this->Store.commit(
-      {{keyModifiedAt(this->manifestKey(), Try.BaseRevision),
-        keyModifiedAt(this->collectorKey(), Try.Collector)},
+      {{keyModRevisionIs(this->manifestKey(), Try.BaseRevision),
+        keyModRevisionIs(this->collectorKey(), Try.CollectorRevision)},
        {putKey(this->manifestKey(), Text),
-        putKey(this->historyKey(Try.Wanted.Generation), Text)},
+        putKey(this->historyKey(Try.NewManifest.Generation), Text)},
        {readKey(this->manifestKey())}});
   if (!Outcome) {
     // The same swap may be sent again: only one of the two can find the
     // manifest at the revision that both compare.
-    Try.InDoubt = Try.InDoubt || mayHaveTakenEffect(Outcome.error().Code);
-    Try.Last = Outcome.error();
+    Try.OutcomeUnknown =
+        Try.OutcomeUnknown || mayHaveTakenEffect(Outcome.error().Code);
+    Try.LastError = Outcome.error();
     return std::nullopt;
   }
   if (Outcome->Succeeded) {
-    this->collect(Try.Wanted.Generation, Outcome->At);
-    return ApplyAccepted{Try.Wanted.Generation};
+    this->collectGarbage(Try.NewManifest.Generation, Outcome->CommitRevision);
+    return ApplyAccepted{Try.NewManifest.Generation};
   }
-  return this->judge(Try, *Outcome);
+  return this->resolveFailedSwap(Try, *Outcome);
 }
 
 std::optional<ApplyOutcome>
-ConfigurationStore::judge(Attempt &Try, const TransactionOutcome &Outcome) {
+ConfigurationStore::resolveFailedSwap(ApplyState &Try,
+                                      const TransactionOutcome &Outcome) {
   if (Outcome.Reads.empty()) {
-    Try.Last = {ErrorCode::Malformed, "the store left out a read"};
+    Try.LastError = {ErrorCode::Malformed, "the store left out a read"};
     return std::nullopt;
   }
   const auto &Found = Outcome.Reads.front().Entries;
-  const Revision Now = Found.empty() ? 0 : Found.front().Modified;
+  const Revision Now = Found.empty() ? 0 : Found.front().ModRevision;
   if (Now == Try.BaseRevision) {
     // Only the mark of the collector changed: look for the parts again.
     Try.Uploaded = false;
-    Try.Last = {ErrorCode::Conflict, "old parts were being removed"};
+    Try.LastError = {ErrorCode::Conflict, "old parts were being removed"};
     return std::nullopt;
   }
   const auto Current = Found.empty() ? Result<ConfigurationManifest>()
                                      : decodeManifest(Found.front().Value);
-  if (Current && Current->ApplyId == Try.Wanted.ApplyId)
-    return ApplyAccepted{Try.Wanted.Generation};
+  if (Current && Current->ApplyId == Try.NewManifest.ApplyId)
+    return ApplyAccepted{Try.NewManifest.Generation};
   if (Current)
-    Try.Current = changeOf(*Current);
-  if (!Try.InDoubt)
-    return this->lost(Try);
+    Try.CurrentChange = changeOf(*Current);
+  if (!Try.OutcomeUnknown)
+    return this->makeConflict(Try);
   // Another change may have followed an own one whose reply was lost.
-  const auto Own = this->Store.get(this->historyKey(Try.Wanted.Generation));
+  const auto Own =
+      this->Store.get(this->historyKey(Try.NewManifest.Generation));
   if (!Own) {
-    Try.Last = Own.error();
+    Try.LastError = Own.error();
     return std::nullopt;
   }
   if (Own->Entries.empty())
-    return ApplyUnknown{Try.Wanted.ApplyId};
+    return ApplyUnknown{Try.NewManifest.ApplyId};
   const auto Recorded = decodeManifest(Own->Entries.front().Value);
-  if (Recorded && Recorded->ApplyId == Try.Wanted.ApplyId)
-    return ApplyAccepted{Try.Wanted.Generation};
-  return this->lost(Try);
+  if (Recorded && Recorded->ApplyId == Try.NewManifest.ApplyId)
+    return ApplyAccepted{Try.NewManifest.Generation};
+  return this->makeConflict(Try);
 }
 
-ApplyOutcome ConfigurationStore::lost(const Attempt &Try) {
-  const std::uint64_t From = Try.Expected.value_or(Try.Base.Generation);
-  ApplyLost Lost;
-  Lost.Current = Try.Current;
+ApplyOutcome ConfigurationStore::makeConflict(const ApplyState &Try) {
+  const std::uint64_t From =
+      Try.ExpectedGeneration.value_or(Try.BaseManifest.Generation);
+  ApplyConflict Lost;
+  Lost.Current = Try.CurrentChange;
   if (const auto Changes = this->history())
     for (const ConfigurationChange &Change : *Changes)
       if (Change.Generation > From)
-        Lost.Between.push_back(Change);
+        Lost.ChangesSinceBase.push_back(Change);
   return Lost;
 }
 
 /// Best effort: what is not removed now is removed at a later turn.
-void ConfigurationStore::collect(std::uint64_t Generation, Revision Manifest) {
-  if (Generation % this->Settings.CollectEvery != 0)
+void ConfigurationStore::collectGarbage(std::uint64_t Generation,
+                                        Revision Manifest) {
+  if (Generation % this->Settings.GenerationsPerCollection != 0)
     return;
   const auto Begun = this->Store.commit(
-      {{keyModifiedAt(this->manifestKey(), Manifest)},
+      {{keyModRevisionIs(this->manifestKey(), Manifest)},
        {putKey(this->collectorKey(), std::string(CollectorBusy))},
        {}});
   if (!Begun || !Begun->Succeeded)
     return;
-  this->removeOld(Generation, Begun->At);
+  this->removeExpired(Generation, Begun->CommitRevision);
   (void)this->Store.commit(
-      {{keyModifiedAt(this->collectorKey(), Begun->At)},
+      {{keyModRevisionIs(this->collectorKey(), Begun->CommitRevision)},
        {putKey(this->collectorKey(), std::string(CollectorIdle))},
        {}});
 }
 
-void ConfigurationStore::removeOld(std::uint64_t Generation, Revision Fence) {
+void ConfigurationStore::removeExpired(std::uint64_t Generation,
+                                       Revision Fence) {
   const auto History =
       this->Store.getPrefix(this->Settings.Prefix + "history/");
   const auto Present =
@@ -413,9 +421,11 @@
     const auto Manifest = decodeManifest(Entry.Value);
     if (!Manifest)
       return;
-    if (Manifest->Generation + this->Settings.KeepHistory <= Generation)
+    if (Manifest->Generation + this->Settings.RetainedHistoryEntries <=
+        Generation)
       Old.push_back(Entry.Key);
-    if (Manifest->Generation + this->Settings.KeepParts > Generation)
+    if (Manifest->Generation + this->Settings.RetainedPartGenerations >
+        Generation)
       for (const TextHash &Part : Manifest->Parts)
         Needed.insert(this->partKey(Part));
   }
@@ -426,7 +436,7 @@
        Begin += StepsPerTransaction) {
     const std::size_t End = std::min(Old.size(), Begin + StepsPerTransaction);
     StoreTransaction Removal;
-    Removal.Conditions.push_back(keyModifiedAt(this->collectorKey(), Fence));
+    Removal.Conditions.push_back(keyModRevisionIs(this->collectorKey(), Fence));
     for (std::size_t Index = Begin; Index < End; ++Index)
       Removal.Then.push_back(deleteKey(Old[Index]));
     const auto Outcome = this->Store.commit(Removal);
--- a/src/Platform/ConfigurationStore.h
+++ b/src/Platform/ConfigurationStore.h
@@ -27,10 +27,10 @@
 };
 
 /// Somebody else's change came first; nothing of the file is in force.
-struct ApplyLost {
+struct ApplyConflict {
   ConfigurationChange Current;
   /// All changes after the one that this apply began from, the oldest first.
-  std::vector<ConfigurationChange> Between;
+  std::vector<ConfigurationChange> ChangesSinceBase;
 };
 
 /// The write was sent and the store stayed away: the file may be in force now,
@@ -45,7 +45,7 @@
 };
 
 using ApplyOutcome =
-    std::variant<ApplyAccepted, ApplyLost, ApplyUnknown, ApplyFailed>;
+    std::variant<ApplyAccepted, ApplyConflict, ApplyUnknown, ApplyFailed>;
 
 /// The configuration as the store holds it.
 struct StoredConfiguration {
@@ -61,13 +61,13 @@
   /// The largest part; the service takes values of at most a megabyte.
   std::size_t MaxPartBytes = 256U << 10U;
   /// Time for one apply or one whole read, tries included.
-  Duration Patience = std::chrono::seconds(20);
+  Duration Timeout = std::chrono::seconds(20);
   /// Parts of so many last generations are kept for readers.
-  std::uint64_t KeepParts = 8;
+  std::uint64_t RetainedPartGenerations = 8;
   /// The history of so many is kept, to tell operators what came between.
-  std::uint64_t KeepHistory = 64;
+  std::uint64_t RetainedHistoryEntries = 64;
   /// Old parts are removed each so many generations.
-  std::uint64_t CollectEvery = 32;
+  std::uint64_t GenerationsPerCollection = 32;
   /// For the identities of applies, which must differ; zero draws one.
   std::uint64_t Seed = 0;
 };
@@ -102,19 +102,19 @@
   std::string manifestKey() const { return this->Settings.Prefix + "manifest"; }
 
 private:
-  struct Attempt;
-
-  std::optional<ApplyOutcome> tryApply(Attempt &Try);
-  Result<void> readBase(Attempt &Try);
-  Result<void> openCollection(Attempt &Try);
-  Result<void> upload(const Attempt &Try);
-  Result<void> uploadSome(const std::vector<const std::string *> &Parts);
-  std::optional<ApplyOutcome> swap(Attempt &Try);
-  std::optional<ApplyOutcome> judge(Attempt &Try,
-                                    const TransactionOutcome &Outcome);
-  ApplyOutcome lost(const Attempt &Try);
-  void collect(std::uint64_t Generation, Revision Manifest);
-  void removeOld(std::uint64_t Generation, Revision Fence);
+  struct ApplyState;
+
+  std::optional<ApplyOutcome> tryApply(ApplyState &Try);
+  Result<void> readBaseManifest(ApplyState &Try);
+  Result<void> fenceCollector(ApplyState &Try);
+  Result<void> uploadMissingParts(const ApplyState &Try);
+  Result<void> uploadBatch(const std::vector<const std::string *> &Parts);
+  std::optional<ApplyOutcome> swapManifest(ApplyState &Try);
+  std::optional<ApplyOutcome>
+  resolveFailedSwap(ApplyState &Try, const TransactionOutcome &Outcome);
+  ApplyOutcome makeConflict(const ApplyState &Try);
+  void collectGarbage(std::uint64_t Generation, Revision Manifest);
+  void removeExpired(std::uint64_t Generation, Revision Fence);
 
   std::string partKey(const TextHash &Part) const;
   std::string historyKey(std::uint64_t Generation) const;
--- a/src/Platform/FencedLease.cpp
+++ b/src/Platform/FencedLease.cpp
@@ -14,59 +14,60 @@
 
 FencedLease::FencedLease(Options O, const StoreSettings &S,
                          const std::shared_ptr<StoreBudget> &B, const Clock &C)
-    : Chosen(std::move(O)), Time(C), Store(S, B, C), ConfirmStore(S, B, C),
-      State(Chosen.Times), Random(internal::seedOr(Chosen.Seed)),
+    : LeaseOptions(std::move(O)), Time(C), Store(S, B, C),
+      ConfirmStore(S, B, C), State(LeaseOptions.Timing),
+      Random(internal::seedOrRandom(LeaseOptions.Seed)),
       Worker([this] { this->run(); }) {}
 
 FencedLease::~FencedLease() {
-  this->want(false);
+  this->setWanted(false);
   {
-    std::lock_guard<std::mutex> Lock(this->Guard);
+    std::lock_guard<std::mutex> Lock(this->Mutex);
     this->Stopping = true;
   }
-  this->Woken.notify_all();
+  this->Wakeup.notify_all();
   this->Worker.join();
 }
 
-void FencedLease::tell(const LeaseEvent &Event) {
-  std::lock_guard<std::mutex> Lock(this->Guard);
+void FencedLease::handleEvent(const LeaseEvent &Event) {
+  std::lock_guard<std::mutex> Lock(this->Mutex);
   for (LeaseAction &Action : this->State.handle(this->Time.now(), Event))
-    this->Todo.push_back(Action);
+    this->PendingActions.push_back(Action);
 }
 
-void FencedLease::want(bool Wanted) {
+void FencedLease::setWanted(bool Wanted) {
   if (Wanted)
-    this->tell(LeaseWanted{});
+    this->handleEvent(LeaseWanted{});
   else
-    this->tell(LeaseUnwanted{});
-  this->Woken.notify_all();
+    this->handleEvent(LeaseUnwanted{});
+  this->Wakeup.notify_all();
 }
 
-std::optional<FencingNumber> FencedLease::number() const {
-  std::lock_guard<std::mutex> Lock(this->Guard);
-  return this->State.usable(this->Time.now());
+std::optional<FencingNumber> FencedLease::fencingNumber() const {
+  std::lock_guard<std::mutex> Lock(this->Mutex);
+  return this->State.fencingNumber(this->Time.now());
 }
 
-std::optional<LeaseUse> FencedLease::use() const {
-  std::lock_guard<std::mutex> Lock(this->Guard);
-  return this->State.use(this->Time.now());
+std::optional<LeasePermit> FencedLease::permit() const {
+  std::lock_guard<std::mutex> Lock(this->Mutex);
+  return this->State.permit(this->Time.now());
 }
 
-std::optional<FencingNumber> FencedLease::confirmedNumber() {
-  const auto Use = this->confirmedUse();
+std::optional<FencingNumber> FencedLease::confirmedFencingNumber() {
+  const auto Use = this->confirmedPermit();
   return Use ? std::optional(Use->Number) : std::nullopt;
 }
 
-std::optional<LeaseUse> FencedLease::confirmedUse() {
-  const auto Before = this->number();
+std::optional<LeasePermit> FencedLease::confirmedPermit() {
+  const auto Before = this->fencingNumber();
   if (!Before)
     return std::nullopt;
-  std::lock_guard<std::mutex> Lock(this->ConfirmGuard);
+  std::lock_guard<std::mutex> Lock(this->ConfirmMutex);
   const auto Outcome = this->ConfirmStore.commit(
-      {{keyCreatedAt(this->Chosen.Key, *Before)}, {}, {}});
+      {{keyCreateRevisionIs(this->LeaseOptions.Key, *Before)}, {}, {}});
   if (!Outcome || !Outcome->Succeeded)
     return std::nullopt;
-  const auto After = this->use();
+  const auto After = this->permit();
   return After && After->Number == *Before ? After : std::nullopt;
 }
 
@@ -74,24 +75,26 @@
   while (true) {
     std::vector<LeaseAction> Now;
     {
-      std::unique_lock<std::mutex> Lock(this->Guard);
-      this->Woken.wait_for(
-          Lock, Step, [this] { return this->Stopping || !this->Todo.empty(); });
-      std::swap(Now, this->Todo);
+      std::unique_lock<std::mutex> Lock(this->Mutex);
+      this->Wakeup.wait_for(Lock, Step, [this] {
+        return this->Stopping || !this->PendingActions.empty();
+      });
+      std::swap(Now, this->PendingActions);
       if (this->Stopping && Now.empty())
         return;
     }
     for (const LeaseAction &Action : Now)
       this->perform(Action);
-    this->tell(LeaseTick{});
+    this->handleEvent(LeaseTick{});
   }
 }
 
 void FencedLease::perform(const LeaseAction &Action) {
   std::visit(
-      Overloaded{[this](const AcquireLease &) { this->tell(this->acquire()); },
-                 [this](const RenewLease &) { this->tell(this->renew()); },
-                 [this](const ReleaseLease &) { this->release(); }},
+      Overloaded{
+          [this](const AcquireLease &) { this->handleEvent(this->acquire()); },
+          [this](const RenewLease &) { this->handleEvent(this->renew()); },
+          [this](const ReleaseLease &) { this->release(); }},
       Action);
 }
 
@@ -101,18 +104,18 @@
 LeaseEvent FencedLease::acquire() {
   const TimePoint SentAt = this->Time.now();
   this->Lease = static_cast<LeaseId>((this->Random() & LeaseIdMask) | 1U);
-  if (!this->Store.grantLease(this->Chosen.Times.Life, this->Lease)) {
+  if (!this->Store.grantLease(this->LeaseOptions.Timing.Ttl, this->Lease)) {
     this->release();
-    return LeaseRefused{};
+    return LeaseAcquisitionFailed{};
   }
   const auto Outcome = this->Store.commit(
-      {{keyAbsent(this->Chosen.Key)},
-       {putKey(this->Chosen.Key, this->Chosen.Holder, this->Lease)},
+      {{keyAbsent(this->LeaseOptions.Key)},
+       {putKey(this->LeaseOptions.Key, this->LeaseOptions.Holder, this->Lease)},
        {}});
   if (Outcome && Outcome->Succeeded)
-    return LeaseAcquired{Outcome->At, SentAt};
+    return LeaseAcquired{Outcome->CommitRevision, SentAt};
   this->release();
-  return LeaseRefused{};
+  return LeaseAcquisitionFailed{};
 }
 
 LeaseEvent FencedLease::renew() {
@@ -121,7 +124,7 @@
   if (Kept)
     return LeaseRenewed{SentAt};
   if (Kept.error().Code == ErrorCode::NotFound)
-    return LeaseLapsed{};
+    return LeaseExpired{};
   return LeaseRenewalFailed{};
 }
 
--- a/src/Platform/FencedLease.h
+++ b/src/Platform/FencedLease.h
@@ -23,7 +23,7 @@
     std::string Key;
     /// Names this process in the store, for a person: router and incarnation.
     std::string Holder;
-    FencedLeaseTimes Times;
+    FencedLeaseTiming Timing;
     std::uint64_t Seed = 0;
   };
 
@@ -36,22 +36,22 @@
   FencedLease &operator=(const FencedLease &) = delete;
 
   /// Seeks the lease, or gives it up.
-  void want(bool Wanted);
+  void setWanted(bool Wanted);
 
   /// The number to give an order under at this very moment, by a fresh look at
   /// the clock; nothing where none may be given. Call it right before the first
   /// byte of each order, never ahead of time. Costs no call on the store.
-  std::optional<FencingNumber> number() const;
+  std::optional<FencingNumber> fencingNumber() const;
 
   /// The same, with the moment at which the use must end.
-  std::optional<LeaseUse> use() const;
+  std::optional<LeasePermit> permit() const;
 
   /// The number, after the store has confirmed that the key still has the
   /// number. For servers that ignore the number: it also catches a machine
   /// whose clock stood still with it. Costs one call; blocks for at most its
   /// deadline.
-  std::optional<FencingNumber> confirmedNumber();
-  std::optional<LeaseUse> confirmedUse();
+  std::optional<FencingNumber> confirmedFencingNumber();
+  std::optional<LeasePermit> confirmedPermit();
 
 private:
   void run();
@@ -59,18 +59,18 @@
   LeaseEvent acquire();
   LeaseEvent renew();
   void release();
-  void tell(const LeaseEvent &Event);
+  void handleEvent(const LeaseEvent &Event);
 
-  Options Chosen;
+  Options LeaseOptions;
   Clock Time;
   StoreClient Store;
-  std::mutex ConfirmGuard;
+  std::mutex ConfirmMutex;
   StoreClient ConfirmStore;
 
-  mutable std::mutex Guard;
-  std::condition_variable Woken;
+  mutable std::mutex Mutex;
+  std::condition_variable Wakeup;
   FencedLeaseState State;
-  std::vector<LeaseAction> Todo;
+  std::vector<LeaseAction> PendingActions;
   bool Stopping = false;
 
   // Only the worker uses these.
--- a/src/Platform/FencedLeaseState.cpp
+++ b/src/Platform/FencedLeaseState.cpp
@@ -6,11 +6,11 @@
 
 namespace parsleywing {
 
-FencedLeaseState::FencedLeaseState(FencedLeaseTimes T) : Times(T) {
-  PARSLEYWING_INVARIANT(this->Times.Margin < this->Times.Life,
+FencedLeaseState::FencedLeaseState(FencedLeaseTiming T) : Timing(T) {
+  PARSLEYWING_INVARIANT(this->Timing.SafetyMargin < this->Timing.Ttl,
                         "a lease can be used for some time");
-  PARSLEYWING_INVARIANT(this->Times.RenewEvery <
-                            this->Times.Life - this->Times.Margin,
+  PARSLEYWING_INVARIANT(this->Timing.RenewInterval <
+                            this->Timing.Ttl - this->Timing.SafetyMargin,
                         "a lease is renewed before its use must end");
 }
 
@@ -21,18 +21,19 @@
   return Out;
 }
 
-std::optional<FencingNumber> FencedLeaseState::usable(TimePoint Now) const {
-  if (!this->Wanted || !this->Number || Now < this->UsableFrom ||
-      Now >= this->UsableUntil)
+std::optional<FencingNumber>
+FencedLeaseState::fencingNumber(TimePoint Now) const {
+  if (!this->Wanted || !this->Number || Now < this->ValidFrom ||
+      Now >= this->ValidUntil)
     return std::nullopt;
   return this->Number;
 }
 
-std::optional<LeaseUse> FencedLeaseState::use(TimePoint Now) const {
-  const auto Usable = this->usable(Now);
+std::optional<LeasePermit> FencedLeaseState::permit(TimePoint Now) const {
+  const auto Usable = this->fencingNumber(Now);
   if (!Usable)
     return std::nullopt;
-  return LeaseUse{*Usable, this->UsableUntil};
+  return LeasePermit{*Usable, this->ValidUntil};
 }
 
 void FencedLeaseState::on(TimePoint Now, const LeaseWanted &, Actions &Out) {
@@ -45,44 +46,45 @@
     return;
   this->Wanted = false;
   // What is under way is given up as soon as its outcome is known.
-  if (this->Busy)
+  if (this->CallInProgress)
     return;
   if (this->Number)
     Out.emplace_back(ReleaseLease{});
   this->Number.reset();
 }
 
-void FencedLeaseState::extend(TimePoint SentAt) {
-  this->UsableUntil = std::max(this->UsableUntil,
-                               SentAt + this->Times.Life - this->Times.Margin);
+void FencedLeaseState::extendValidity(TimePoint SentAt) {
+  this->ValidUntil = std::max(this->ValidUntil, SentAt + this->Timing.Ttl -
+                                                    this->Timing.SafetyMargin);
 }
 
 void FencedLeaseState::on(TimePoint Now, const LeaseAcquired &Event,
                           Actions &Out) {
-  this->Busy = false;
+  this->CallInProgress = false;
   // A store that was set back would give numbers again that servers have seen.
   const bool Rises = Event.Number > this->HighestNumber;
   this->HighestNumber = std::max(this->HighestNumber, Event.Number);
   if (!this->Wanted || !Rises) {
     Out.emplace_back(ReleaseLease{});
-    this->NextCall = Now + this->Times.RetryEvery;
+    this->NextCallAt = Now + this->Timing.RetryInterval;
     return;
   }
   this->Number = Event.Number;
-  this->UsableFrom = Now + this->Times.SuccessorWait;
-  this->UsableUntil = Event.SentAt;
-  this->extend(Event.SentAt);
-  this->NextCall = Event.SentAt + this->Times.RenewEvery;
+  this->ValidFrom = Now + this->Timing.TakeoverDelay;
+  this->ValidUntil = Event.SentAt;
+  this->extendValidity(Event.SentAt);
+  this->NextCallAt = Event.SentAt + this->Timing.RenewInterval;
 }
 
-void FencedLeaseState::on(TimePoint Now, const LeaseRefused &, Actions &) {
-  this->Busy = false;
-  this->NextCall = Now + this->Times.RetryEvery;
+void FencedLeaseState::on(TimePoint Now, const LeaseAcquisitionFailed &,
+                          Actions &) {
+  this->CallInProgress = false;
+  this->NextCallAt = Now + this->Timing.RetryInterval;
 }
 
 void FencedLeaseState::on(TimePoint Now, const LeaseRenewed &Event,
                           Actions &Out) {
-  this->Busy = false;
+  this->CallInProgress = false;
   if (!this->Wanted) {
     Out.emplace_back(ReleaseLease{});
     this->Number.reset();
@@ -92,46 +94,46 @@
     return;
   // Whether the lease lapsed and came back in between cannot be told from
   // here: what ran past its end is lost and sought anew.
-  if (Now >= this->UsableUntil) {
+  if (Now >= this->ValidUntil) {
     Out.emplace_back(ReleaseLease{});
-    this->lose(Now);
+    this->markLost(Now);
     return;
   }
-  this->extend(Event.SentAt);
-  this->NextCall = Event.SentAt + this->Times.RenewEvery;
+  this->extendValidity(Event.SentAt);
+  this->NextCallAt = Event.SentAt + this->Timing.RenewInterval;
 }
 
 void FencedLeaseState::on(TimePoint Now, const LeaseRenewalFailed &,
                           Actions &Out) {
-  this->Busy = false;
-  this->NextCall = Now + this->Times.RetryEvery / 2;
+  this->CallInProgress = false;
+  this->NextCallAt = Now + this->Timing.RetryInterval / 2;
   if (this->Wanted)
     return;
   Out.emplace_back(ReleaseLease{});
   this->Number.reset();
 }
 
-void FencedLeaseState::on(TimePoint Now, const LeaseLapsed &, Actions &) {
-  this->Busy = false;
-  this->lose(Now);
+void FencedLeaseState::on(TimePoint Now, const LeaseExpired &, Actions &) {
+  this->CallInProgress = false;
+  this->markLost(Now);
 }
 
-void FencedLeaseState::lose(TimePoint Now) {
+void FencedLeaseState::markLost(TimePoint Now) {
   this->Number.reset();
-  this->NextCall = Now + this->Times.RetryEvery;
+  this->NextCallAt = Now + this->Timing.RetryInterval;
 }
 
 void FencedLeaseState::on(TimePoint Now, const LeaseTick &, Actions &Out) {
-  if (this->Busy || !this->Wanted)
+  if (this->CallInProgress || !this->Wanted)
     return;
-  if (this->Number && Now >= this->UsableUntil) {
+  if (this->Number && Now >= this->ValidUntil) {
     Out.emplace_back(ReleaseLease{});
-    this->lose(Now);
+    this->markLost(Now);
     return;
   }
-  if (Now < this->NextCall)
+  if (Now < this->NextCallAt)
     return;
-  this->Busy = true;
+  this->CallInProgress = true;
   if (this->Number)
     Out.emplace_back(RenewLease{});
   else
--- a/src/Platform/FencedLeaseState.h
+++ b/src/Platform/FencedLeaseState.h
@@ -16,21 +16,21 @@
 
 /// Leave to give orders: under which number, and until when by the holder's
 /// own clock.
-struct LeaseUse {
+struct LeasePermit {
   FencingNumber Number = 0;
-  TimePoint Until;
+  TimePoint ValidUntil;
 };
 
-struct FencedLeaseTimes {
+struct FencedLeaseTiming {
   /// After so long without a renewal the store lets the lease lapse.
-  std::chrono::seconds Life = std::chrono::seconds(20);
+  std::chrono::seconds Ttl = std::chrono::seconds(20);
   /// A holder stops this long before the lease can lapse, by its own clock.
-  Duration Margin = std::chrono::seconds(8);
+  Duration SafetyMargin = std::chrono::seconds(8);
   /// A new holder gives no order for so long: longer than any pause between a
   /// holder's last look at its clock and the arrival of its order.
-  Duration SuccessorWait = std::chrono::seconds(10);
-  Duration RenewEvery = std::chrono::seconds(4);
-  Duration RetryEvery = std::chrono::seconds(2);
+  Duration TakeoverDelay = std::chrono::seconds(10);
+  Duration RenewInterval = std::chrono::seconds(4);
+  Duration RetryInterval = std::chrono::seconds(2);
 };
 
 /// Somebody here needs the lease, or no longer does.
@@ -45,7 +45,7 @@
 };
 
 /// The lease is another's, or the store did not answer.
-struct LeaseRefused {};
+struct LeaseAcquisitionFailed {};
 
 struct LeaseRenewed {
   TimePoint SentAt;
@@ -55,13 +55,13 @@
 struct LeaseRenewalFailed {};
 
 /// The store says that the lease has lapsed.
-struct LeaseLapsed {};
+struct LeaseExpired {};
 
 struct LeaseTick {};
 
-using LeaseEvent =
-    std::variant<LeaseWanted, LeaseUnwanted, LeaseAcquired, LeaseRefused,
-                 LeaseRenewed, LeaseRenewalFailed, LeaseLapsed, LeaseTick>;
+using LeaseEvent = std::variant<LeaseWanted, LeaseUnwanted, LeaseAcquired,
+                                LeaseAcquisitionFailed, LeaseRenewed,
+                                LeaseRenewalFailed, LeaseExpired, LeaseTick>;
 
 struct AcquireLease {};
 struct RenewLease {};
@@ -80,18 +80,18 @@
 /// wait covers, and what a server that checks the number refuses.
 class FencedLeaseState {
 public:
-  explicit FencedLeaseState(FencedLeaseTimes T);
+  explicit FencedLeaseState(FencedLeaseTiming T);
 
   std::vector<LeaseAction> handle(TimePoint Now, const LeaseEvent &Event);
 
   /// The number to give an order under now; nothing where none may be given.
-  std::optional<FencingNumber> usable(TimePoint Now) const;
+  std::optional<FencingNumber> fencingNumber(TimePoint Now) const;
 
   /// The same, with the moment at which the use must end. An order is bounded
   /// by it, so that none is still on its way when the lease can have lapsed.
-  std::optional<LeaseUse> use(TimePoint Now) const;
+  std::optional<LeasePermit> permit(TimePoint Now) const;
 
-  bool held() const { return this->Number.has_value(); }
+  bool isHeld() const { return this->Number.has_value(); }
 
 private:
   using Actions = std::vector<LeaseAction>;
@@ -99,23 +99,23 @@
   void on(TimePoint Now, const LeaseWanted &, Actions &Out);
   void on(TimePoint Now, const LeaseUnwanted &, Actions &Out);
   void on(TimePoint Now, const LeaseAcquired &Event, Actions &Out);
-  void on(TimePoint Now, const LeaseRefused &, Actions &Out);
+  void on(TimePoint Now, const LeaseAcquisitionFailed &, Actions &Out);
   void on(TimePoint Now, const LeaseRenewed &Event, Actions &Out);
   void on(TimePoint Now, const LeaseRenewalFailed &, Actions &Out);
-  void on(TimePoint Now, const LeaseLapsed &, Actions &Out);
+  void on(TimePoint Now, const LeaseExpired &, Actions &Out);
   void on(TimePoint Now, const LeaseTick &, Actions &Out);
-  void extend(TimePoint SentAt);
-  void lose(TimePoint Now);
+  void extendValidity(TimePoint SentAt);
+  void markLost(TimePoint Now);
 
-  FencedLeaseTimes Times;
+  FencedLeaseTiming Timing;
   bool Wanted = false;
   /// A call is under way; its outcome comes as an event.
-  bool Busy = false;
+  bool CallInProgress = false;
   std::optional<FencingNumber> Number;
   FencingNumber HighestNumber = 0;
-  TimePoint UsableFrom;
-  TimePoint UsableUntil;
-  TimePoint NextCall;
+  TimePoint ValidFrom;
+  TimePoint ValidUntil;
+  TimePoint NextCallAt;
 };
 
 } // namespace parsleywing
--- a/src/Platform/PlatformThread.cpp
+++ b/src/Platform/PlatformThread.cpp
@@ -19,7 +19,7 @@
 /// froze or died is listed for as long as the other lives.
 std::uint64_t ownSeed(std::uint64_t Chosen, const std::string &Name) {
   if (Chosen == 0)
-    return internal::seedOr(Chosen);
+    return internal::seedOrRandom(Chosen);
   return rendezvousScore(hashName(Name), Chosen);
 }
 
@@ -31,12 +31,14 @@
                                const std::shared_ptr<StoreBudget> &B,
                                RouterRegistration R, const Clock &T, Sink Post)
     : Settings(std::move(P)), ConfigurationSettings(C), ClientSettings(S),
-      Budget(B), Self(std::move(R)), Time(T), Tell(std::move(Post)),
-      Store(S, B, T), Configuration(C, StoreClient(S, B, T), T),
-      LeaseWaits(FirstWait, LongestWait,
-                 ownSeed(Settings.Seed, this->Self.Name)),
-      Random(ownSeed(Settings.Seed, this->Self.Name)), NextLeaseCall(T.now()),
-      NextLists(T.now()), Worker([this] { this->run(); }) {}
+      Budget(B), Registration(std::move(R)), Time(T),
+      PostEvent(std::move(Post)), Store(S, B, T),
+      Configuration(C, StoreClient(S, B, T), T),
+      LeaseBackoff(FirstWait, LongestWait,
+                   ownSeed(Settings.Seed, this->Registration.Name)),
+      Random(ownSeed(Settings.Seed, this->Registration.Name)),
+      NextLeaseCallAt(T.now()), NextListAt(T.now()),
+      Worker([this] { this->run(); }) {}
 
 PlatformThread::~PlatformThread() {
   this->Stopping = true;
@@ -44,7 +46,7 @@
   this->Worker.join();
 }
 
-void PlatformThread::perform(PlatformRequest Request) {
+void PlatformThread::submit(PlatformRequest Request) {
   this->Requests.put(std::make_unique<PlatformRequest>(std::move(Request)));
 }
 
@@ -54,8 +56,8 @@
     const auto Request = this->Requests.take(Step);
     if (Request && !this->Stopping)
       std::visit([this](const auto &Each) { this->on(Each); }, **Request);
-    this->tendLease();
-    if (this->Watch && this->Time.now() >= this->NextLists)
+    this->maintainLease();
+    if (this->Watch && this->Time.now() >= this->NextListAt)
       this->on(ReadLists{});
   }
   this->Watch.reset();
@@ -75,11 +77,11 @@
       [this, Key](const std::vector<StoreChange> &Changes) {
         // A watch that begins may have missed something.
         if (Changes.empty())
-          this->perform(ReadManifest{});
+          this->submit(ReadManifest{});
         for (const StoreChange &Change : Changes)
           if (!Change.Deleted && Change.Entry.Key == Key)
             if (auto Manifest = decodeManifest(Change.Entry.Value))
-              this->Tell(ManifestRead{std::move(*Manifest)});
+              this->PostEvent(ManifestRead{std::move(*Manifest)});
       });
 }
 
@@ -88,28 +90,28 @@
 void PlatformThread::on(const ReadManifest &) {
   auto Manifest = this->Configuration.readManifest();
   if (Manifest)
-    this->Tell(ManifestRead{std::move(*Manifest)});
+    this->PostEvent(ManifestRead{std::move(*Manifest)});
   else
-    this->Tell(StoreFailed{});
+    this->PostEvent(StoreFailed{});
 }
 
 void PlatformThread::on(const ReadParts &Wanted) {
   auto Texts = this->Configuration.readParts(Wanted.Parts);
   if (Texts)
-    this->Tell(PartsRead{Wanted.Generation, std::move(*Texts)});
+    this->PostEvent(PartsRead{Wanted.Generation, std::move(*Texts)});
   else
-    this->Tell(StoreFailed{});
+    this->PostEvent(StoreFailed{});
 }
 
 void PlatformThread::on(const ReadLists &) {
-  this->NextLists = this->Time.now() + this->Settings.ListEvery;
+  this->NextListAt = this->Time.now() + this->Settings.ListInterval;
   const auto Routers = this->Store.getPrefix(this->Settings.RouterPrefix);
   if (Routers) {
     RoutersListed Listed;
     for (const StoreEntry &Entry : Routers->Entries)
       if (auto Router = decodeRegistration(Entry.Value))
         Listed.Routers.push_back(std::move(*Router));
-    this->Tell(std::move(Listed));
+    this->PostEvent(std::move(Listed));
   }
   const auto Vms = this->Store.getPrefix(this->Settings.VmPrefix);
   if (!Vms)
@@ -119,72 +121,72 @@
     if (const auto State = valueOf(VmStateNames, Entry.Value))
       Listed.Vms.push_back(
           {Entry.Key.substr(this->Settings.VmPrefix.size()), *State});
-  this->Tell(std::move(Listed));
+  this->PostEvent(std::move(Listed));
 }
 
-void PlatformThread::setHeld(bool Now) {
-  if (this->Held == Now)
+void PlatformThread::setLeaseHeld(bool Now) {
+  if (this->LeaseHeld == Now)
     return;
-  this->Held = Now;
+  this->LeaseHeld = Now;
   log(LogPart::Platform, Now ? LogLevel::Info : LogLevel::Warn,
       Now ? "The router's lease is held." : "The router's lease is lost.");
-  this->Tell(RouterLeaseChanged{Now});
+  this->PostEvent(RouterLeaseChanged{Now});
 }
 
-void PlatformThread::tendLease() {
+void PlatformThread::maintainLease() {
   const TimePoint Now = this->Time.now();
-  if (this->Held && Now - this->LastKept >= this->Settings.LeaseLife)
-    this->setHeld(false);
-  if (Now < this->NextLeaseCall)
+  if (this->LeaseHeld && Now - this->LastRenewalAt >= this->Settings.LeaseTtl)
+    this->setLeaseHeld(false);
+  if (Now < this->NextLeaseCallAt)
     return;
   if (this->Lease == 0) {
-    const bool Begun = this->beginLease();
+    const bool Begun = this->acquireLease();
     if (Begun)
-      this->LeaseWaits.reset();
-    this->NextLeaseCall =
-        Now + (Begun ? this->Settings.KeepAliveEvery : this->LeaseWaits.next());
+      this->LeaseBackoff.reset();
+    this->NextLeaseCallAt = Now + (Begun ? this->Settings.KeepAliveInterval
+                                         : this->LeaseBackoff.nextDelay());
     return;
   }
   const auto Kept = this->Store.keepLeaseAlive(this->Lease);
   if (Kept) {
-    this->LastKept = Now;
-    this->LeaseWaits.reset();
-    this->NextLeaseCall = Now + this->Settings.KeepAliveEvery;
-    this->setHeld(true);
+    this->LastRenewalAt = Now;
+    this->LeaseBackoff.reset();
+    this->NextLeaseCallAt = Now + this->Settings.KeepAliveInterval;
+    this->setLeaseHeld(true);
     return;
   }
   if (Kept.error().Code == ErrorCode::NotFound) {
     this->Lease = 0;
-    this->setHeld(false);
+    this->setLeaseHeld(false);
     // The store answers again: to wait as for one that does not would leave
     // the router unlisted for up to 8 s more.
-    this->LeaseWaits.reset();
-    this->NextLeaseCall = Now;
+    this->LeaseBackoff.reset();
+    this->NextLeaseCallAt = Now;
     return;
   }
-  this->NextLeaseCall = Now + this->LeaseWaits.next();
+  this->NextLeaseCallAt = Now + this->LeaseBackoff.nextDelay();
 }
 
 /// A grant whose reply was lost is found again under its own identity, so that
 /// a router never has more than one lease.
-bool PlatformThread::beginLease() {
+bool PlatformThread::acquireLease() {
   const TimePoint Now = this->Time.now();
-  if (this->WantedLease == 0)
-    this->WantedLease =
+  if (this->PendingLease == 0)
+    this->PendingLease =
         static_cast<LeaseId>((this->Random() & LeaseIdMask) | 1U);
   const auto Granted =
-      this->Store.grantLease(this->Settings.LeaseLife, this->WantedLease);
-  if (!Granted && !this->Store.keepLeaseAlive(this->WantedLease))
+      this->Store.grantLease(this->Settings.LeaseTtl, this->PendingLease);
+  if (!Granted && !this->Store.keepLeaseAlive(this->PendingLease))
     return false;
-  const auto Written = this->registerSelf();
+  const auto Written = this->registerRouter();
   if (!Written) {
     if (Written.error().Code == ErrorCode::NotFound)
-      this->WantedLease = 0;
+      this->PendingLease = 0;
     return false;
   }
-  this->Lease = std::exchange(this->WantedLease, 0);
-  this->LastKept = Now;
-  this->setHeld(true);
+  this->Lease = std::exchange(this->PendingLease, 0);
+  this->LastRenewalAt = Now;
+  this->setLeaseHeld(true);
   return true;
 }
 
@@ -192,24 +194,26 @@
 /// the other's registration: its own lease takes the key along when it ends,
 /// and the live router would be in no list from then on. Seen as an `apply`
 /// that waits for all routers and does not wait for that one.
-Result<void> PlatformThread::registerSelf() {
-  const std::string Key = this->Settings.RouterPrefix + this->Self.Name;
+Result<void> PlatformThread::registerRouter() {
+  const std::string Key = this->Settings.RouterPrefix + this->Registration.Name;
   const auto Before = this->Store.get(Key);
   if (!Before)
     return tl::unexpected<Error>(Before.error());
   Revision Stands = 0;
   if (!Before->Entries.empty()) {
-    Stands = Before->Entries[0].Modified;
+    Stands = Before->Entries[0].ModRevision;
     const auto Holder = decodeRegistration(Before->Entries[0].Value);
-    if (Holder && Holder->Life > this->Self.Life) {
-      this->Tell(RoutersListed{{*Holder}});
+    if (Holder &&
+        Holder->IncarnationNumber > this->Registration.IncarnationNumber) {
+      this->PostEvent(RoutersListed{{*Holder}});
       return failure(ErrorCode::Conflict, "a later process has the name");
     }
   }
-  const auto Written = this->Store.commit(
-      {{keyModifiedAt(Key, Stands)},
-       {putKey(Key, encodeRegistration(this->Self), this->WantedLease)},
-       {}});
+  const auto Written =
+      this->Store.commit({{keyModRevisionIs(Key, Stands)},
+                          {putKey(Key, encodeRegistration(this->Registration),
+                                  this->PendingLease)},
+                          {}});
   if (!Written)
     return tl::unexpected<Error>(Written.error());
   if (!Written->Succeeded)
--- a/src/Platform/PlatformThread.h
+++ b/src/Platform/PlatformThread.h
@@ -63,10 +63,10 @@
 struct PlatformSettings {
   std::string RouterPrefix = "routers/";
   std::string VmPrefix = "vms/";
-  std::chrono::seconds LeaseLife = std::chrono::seconds(30);
-  Duration KeepAliveEvery = std::chrono::seconds(10);
+  std::chrono::seconds LeaseTtl = std::chrono::seconds(30);
+  Duration KeepAliveInterval = std::chrono::seconds(10);
   /// A router that watches the manifest reads the two lists so often.
-  Duration ListEvery = std::chrono::seconds(2);
+  Duration ListInterval = std::chrono::seconds(2);
   std::uint64_t Seed = 0;
 };
 
@@ -87,7 +87,7 @@
   PlatformThread &operator=(const PlatformThread &) = delete;
 
   /// Asks for something; the answer comes as an event. Safe from every thread.
-  void perform(PlatformRequest Request);
+  void submit(PlatformRequest Request);
 
   Poco::JSON::Object::Ptr dump() const { return this->Budget->dump(); }
 
@@ -98,30 +98,30 @@
   void on(const ReadManifest &);
   void on(const ReadParts &Wanted);
   void on(const ReadLists &);
-  void tendLease();
-  bool beginLease();
-  Result<void> registerSelf();
-  void setHeld(bool Now);
+  void maintainLease();
+  bool acquireLease();
+  Result<void> registerRouter();
+  void setLeaseHeld(bool Now);
 
   PlatformSettings Settings;
   ConfigurationStoreSettings ConfigurationSettings;
   StoreSettings ClientSettings;
   std::shared_ptr<StoreBudget> Budget;
-  RouterRegistration Self;
+  RouterRegistration Registration;
   Clock Time;
-  Sink Tell;
+  Sink PostEvent;
   StoreClient Store;
   ConfigurationStore Configuration;
   std::unique_ptr<StoreWatch> Watch;
-  Backoff LeaseWaits;
+  Backoff LeaseBackoff;
   std::mt19937_64 Random;
 
   LeaseId Lease = 0;
-  LeaseId WantedLease = 0;
-  bool Held = false;
-  TimePoint NextLeaseCall;
-  TimePoint LastKept;
-  TimePoint NextLists;
+  LeaseId PendingLease = 0;
+  bool LeaseHeld = false;
+  TimePoint NextLeaseCallAt;
+  TimePoint LastRenewalAt;
+  TimePoint NextListAt;
 
   std::atomic<bool> Stopping{false};
   Mailbox<std::unique_ptr<PlatformRequest>> Requests;
--- a/src/Platform/RouterRegistration.cpp
+++ b/src/Platform/RouterRegistration.cpp
@@ -11,7 +11,7 @@
   Message.set("callerAddress", Router.CallerAddress);
   Message.set("peerAddress", Router.PeerAddress);
   Message.set("operatorAddress", Router.OperatorAddress);
-  Message.set("incarnation", Router.Life);
+  Message.set("incarnation", Router.IncarnationNumber);
   return internal::stringify(Message);
 }
 
@@ -25,7 +25,8 @@
     Router.Zone = (*Message)->getValue<std::string>("zone");
     Router.CallerAddress = (*Message)->getValue<std::string>("callerAddress");
     Router.PeerAddress = (*Message)->getValue<std::string>("peerAddress");
-    Router.Life = (*Message)->getValue<Poco::UInt64>("incarnation");
+    Router.IncarnationNumber =
+        (*Message)->getValue<Poco::UInt64>("incarnation");
     Router.OperatorAddress =
         (*Message)->optValue<std::string>("operatorAddress", "");
     return Router;
--- a/src/Platform/RouterRegistration.h
+++ b/src/Platform/RouterRegistration.h
@@ -14,7 +14,7 @@
   std::string Zone;
   std::string CallerAddress;
   std::string PeerAddress;
-  Incarnation Life = 0;
+  Incarnation IncarnationNumber = 0;
   /// Where operators reach it; empty where it has no such address.
   std::string OperatorAddress;
 };
--- a/src/Platform/RunRecordWriter.cpp
+++ b/src/Platform/RunRecordWriter.cpp
@@ -35,7 +35,7 @@
 constexpr int CallsInPatience = 4;
 
 StoreSettings withinPatience(StoreSettings Store, Duration Patience) {
-  Store.Deadline = std::min(Store.Deadline, Patience / CallsInPatience);
+  Store.CallTimeout = std::min(Store.CallTimeout, Patience / CallsInPatience);
   return Store;
 }
 
@@ -55,22 +55,23 @@
 RunRecordWriter::RunRecordWriter(RunRecordSettings R, StoreSettings S,
                                  std::shared_ptr<StoreBudget> B, Clock C)
     : Settings(std::move(R)), Budget(B), Time(C),
-      Store(withinPatience(std::move(S), Settings.Patience), std::move(B),
+      Store(withinPatience(std::move(S), Settings.ClaimTimeout), std::move(B),
             std::move(C)),
-      Waits(FirstWait, LongestWait, internal::seedOr(Settings.Seed)),
-      Random(internal::seedOr(Settings.Seed)) {
-  PARSLEYWING_INVARIANT(this->Settings.MaxBatch >= 1 &&
-                            this->Settings.MaxBatch <= LargestBatch,
+      RetryBackoff(FirstWait, LongestWait,
+                   internal::seedOrRandom(Settings.Seed)),
+      Random(internal::seedOrRandom(Settings.Seed)) {
+  PARSLEYWING_INVARIANT(this->Settings.MaxBatchSize >= 1 &&
+                            this->Settings.MaxBatchSize <= LargestBatch,
                         "a batch of claims fits one transaction");
   this->Worker = std::thread([this] { this->run(); });
 }
 
 RunRecordWriter::~RunRecordWriter() {
   {
-    std::lock_guard<std::mutex> Lock(this->Guard);
+    std::lock_guard<std::mutex> Lock(this->Mutex);
     this->Stopping = true;
   }
-  this->Arrived.notify_all();
+  this->WorkAvailable.notify_all();
   this->Worker.join();
 }
 
@@ -81,18 +82,19 @@
 }
 
 std::string RunRecordWriter::guardKey() const {
-  return this->Settings.Prefix + "guards/" + this->Settings.Writer;
+  return this->Settings.Prefix + "guards/" + this->Settings.WriterId;
 }
 
 void RunRecordWriter::claim(AccountId Account, const std::string &Key,
                             const std::string &Identity, Callback Tell) {
   Claim New{this->recordKey(Account, Key), Identity, std::move(Tell),
-            this->Time.now() + this->Settings.Patience};
+            this->Time.now() + this->Settings.ClaimTimeout};
   {
-    std::lock_guard<std::mutex> Lock(this->Guard);
-    if (!this->Stopping && this->Waiting.size() < this->Settings.MaxWaiting) {
-      this->Waiting.push_back(std::move(New));
-      this->Arrived.notify_all();
+    std::lock_guard<std::mutex> Lock(this->Mutex);
+    if (!this->Stopping &&
+        this->PendingClaims.size() < this->Settings.MaxPending) {
+      this->PendingClaims.push_back(std::move(New));
+      this->WorkAvailable.notify_all();
       return;
     }
   }
@@ -101,82 +103,85 @@
 
 void RunRecordWriter::complete(AccountId Account, const std::string &Key,
                                const std::string &Identity) {
-  this->addSettlement(SettlementKind::Complete, this->recordKey(Account, Key),
-                      Identity);
+  this->queueUpdate(RecordUpdateKind::Complete, this->recordKey(Account, Key),
+                    Identity);
 }
 
 void RunRecordWriter::release(AccountId Account, const std::string &Key,
                               const std::string &Identity) {
-  this->addSettlement(SettlementKind::Release, this->recordKey(Account, Key),
-                      Identity);
+  this->queueUpdate(RecordUpdateKind::Release, this->recordKey(Account, Key),
+                    Identity);
 }
 
-void RunRecordWriter::addSettlement(SettlementKind Kind, std::string Key,
-                                    std::string Identity) {
+void RunRecordWriter::queueUpdate(RecordUpdateKind Kind, std::string Key,
+                                  std::string Identity) {
   {
-    std::lock_guard<std::mutex> Lock(this->Guard);
-    if (this->Settlements.size() >= this->Settings.MaxWaiting) {
-      ++this->SettlementsDropped;
-      this->Settlements.pop_front();
+    std::lock_guard<std::mutex> Lock(this->Mutex);
+    if (this->PendingUpdates.size() >= this->Settings.MaxPending) {
+      ++this->DroppedUpdateCount;
+      this->PendingUpdates.pop_front();
     }
-    this->Settlements.push_back({Kind, std::move(Key), std::move(Identity)});
+    this->PendingUpdates.push_back({Kind, std::move(Key), std::move(Identity)});
   }
-  this->Arrived.notify_all();
+  this->WorkAvailable.notify_all();
 }
 
 void RunRecordWriter::run() {
   while (true) {
-    std::vector<Claim> Batch = this->gather();
+    std::vector<Claim> Batch = this->collectBatch();
     {
-      std::lock_guard<std::mutex> Lock(this->Guard);
+      std::lock_guard<std::mutex> Lock(this->Mutex);
       if (this->Stopping && Batch.empty())
         break;
     }
     if (!Batch.empty())
-      this->handleClaims(std::move(Batch));
-    this->settleSome();
+      this->processClaims(std::move(Batch));
+    this->flushUpdates();
   }
-  this->settleAtEnd();
+  this->flushUpdatesAtShutdown();
 }
 
 /// A record that is not released here stands for its whole life: a request that
 /// was told "not run" could not be repeated.
-void RunRecordWriter::settleAtEnd() {
+void RunRecordWriter::flushUpdatesAtShutdown() {
   const TimePoint Limit = this->Time.now() + SettleAtEndLimit;
-  while (this->unsettled() > 0 && this->Time.now() < Limit)
-    if (!this->settleSome())
-      std::this_thread::sleep_for(this->Waits.next());
-  if (const std::size_t Left = this->unsettled())
+  while (this->pendingUpdateCount() > 0 && this->Time.now() < Limit)
+    if (!this->flushUpdates())
+      std::this_thread::sleep_for(this->RetryBackoff.nextDelay());
+  if (const std::size_t Left = this->pendingUpdateCount())
     log(LogPart::Platform, LogLevel::Warn,
         "Ended with " + std::to_string(Left) + " run records not settled.");
 }
 
-std::size_t RunRecordWriter::unsettled() const {
-  std::lock_guard<std::mutex> Lock(this->Guard);
-  return this->Settlements.size();
+std::size_t RunRecordWriter::pendingUpdateCount() const {
+  std::lock_guard<std::mutex> Lock(this->Mutex);
+  return this->PendingUpdates.size();
 }
 
 /// Waits for a first claim, then for the gathering time or the next call that
 /// the budget allows, whichever is later: the fewer calls, the larger batches.
-std::vector<RunRecordWriter::Claim> RunRecordWriter::gather() {
-  std::unique_lock<std::mutex> Lock(this->Guard);
-  this->Arrived.wait_for(Lock, IdleWait, [this] {
-    return this->Stopping || !this->Waiting.empty() ||
-           !this->Settlements.empty();
+std::vector<RunRecordWriter::Claim> RunRecordWriter::collectBatch() {
+  std::unique_lock<std::mutex> Lock(this->Mutex);
+  this->WorkAvailable.wait_for(Lock, IdleWait, [this] {
+    return this->Stopping || !this->PendingClaims.empty() ||
+           !this->PendingUpdates.empty();
   });
-  if (this->Waiting.empty())
+  if (this->PendingClaims.empty())
     return {};
   const Duration Gather =
-      std::max(this->Settings.Gather, this->Budget->waitFor(this->Time.now()));
-  this->Arrived.wait_for(Lock, Gather, [this] {
-    return this->Stopping || this->Waiting.size() >= this->Settings.MaxBatch;
+      std::max(this->Settings.BatchDelay,
+               this->Budget->timeUntilAvailable(this->Time.now()));
+  this->WorkAvailable.wait_for(Lock, Gather, [this] {
+    return this->Stopping ||
+           this->PendingClaims.size() >= this->Settings.MaxBatchSize;
   });
   std::vector<Claim> Batch;
   std::set<std::string> Keys;
   std::deque<Claim> Later;
-  while (!this->Waiting.empty() && Batch.size() < this->Settings.MaxBatch) {
-    Claim Next = std::move(this->Waiting.front());
-    this->Waiting.pop_front();
+  while (!this->PendingClaims.empty() &&
+         Batch.size() < this->Settings.MaxBatchSize) {
+    Claim Next = std::move(this->PendingClaims.front());
+    this->PendingClaims.pop_front();
     // The service refuses a transaction that writes one key twice.
     if (Keys.insert(Next.Key).second)
       Batch.push_back(std::move(Next));
@@ -184,23 +189,23 @@
       Later.push_back(std::move(Next));
   }
   for (auto Place = Later.rbegin(); Place != Later.rend(); ++Place)
-    this->Waiting.push_front(std::move(*Place));
+    this->PendingClaims.push_front(std::move(*Place));
   return Batch;
 }
 
 void RunRecordWriter::finish(Claim &Done, RunVerdict Verdict) {
   {
-    std::lock_guard<std::mutex> Lock(this->Guard);
-    ++this->Verdicts[Verdict];
+    std::lock_guard<std::mutex> Lock(this->Mutex);
+    ++this->VerdictCounts[Verdict];
   }
-  Done.Tell(Verdict);
+  Done.OnVerdict(Verdict);
 }
 
-void RunRecordWriter::dropLate(std::vector<Claim> &Batch) {
+void RunRecordWriter::dropExpired(std::vector<Claim> &Batch) {
   const TimePoint Now = this->Time.now();
   bool Ending = false;
   {
-    std::lock_guard<std::mutex> Lock(this->Guard);
+    std::lock_guard<std::mutex> Lock(this->Mutex);
     Ending = this->Stopping;
   }
   std::vector<Claim> Kept;
@@ -209,26 +214,26 @@
       Kept.push_back(std::move(Each));
       continue;
     }
-    if (Each.InDoubt)
-      this->addSettlement(SettlementKind::Release, Each.Key, Each.Identity);
+    if (Each.OutcomeUnknown)
+      this->queueUpdate(RecordUpdateKind::Release, Each.Key, Each.Identity);
     this->finish(Each, RunVerdict::Unavailable);
   }
   Batch = std::move(Kept);
 }
 
-void RunRecordWriter::pause() {
-  std::unique_lock<std::mutex> Lock(this->Guard);
-  this->Arrived.wait_for(Lock, this->Waits.next(),
-                         [this] { return this->Stopping; });
+void RunRecordWriter::waitForBackoff() {
+  std::unique_lock<std::mutex> Lock(this->Mutex);
+  this->WorkAvailable.wait_for(Lock, this->RetryBackoff.nextDelay(),
+                               [this] { return this->Stopping; });
 }
 
-void RunRecordWriter::handleClaims(std::vector<Claim> Batch) {
+void RunRecordWriter::processClaims(std::vector<Claim> Batch) {
   while (true) {
-    this->dropLate(Batch);
+    this->dropExpired(Batch);
     if (Batch.empty())
       return;
-    if (!this->ready()) {
-      this->pause();
+    if (!this->ensureReady()) {
+      this->waitForBackoff();
       continue;
     }
     this->commitClaims(Batch);
@@ -238,22 +243,22 @@
 void RunRecordWriter::commitClaims(std::vector<Claim> &Batch) {
   StoreTransaction Wanted;
   Wanted.Conditions.push_back(
-      keyModifiedAt(this->guardKey(), this->GuardRevision));
-  Wanted.Otherwise.push_back(readKey(this->guardKey()));
+      keyModRevisionIs(this->guardKey(), this->GuardRevision));
+  Wanted.Else.push_back(readKey(this->guardKey()));
   for (const Claim &Each : Batch) {
     Wanted.Conditions.push_back(keyAbsent(Each.Key));
     Wanted.Then.push_back(
         putKey(Each.Key, runningValue(Each.Identity), this->Lease));
-    Wanted.Otherwise.push_back(readKey(Each.Key));
+    Wanted.Else.push_back(readKey(Each.Key));
   }
   const Result<TransactionOutcome> Outcome = this->Store.commit(Wanted);
   {
-    std::lock_guard<std::mutex> Lock(this->Guard);
-    ++this->Transactions;
+    std::lock_guard<std::mutex> Lock(this->Mutex);
+    ++this->TransactionCount;
   }
   if (Outcome) {
-    this->Waits.reset();
-    this->judge(Batch, *Outcome);
+    this->RetryBackoff.reset();
+    this->resolveClaims(Batch, *Outcome);
     return;
   }
   if (Outcome.error().Code == ErrorCode::NotFound)
@@ -263,15 +268,15 @@
     // before the next look, so that the look is final.
     this->GuardRevision = 0;
     for (Claim &Each : Batch)
-      Each.InDoubt = true;
-    std::lock_guard<std::mutex> Lock(this->Guard);
-    ++this->InDoubt;
+      Each.OutcomeUnknown = true;
+    std::lock_guard<std::mutex> Lock(this->Mutex);
+    ++this->UnknownOutcomeCount;
   }
-  this->pause();
+  this->waitForBackoff();
 }
 
-void RunRecordWriter::judge(std::vector<Claim> &Batch,
-                            const TransactionOutcome &Outcome) {
+void RunRecordWriter::resolveClaims(std::vector<Claim> &Batch,
+                                    const TransactionOutcome &Outcome) {
   if (Outcome.Succeeded) {
     for (Claim &Each : Batch)
       this->finish(Each, RunVerdict::Claimed);
@@ -279,11 +284,11 @@
     return;
   }
   if (Outcome.Reads.size() != Batch.size() + 1) {
-    this->pause();
+    this->waitForBackoff();
     return;
   }
   const auto &Seen = Outcome.Reads.front().Entries;
-  if (Seen.empty() || Seen.front().Modified != this->GuardRevision)
+  if (Seen.empty() || Seen.front().ModRevision != this->GuardRevision)
     this->GuardRevision = 0;
   std::vector<Claim> Left;
   for (std::size_t Index = 0; Index < Batch.size(); ++Index) {
@@ -299,11 +304,11 @@
   Batch = std::move(Left);
 }
 
-bool RunRecordWriter::ready() {
+bool RunRecordWriter::ensureReady() {
   const TimePoint Now = this->Time.now();
   if (this->Lease == 0 ||
-      Now - this->LeaseBegun >= this->Settings.LeasePeriod) {
-    if (!this->beginLease())
+      Now - this->LeaseStartedAt >= this->Settings.LeaseRotationInterval) {
+    if (!this->acquireLease())
       return false;
     this->GuardRevision = 0;
   }
@@ -322,66 +327,66 @@
 
 /// A grant whose reply was lost is looked for under its own identity, so that
 /// an outage does not leave behind a lease for each try.
-bool RunRecordWriter::beginLease() {
+bool RunRecordWriter::acquireLease() {
   const std::chrono::seconds Life =
-      this->Settings.Life + this->Settings.LeasePeriod;
-  if (this->WantedLease == 0) {
-    this->WantedLease =
+      this->Settings.MinRecordLifetime + this->Settings.LeaseRotationInterval;
+  if (this->PendingLease == 0) {
+    this->PendingLease =
         static_cast<LeaseId>((this->Random() & LeaseIdMask) | 1U);
-  } else if (this->Store.keepLeaseAlive(this->WantedLease)) {
-    this->Lease = this->WantedLease;
+  } else if (this->Store.keepLeaseAlive(this->PendingLease)) {
+    this->Lease = this->PendingLease;
   }
-  if (this->Lease != this->WantedLease) {
-    const auto Granted = this->Store.grantLease(Life, this->WantedLease);
+  if (this->Lease != this->PendingLease) {
+    const auto Granted = this->Store.grantLease(Life, this->PendingLease);
     if (!Granted) {
       if (Granted.error().Code == ErrorCode::Refused)
-        this->WantedLease = 0;
+        this->PendingLease = 0;
       return false;
     }
     this->Lease = *Granted;
   }
-  this->LeaseBegun = this->Time.now();
-  this->WantedLease = 0;
+  this->LeaseStartedAt = this->Time.now();
+  this->PendingLease = 0;
   return true;
 }
 
-bool RunRecordWriter::settleSome() {
-  std::vector<Settlement> Batch;
+bool RunRecordWriter::flushUpdates() {
+  std::vector<RecordUpdate> Batch;
   bool Ending = false;
   {
-    std::lock_guard<std::mutex> Lock(this->Guard);
+    std::lock_guard<std::mutex> Lock(this->Mutex);
     Ending = this->Stopping;
     std::set<std::string> Keys;
-    while (!this->Settlements.empty() && Batch.size() < SettlementBatch &&
-           Keys.insert(this->Settlements.front().Key).second) {
-      Batch.push_back(std::move(this->Settlements.front()));
-      this->Settlements.pop_front();
+    while (!this->PendingUpdates.empty() && Batch.size() < SettlementBatch &&
+           Keys.insert(this->PendingUpdates.front().Key).second) {
+      Batch.push_back(std::move(this->PendingUpdates.front()));
+      this->PendingUpdates.pop_front();
     }
   }
   if (Batch.empty())
     return false;
-  if (this->ready() && this->settle(Batch))
+  if (this->ensureReady() && this->commitUpdates(Batch))
     return true;
   {
-    std::lock_guard<std::mutex> Lock(this->Guard);
+    std::lock_guard<std::mutex> Lock(this->Mutex);
     for (auto Place = Batch.rbegin(); Place != Batch.rend(); ++Place)
-      this->Settlements.push_front(std::move(*Place));
-    if (Ending || !this->Waiting.empty())
+      this->PendingUpdates.push_front(std::move(*Place));
+    if (Ending || !this->PendingClaims.empty())
       return false;
   }
-  this->pause();
+  this->waitForBackoff();
   return false;
 }
 
 /// Each step holds only where the record is still of this claim, so it may be
 /// sent again, and it may arrive late.
-bool RunRecordWriter::settle(const std::vector<Settlement> &Batch) {
+bool RunRecordWriter::commitUpdates(const std::vector<RecordUpdate> &Batch) {
   StoreTransaction Wanted;
-  for (const Settlement &Each : Batch) {
+  for (const RecordUpdate &Each : Batch) {
     Wanted.Conditions.push_back(
-        keyHolds(Each.Key, runningValue(Each.Identity)));
+        keyValueIs(Each.Key, runningValue(Each.Identity)));
     Wanted.Then.push_back(
-        Each.Kind == SettlementKind::Complete
+        Each.Kind == RecordUpdateKind::Complete
             ? putKey(Each.Key, doneValue(Each.Identity), this->Lease)
             : deleteKey(Each.Key));
   }
@@ -391,27 +396,27 @@
       this->Lease = 0;
     return false;
   }
-  this->Waits.reset();
+  this->RetryBackoff.reset();
   if (Outcome->Succeeded || Batch.size() == 1)
     return true;
   const auto Middle =
       Batch.begin() + static_cast<std::ptrdiff_t>(Batch.size() / 2);
-  const bool First = this->settle({Batch.begin(), Middle});
-  return this->settle({Middle, Batch.end()}) && First;
+  const bool First = this->commitUpdates({Batch.begin(), Middle});
+  return this->commitUpdates({Middle, Batch.end()}) && First;
 }
 
 Poco::JSON::Object::Ptr RunRecordWriter::dump() const {
-  std::lock_guard<std::mutex> Lock(this->Guard);
+  std::lock_guard<std::mutex> Lock(this->Mutex);
   Poco::JSON::Object::Ptr Dump = new Poco::JSON::Object;
-  Dump->set("waiting", this->Waiting.size());
-  Dump->set("settlements", this->Settlements.size());
-  Dump->set("settlementsDropped", this->SettlementsDropped);
-  Dump->set("transactions", this->Transactions);
-  Dump->set("inDoubt", this->InDoubt);
+  Dump->set("waiting", this->PendingClaims.size());
+  Dump->set("settlements", this->PendingUpdates.size());
+  Dump->set("settlementsDropped", this->DroppedUpdateCount);
+  Dump->set("transactions", this->TransactionCount);
+  Dump->set("inDoubt", this->UnknownOutcomeCount);
   for (const auto &[Verdict, Name] : RunVerdictNames) {
-    const auto Place = this->Verdicts.find(Verdict);
+    const auto Place = this->VerdictCounts.find(Verdict);
     Dump->set(std::string(Name),
-              Place == this->Verdicts.end() ? 0 : Place->second);
+              Place == this->VerdictCounts.end() ? 0 : Place->second);
   }
   return Dump;
 }
--- a/src/Platform/RunRecordWriter.h
+++ b/src/Platform/RunRecordWriter.h
@@ -33,20 +33,20 @@
 struct RunRecordSettings {
   std::string Prefix = "runs/";
   /// Names this process: the router and its incarnation.
-  std::string Writer;
+  std::string WriterId;
   /// How long a record lasts at least. A caller that repeats its key later is
   /// taken for a new one.
-  std::chrono::seconds Life = std::chrono::hours(24);
+  std::chrono::seconds MinRecordLifetime = std::chrono::hours(24);
   /// A new lease is begun so often; all records in between share one.
-  std::chrono::seconds LeasePeriod = std::chrono::hours(1);
+  std::chrono::seconds LeaseRotationInterval = std::chrono::hours(1);
   /// Time over which claims are gathered into one transaction.
-  Duration Gather = std::chrono::milliseconds(2);
+  Duration BatchDelay = std::chrono::milliseconds(2);
   /// At most 120: the service takes 128 steps in one transaction.
-  std::size_t MaxBatch = 100;
+  std::size_t MaxBatchSize = 100;
   /// A claim without a verdict after so long is Unavailable.
-  Duration Patience = std::chrono::seconds(2);
+  Duration ClaimTimeout = std::chrono::seconds(2);
   /// Claims that may wait; more are Unavailable at once.
-  std::size_t MaxWaiting = 10000;
+  std::size_t MaxPending = 10000;
   /// For the identities of leases; zero draws one.
   std::uint64_t Seed = 0;
 };
@@ -103,36 +103,37 @@
   struct Claim {
     std::string Key;
     std::string Identity;
-    Callback Tell;
+    Callback OnVerdict;
     TimePoint Deadline;
     /// A transaction with this claim may have taken effect unseen.
-    bool InDoubt = false;
+    bool OutcomeUnknown = false;
   };
-  enum class SettlementKind { Complete, Release };
-  struct Settlement {
-    SettlementKind Kind;
+  enum class RecordUpdateKind { Complete, Release };
+  struct RecordUpdate {
+    RecordUpdateKind Kind;
     std::string Key;
     std::string Identity;
   };
 
   void run();
-  std::vector<Claim> gather();
-  void handleClaims(std::vector<Claim> Batch);
+  std::vector<Claim> collectBatch();
+  void processClaims(std::vector<Claim> Batch);
   void commitClaims(std::vector<Claim> &Batch);
-  void judge(std::vector<Claim> &Batch, const TransactionOutcome &Outcome);
-  void dropLate(std::vector<Claim> &Batch);
+  void resolveClaims(std::vector<Claim> &Batch,
+                     const TransactionOutcome &Outcome);
+  void dropExpired(std::vector<Claim> &Batch);
   void finish(Claim &Done, RunVerdict Verdict);
-  bool ready();
-  bool beginLease();
-  void pause();
+  bool ensureReady();
+  bool acquireLease();
+  void waitForBackoff();
   /// False where the store did not take what waits.
-  bool settleSome();
-  void settleAtEnd();
-  std::size_t unsettled() const;
+  bool flushUpdates();
+  void flushUpdatesAtShutdown();
+  std::size_t pendingUpdateCount() const;
   /// Whether the batch needs no further try.
-  bool settle(const std::vector<Settlement> &Batch);
-  void addSettlement(SettlementKind Kind, std::string Key,
-                     std::string Identity);
+  bool commitUpdates(const std::vector<RecordUpdate> &Batch);
+  void queueUpdate(RecordUpdateKind Kind, std::string Key,
+                   std::string Identity);
   std::string recordKey(AccountId Account, const std::string &Key) const;
   std::string guardKey() const;
 
@@ -140,22 +141,22 @@
   std::shared_ptr<StoreBudget> Budget;
   Clock Time;
   StoreClient Store;
-  Backoff Waits;
-
-  mutable std::mutex Guard;
-  std::condition_variable Arrived;
-  std::deque<Claim> Waiting;
-  std::deque<Settlement> Settlements;
-  std::map<RunVerdict, std::uint64_t> Verdicts;
-  std::uint64_t Transactions = 0;
-  std::uint64_t InDoubt = 0;
-  std::uint64_t SettlementsDropped = 0;
+  Backoff RetryBackoff;
+
+  mutable std::mutex Mutex;
+  std::condition_variable WorkAvailable;
+  std::deque<Claim> PendingClaims;
+  std::deque<RecordUpdate> PendingUpdates;
+  std::map<RunVerdict, std::uint64_t> VerdictCounts;
+  std::uint64_t TransactionCount = 0;
+  std::uint64_t UnknownOutcomeCount = 0;
+  std::uint64_t DroppedUpdateCount = 0;
   bool Stopping = false;
 
   // Only the writer's thread uses these.
   LeaseId Lease = 0;
-  LeaseId WantedLease = 0;
-  TimePoint LeaseBegun;
+  LeaseId PendingLease = 0;
+  TimePoint LeaseStartedAt;
   /// Zero where the guard must be written before the next claim.
   Revision GuardRevision = 0;
   std::mt19937_64 Random;
--- a/src/Platform/StoreBudget.h
+++ b/src/Platform/StoreBudget.h
@@ -40,30 +40,30 @@
 public:
   /// At most `PerSecond` calls on average, `Burst` at once.
   StoreBudget(double PerSecond, double Burst, TimePoint Now)
-      : PerSecond(PerSecond), Burst(Burst), Tokens(Burst), Filled(Now) {}
+      : PerSecond(PerSecond), Burst(Burst), Tokens(Burst), RefilledAt(Now) {}
 
   /// Takes one call and counts it: zero. Or takes nothing: the time to wait.
-  Duration take(StoreCall Kind, TimePoint Now);
+  Duration tryAcquire(StoreCall Kind, TimePoint Now);
 
   /// How long `take` would have the caller wait now; takes nothing.
-  Duration waitFor(TimePoint Now) const;
+  Duration timeUntilAvailable(TimePoint Now) const;
 
-  std::uint64_t taken(StoreCall Kind) const;
+  std::uint64_t callCount(StoreCall Kind) const;
 
   /// Calls of each kind since the start, and how often a call had to wait.
   Poco::JSON::Object::Ptr dump() const;
 
 private:
   double tokensAt(TimePoint Now) const;
-  Duration timeToNext(double Available) const;
+  Duration timeToNextToken(double Available) const;
 
   double PerSecond;
   double Burst;
-  mutable std::mutex Guard;
+  mutable std::mutex Mutex;
   double Tokens;
-  TimePoint Filled;
-  std::array<std::uint64_t, StoreCallNames.size()> Counts{};
-  std::uint64_t Waits = 0;
+  TimePoint RefilledAt;
+  std::array<std::uint64_t, StoreCallNames.size()> CallCounts{};
+  std::uint64_t WaitCount = 0;
 };
 
 } // namespace parsleywing
--- a/src/Platform/StoreClient.cpp
+++ b/src/Platform/StoreClient.cpp
@@ -43,12 +43,13 @@
 StoreClient::StoreClient(StoreSettings S, std::shared_ptr<StoreBudget> B,
                          Clock C)
     : Settings(std::move(S)), Budget(std::move(B)), Time(std::move(C)),
-      Connection(this->Settings.Address, this->Settings.MaxIdle, this->Time) {}
+      Connection(this->Settings.Address, this->Settings.MaxIdleTime,
+                 this->Time) {}
 
-Result<void> StoreClient::awaitBudget(StoreCall Kind, TimePoint Deadline) {
+Result<void> StoreClient::waitForBudget(StoreCall Kind, TimePoint Deadline) {
   while (true) {
     const TimePoint Now = this->Time.now();
-    const Duration Wait = this->Budget->take(Kind, Now);
+    const Duration Wait = this->Budget->tryAcquire(Kind, Now);
     if (Wait == Duration::zero())
       return {};
     if (Now + Wait >= Deadline)
@@ -60,11 +61,11 @@
 
 Result<Object::Ptr> StoreClient::call(StoreCall Kind, const std::string &Path,
                                       const std::string &Body) {
-  const TimePoint Deadline = this->Time.now() + this->Settings.Deadline;
-  if (const Result<void> Ready = this->awaitBudget(Kind, Deadline); !Ready)
+  const TimePoint Deadline = this->Time.now() + this->Settings.CallTimeout;
+  if (const Result<void> Ready = this->waitForBudget(Kind, Deadline); !Ready)
     return tl::unexpected(Ready.error());
   const Duration Left = Deadline - this->Time.now();
-  const Result<StoreAnswer> Told =
+  const Result<StoreResponse> Told =
       this->Connection.call({"POST", Path, Body}, Left);
   if (!Told)
     return tl::unexpected(Told.error());
@@ -88,7 +89,7 @@
                                           bool KeysOnly) {
   Object Message;
   Message.set("key", internal::toBase64(Prefix));
-  Message.set("range_end", internal::toBase64(endOfPrefix(Prefix)));
+  Message.set("range_end", internal::toBase64(prefixRangeEnd(Prefix)));
   if (KeysOnly)
     Message.set("keys_only", true);
   return decodeWith<StoreRange>(this->call(StoreCall::Range, "/v3/kv/range",
@@ -105,7 +106,9 @@
     Message.set("lease", std::to_string(Lease));
   return decodeWith<Revision>(
       this->call(StoreCall::Put, "/v3/kv/put", internal::stringify(Message)),
-      [](const Object &Answer) { return internal::decodeRange(Answer).At; });
+      [](const Object &Answer) {
+        return internal::decodeRange(Answer).ReadRevision;
+      });
 }
 
 Result<TransactionOutcome>
@@ -113,7 +116,7 @@
   return decodeWith<TransactionOutcome>(
       this->call(StoreCall::Transaction, "/v3/kv/txn",
                  internal::encodeTransaction(Transaction)),
-      internal::decodeOutcome);
+      internal::decodeTransactionOutcome);
 }
 
 Result<LeaseId> StoreClient::grantLease(std::chrono::seconds Life,
@@ -125,7 +128,7 @@
   return decodeWith<LeaseId>(
       this->call(StoreCall::LeaseGrant, "/v3/lease/grant",
                  internal::stringify(Message)),
-      [](const Object &Answer) { return internal::numberOf(Answer, "ID"); });
+      [](const Object &Answer) { return internal::int64Field(Answer, "ID"); });
 }
 
 Result<std::chrono::seconds> StoreClient::keepLeaseAlive(LeaseId Lease) {
@@ -136,7 +139,7 @@
                  internal::stringify(Message)),
       [](const Object &Answer) {
         const Object::Ptr Inner = Answer.getObject("result");
-        return Inner ? internal::numberOf(*Inner, "TTL") : std::int64_t{0};
+        return Inner ? internal::int64Field(*Inner, "TTL") : std::int64_t{0};
       });
   if (!Left)
     return tl::unexpected(Left.error());
--- a/src/Platform/StoreClient.h
+++ b/src/Platform/StoreClient.h
@@ -18,9 +18,9 @@
   /// Numeric host and port of the service.
   std::string Address;
   /// Time for a call from its start to the end of its answer.
-  Duration Deadline = std::chrono::seconds(1);
+  Duration CallTimeout = std::chrono::seconds(1);
   /// A connection idle for longer is not used again, but replaced.
-  Duration MaxIdle = std::chrono::milliseconds(500);
+  Duration MaxIdleTime = std::chrono::milliseconds(500);
 };
 
 /// Typed calls on the platform's key-value service over one HTTP connection
@@ -61,7 +61,7 @@
 private:
   Result<Poco::JSON::Object::Ptr> call(StoreCall Kind, const std::string &Path,
                                        const std::string &Body);
-  Result<void> awaitBudget(StoreCall Kind, TimePoint Deadline);
+  Result<void> waitForBudget(StoreCall Kind, TimePoint Deadline);
 
   StoreSettings Settings;
   std::shared_ptr<StoreBudget> Budget;
--- a/src/Platform/StoreCodec.cpp
+++ b/src/Platform/StoreCodec.cpp
@@ -29,7 +29,7 @@
   return Bytes;
 }
 
-std::int64_t numberOf(const Object &Message, const std::string &Name) {
+std::int64_t int64Field(const Object &Message, const std::string &Name) {
   return Message.has(Name) ? Message.get(Name).convert<Poco::Int64>() : 0;
 }
 
@@ -45,53 +45,53 @@
   Message->set("key", toBase64(Compare.Key));
   Message->set("result", "EQUAL");
   switch (Compare.Target) {
-  case CompareTarget::Created:
+  case CompareTarget::CreateRevision:
     Message->set("target", "CREATE");
-    Message->set("create_revision", std::to_string(Compare.Number));
+    Message->set("create_revision", std::to_string(Compare.ExpectedRevision));
     break;
-  case CompareTarget::Modified:
+  case CompareTarget::ModRevision:
     Message->set("target", "MOD");
-    Message->set("mod_revision", std::to_string(Compare.Number));
+    Message->set("mod_revision", std::to_string(Compare.ExpectedRevision));
     break;
   case CompareTarget::Value:
     Message->set("target", "VALUE");
-    Message->set("value", toBase64(Compare.Value));
+    Message->set("value", toBase64(Compare.ExpectedValue));
     break;
   }
   return Message;
 }
 
-Object::Ptr encodeStep(const StoreStep &Step) {
+Object::Ptr encodeStep(const StoreOperation &Step) {
   Object::Ptr Inner = new Object;
   Inner->set("key", toBase64(Step.Key));
   Object::Ptr Message = new Object;
   switch (Step.Kind) {
-  case StoreStepKind::Put:
+  case StoreOperationKind::Put:
     Inner->set("value", toBase64(Step.Value));
     if (Step.Lease != 0)
       Inner->set("lease", std::to_string(Step.Lease));
     Message->set("request_put", Inner);
     break;
-  case StoreStepKind::Delete:
+  case StoreOperationKind::Delete:
     Message->set("request_delete_range", Inner);
     break;
-  case StoreStepKind::Read:
+  case StoreOperationKind::Read:
     Message->set("request_range", Inner);
     break;
   }
   return Message;
 }
 
-Array::Ptr encodeSteps(const std::vector<StoreStep> &Steps) {
+Array::Ptr encodeSteps(const std::vector<StoreOperation> &Steps) {
   Array::Ptr All = new Array;
-  for (const StoreStep &Step : Steps)
+  for (const StoreOperation &Step : Steps)
     All->add(encodeStep(Step));
   return All;
 }
 
 Revision revisionOf(const Object &Message) {
   const Object::Ptr Header = Message.getObject("header");
-  return Header ? numberOf(*Header, "revision") : 0;
+  return Header ? int64Field(*Header, "revision") : 0;
 }
 
 } // namespace
@@ -103,7 +103,7 @@
   Object Message;
   Message.set("compare", Conditions);
   Message.set("success", encodeSteps(Transaction.Then));
-  Message.set("failure", encodeSteps(Transaction.Otherwise));
+  Message.set("failure", encodeSteps(Transaction.Else));
   return stringify(Message);
 }
 
@@ -111,16 +111,16 @@
   StoreEntry Entry;
   Entry.Key = textOf(Message, "key");
   Entry.Value = textOf(Message, "value");
-  Entry.Created = numberOf(Message, "create_revision");
-  Entry.Modified = numberOf(Message, "mod_revision");
-  Entry.Version = numberOf(Message, "version");
-  Entry.Lease = numberOf(Message, "lease");
+  Entry.CreateRevision = int64Field(Message, "create_revision");
+  Entry.ModRevision = int64Field(Message, "mod_revision");
+  Entry.Version = int64Field(Message, "version");
+  Entry.Lease = int64Field(Message, "lease");
   return Entry;
 }
 
 StoreRange decodeRange(const Object &Message) {
   StoreRange Range;
-  Range.At = revisionOf(Message);
+  Range.ReadRevision = revisionOf(Message);
   const Array::Ptr Entries = Message.getArray("kvs");
   if (!Entries)
     return Range;
@@ -129,10 +129,10 @@
   return Range;
 }
 
-TransactionOutcome decodeOutcome(const Object &Message) {
+TransactionOutcome decodeTransactionOutcome(const Object &Message) {
   TransactionOutcome Outcome;
   Outcome.Succeeded = Message.optValue("succeeded", false);
-  Outcome.At = revisionOf(Message);
+  Outcome.CommitRevision = revisionOf(Message);
   const Array::Ptr Responses = Message.getArray("responses");
   if (!Responses)
     return Outcome;
--- a/src/Platform/StoreCodec.h
+++ b/src/Platform/StoreCodec.h
@@ -15,14 +15,14 @@
 std::string fromBase64(const std::string &Text);
 
 /// A 64-bit number of a message; zero where it is left out.
-std::int64_t numberOf(const Poco::JSON::Object &Message,
-                      const std::string &Name);
+std::int64_t int64Field(const Poco::JSON::Object &Message,
+                        const std::string &Name);
 
 std::string encodeTransaction(const StoreTransaction &Transaction);
 
 StoreEntry decodeEntry(const Poco::JSON::Object &Message);
 StoreRange decodeRange(const Poco::JSON::Object &Message);
-TransactionOutcome decodeOutcome(const Poco::JSON::Object &Message);
+TransactionOutcome decodeTransactionOutcome(const Poco::JSON::Object &Message);
 
 /// Parses one whole message; `Malformed` where it is no JSON object.
 Result<Poco::JSON::Object::Ptr> parseMessage(const std::string &Text);
--- a/src/Platform/StoreConnection.cpp
+++ b/src/Platform/StoreConnection.cpp
@@ -45,13 +45,13 @@
 } // namespace
 
 /// The library's session, which also tells whether it can carry a further call.
-class StoreConnection::Kept : public HTTPClientSession {
+class StoreConnection::HttpSession : public HTTPClientSession {
 public:
   using HTTPClientSession::HTTPClientSession;
 
   /// Whether the store has sent or ended something while nothing was asked:
   /// the next call would find the end, or take what came for its answer.
-  bool stirred() {
+  bool hasUnsolicitedInput() {
     constexpr int Either =
         Poco::Net::Socket::SELECT_READ | Poco::Net::Socket::SELECT_ERROR;
     return this->buffered() > 0 ||
@@ -60,8 +60,8 @@
 };
 
 StoreConnection::StoreConnection(std::string A, Duration Idle, Clock C)
-    : Address(std::move(A)), MaxIdle(Idle), Time(std::move(C)),
-      LastUsed(Time.now()) {}
+    : Address(std::move(A)), MaxIdleTime(Idle), Time(std::move(C)),
+      LastUsedAt(Time.now()) {}
 
 StoreConnection::~StoreConnection() = default;
 StoreConnection::StoreConnection(StoreConnection &&) noexcept = default;
@@ -73,8 +73,8 @@
 /// round trip and proves the way.
 Result<void> StoreConnection::connect(Duration Limit) {
   const TimePoint Now = this->Time.now();
-  if (this->Session && Now - this->LastUsed <= this->MaxIdle &&
-      !this->Session->stirred())
+  if (this->Session && Now - this->LastUsedAt <= this->MaxIdleTime &&
+      !this->Session->hasUnsolicitedInput())
     return {};
   this->Session.reset();
   try {
@@ -82,7 +82,7 @@
     Poco::Net::StreamSocket Socket;
     Socket.connect(Numeric, timespan(Limit));
     Socket.setNoDelay(true);
-    auto Fresh = std::make_unique<Kept>(Socket);
+    auto Fresh = std::make_unique<HttpSession>(Socket);
     Fresh->setKeepAlive(true);
     Fresh->setKeepAliveTimeout(Poco::Timespan(Poco::Timespan::HOURS));
     this->Session = std::move(Fresh);
@@ -92,8 +92,8 @@
   return {};
 }
 
-Result<StoreAnswer> StoreConnection::exchange(const StoreMessage &Message,
-                                              TimePoint Deadline) {
+Result<StoreResponse> StoreConnection::exchange(const StoreRequest &Message,
+                                                TimePoint Deadline) {
   const Duration Left = Deadline - this->Time.now();
   if (Left <= Duration::zero())
     return failure(ErrorCode::Unreachable, "no time was left for the call");
@@ -115,7 +115,7 @@
         readAnswer(In, *this->Session, this->Time, Deadline);
     if (!Body)
       return tl::unexpected(Body.error());
-    return StoreAnswer{Response.getStatus(), std::move(*Body)};
+    return StoreResponse{Response.getStatus(), std::move(*Body)};
   } catch (const Poco::TimeoutException &Problem) {
     return failure(ErrorCode::TimedOut, Problem.displayText());
   } catch (const Poco::Exception &Problem) {
@@ -123,13 +123,13 @@
   }
 }
 
-Result<StoreAnswer> StoreConnection::call(const StoreMessage &Message,
-                                          Duration Limit) {
+Result<StoreResponse> StoreConnection::call(const StoreRequest &Message,
+                                            Duration Limit) {
   const TimePoint Deadline = this->Time.now() + Limit;
   if (const Result<void> Connected = this->connect(Limit); !Connected)
     return tl::unexpected(Connected.error());
-  Result<StoreAnswer> Answer = this->exchange(Message, Deadline);
-  this->LastUsed = this->Time.now();
+  Result<StoreResponse> Answer = this->exchange(Message, Deadline);
+  this->LastUsedAt = this->Time.now();
   // After a call that went wrong the next answer could be this one's.
   if (!Answer)
     this->Session.reset();
--- a/src/Platform/StoreConnection.h
+++ b/src/Platform/StoreConnection.h
@@ -11,14 +11,14 @@
 namespace parsleywing {
 
 /// A call on a key-value service as it goes over the wire.
-struct StoreMessage {
+struct StoreRequest {
   std::string Method;
   std::string Path;
   std::string Body;
 };
 
 /// The whole answer to a call.
-struct StoreAnswer {
+struct StoreResponse {
   int Status = 0;
   std::string Body;
 };
@@ -38,22 +38,23 @@
   StoreConnection(const StoreConnection &) = delete;
   StoreConnection &operator=(const StoreConnection &) = delete;
 
-  Result<StoreAnswer> call(const StoreMessage &Message, Duration Limit);
+  Result<StoreResponse> call(const StoreRequest &Message, Duration Limit);
 
   /// Begins anew with the next call.
   void close();
 
 private:
-  class Kept;
+  class HttpSession;
 
   Result<void> connect(Duration Limit);
-  Result<StoreAnswer> exchange(const StoreMessage &Message, TimePoint Deadline);
+  Result<StoreResponse> exchange(const StoreRequest &Message,
+                                 TimePoint Deadline);
 
   std::string Address;
-  Duration MaxIdle;
+  Duration MaxIdleTime;
   Clock Time;
-  std::unique_ptr<Kept> Session;
-  TimePoint LastUsed;
+  std::unique_ptr<HttpSession> Session;
+  TimePoint LastUsedAt;
 };
 
 } // namespace parsleywing
--- a/src/Platform/StoreTypes.cpp
+++ b/src/Platform/StoreTypes.cpp
@@ -2,7 +2,7 @@
 
 namespace parsleywing {
 
-std::string endOfPrefix(std::string Prefix) {
+std::string prefixRangeEnd(std::string Prefix) {
   while (!Prefix.empty()) {
     const auto Last = static_cast<unsigned char>(Prefix.back());
     if (Last != 0xFF) {
--- a/src/Platform/StoreWatch.cpp
+++ b/src/Platform/StoreWatch.cpp
@@ -39,7 +39,7 @@
 std::string createRequest(const std::string &Prefix) {
   Object Wanted;
   Wanted.set("key", internal::toBase64(Prefix));
-  Wanted.set("range_end", internal::toBase64(endOfPrefix(Prefix)));
+  Wanted.set("range_end", internal::toBase64(prefixRangeEnd(Prefix)));
   Object Message;
   Message.set("create_request", Wanted);
   return internal::stringify(Message);
@@ -48,43 +48,43 @@
 } // namespace
 
 StoreWatch::StoreWatch(StoreSettings S, std::shared_ptr<StoreBudget> B, Clock C,
-                       Options O, Report R)
+                       Options O, ChangeHandler R)
     : Settings(std::move(S)), Budget(std::move(B)), Time(std::move(C)),
-      Chosen(std::move(O)), Tell(std::move(R)),
+      WatchOptions(std::move(O)), OnChanges(std::move(R)),
       Worker([this] { this->run(); }) {}
 
 StoreWatch::~StoreWatch() {
   this->Stopping = true;
   {
-    std::lock_guard<std::mutex> Lock(this->Guard);
+    std::lock_guard<std::mutex> Lock(this->Mutex);
     try {
-      if (this->Open != nullptr)
-        this->Open->socket().shutdown();
+      if (this->ActiveSession != nullptr)
+        this->ActiveSession->socket().shutdown();
     } catch (const Poco::Exception &) {
       // It is closed already.
     }
   }
-  this->Woken.notify_all();
+  this->Wakeup.notify_all();
   this->Worker.join();
 }
 
-void StoreWatch::rest(Duration Wait) {
-  std::unique_lock<std::mutex> Lock(this->Guard);
-  this->Woken.wait_for(Lock, Wait, [this] { return this->Stopping.load(); });
+void StoreWatch::waitOrStop(Duration Wait) {
+  std::unique_lock<std::mutex> Lock(this->Mutex);
+  this->Wakeup.wait_for(Lock, Wait, [this] { return this->Stopping.load(); });
 }
 
 void StoreWatch::run() {
-  Backoff Pause(FirstBackoff, BackoffLimit, this->Chosen.Seed);
+  Backoff Pause(FirstBackoff, BackoffLimit, this->WatchOptions.Seed);
   while (!this->Stopping) {
     const Duration Wait =
-        this->Budget->take(StoreCall::Watch, this->Time.now());
+        this->Budget->tryAcquire(StoreCall::Watch, this->Time.now());
     if (Wait > Duration::zero()) {
-      this->rest(Wait);
+      this->waitOrStop(Wait);
       continue;
     }
     if (this->watchOnce())
       Pause.reset();
-    this->rest(Pause.next());
+    this->waitOrStop(Pause.nextDelay());
   }
 }
 
@@ -93,19 +93,20 @@
   try {
     const Poco::Net::SocketAddress Address(this->Settings.Address);
     Poco::Net::StreamSocket Socket;
-    Socket.connect(Address, Poco::Timespan(this->Settings.Deadline.count()));
+    Socket.connect(Address, Poco::Timespan(this->Settings.CallTimeout.count()));
     HTTPClientSession Session(Socket);
-    Session.setTimeout(Poco::Timespan(this->Chosen.Silence.count()));
+    Session.setTimeout(
+        Poco::Timespan(this->WatchOptions.SilenceTimeout.count()));
     Session.socket().setReceiveTimeout(
-        Poco::Timespan(this->Chosen.Silence.count()));
+        Poco::Timespan(this->WatchOptions.SilenceTimeout.count()));
     {
-      std::lock_guard<std::mutex> Lock(this->Guard);
+      std::lock_guard<std::mutex> Lock(this->Mutex);
       if (this->Stopping)
         return false;
-      this->Open = &Session;
+      this->ActiveSession = &Session;
     }
     try {
-      const std::string Body = createRequest(this->Chosen.Prefix);
+      const std::string Body = createRequest(this->WatchOptions.Prefix);
       HTTPRequest Request(HTTPRequest::HTTP_POST, "/v3/watch",
                           HTTPRequest::HTTP_1_1);
       Request.setHost(this->Settings.Address);
@@ -120,8 +121,8 @@
     } catch (const Poco::Exception &) {
       // The watch ended; the next one tells its reader to look again.
     }
-    std::lock_guard<std::mutex> Lock(this->Guard);
-    this->Open = nullptr;
+    std::lock_guard<std::mutex> Lock(this->Mutex);
+    this->ActiveSession = nullptr;
   } catch (const Poco::Exception &) {
     return false;
   }
@@ -135,7 +136,7 @@
     if (!Message)
       return;
     try {
-      this->Tell(changesOf(**Message));
+      this->OnChanges(changesOf(**Message));
     } catch (const Poco::Exception &) {
       return;
     }
--- a/src/Platform/StoreWatch.h
+++ b/src/Platform/StoreWatch.h
@@ -24,16 +24,16 @@
     std::string Prefix;
     /// A watch that told nothing for so long is replaced: its connection may
     /// have gone silent, which nothing else on it would show.
-    Duration Silence = std::chrono::seconds(10);
+    Duration SilenceTimeout = std::chrono::seconds(10);
     std::uint64_t Seed = 1;
   };
 
   /// Called on the watch's thread with the changes of one message; with none
   /// each time a watch begins, since changes may have been missed before.
-  using Report = std::function<void(const std::vector<StoreChange> &)>;
+  using ChangeHandler = std::function<void(const std::vector<StoreChange> &)>;
 
   StoreWatch(StoreSettings S, std::shared_ptr<StoreBudget> B, Clock C,
-             Options O, Report R);
+             Options O, ChangeHandler R);
   ~StoreWatch();
 
   StoreWatch(const StoreWatch &) = delete;
@@ -44,17 +44,17 @@
   /// Watches until the connection fails or is silent. Whether it began at all.
   bool watchOnce();
   void readChanges(std::istream &In);
-  void rest(Duration Wait);
+  void waitOrStop(Duration Wait);
 
   StoreSettings Settings;
   std::shared_ptr<StoreBudget> Budget;
   Clock Time;
-  Options Chosen;
-  Report Tell;
+  Options WatchOptions;
+  ChangeHandler OnChanges;
   std::atomic<bool> Stopping{false};
-  std::mutex Guard;
-  std::condition_variable Woken;
-  Poco::Net::HTTPClientSession *Open = nullptr;
+  std::mutex Mutex;
+  std::condition_variable Wakeup;
+  Poco::Net::HTTPClientSession *ActiveSession = nullptr;
   std::thread Worker;
 };
 
--- a/src/Program/Commands/ApplyCommand.cpp
+++ b/src/Program/Commands/ApplyCommand.cpp
@@ -17,24 +17,24 @@
 constexpr std::uint32_t DefaultWaitSeconds = 10;
 
 /// The platform from the command line, or from the settings file it names.
-Result<PlatformPlace> platformOf(const OptionValues &Given) {
+Result<PlatformEndpoint> platformOf(const OptionValues &Given) {
   const Settings Defaults;
   if (Given.count("platform") == 1)
-    return PlatformPlace{valueOf<std::string>(Given, "platform"),
-                         Defaults.Platform.Prefix};
-  const auto Wanted = readSettings(valueOf<std::string>(Given, "settings"));
+    return PlatformEndpoint{optionValue<std::string>(Given, "platform"),
+                            Defaults.Platform.Prefix};
+  const auto Wanted = readSettings(optionValue<std::string>(Given, "settings"));
   if (!Wanted)
     return tl::unexpected<Error>(Wanted.error());
   if (Wanted->Platform.Address.empty())
     return failure(ErrorCode::InvalidInput,
                    "the settings file names no [platform] address");
-  return PlatformPlace{Wanted->Platform.Address, Wanted->Platform.Prefix};
+  return PlatformEndpoint{Wanted->Platform.Address, Wanted->Platform.Prefix};
 }
 
 ExitCode reportPlatform(const Error &Failure) {
   if (Failure.Code == ErrorCode::Refused)
-    return report(Failure, ExitCode::NotAvailable);
-  return report(Failure);
+    return printError(Failure, ExitCode::NotAvailable);
+  return printError(Failure);
 }
 
 std::string textOf(const std::string &Path) {
@@ -54,17 +54,17 @@
 }
 
 /// Waits for all live routers and names those that are behind.
-ExitCode waitForFleet(const PlatformPlace &Platform, std::uint64_t Generation,
-                      std::uint32_t Seconds) {
+ExitCode waitForFleet(const PlatformEndpoint &Platform,
+                      std::uint64_t Generation, std::uint32_t Seconds) {
   const auto Behind =
       waitForGeneration(Platform, Generation, std::chrono::seconds(Seconds));
   const std::string Place = "generation " + std::to_string(Generation);
   if (!Behind)
-    return report({ErrorCode::TimedOut,
-                   Place +
-                       " was accepted, but the list of routers cannot be "
-                       "read: " +
-                       Behind.error().Message});
+    return printError({ErrorCode::TimedOut,
+                       Place +
+                           " was accepted, but the list of routers cannot be "
+                           "read: " +
+                           Behind.error().Message});
   if (Behind->empty()) {
     std::cout << "all live routers have " << Place << '\n';
     return ExitCode::Success;
@@ -74,7 +74,7 @@
                      " s these routers are not known to have it:";
   for (const LaggingRouter &Router : *Behind)
     Text += "\n  " + Router.Name + ": " + Router.Reason;
-  return report({ErrorCode::TimedOut, Text});
+  return printError({ErrorCode::TimedOut, Text});
 }
 
 } // namespace
@@ -108,31 +108,31 @@
 
 ExitCode ApplyCommand::run(const OptionValues &Given) const {
   if (Given.count("settings") + Given.count("platform") != 1)
-    return report({ErrorCode::InvalidInput,
-                   "apply: give either --settings or --platform"},
-                  ExitCode::WrongUsage);
-  const auto &Path = valueOf<std::string>(Given, "file");
+    return printError({ErrorCode::InvalidInput,
+                       "apply: give either --settings or --platform"},
+                      ExitCode::WrongUsage);
+  const auto &Path = optionValue<std::string>(Given, "file");
   const auto Declared = loadDeclarations(Path);
   if (!Declared)
-    return report(Declared.error());
+    return printError(Declared.error());
   const auto Platform = platformOf(Given);
   if (!Platform)
-    return report(Platform.error());
+    return printError(Platform.error());
   const auto InForce = readFromPlatform(*Platform);
   if (InForce)
     printChanges(*InForce, *Declared);
   else if (InForce.error().Code != ErrorCode::NotFound)
     return reportPlatform(InForce.error());
   const auto Applied = applyToPlatform(
-      {*Platform, textOf(Path), valueOf<std::string>(Given, "operator"),
-       std::chrono::seconds(valueOf<std::uint32_t>(Given, "wait"))});
+      {*Platform, textOf(Path), optionValue<std::string>(Given, "operator"),
+       std::chrono::seconds(optionValue<std::uint32_t>(Given, "wait"))});
   if (!Applied)
     return reportPlatform(Applied.error());
   std::cout << "in force as generation " << Applied->Generation << std::endl;
   if (Given.count("wait-in-force") == 0)
     return ExitCode::Success;
   return waitForFleet(*Platform, Applied->Generation,
-                      valueOf<std::uint32_t>(Given, "wait-in-force"));
+                      optionValue<std::uint32_t>(Given, "wait-in-force"));
 }
 
 } // namespace parsleywing
--- a/src/Program/Commands/CheckCommand.cpp
+++ b/src/Program/Commands/CheckCommand.cpp
@@ -12,7 +12,7 @@
 ExitCode checkDeclarations(const std::string &Path) {
   const auto Declared = loadDeclarations(Path);
   if (!Declared)
-    return report(Declared.error());
+    return printError(Declared.error());
   std::cout << Path << ": correct; " << Declared->Accounts.size()
             << " accounts, " << Declared->Services.size() << " services, "
             << Declared->Servers.size() << " servers\n";
@@ -22,7 +22,7 @@
 ExitCode checkSettings(const std::string &Path) {
   const auto Wanted = readSettings(Path);
   if (!Wanted)
-    return report(Wanted.error());
+    return printError(Wanted.error());
   std::cout << Path << ": correct; router " << Wanted->Name << '\n';
   if (Wanted->DeclarationsFile.empty())
     return ExitCode::Success;
@@ -43,12 +43,12 @@
 
 ExitCode CheckCommand::run(const OptionValues &Given) const {
   if (Given.count("settings") + Given.count("declarations") != 1)
-    return report({ErrorCode::InvalidInput,
-                   "check: give either --settings or --declarations"},
-                  ExitCode::WrongUsage);
+    return printError({ErrorCode::InvalidInput,
+                       "check: give either --settings or --declarations"},
+                      ExitCode::WrongUsage);
   if (Given.count("settings") == 1)
-    return checkSettings(valueOf<std::string>(Given, "settings"));
-  return checkDeclarations(valueOf<std::string>(Given, "declarations"));
+    return checkSettings(optionValue<std::string>(Given, "settings"));
+  return checkDeclarations(optionValue<std::string>(Given, "declarations"));
 }
 
 } // namespace parsleywing
--- a/src/Program/Commands/CommandOptions.h
+++ b/src/Program/Commands/CommandOptions.h
@@ -15,20 +15,20 @@
 using OptionValues = boost::program_options::variables_map;
 
 /// Prints a failure as one line on standard error; the exit code that tells it.
-inline ExitCode report(const Error &Failure) {
+inline ExitCode printError(const Error &Failure) {
   std::cerr << "parsleywing: " << Failure.Message << '\n';
   return exitCodeOf(Failure.Code);
 }
 
 /// The same, with a code of the command's own choice.
-inline ExitCode report(const Error &Failure, ExitCode Code) {
-  report(Failure);
+inline ExitCode printError(const Error &Failure, ExitCode Code) {
+  printError(Failure);
   return Code;
 }
 
 /// The value of an option that was given or has a default.
 template <typename Value>
-const Value &valueOf(const OptionValues &Given, const char *Name) {
+const Value &optionValue(const OptionValues &Given, const char *Name) {
   return Given[Name].as<Value>();
 }
 
--- a/src/Program/Commands/DrainCommand.cpp
+++ b/src/Program/Commands/DrainCommand.cpp
@@ -24,8 +24,8 @@
     }
     std::this_thread::sleep_for(PollInterval);
   }
-  return report({ErrorCode::TimedOut, "the router still drains after " +
-                                          std::to_string(Seconds) + " s"});
+  return printError({ErrorCode::TimedOut, "the router still drains after " +
+                                              std::to_string(Seconds) + " s"});
 }
 
 } // namespace
@@ -42,12 +42,12 @@
 }
 
 ExitCode DrainCommand::run(const OptionValues &Given) const {
-  const OperatorClient Router(valueOf<std::string>(Given, "router"));
+  const OperatorClient Router(optionValue<std::string>(Given, "router"));
   const auto Asked = Router.post("/drain");
   if (!Asked)
-    return report(Asked.error());
+    return printError(Asked.error());
   if (Given.count("wait") == 1)
-    return waitForEnd(Router, valueOf<std::uint32_t>(Given, "wait"));
+    return waitForEnd(Router, optionValue<std::uint32_t>(Given, "wait"));
   std::cout << "the router drains\n";
   return ExitCode::Success;
 }
--- a/src/Program/Commands/FetchCommand.cpp
+++ b/src/Program/Commands/FetchCommand.cpp
@@ -16,10 +16,10 @@
 }
 
 ExitCode FetchCommand::run(const OptionValues &Given) const {
-  const OperatorClient Router(valueOf<std::string>(Given, "router"));
+  const OperatorClient Router(optionValue<std::string>(Given, "router"));
   const auto Body = Router.get(this->Path);
   if (!Body)
-    return report(Body.error());
+    return printError(Body.error());
   std::cout << *Body;
   return ExitCode::Success;
 }
--- a/src/Program/Commands/GatewayCommand.cpp
+++ b/src/Program/Commands/GatewayCommand.cpp
@@ -20,21 +20,21 @@
 }
 
 ExitCode GatewayCommand::run(const OptionValues &Given) const {
-  const auto Path = valueOf<std::string>(Given, "settings");
+  const auto Path = optionValue<std::string>(Given, "settings");
   auto Wanted = readGatewaySettings(Path);
   if (!Wanted)
-    return report(Wanted.error());
+    return printError(Wanted.error());
   if (Given.count("check") > 0) {
     std::cout << Path << ": the settings are valid\n";
     return ExitCode::Success;
   }
   const auto Logging =
-      startLogging(Wanted->Gateway.Level, Wanted->Gateway.LogTarget);
+      startLogging(Wanted->Gateway.MinLogLevel, Wanted->Gateway.LogTarget);
   if (!Logging)
-    return report(Logging.error(), ExitCode::CannotStart);
+    return printError(Logging.error(), ExitCode::CannotStart);
   GatewayProcess Process(Path, std::move(*Wanted));
   if (const auto Ended = Process.run(); !Ended)
-    return report(Ended.error(), ExitCode::CannotStart);
+    return printError(Ended.error(), ExitCode::CannotStart);
   // The feed's threads may wait for the store for seconds more, and the grace
   // that the platform gives a stopping process is over before that.
   stopLogging();
--- a/src/Program/Commands/LogFiles.h
+++ b/src/Program/Commands/LogFiles.h
@@ -24,37 +24,37 @@
   template <typename Function> Result<void> forEachLine(Function Look) {
     for (const std::string &Path : this->Paths) {
       if (Path == StandardInput) {
-        std::istringstream Kept(this->keptInput());
-        each(Kept, Path, Look);
+        std::istringstream Kept(this->cachedInput());
+        forEachLineOf(Kept, Path, Look);
         continue;
       }
       std::ifstream File(Path);
       if (!File)
         return failure(ErrorCode::NotFound, Path + " cannot be opened");
-      each(File, Path, Look);
+      forEachLineOf(File, Path, Look);
     }
     return {};
   }
 
 private:
   template <typename Function>
-  static void each(std::istream &From, const std::string &Path,
-                   const Function &Look) {
+  static void forEachLineOf(std::istream &From, const std::string &Path,
+                            const Function &Look) {
     std::string Line;
     while (std::getline(From, Line))
       Look(Path, Line);
   }
 
-  const std::string &keptInput() {
-    if (!this->InputRead)
+  const std::string &cachedInput() {
+    if (!this->IsInputRead)
       this->Input.assign(std::istreambuf_iterator<char>(std::cin), {});
-    this->InputRead = true;
+    this->IsInputRead = true;
     return this->Input;
   }
 
   std::vector<std::string> Paths;
   std::string Input;
-  bool InputRead = false;
+  bool IsInputRead = false;
 };
 
 } // namespace parsleywing
--- a/src/Program/Commands/OrderCommand.cpp
+++ b/src/Program/Commands/OrderCommand.cpp
@@ -23,11 +23,11 @@
 constexpr std::uint32_t DefaultPeriodSeconds = 60;
 
 std::string wordOf(const OptionValues &Given, const char *Name) {
-  return Given.count(Name) == 1 ? valueOf<std::string>(Given, Name) : "";
+  return Given.count(Name) == 1 ? optionValue<std::string>(Given, Name) : "";
 }
 
 std::uint32_t numberOf(const OptionValues &Given, const char *Name) {
-  return valueOf<std::uint32_t>(Given, Name);
+  return optionValue<std::uint32_t>(Given, Name);
 }
 
 /// What is wrong with the options together; empty where nothing is.
@@ -47,7 +47,7 @@
 }
 
 /// The server as the declarations in force have it.
-Result<ServerDeclaration> findServer(const PlatformPlace &Platform,
+Result<ServerDeclaration> findServer(const PlatformEndpoint &Platform,
                                      const std::string &Name) {
   const auto InForce = readFromPlatform(Platform);
   if (!InForce)
@@ -75,16 +75,16 @@
 }
 
 ServerOrderSettings settingsOf(const OptionValues &Given,
-                               const PlatformPlace &Platform) {
+                               const PlatformEndpoint &Platform) {
   ServerOrderSettings Settings;
   Settings.Store.Address = Platform.Address;
   Settings.Prefix = Platform.Prefix;
   Settings.Server = wordOf(Given, "server");
   Settings.Holder =
       wordOf(Given, "operator") + ", process " + std::to_string(::getpid());
-  Settings.LeaseLife = std::chrono::seconds(numberOf(Given, "lease-life"));
-  Settings.Patience = std::chrono::seconds(numberOf(Given, "wait"));
-  Settings.Rate.Loads = numberOf(Given, "loads");
+  Settings.LeaseTtl = std::chrono::seconds(numberOf(Given, "lease-life"));
+  Settings.Timeout = std::chrono::seconds(numberOf(Given, "wait"));
+  Settings.Rate.MaxLoads = numberOf(Given, "loads");
   Settings.Rate.Period = std::chrono::seconds(numberOf(Given, "load-period"));
   return Settings;
 }
@@ -179,18 +179,18 @@
 
 ExitCode OrderCommand::run(const OptionValues &Given) const {
   if (const std::string Problem = problemOf(Given); !Problem.empty())
-    return report({ErrorCode::InvalidInput, Problem}, ExitCode::WrongUsage);
-  const PlatformPlace Platform{wordOf(Given, "platform"),
-                               wordOf(Given, "prefix")};
+    return printError({ErrorCode::InvalidInput, Problem}, ExitCode::WrongUsage);
+  const PlatformEndpoint Platform{wordOf(Given, "platform"),
+                                  wordOf(Given, "prefix")};
   const auto Server = findServer(Platform, wordOf(Given, "server"));
   if (!Server)
-    return report(Server.error());
+    return printError(Server.error());
   ServerOrder Order(settingsOf(Given, Platform), orderOf(Given, *Server),
                     [](const std::string &Line) {
                       std::cout << Line << '\n' << std::flush;
                     });
   const auto Report = Order.run();
-  return Report ? print(*Report) : report(Report.error());
+  return Report ? print(*Report) : printError(Report.error());
 }
 
 } // namespace parsleywing
--- a/src/Program/Commands/ReportCommand.cpp
+++ b/src/Program/Commands/ReportCommand.cpp
@@ -27,24 +27,25 @@
 }
 
 ExitCode ReportCommand::run(const OptionValues &Given) {
-  LogFiles Logs(valueOf<std::vector<std::string>>(Given, "log"));
+  LogFiles Logs(optionValue<std::vector<std::string>>(Given, "log"));
   RunReport Whole;
   const auto Read = Logs.forEachLine(
       [&Whole](const std::string &Source, const std::string &Line) {
         Whole.add(Source, Line);
       });
   if (!Read)
-    return report(Read.error());
+    return printError(Read.error());
   if (Whole.requests() == 0)
-    return report({ErrorCode::NotFound, "no line tells the end of a request"},
-                  ExitCode::Failed);
+    return printError(
+        {ErrorCode::NotFound, "no line tells the end of a request"},
+        ExitCode::Failed);
   if (Given.count("plot") > 0) {
-    const auto &Path = valueOf<std::string>(Given, "plot");
+    const auto &Path = optionValue<std::string>(Given, "plot");
     std::ofstream File(Path);
     Whole.printPlot(File);
     File.close();
     if (!File)
-      return report({ErrorCode::Unreachable, Path + " cannot be written"});
+      return printError({ErrorCode::Unreachable, Path + " cannot be written"});
   }
   Whole.print(std::cout);
   return ExitCode::Success;
--- a/src/Program/Commands/RouterCommand.cpp
+++ b/src/Program/Commands/RouterCommand.cpp
@@ -17,22 +17,23 @@
 }
 
 ExitCode RouterCommand::run(const OptionValues &Given) const {
-  auto Wanted = readSettings(valueOf<std::string>(Given, "settings"));
+  auto Wanted = readSettings(optionValue<std::string>(Given, "settings"));
   if (!Wanted)
-    return report(Wanted.error());
+    return printError(Wanted.error());
   const auto Logging = startLogging(Wanted->Level, Wanted->LogTarget);
   if (!Logging)
-    return report(Logging.error(), ExitCode::CannotStart);
+    return printError(Logging.error(), ExitCode::CannotStart);
   RouterProcess Router(std::move(*Wanted));
   const auto Unanswered = Router.run();
   if (!Unanswered && Unanswered.error().Code == ErrorCode::Unreachable)
-    return report(Unanswered.error(), ExitCode::CannotStart);
+    return printError(Unanswered.error(), ExitCode::CannotStart);
   if (!Unanswered)
-    return report(Unanswered.error());
+    return printError(Unanswered.error());
   if (*Unanswered == 0)
     return ExitCode::Success;
-  report({ErrorCode::Interrupted, "ended with " + std::to_string(*Unanswered) +
-                                      " requests unanswered"});
+  printError(
+      {ErrorCode::Interrupted,
+       "ended with " + std::to_string(*Unanswered) + " requests unanswered"});
   // Threads that still serve these requests refer to the router's parts. To
   // destroy the parts under them would crash and hide this exit code.
   std::_Exit(static_cast<int>(ExitCode::Unfinished));
--- a/src/Program/Commands/SettingsCommand.cpp
+++ b/src/Program/Commands/SettingsCommand.cpp
@@ -5,7 +5,7 @@
 namespace parsleywing {
 
 ExitCode SettingsCommand::run(const OptionValues &) const {
-  std::cout << settingsTableText();
+  std::cout << settingsTableMarkdown();
   return ExitCode::Success;
 }
 
--- a/src/Program/Commands/ShowCommand.cpp
+++ b/src/Program/Commands/ShowCommand.cpp
@@ -19,11 +19,12 @@
 ExitCode ShowCommand::run(const OptionValues &Given) const {
   const Settings Defaults;
   const auto InForce = readFromPlatform(
-      {valueOf<std::string>(Given, "platform"), Defaults.Platform.Prefix});
+      {optionValue<std::string>(Given, "platform"), Defaults.Platform.Prefix});
   if (!InForce)
-    return report(InForce.error(), InForce.error().Code == ErrorCode::Refused
-                                       ? ExitCode::NotAvailable
-                                       : exitCodeOf(InForce.error().Code));
+    return printError(InForce.error(),
+                      InForce.error().Code == ErrorCode::Refused
+                          ? ExitCode::NotAvailable
+                          : exitCodeOf(InForce.error().Code));
   std::cout << "; generation " << InForce->Generation << '\n' << InForce->Text;
   return ExitCode::Success;
 }
--- a/src/Program/Commands/TraceCommand.cpp
+++ b/src/Program/Commands/TraceCommand.cpp
@@ -44,13 +44,13 @@
 }
 
 ExitCode TraceCommand::run(const OptionValues &Given) {
-  const auto Seconds = valueOf<double>(Given, "around");
+  const auto Seconds = optionValue<double>(Given, "around");
   if (!(Seconds >= 0 && Seconds <= MostAround))
-    return report({ErrorCode::InvalidInput,
-                   "trace: --around must be from 0 to 3600 seconds"},
-                  ExitCode::WrongUsage);
-  const auto &Id = valueOf<std::string>(Given, "id");
-  LogFiles Logs(valueOf<std::vector<std::string>>(Given, "log"));
+    return printError({ErrorCode::InvalidInput,
+                       "trace: --around must be from 0 to 3600 seconds"},
+                      ExitCode::WrongUsage);
+  const auto &Id = optionValue<std::string>(Given, "id");
+  LogFiles Logs(optionValue<std::vector<std::string>>(Given, "log"));
   RequestStory Story(Id, std::chrono::duration_cast<Duration>(
                              std::chrono::duration<double>(Seconds)));
   const auto Looked =
@@ -58,16 +58,16 @@
         Story.look(Line);
       });
   if (!Looked)
-    return report(Looked.error());
+    return printError(Looked.error());
   if (!Story.begin())
-    return report({ErrorCode::NotFound, "no line names the request " + Id},
-                  ExitCode::Failed);
+    return printError({ErrorCode::NotFound, "no line names the request " + Id},
+                      ExitCode::Failed);
   const auto Gathered = Logs.forEachLine(
       [&Story](const std::string &Source, const std::string &Line) {
         Story.gather(Source, Line);
       });
   if (!Gathered)
-    return report(Gathered.error());
+    return printError(Gathered.error());
   for (const RequestStory::Line &Each : Story.lines())
     std::cout << (Each.Named ? "* " : "  ") << Each.Source << ": " << Each.Text
               << '\n';
--- a/src/Program/DeclarationsLoader.cpp
+++ b/src/Program/DeclarationsLoader.cpp
@@ -11,29 +11,29 @@
 } // namespace
 
 DeclarationsLoader::DeclarationsLoader(std::function<void(DeclarationsPtr)> T)
-    : Tell(std::move(T)), Worker([this] { this->run(); }) {}
+    : OnLoaded(std::move(T)), Worker([this] { this->run(); }) {}
 
 DeclarationsLoader::~DeclarationsLoader() {
   this->Stopping = true;
-  this->Wanted.close();
+  this->Pending.close();
   this->Worker.join();
 }
 
 void DeclarationsLoader::run() {
   while (!this->Stopping) {
-    std::optional<PutInForce> Newest = this->Wanted.take(StopCheckInterval);
+    std::optional<PutInForce> Newest = this->Pending.take(StopCheckInterval);
     if (!Newest)
       continue;
     bool FollowsTheLast = true;
-    while (auto Newer = this->Wanted.take(Duration::zero())) {
+    while (auto Newer = this->Pending.take(Duration::zero())) {
       Newest = std::move(Newer);
       FollowsTheLast = false;
     }
-    this->read(*Newest, FollowsTheLast);
+    this->update(*Newest, FollowsTheLast);
   }
 }
 
-void DeclarationsLoader::read(const PutInForce &Newest, bool FollowsTheLast) {
+void DeclarationsLoader::update(const PutInForce &Newest, bool FollowsTheLast) {
   const std::string Place = "generation " + std::to_string(Newest.Generation);
   auto Declared = this->Updater.update(Newest, FollowsTheLast);
   if (!Declared) {
@@ -43,7 +43,7 @@
     return;
   }
   log(LogPart::Program, LogLevel::Info, "In force: " + Place + ".");
-  this->Tell(std::move(*Declared));
+  this->OnLoaded(std::move(*Declared));
 }
 
 } // namespace parsleywing
--- a/src/Program/DeclarationsLoader.h
+++ b/src/Program/DeclarationsLoader.h
@@ -23,15 +23,15 @@
   DeclarationsLoader(const DeclarationsLoader &) = delete;
   DeclarationsLoader &operator=(const DeclarationsLoader &) = delete;
 
-  void load(PutInForce Wanted) { this->Wanted.put(std::move(Wanted)); }
+  void load(PutInForce Wanted) { this->Pending.put(std::move(Wanted)); }
 
 private:
   void run();
-  void read(const PutInForce &Newest, bool FollowsTheLast);
+  void update(const PutInForce &Newest, bool FollowsTheLast);
 
-  std::function<void(DeclarationsPtr)> Tell;
+  std::function<void(DeclarationsPtr)> OnLoaded;
   DeclarationsUpdater Updater;
-  Mailbox<PutInForce> Wanted;
+  Mailbox<PutInForce> Pending;
   std::atomic<bool> Stopping{false};
   std::thread Worker;
 };
--- a/src/Program/DeclarationsUpdater.h
+++ b/src/Program/DeclarationsUpdater.h
@@ -22,34 +22,36 @@
 /// declarations may be let go of on any thread.
 class DeclarationsUpdater {
 public:
-  DeclarationsUpdater() : Returned(std::make_shared<Returns>()) {}
+  DeclarationsUpdater() : Recycled(std::make_shared<RecyclePool>()) {}
 
   /// What a whole read of the text gives. `FollowsTheLast` where the changes
   /// are those since the call before.
   Result<DeclarationsPtr> update(const PutInForce &Next, bool FollowsTheLast);
 
   /// Changes made without a whole read or a copy; for tests and measurements.
-  std::uint64_t madeInPlace() const { return this->MadeInPlace; }
+  std::uint64_t inPlaceUpdates() const { return this->InPlaceUpdates; }
 
 private:
   /// Declarations that nobody holds any more come back here.
-  struct Returns {
-    std::mutex Guard;
+  struct RecyclePool {
+    std::mutex Mutex;
     std::unique_ptr<Declarations> Latest;
   };
 
-  std::optional<AccountChanges> smallChanges(const PutInForce &Next) const;
-  bool takeKeys(const AccountChanges &Changes);
-  std::unique_ptr<Declarations> takeBase();
-  Result<DeclarationsPtr> readWhole(const PutInForce &Next);
+  std::optional<AccountChanges>
+  accountOnlyChanges(const PutInForce &Next) const;
+  bool updateKeyIndex(const AccountChanges &Changes);
+  std::unique_ptr<Declarations> acquireBase();
+  Result<DeclarationsPtr> parseComplete(const PutInForce &Next);
   DeclarationsPtr publish(std::unique_ptr<Declarations> Made);
 
-  std::shared_ptr<Returns> Returned;
-  DeclarationsPtr Last; ///< Null where the next read must be a whole one.
-  std::uint64_t BeforeLast = 0;
+  std::shared_ptr<RecyclePool> Recycled;
+  DeclarationsPtr
+      LastDeclarations; ///< Null where the next read must be a whole one.
+  std::uint64_t PreviousGeneration = 0;
   std::optional<AccountChanges> LastChanges; ///< From `BeforeLast` to `Last`.
-  std::unordered_map<std::string, AccountId> AccountOfKey;
-  std::uint64_t MadeInPlace = 0;
+  std::unordered_map<std::string, AccountId> AccountByKeyDigest;
+  std::uint64_t InPlaceUpdates = 0;
 };
 
 } // namespace parsleywing
--- a/src/Program/FleetGeneration.cpp
+++ b/src/Program/FleetGeneration.cpp
@@ -76,7 +76,7 @@
 } // namespace
 
 Result<std::vector<LaggingRouter>>
-waitForGeneration(const PlatformPlace &Platform, std::uint64_t Generation,
+waitForGeneration(const PlatformEndpoint &Platform, std::uint64_t Generation,
                   Duration Wait) {
   const Clock Time = Clock::steady();
   const TimePoint Limit = Time.now() + Wait;
--- a/src/Program/FleetGeneration.h
+++ b/src/Program/FleetGeneration.h
@@ -22,7 +22,7 @@
 /// the list could not be read once. A router that died counts as live until
 /// its lease lapses.
 Result<std::vector<LaggingRouter>>
-waitForGeneration(const PlatformPlace &Platform, std::uint64_t Generation,
+waitForGeneration(const PlatformEndpoint &Platform, std::uint64_t Generation,
                   Duration Wait);
 
 } // namespace parsleywing
--- a/src/Program/GatewayProcess.cpp
+++ b/src/Program/GatewayProcess.cpp
@@ -22,50 +22,50 @@
 } // namespace
 
 GatewayProcess::GatewayProcess(std::string SettingsPath, GatewayFileSettings S)
-    : Path(std::move(SettingsPath)), Wanted(std::move(S)),
-      Front(this->Wanted.Gateway, wireFormat(), this->Measured) {}
+    : Path(std::move(SettingsPath)), Settings(std::move(S)),
+      Front(this->Settings.Gateway, wireFormat(), this->MetricsRegistry) {}
 
 Result<void> GatewayProcess::run() {
   if (auto Opened = this->Front.open(); !Opened)
     return Opened;
   log(LogPart::Program, LogLevel::Info,
-      "start router=" + this->Wanted.Gateway.Name +
-          " zone=" + this->Wanted.Gateway.Zone +
-          " callers=" + this->Wanted.Gateway.CallerAddress);
+      "start router=" + this->Settings.Gateway.Name +
+          " zone=" + this->Settings.Gateway.Zone +
+          " callers=" + this->Settings.Gateway.CallerAddress);
   FleetFeed::Options Options;
-  Options.RouterName = this->Wanted.Gateway.Name;
-  Options.RouterAddress = this->Wanted.Gateway.PeerAddress;
-  Options.RouterCapacity = this->Wanted.Gateway.Capacity;
-  Options.RouterZone = this->Wanted.Gateway.Zone;
+  Options.RouterName = this->Settings.Gateway.Name;
+  Options.RouterAddress = this->Settings.Gateway.PeerAddress;
+  Options.RouterCores = this->Settings.Gateway.Cores;
+  Options.RouterZone = this->Settings.Gateway.Zone;
   Options.Seed = std::random_device{}();
-  Options.Bounds = this->Wanted.Gateway.bounds();
+  Options.Bounds = this->Settings.Gateway.fleetBounds();
   Options.Role = [this] { return this->Front.relayRole(); };
-  Options.DistrustRelay = [this] { this->Front.distrustRelay(); };
+  Options.SwitchRelay = [this] { this->Front.switchRelay(); };
   this->Feed = std::make_unique<FleetFeed>(
-      Options, platformFleetSource(this->Wanted.StoreAddress), this->Measured,
-      [this](std::shared_ptr<const FleetView> View) {
-        this->Front.takeView(std::move(View));
+      Options, platformFleetSource(this->Settings.StoreAddress),
+      this->MetricsRegistry, [this](std::shared_ptr<const FleetView> View) {
+        this->Front.updateView(std::move(View));
       });
-  this->Front.askRelay(
-      [this](const RelayTold &Told) { this->Feed->takeRelayTold(Told); });
+  this->Front.subscribeToRelay(
+      [this](const RelayMessage &Told) { this->Feed->onRelayMessage(Told); });
   std::thread Traffic([this] {
     this->Front.run();
-    this->Ended = true;
+    this->TrafficEnded = true;
   });
-  this->serveSignals();
+  this->handleSignals();
   Traffic.join();
   log(LogPart::Program, LogLevel::Info,
-      "stop router=" + this->Wanted.Gateway.Name);
+      "stop router=" + this->Settings.Gateway.Name);
   return {};
 }
 
-void GatewayProcess::serveSignals() {
-  while (!this->Ended) {
+void GatewayProcess::handleSignals() {
+  while (!this->TrafficEnded) {
     const auto Received = this->Signals.wait(SignalWait);
     if (!Received)
       continue;
     if (*Received == SIGHUP) {
-      this->reload();
+      this->checkSettingsFile();
       continue;
     }
     log(LogPart::Program, LogLevel::Info,
@@ -75,7 +75,7 @@
   }
 }
 
-void GatewayProcess::reload() const {
+void GatewayProcess::checkSettingsFile() const {
   const auto Read = readGatewaySettings(this->Path);
   if (!Read)
     log(LogPart::Program, LogLevel::Warn,
--- a/src/Program/GatewayProcess.h
+++ b/src/Program/GatewayProcess.h
@@ -21,18 +21,18 @@
   Result<void> run();
 
 private:
-  void serveSignals();
+  void handleSignals();
   /// Says what a changed settings file would change; it comes in force with
   /// the next start.
-  void reload() const;
+  void checkSettingsFile() const;
 
   std::string Path;
-  GatewayFileSettings Wanted;
+  GatewayFileSettings Settings;
   StopSignals Signals;
-  Metrics Measured;
+  Metrics MetricsRegistry;
   GatewayFront Front;
   std::unique_ptr<FleetFeed> Feed;
-  std::atomic<bool> Ended{false};
+  std::atomic<bool> TrafficEnded{false};
 };
 
 } // namespace parsleywing
--- a/src/Program/Orders/LoadRate.cpp
+++ b/src/Program/Orders/LoadRateLimiter.cpp
@@ -1,4 +1,4 @@
-#include "Program/Orders/LoadRate.h"
+#include "Program/Orders/LoadRateLimiter.h"
 
 #include "Platform/Backoff.h"
 
@@ -14,17 +14,18 @@
 
 } // namespace
 
-LoadRate::LoadRate(LoadRateSettings S, StoreClient C, Clock T)
+LoadRateLimiter::LoadRateLimiter(LoadRateLimiterSettings S, StoreClient C,
+                                 Clock T)
     : Settings(std::move(S)), Store(std::move(C)), Time(std::move(T)),
-      Random(internal::seedOr(this->Settings.Seed)) {}
+      Random(internal::seedOrRandom(this->Settings.Seed)) {}
 
-Result<void> LoadRate::take(TimePoint Deadline) {
+Result<void> LoadRateLimiter::acquire(TimePoint Deadline) {
   Backoff Waits(FirstWait, LongestWait, this->Random());
   while (true) {
-    const Result<bool> Taken = this->tryTake();
+    const Result<bool> Taken = this->tryAcquire();
     if (Taken && *Taken)
       return {};
-    const Duration Wait = Waits.next();
+    const Duration Wait = Waits.nextDelay();
     if (this->Time.now() + Wait < Deadline) {
       std::this_thread::sleep_for(Wait);
       continue;
@@ -36,12 +37,12 @@
   }
 }
 
-std::string LoadRate::keyOf(std::uint32_t Place) const {
+std::string LoadRateLimiter::slotKey(std::uint32_t Place) const {
   return this->Settings.Prefix + std::to_string(Place);
 }
 
 /// Of the free keys one is drawn: two that wait then rarely want the same.
-Result<bool> LoadRate::tryTake() {
+Result<bool> LoadRateLimiter::tryAcquire() {
   const auto Taken = this->Store.getPrefix(this->Settings.Prefix, true);
   if (!Taken)
     return tl::unexpected<Error>(Taken.error());
@@ -49,16 +50,16 @@
   for (const StoreEntry &Entry : Taken->Entries)
     Keys.insert(Entry.Key);
   std::vector<std::string> Free;
-  for (std::uint32_t Place = 0; Place < this->Settings.Loads; ++Place)
-    if (!Keys.contains(this->keyOf(Place)))
-      Free.push_back(this->keyOf(Place));
+  for (std::uint32_t Place = 0; Place < this->Settings.MaxLoads; ++Place)
+    if (!Keys.contains(this->slotKey(Place)))
+      Free.push_back(this->slotKey(Place));
   if (Free.empty())
     return false;
   std::uniform_int_distribution<std::size_t> Draw(0, Free.size() - 1);
-  return this->claim(Free[Draw(this->Random)]);
+  return this->claimSlot(Free[Draw(this->Random)]);
 }
 
-Result<bool> LoadRate::claim(const std::string &Key) {
+Result<bool> LoadRateLimiter::claimSlot(const std::string &Key) {
   const auto Lease = this->Store.grantLease(this->Settings.Period);
   if (!Lease)
     return tl::unexpected<Error>(Lease.error());
--- a/src/Program/Orders/LoadRate.h
+++ b/src/Program/Orders/LoadRateLimiter.h
@@ -1,5 +1,5 @@
-#ifndef PARSLEYWING_PROGRAM_ORDERS_LOADRATE_H
-#define PARSLEYWING_PROGRAM_ORDERS_LOADRATE_H
+#ifndef PARSLEYWING_PROGRAM_ORDERS_LOADRATELIMITER_H
+#define PARSLEYWING_PROGRAM_ORDERS_LOADRATELIMITER_H
 
 #include "Platform/StoreClient.h"
 
@@ -7,11 +7,11 @@
 
 namespace parsleywing {
 
-struct LoadRateSettings {
+struct LoadRateLimiterSettings {
   /// Start of the keys that stand for loads begun.
   std::string Prefix;
   /// At most so many loads begin in each `Period`, fleet-wide.
-  std::uint32_t Loads = 4;
+  std::uint32_t MaxLoads = 4;
   std::chrono::seconds Period = std::chrono::seconds(60);
   std::uint64_t Seed = 0;
 };
@@ -24,20 +24,20 @@
 ///
 /// Costs three calls a load (read, lease, swap), and one read a second while
 /// it waits. A reply that is lost costs one load of the period, never adds one.
-class LoadRate {
+class LoadRateLimiter {
 public:
-  LoadRate(LoadRateSettings S, StoreClient C, Clock T);
+  LoadRateLimiter(LoadRateLimiterSettings S, StoreClient C, Clock T);
 
   /// Waits for leave to begin one load, until the deadline at the latest.
   /// `TimedOut` where none came free, or the store's error of the last try.
-  Result<void> take(TimePoint Deadline);
+  Result<void> acquire(TimePoint Deadline);
 
 private:
-  Result<bool> tryTake();
-  Result<bool> claim(const std::string &Key);
-  std::string keyOf(std::uint32_t Place) const;
+  Result<bool> tryAcquire();
+  Result<bool> claimSlot(const std::string &Key);
+  std::string slotKey(std::uint32_t Place) const;
 
-  LoadRateSettings Settings;
+  LoadRateLimiterSettings Settings;
   StoreClient Store;
   Clock Time;
   std::mt19937_64 Random;
--- a/src/Program/Orders/ServerOrder.h
+++ b/src/Program/Orders/ServerOrder.h
@@ -3,7 +3,7 @@
 
 #include "Backend/OrderClient.h"
 #include "Platform/FencedLease.h"
-#include "Program/Orders/LoadRate.h"
+#include "Program/Orders/LoadRateLimiter.h"
 
 #include <functional>
 #include <set>
@@ -19,10 +19,10 @@
   std::string Server;
   /// Who orders; others who wait for their turn can read it in the store.
   std::string Holder;
-  std::chrono::seconds LeaseLife = std::chrono::seconds(20);
+  std::chrono::seconds LeaseTtl = std::chrono::seconds(20);
   /// How long to wait for the server's lease and for leave to load.
-  Duration Patience = std::chrono::seconds(120);
-  LoadRateSettings Rate;
+  Duration Timeout = std::chrono::seconds(120);
+  LoadRateLimiterSettings Rate;
 };
 
 /// How an order ended, and what was seen around it.
@@ -43,39 +43,40 @@
 class ServerOrder {
 public:
   /// Told each step in one short line.
-  using Tell = std::function<void(const std::string &)>;
+  using ProgressCallback = std::function<void(const std::string &)>;
 
-  ServerOrder(ServerOrderSettings S, EngineOrder O, Tell T);
+  ServerOrder(ServerOrderSettings S, EngineOrder O, ProgressCallback T);
 
   /// An error: nothing was sent.
   Result<ServerOrderReport> run();
 
 private:
-  Result<FencingNumber> awaitTurn(TimePoint Deadline);
-  Result<void> awaitLoad(TimePoint Deadline);
-  OrderOutcome give();
-  void giveAndWatch(ServerOrderReport &Report);
-  bool staysInEffect();
-  void noteOtherChanges(ServerOrderReport &Report);
-  std::optional<LeaseUse> leave();
-  bool isChecked() const;
+  Result<FencingNumber> acquireLease(TimePoint Deadline);
+  Result<void> acquireLoadSlot(TimePoint Deadline);
+  OrderOutcome sendOrder();
+  void sendAndVerify(ServerOrderReport &Report);
+  bool remainsInEffect();
+  void recordOtherChanges(ServerOrderReport &Report);
+  std::optional<LeasePermit> currentPermit();
+  bool serverChecksFencing() const;
 
   ServerOrderSettings Settings;
   EngineOrder Order;
-  Tell Step;
+  ProgressCallback OnProgress;
   Clock Time;
   std::shared_ptr<StoreBudget> Budget;
-  FencedLeaseTimes Times;
+  FencedLeaseTiming LeaseTiming;
   FencedLease Lease;
   FencingNumber Number = 0;
   BackendCounters Counters;
   OrderClient Client;
-  std::set<std::string> Before;
+  std::set<std::string> AdaptersBefore;
 };
 
 /// The times of an order's lease, in proportion to its life. At a server that
 /// checks the number a successor need not wait.
-FencedLeaseTimes orderLeaseTimes(std::chrono::seconds Life, FencingCheck Check);
+FencedLeaseTiming orderLeaseTiming(std::chrono::seconds Life,
+                                   FencingCheck Check);
 
 } // namespace parsleywing
 
--- a/src/Program/PlatformDeclarations.cpp
+++ b/src/Program/PlatformDeclarations.cpp
@@ -15,20 +15,20 @@
 constexpr Duration CallDeadline = std::chrono::seconds(2);
 constexpr Duration LeastPatience = std::chrono::seconds(5);
 
-StoreClient openClient(const PlatformPlace &Platform) {
+StoreClient openClient(const PlatformEndpoint &Platform) {
   const Clock Time = Clock::steady();
   StoreSettings Store;
   Store.Address = Platform.Address;
-  Store.Deadline = CallDeadline;
+  Store.CallTimeout = CallDeadline;
   auto Budget =
       std::make_shared<StoreBudget>(CallsPerSecond, CallBurst, Time.now());
   return {Store, Budget, Time};
 }
 
-ConfigurationStore openStore(const PlatformPlace &Platform, Duration Wait) {
+ConfigurationStore openStore(const PlatformEndpoint &Platform, Duration Wait) {
   ConfigurationStoreSettings Configuration;
   Configuration.Prefix = Platform.Prefix + ConfigurationKeys;
-  Configuration.Patience = std::max(Wait, LeastPatience);
+  Configuration.Timeout = std::max(Wait, LeastPatience);
   return {Configuration, openClient(Platform), Clock::steady()};
 }
 
@@ -37,11 +37,11 @@
          Change.Operator + " at " + Change.Time;
 }
 
-std::string describe(const ApplyLost &Lost) {
+std::string describe(const ApplyConflict &Lost) {
   std::string Text = "another file came first; nothing of this one is in "
                      "force. In force is " +
                      describe(Lost.Current) + ".";
-  for (const ConfigurationChange &Change : Lost.Between)
+  for (const ConfigurationChange &Change : Lost.ChangesSinceBase)
     Text += "\n  came between: " + describe(Change);
   return Text;
 }
@@ -50,13 +50,13 @@
 
 Result<AppliedDeclarations> applyToPlatform(const ApplyRequest &Wanted) {
   using Applied = Result<AppliedDeclarations>;
-  ConfigurationStore Store = openStore(Wanted.Platform, Wanted.Wait);
+  ConfigurationStore Store = openStore(Wanted.Platform, Wanted.Timeout);
   return std::visit(
       Overloaded{
           [&](const ApplyAccepted &Accepted) -> Applied {
             return AppliedDeclarations{Accepted.Generation, Wanted.Text};
           },
-          [](const ApplyLost &Lost) -> Applied {
+          [](const ApplyConflict &Lost) -> Applied {
             return failure(ErrorCode::Conflict, describe(Lost));
           },
           [](const ApplyUnknown &Unknown) -> Applied {
@@ -73,7 +73,7 @@
       Store.apply(Wanted.Text, Wanted.OperatorName));
 }
 
-Result<AppliedDeclarations> readFromPlatform(const PlatformPlace &Platform) {
+Result<AppliedDeclarations> readFromPlatform(const PlatformEndpoint &Platform) {
   ConfigurationStore Store = openStore(Platform, LeastPatience);
   auto Read = Store.read();
   if (!Read)
@@ -84,7 +84,7 @@
 }
 
 Result<std::vector<RouterRegistration>>
-listRouters(const PlatformPlace &Platform) {
+listRouters(const PlatformEndpoint &Platform) {
   StoreClient Store = openClient(Platform);
   const auto Read = Store.getPrefix(Platform.Prefix + RouterKeys);
   if (!Read)
--- a/src/Program/PlatformDeclarations.h
+++ b/src/Program/PlatformDeclarations.h
@@ -12,7 +12,7 @@
 namespace parsleywing {
 
 /// Where a command finds the platform's store.
-struct PlatformPlace {
+struct PlatformEndpoint {
   /// Numeric host and port.
   std::string Address;
   /// Start of every key that the fleet uses.
@@ -21,13 +21,13 @@
 
 /// One operator's wish to put a file in force.
 struct ApplyRequest {
-  PlatformPlace Platform;
+  PlatformEndpoint Platform;
   /// The whole file, already checked.
   std::string Text;
   /// Who applies; shown to others whose file comes second.
   std::string OperatorName;
   /// How long to go on trying while the store does not answer.
-  Duration Wait = Duration::zero();
+  Duration Timeout = Duration::zero();
 };
 
 /// What is in force: its generation and its canonical text.
@@ -44,12 +44,12 @@
 Result<AppliedDeclarations> applyToPlatform(const ApplyRequest &Wanted);
 
 /// Reads what is in force; `NotFound` where nothing was applied yet.
-Result<AppliedDeclarations> readFromPlatform(const PlatformPlace &Platform);
+Result<AppliedDeclarations> readFromPlatform(const PlatformEndpoint &Platform);
 
 /// The routers that hold a lease, each as it registered itself. One call on
 /// the store.
 Result<std::vector<RouterRegistration>>
-listRouters(const PlatformPlace &Platform);
+listRouters(const PlatformEndpoint &Platform);
 
 } // namespace parsleywing
 
--- a/src/Program/ProcessUsage.cpp
+++ b/src/Program/ProcessUsage.cpp
@@ -16,7 +16,7 @@
 
 } // namespace
 
-double processorSeconds() {
+double cpuSeconds() {
   rusage Used{};
   ::getrusage(RUSAGE_SELF, &Used);
   return secondsOf(Used.ru_utime) + secondsOf(Used.ru_stime);
--- a/src/Program/ProcessUsage.h
+++ b/src/Program/ProcessUsage.h
@@ -4,7 +4,7 @@
 namespace parsleywing {
 
 /// Processor time that this process has used, in seconds (getrusage).
-double processorSeconds();
+double cpuSeconds();
 
 /// Memory of this process that is in RAM, in bytes; zero where the system does
 /// not tell (/proc/self/statm).
--- a/src/Program/RouterLinks.cpp
+++ b/src/Program/RouterLinks.cpp
@@ -27,7 +27,7 @@
 StoreSettings storeSettings(const Settings &Wanted) {
   StoreSettings Store;
   Store.Address = Wanted.Platform.Address;
-  Store.Deadline = Wanted.Platform.RequestTimeout;
+  Store.CallTimeout = Wanted.Platform.RequestTimeout;
   return Store;
 }
 
@@ -57,7 +57,7 @@
   Record.Name = Wanted.Name;
   Record.PeerAddress = Wanted.PeerAddress;
   Record.CallerAddress = Wanted.Callers.Address;
-  for (const auto &[Name, Address] : Wanted.Peers.Known)
+  for (const auto &[Name, Address] : Wanted.Peers.KnownRouters)
     if (Name != Wanted.Name)
       Core.Membership.Seeds.push_back(Address);
   return Core;
@@ -65,12 +65,13 @@
 
 RouterLinks::RouterLinks(const Settings &W, Incarnation L, ControlLoop &C,
                          std::function<void(DeclarationsPtr)> PutInForce)
-    : Wanted(W), Life(L), Control(C), Loader(std::move(PutInForce)) {}
+    : RouterSettings(W), IncarnationNumber(L), Control(C),
+      Loader(std::move(PutInForce)) {}
 
 RouterLinks::~RouterLinks() {
   // The loader's thread may still bring declarations, and with them watches.
   std::unique_ptr<LoadPoller> Ending;
-  std::lock_guard<std::mutex> Lock(this->Guard);
+  std::lock_guard<std::mutex> Lock(this->Mutex);
   Ending = std::move(this->Poller);
 }
 
@@ -80,21 +81,21 @@
     return PeersStarted;
   this->startPlatform();
   this->Poller = std::make_unique<LoadPoller>(
-      this->Wanted.Polling, processCounters(),
+      this->RouterSettings.Polling, processCounters(),
       [this](Event Told) { this->Control.post(std::move(Told)); });
   return {};
 }
 
 Result<void> RouterLinks::startPeers() {
-  if (this->Wanted.PeerAddress.empty())
+  if (this->RouterSettings.PeerAddress.empty())
     return {};
   PeerSettings Peer;
-  Peer.Self = idOf<RouterId>(this->Wanted.Name);
-  Peer.Life = this->Life;
-  Peer.BindAddress = this->Wanted.PeerAddress;
-  Peer.FleetSecret = this->Wanted.Peers.Secret;
-  Peer.BytesPerSecond = this->Wanted.Peers.MaxBytesPerSecond;
-  Peer.FaultInjectionAllowed = this->Wanted.Peers.FaultInjection;
+  Peer.Self = idOf<RouterId>(this->RouterSettings.Name);
+  Peer.Life = this->IncarnationNumber;
+  Peer.BindAddress = this->RouterSettings.PeerAddress;
+  Peer.FleetSecret = this->RouterSettings.Peers.Secret;
+  Peer.BytesPerSecond = this->RouterSettings.Peers.MaxBytesPerSecond;
+  Peer.FaultInjectionAllowed = this->RouterSettings.Peers.FaultInjection;
   auto Started = PeerTransport::start(Peer, [this](PeerPartReceived Received) {
     this->Control.post(std::move(Received));
   });
@@ -105,7 +106,7 @@
 }
 
 void RouterLinks::startPlatform() {
-  const PlatformAccess &Access = this->Wanted.Platform;
+  const PlatformAccess &Access = this->RouterSettings.Platform;
   if (Access.Address.empty()) {
     log(LogPart::Platform, LogLevel::Warn,
         "No platform is set: requests with an idempotency key that may not be "
@@ -120,41 +121,43 @@
   PlatformSettings Platform;
   Platform.RouterPrefix = Access.Prefix + RouterKeys;
   Platform.VmPrefix = Access.VmPrefix;
-  Platform.LeaseLife =
-      std::chrono::duration_cast<std::chrono::seconds>(Access.LeaseLife);
-  Platform.KeepAliveEvery = Access.LeaseLife / 3;
-  Platform.Seed = this->Life;
-  const RouterRegistration Self{this->Wanted.Name,
-                                this->Wanted.Zone,
-                                this->Wanted.Callers.Address,
-                                this->Wanted.PeerAddress,
-                                this->Life,
-                                this->Wanted.OperatorAddress};
+  Platform.LeaseTtl =
+      std::chrono::duration_cast<std::chrono::seconds>(Access.LeaseTtl);
+  Platform.KeepAliveInterval = Access.LeaseTtl / 3;
+  Platform.Seed = this->IncarnationNumber;
+  const RouterRegistration Self{this->RouterSettings.Name,
+                                this->RouterSettings.Zone,
+                                this->RouterSettings.Callers.Address,
+                                this->RouterSettings.PeerAddress,
+                                this->IncarnationNumber,
+                                this->RouterSettings.OperatorAddress};
   this->Platform = std::make_unique<PlatformThread>(
-      Platform, Configuration, storeSettings(this->Wanted), this->Budget, Self,
-      Time, [this](const PlatformEvent &Told) { this->fromPlatform(Told); });
+      Platform, Configuration, storeSettings(this->RouterSettings),
+      this->Budget, Self, Time,
+      [this](const PlatformEvent &Told) { this->onPlatformEvent(Told); });
   RunRecordSettings Record;
   Record.Prefix = Access.Prefix + RunRecordKeys;
-  Record.Writer = this->Wanted.Name + "-" + std::to_string(this->Life);
-  Record.Patience = this->Wanted.Core.Requests.Records.ClaimLimit;
-  this->Records = std::make_unique<RunRecordWriter>(
-      Record, storeSettings(this->Wanted), this->RecordBudget, Time);
+  Record.WriterId =
+      this->RouterSettings.Name + "-" + std::to_string(this->IncarnationNumber);
+  Record.ClaimTimeout = this->RouterSettings.Core.Requests.Records.ClaimLimit;
+  this->RunRecords = std::make_unique<RunRecordWriter>(
+      Record, storeSettings(this->RouterSettings), this->RecordBudget, Time);
 }
 
-std::uint64_t RouterLinks::storeCalls(StoreCall Kind) const {
+std::uint64_t RouterLinks::storeCallCount(StoreCall Kind) const {
   if (!this->Budget)
     return 0;
-  return this->Budget->taken(Kind) + this->RecordBudget->taken(Kind);
+  return this->Budget->callCount(Kind) + this->RecordBudget->callCount(Kind);
 }
 
-void RouterLinks::carryOut(const Action &A) {
+void RouterLinks::execute(const Action &A) {
   std::visit([this](const auto &Asked) { this->on(Asked); }, A);
 }
 
 template <typename OtherAction> void RouterLinks::on(const OtherAction &Asked) {
   if constexpr (std::is_constructible_v<PlatformRequest, OtherAction>)
     if (this->Platform)
-      this->Platform->perform(Asked);
+      this->Platform->submit(Asked);
 }
 
 void RouterLinks::on(const SendToPeer &Asked) {
@@ -178,17 +181,17 @@
 void RouterLinks::on(const Superseded &) {
   log(LogPart::Program, LogLevel::Error,
       "A later process bears this router's name. This one ends.");
-  this->Over = true;
+  this->IsSuperseded = true;
 }
 
 void RouterLinks::on(const ClaimRunRecord &Asked) {
   const RequestId Request = Asked.Request;
-  if (!this->Records) {
+  if (!this->RunRecords) {
     this->Control.post(
         RunRecordAnswered{Request, RunRecordVerdict::Unavailable});
     return;
   }
-  this->Records->claim(
+  this->RunRecords->claim(
       Asked.Account, Asked.Key, Asked.Identity,
       [this, Request](RunVerdict Verdict) {
         this->Control.post(RunRecordAnswered{Request, toDecision(Verdict)});
@@ -196,44 +199,44 @@
 }
 
 void RouterLinks::on(const CompleteRunRecord &Asked) {
-  if (this->Records)
-    this->Records->complete(Asked.Account, Asked.Key, Asked.Identity);
+  if (this->RunRecords)
+    this->RunRecords->complete(Asked.Account, Asked.Key, Asked.Identity);
 }
 
 void RouterLinks::on(const ReleaseRunRecord &Asked) {
-  if (this->Records)
-    this->Records->release(Asked.Account, Asked.Key, Asked.Identity);
+  if (this->RunRecords)
+    this->RunRecords->release(Asked.Account, Asked.Key, Asked.Identity);
 }
 
 void RouterLinks::on(const WatchServers &Asked) {
   {
-    std::lock_guard<std::mutex> Lock(this->Guard);
-    this->Watched = Asked.Servers;
+    std::lock_guard<std::mutex> Lock(this->Mutex);
+    this->WatchedServers = Asked.Servers;
   }
-  this->watch(Asked.Servers);
+  this->watchServers(Asked.Servers);
 }
 
 void RouterLinks::setDeclarations(const DeclarationsPtr &Declared) {
   std::vector<ServerId> Servers;
   {
-    std::lock_guard<std::mutex> Lock(this->Guard);
-    this->InForce = Declared;
-    Servers = this->Watched;
+    std::lock_guard<std::mutex> Lock(this->Mutex);
+    this->ActiveDeclarations = Declared;
+    Servers = this->WatchedServers;
   }
   // Where a server moved to another address, the set watched stays the same
   // and nobody else would ask for it anew.
-  this->watch(Servers);
+  this->watchServers(Servers);
 }
 
-void RouterLinks::watch(const std::vector<ServerId> &Servers) {
-  std::lock_guard<std::mutex> Lock(this->Guard);
+void RouterLinks::watchServers(const std::vector<ServerId> &Servers) {
+  std::lock_guard<std::mutex> Lock(this->Mutex);
   std::vector<LoadPoller::Watched> Targets;
   for (const ServerId Server : Servers) {
-    const auto Declared = this->InForce->Servers.find(Server);
-    if (Declared == this->InForce->Servers.end())
+    const auto Declared = this->ActiveDeclarations->Servers.find(Server);
+    if (Declared == this->ActiveDeclarations->Servers.end())
       continue;
     bool IsEngine = false;
-    for (const auto &[Id, Service] : this->InForce->Services)
+    for (const auto &[Id, Service] : this->ActiveDeclarations->Services)
       if (Service.Kind == ServiceKind::Engine &&
           std::ranges::find(Service.Servers, Server) != Service.Servers.end())
         IsEngine = true;
@@ -243,35 +246,36 @@
     this->Poller->watch(Targets);
 }
 
-void RouterLinks::fromPlatform(const PlatformEvent &Told) {
-  std::visit(
-      Overloaded{
-          // The platform's thread has said so in the log.
-          [](const RouterLeaseChanged &) {},
-          [this](const RoutersListed &Listed) { this->takeRouters(Listed); },
-          [this](const VmsListed &Listed) { this->takeVms(Listed); },
-          [this](const auto &Other) { this->Control.post(Other); },
-      },
-      Told);
+void RouterLinks::onPlatformEvent(const PlatformEvent &Told) {
+  std::visit(Overloaded{
+                 // The platform's thread has said so in the log.
+                 [](const RouterLeaseChanged &) {},
+                 [this](const RoutersListed &Listed) {
+                   this->onRoutersListed(Listed);
+                 },
+                 [this](const VmsListed &Listed) { this->onVmsListed(Listed); },
+                 [this](const auto &Other) { this->Control.post(Other); },
+             },
+             Told);
 }
 
-void RouterLinks::takeRouters(const RoutersListed &Listed) {
+void RouterLinks::onRoutersListed(const RoutersListed &Listed) {
   LeaseListed Leases;
   for (const RouterRegistration &Router : Listed.Routers)
-    Leases.Holders.push_back(
-        {idOf<RouterId>(Router.Name), Router.Life, Router.PeerAddress});
+    Leases.Holders.push_back({idOf<RouterId>(Router.Name),
+                              Router.IncarnationNumber, Router.PeerAddress});
   this->Control.post(std::move(Leases));
 }
 
-void RouterLinks::takeVms(const VmsListed &Listed) {
+void RouterLinks::onVmsListed(const VmsListed &Listed) {
   VmListChanged Routers;
   ServersListed Servers;
   {
-    std::lock_guard<std::mutex> Lock(this->Guard);
+    std::lock_guard<std::mutex> Lock(this->Mutex);
     for (const VmListing &Vm : Listed.Vms) {
       const bool IsLeaving = Vm.State == VmState::Leaving;
       const auto Server = idOf<ServerId>(Vm.Name);
-      if (this->InForce->Servers.contains(Server))
+      if (this->ActiveDeclarations->Servers.contains(Server))
         (IsLeaving ? Servers.Leaving : Servers.Live).push_back(Server);
       else
         (IsLeaving ? Routers.Leaving : Routers.Live)
@@ -288,8 +292,8 @@
     All->set("peers", this->Peers->dump());
   if (this->Platform)
     All->set("platform", this->Platform->dump());
-  if (this->Records)
-    All->set("run_records", this->Records->dump());
+  if (this->RunRecords)
+    All->set("run_records", this->RunRecords->dump());
   if (this->Poller)
     All->set("load_reports", this->Poller->dump());
   return All;
--- a/src/Program/RouterLinks.h
+++ b/src/Program/RouterLinks.h
@@ -32,21 +32,21 @@
   Result<void> start();
 
   /// Carries out one action. Called from the control thread; never blocks.
-  void carryOut(const Action &Wanted);
+  void execute(const Action &Wanted);
 
   /// Says which declarations the load reports and the VM list refer to.
   void setDeclarations(const DeclarationsPtr &InForce);
 
   /// True once a later process of this router's name was met.
-  bool superseded() const { return this->Over; }
+  bool superseded() const { return this->IsSuperseded; }
 
   /// Requests that the time limit of the drain cut off.
-  std::uint64_t unfinished() const { return this->Unfinished; }
+  std::uint64_t unfinishedRequests() const { return this->UnfinishedRequests; }
 
-  const PeerTransport *peers() const { return this->Peers.get(); }
+  const PeerTransport *peerTransport() const { return this->Peers.get(); }
   /// Calls on the platform's store so far.
-  std::uint64_t storeCalls(StoreCall Kind) const;
-  const RunRecordWriter *records() const { return this->Records.get(); }
+  std::uint64_t storeCallCount(StoreCall Kind) const;
+  const RunRecordWriter *runRecords() const { return this->RunRecords.get(); }
   Poco::JSON::Object::Ptr dump() const;
 
   /// Puts the faults of an order in place of those before. `Denied` unless the
@@ -56,10 +56,10 @@
 private:
   Result<void> startPeers();
   void startPlatform();
-  void fromPlatform(const PlatformEvent &Told);
-  void takeRouters(const RoutersListed &Listed);
-  void takeVms(const VmsListed &Listed);
-  void watch(const std::vector<ServerId> &Servers);
+  void onPlatformEvent(const PlatformEvent &Told);
+  void onRoutersListed(const RoutersListed &Listed);
+  void onVmsListed(const VmsListed &Listed);
+  void watchServers(const std::vector<ServerId> &Servers);
 
   void on(const SendToPeer &Wanted);
   void on(const ContactAddress &Wanted);
@@ -70,25 +70,27 @@
   void on(const ReleaseRunRecord &Wanted);
   void on(const PutInForce &Wanted) { this->Loader.load(Wanted); }
   void on(const WatchServers &Wanted);
-  void on(const DrainFinished &Wanted) { this->Unfinished = Wanted.Unfinished; }
+  void on(const DrainFinished &Wanted) {
+    this->UnfinishedRequests = Wanted.Unfinished;
+  }
   template <typename OtherAction> void on(const OtherAction &Wanted);
 
-  const Settings &Wanted;
-  Incarnation Life;
+  const Settings &RouterSettings;
+  Incarnation IncarnationNumber;
   ControlLoop &Control;
-  std::atomic<bool> Over{false};
-  std::atomic<std::uint64_t> Unfinished{0};
+  std::atomic<bool> IsSuperseded{false};
+  std::atomic<std::uint64_t> UnfinishedRequests{0};
 
-  mutable std::mutex Guard;
-  DeclarationsPtr InForce = std::make_shared<Declarations>();
-  std::vector<ServerId> Watched;
+  mutable std::mutex Mutex;
+  DeclarationsPtr ActiveDeclarations = std::make_shared<Declarations>();
+  std::vector<ServerId> WatchedServers;
 
   DeclarationsLoader Loader;
   std::unique_ptr<PeerTransport> Peers;
   std::shared_ptr<StoreBudget> Budget;
   std::shared_ptr<StoreBudget> RecordBudget;
   std::unique_ptr<PlatformThread> Platform;
-  std::unique_ptr<RunRecordWriter> Records;
+  std::unique_ptr<RunRecordWriter> RunRecords;
   std::unique_ptr<LoadPoller> Poller;
 };
 
