--- a/src/Program/RouterProcess.cpp
+++ b/src/Program/RouterProcess.cpp
@@ -39,7 +39,7 @@
       Value = Value.empty() ? "none" : "set";
     All->getObject(Each.Section)->set(Each.Key, Value);
   }
-  for (const auto &[Name, Address] : InForce.Peers.Known)
+  for (const auto &[Name, Address] : InForce.Peers.KnownRouters)
     All->getObject(PeersSection)->set(Name, Address);
   return All;
 }
@@ -56,14 +56,16 @@
 } // namespace
 
 RouterProcess::RouterProcess(Settings S)
-    : Wanted(std::move(S)), Incarnation(millisecondsOfWallClock()),
-      Started(Clock::steady().now()),
-      Control(Clock::steady(), coreSettings(this->Wanted, this->Incarnation)),
-      Callers(this->Wanted.Callers, this->Control,
-              std::to_string(this->Incarnation)),
-      Links(this->Wanted, this->Incarnation, this->Control,
+    : RouterSettings(std::move(S)),
+      IncarnationNumber(millisecondsOfWallClock()),
+      StartedAt(Clock::steady().now()),
+      Control(Clock::steady(),
+              coreSettings(this->RouterSettings, this->IncarnationNumber)),
+      Callers(this->RouterSettings.Callers, this->Control,
+              std::to_string(this->IncarnationNumber)),
+      Links(this->RouterSettings, this->IncarnationNumber, this->Control,
             [this](DeclarationsPtr Declared) {
-              this->putInForce(std::move(Declared));
+              this->activateDeclarations(std::move(Declared));
             }) {}
 
 RouterProcess::~RouterProcess() {
@@ -76,7 +78,7 @@
   if (!Running)
     return tl::unexpected<Error>(Running.error());
   log(LogPart::Program, LogLevel::Info,
-      "Router " + this->Wanted.Name + " serves.");
+      "Router " + this->RouterSettings.Name + " serves.");
   this->waitForStop();
   return this->drain();
 }
@@ -87,12 +89,12 @@
   auto Done = this->startDeclarations();
   if (!Done)
     return Done;
-  this->Control.setSink([this](const Action &A) { this->Links.carryOut(A); });
+  this->Control.setSink([this](const Action &A) { this->Links.execute(A); });
   Done = this->Links.start();
   if (!Done)
     return failure(ErrorCode::Unreachable, Done.error().Message);
   this->Control.start();
-  Done = this->startOperators();
+  Done = this->startOperatorServer();
   if (!Done)
     return Done;
   Done = this->Callers.start();
@@ -102,27 +104,28 @@
 }
 
 Result<void> RouterProcess::startDeclarations() {
-  if (this->Wanted.DeclarationsFile.empty())
+  if (this->RouterSettings.DeclarationsFile.empty())
     return {};
-  auto Declared = loadDeclarations(this->Wanted.DeclarationsFile);
+  auto Declared = loadDeclarations(this->RouterSettings.DeclarationsFile);
   if (!Declared)
     return tl::unexpected<Error>(Declared.error());
-  this->putInForce(std::make_shared<const Declarations>(std::move(*Declared)));
+  this->activateDeclarations(
+      std::make_shared<const Declarations>(std::move(*Declared)));
   return {};
 }
 
-void RouterProcess::putInForce(DeclarationsPtr Declared) {
+void RouterProcess::activateDeclarations(DeclarationsPtr Declared) {
   this->Callers.context().setDeclarations(Declared);
   this->Links.setDeclarations(Declared);
   this->Control.post(DeclarationsChanged{std::move(Declared)});
 }
 
-Result<void> RouterProcess::startOperators() {
-  if (this->Wanted.OperatorAddress.empty())
+Result<void> RouterProcess::startOperatorServer() {
+  if (this->RouterSettings.OperatorAddress.empty())
     return {};
   const OperatorHooks Hooks{
       this->State,
-      this->Measured,
+      this->MetricsRegistry,
       [this] { this->DrainOrdered = true; },
       [this] {
         return RouterHealth{this->Draining || this->DrainOrdered,
@@ -130,33 +133,34 @@
       },
       [this] {
         return RouterGeneration{
-            this->Wanted.Name, this->Incarnation,
+            this->RouterSettings.Name, this->IncarnationNumber,
             this->Callers.context().declarations().InForce->Generation};
       },
       [this](const PeerFaultOrder &Order) {
         return this->Links.setFaults(Order);
       }};
-  this->Operators.emplace(this->Wanted.OperatorAddress, Hooks);
+  this->Operators.emplace(this->RouterSettings.OperatorAddress, Hooks);
   return this->Operators->start();
 }
 
 void RouterProcess::addMetrics() {
   const auto AddGauge = [this](const char *Name, const char *Help,
                                std::function<double()> Read) {
-    this->Measured.callback(MetricKind::Gauge, {Name, Help, ""},
-                            std::move(Read));
+    this->MetricsRegistry.callback(MetricKind::Gauge, {Name, Help, ""},
+                                   std::move(Read));
   };
-  this->Measured.callback(MetricKind::Gauge,
-                          {"build_info", "Always 1; the labels name the build.",
-                           std::string("version=\"") + Version +
-                               "\",router=\"" + this->Wanted.Name +
-                               "\",availability_zone=\"" + this->Wanted.Zone +
-                               "\""},
-                          [] { return 1.0; });
-  this->Measured.callback(MetricKind::Counter,
-                          {"process_cpu_seconds_total",
-                           "Processor time that the process has used.", ""},
-                          processorSeconds);
+  this->MetricsRegistry.callback(
+      MetricKind::Gauge,
+      {"build_info", "Always 1; the labels name the build.",
+       std::string("version=\"") + Version + "\",router=\"" +
+           this->RouterSettings.Name + "\",availability_zone=\"" +
+           this->RouterSettings.Zone + "\""},
+      [] { return 1.0; });
+  this->MetricsRegistry.callback(MetricKind::Counter,
+                                 {"process_cpu_seconds_total",
+                                  "Processor time that the process has used.",
+                                  ""},
+                                 cpuSeconds);
   AddGauge("process_resident_bytes", "Memory of the process in RAM.",
            residentBytes);
   AddGauge("requests_open", "Requests without a final answer.", [this] {
@@ -169,14 +173,14 @@
            });
   AddGauge("draining", "1 while the router drains.",
            [this] { return this->Draining || this->DrainOrdered ? 1.0 : 0.0; });
-  addCallerMetrics(this->Measured, this->Callers);
+  addCallerMetrics(this->MetricsRegistry, this->Callers);
   this->addTrafficMetrics();
   this->addControlMetrics();
 }
 
 void RouterProcess::addCounter(MetricName Name, std::function<double()> Read) {
-  this->Measured.callback(MetricKind::Counter, std::move(Name),
-                          std::move(Read));
+  this->MetricsRegistry.callback(MetricKind::Counter, std::move(Name),
+                                 std::move(Read));
 }
 
 void RouterProcess::addTrafficMetrics() {
@@ -212,7 +216,7 @@
 void RouterProcess::addControlMetrics() {
   const auto Peer = [this](PeerCounters::Number PeerCounters::*Field) {
     return [this, Field] {
-      const PeerTransport *Peers = this->Links.peers();
+      const PeerTransport *Peers = this->Links.peerTransport();
       return Peers ? static_cast<double>(Peers->counters().*Field) : 0.0;
     };
   };
@@ -232,7 +236,7 @@
                       "kind=\"" + std::string(Name) + "\""},
                      [this, Wanted = Kind] {
                        return static_cast<double>(
-                           this->Links.storeCalls(Wanted));
+                           this->Links.storeCallCount(Wanted));
                      });
 }
 
@@ -240,22 +244,24 @@
   this->State.add("process", [this] {
     Poco::JSON::Object::Ptr Part = new Poco::JSON::Object;
     Part->set("version", Version);
-    Part->set("name", this->Wanted.Name);
-    Part->set("availability_zone", this->Wanted.Zone);
-    Part->set("incarnation", static_cast<Poco::UInt64>(this->Incarnation));
+    Part->set("name", this->RouterSettings.Name);
+    Part->set("availability_zone", this->RouterSettings.Zone);
+    Part->set("incarnation",
+              static_cast<Poco::UInt64>(this->IncarnationNumber));
     Part->set("process_id", ::getpid());
     Part->set("uptime_seconds",
               std::chrono::duration_cast<std::chrono::seconds>(
-                  Clock::steady().now() - this->Started)
+                  Clock::steady().now() - this->StartedAt)
                   .count());
     Part->set("draining", this->Draining || this->DrainOrdered);
     return Part;
   });
-  this->State.add("settings", [this] { return dumpSettings(this->Wanted); });
+  this->State.add("settings",
+                  [this] { return dumpSettings(this->RouterSettings); });
   this->State.add("configuration", [this] {
     return dumpConfiguration(*this->Callers.context().declarations().InForce);
   });
-  this->State.add("requests", this->askControl([this] {
+  this->State.add("requests", this->controlThreadSource([this] {
     Poco::JSON::Object::Ptr Part = this->Control.core().requests().dump();
     Part->set("open",
               static_cast<Poco::UInt64>(this->Control.core().openRequests()));
@@ -263,23 +269,23 @@
               static_cast<Poco::UInt64>(this->Control.openChannels()));
     return Part;
   }));
-  this->State.add("fairness", this->askControl([this] {
+  this->State.add("fairness", this->controlThreadSource([this] {
     return this->Control.core().scheduler().dump();
   }));
-  this->State.add("membership", this->askControl([this] {
+  this->State.add("membership", this->controlThreadSource([this] {
     return this->Control.core().membership().dump();
   }));
-  this->State.add("servers", this->askControl([this] {
+  this->State.add("servers", this->controlThreadSource([this] {
     return this->Control.core().servers().dump();
   }));
-  this->State.add("configuration_keeper", this->askControl([this] {
+  this->State.add("configuration_keeper", this->controlThreadSource([this] {
     return this->Control.core().configuration().dump();
   }));
   this->State.add("links", [this] { return this->Links.dump(); });
 }
 
-StateSource
-RouterProcess::askControl(std::function<Poco::JSON::Object::Ptr()> Read) {
+StateSource RouterProcess::controlThreadSource(
+    std::function<Poco::JSON::Object::Ptr()> Read) {
   return [this, Read = std::move(Read)]() -> Poco::JSON::Object::Ptr {
     Poco::JSON::Object::Ptr Part;
     this->Control.ask([&Part, &Read] { Part = Read(); }, ControlAnswerLimit);
@@ -303,8 +309,9 @@
 
 std::size_t RouterProcess::drain() {
   const Clock Time = Clock::steady();
-  const TimePoint Limit =
-      Time.now() + this->Wanted.Core.Requests.Drain.HardLimit + CutOffGrace;
+  const TimePoint Limit = Time.now() +
+                          this->RouterSettings.Core.Requests.Drain.HardLimit +
+                          CutOffGrace;
   this->Draining = true;
   this->Callers.announceDrain();
   log(LogPart::Program, LogLevel::Info, "Draining.");
@@ -313,7 +320,7 @@
   this->Control.ask([] {}, ControlAnswerLimit);
   bool Stopped = false;
   TimePoint IdleFrom = Limit;
-  while (Time.now() < Limit && this->Signals.count() < 2) {
+  while (Time.now() < Limit && this->Signals.stopCount() < 2) {
     if (!this->isIdle()) {
       Stopped = false;
     } else if (!Stopped) {
@@ -327,7 +334,7 @@
   }
   const std::size_t Unanswered =
       std::max(this->Control.openRequests(), this->Control.openChannels()) +
-      this->Links.unfinished();
+      this->Links.unfinishedRequests();
   log(LogPart::Program, LogLevel::Info,
       "Ended with " + std::to_string(Unanswered) + " requests unanswered.");
   return Unanswered;
--- a/src/Program/RouterProcess.h
+++ b/src/Program/RouterProcess.h
@@ -35,8 +35,8 @@
 private:
   Result<void> start();
   Result<void> startDeclarations();
-  Result<void> startOperators();
-  void putInForce(DeclarationsPtr Declared);
+  Result<void> startOperatorServer();
+  void activateDeclarations(DeclarationsPtr Declared);
 
   void addMetrics();
   void addTrafficMetrics();
@@ -45,20 +45,21 @@
   void addStateSources();
 
   /// A source whose state belongs to the control thread.
-  StateSource askControl(std::function<Poco::JSON::Object::Ptr()> Read);
+  StateSource
+  controlThreadSource(std::function<Poco::JSON::Object::Ptr()> Read);
 
   void waitForStop();
   std::size_t drain();
   bool isIdle() const;
 
-  Settings Wanted;
+  Settings RouterSettings;
   StopSignals Signals;
   /// From the wall clock, so that a later process of the name has a higher one.
-  std::uint64_t Incarnation;
-  TimePoint Started;
+  std::uint64_t IncarnationNumber;
+  TimePoint StartedAt;
   std::atomic<bool> DrainOrdered{false};
   std::atomic<bool> Draining{false};
-  Metrics Measured;
+  Metrics MetricsRegistry;
   StateSources State;
   ControlLoop Control;
   CallerServer Callers;
--- a/src/Program/Settings.cpp
+++ b/src/Program/Settings.cpp
@@ -40,7 +40,7 @@
     return File.place(Section, Entry) + " must be a router's name: " + NameRule;
   if (!isNumericAddress(Entry.Value))
     return mustBe(File, Section, Entry, AddressRule);
-  Into.Peers.Known[Entry.Key] = Entry.Value;
+  Into.Peers.KnownRouters[Entry.Key] = Entry.Value;
   return {};
 }
 
@@ -55,8 +55,9 @@
            knownKeys(Section.Name);
   if (!Known->Set(Into, Entry.Value)) {
     const bool Secret = Section.Name == PeersSection;
-    return Secret ? File.place(Section, Entry) + " must be " + Known->Allowed
-                  : mustBe(File, Section, Entry, Known->Allowed);
+    return Secret
+               ? File.place(Section, Entry) + " must be " + Known->AllowedValues
+               : mustBe(File, Section, Entry, Known->AllowedValues);
   }
   return {};
 }
@@ -85,7 +86,7 @@
       continue;
     const int Line = Section == nullptr ? 1 : Section->Line;
     return File.Path + ":" + std::to_string(Line) + ": [" + Each.Section +
-           "] " + Each.Key + " is required; it must be " + Each.Allowed;
+           "] " + Each.Key + " is required; it must be " + Each.AllowedValues;
   }
   return {};
 }
--- a/src/Program/Settings.h
+++ b/src/Program/Settings.h
@@ -28,13 +28,13 @@
   /// up the calls that keep the router's lease.
   std::uint32_t MaxRecordCallsPerSecond = 12;
   Duration RequestTimeout = std::chrono::seconds(2);
-  Duration LeaseLife = std::chrono::seconds(30);
+  Duration LeaseTtl = std::chrono::seconds(30);
 };
 
 /// How this router reaches the others.
 struct FleetAccess {
   /// Names and addresses of the routers known from the start.
-  std::map<std::string, std::string> Known;
+  std::map<std::string, std::string> KnownRouters;
   /// Shared by the whole fleet; proves that a datagram comes from a router.
   std::string Secret;
   /// The most that this router may send to the others, headers included: a
--- a/src/Program/SettingsTable.cpp
+++ b/src/Program/SettingsTable.cpp
@@ -193,7 +193,7 @@
       text("platform", "vm_prefix", [](Settings &S) -> auto & { return S.Platform.VmPrefix; }, "Start of the keys that list live and leaving VMs."),
       count("platform", "max_calls_per_second", 1, 2'000, [](Settings &S) -> auto & { return S.Platform.MaxCallsPerSecond; }, "Calls of this router on the store for its lease, the configuration and the lists, of every kind."),
       count("platform", "max_record_calls_per_second", 1, 2'000, [](Settings &S) -> auto & { return S.Platform.MaxRecordCallsPerSecond; }, "The same for run records, which so cannot starve the lease."),
-      duration<Seconds>("platform", "lease_life_seconds", 5, MaxHourSeconds, [](Settings &S) -> auto & { return S.Platform.LeaseLife; }, "Life of the router's one lease."),
+      duration<Seconds>("platform", "lease_life_seconds", 5, MaxHourSeconds, [](Settings &S) -> auto & { return S.Platform.LeaseTtl; }, "Life of the router's one lease."),
       duration<Milliseconds>("platform", "request_timeout_milliseconds", 10, MaxMinuteMilliseconds, [](Settings &S) -> auto & { return S.Platform.RequestTimeout; }, "Longest wait for one answer of the store."),
       text("declarations", "file", [](Settings &S) -> auto & { return S.DeclarationsFile; }, "Declarations in force until the platform gives newer ones."),
       count("callers", "max_connections", 1, 100'000, [](Settings &S) -> auto & { return S.Callers.MaxConnections; }, "Callers' connections served at once; each has a thread."),
@@ -240,7 +240,7 @@
   });
 }
 
-std::string settingsTableText() {
+std::string settingsTableMarkdown() {
   const Settings Defaults;
   std::ostringstream Out;
   std::string Section;
@@ -255,8 +255,8 @@
       Default = "required";
     else if (Default.empty())
       Default = "none";
-    Out << "| `" << Each.Key << "` | " << Default << " | " << Each.Allowed
-        << " | " << Each.Explanation << " |\n";
+    Out << "| `" << Each.Key << "` | " << Default << " | " << Each.AllowedValues
+        << " | " << Each.Description << " |\n";
   }
   return Out.str();
 }
--- a/src/Program/SettingsTable.h
+++ b/src/Program/SettingsTable.h
@@ -14,8 +14,8 @@
   std::string Section;
   std::string Key;
   /// What a value may be, as the end of a sentence "must be ...".
-  std::string Allowed;
-  std::string Explanation;
+  std::string AllowedValues;
+  std::string Description;
   bool Required = false;
   /// Stores a value; false where it is not allowed.
   std::function<bool(Settings &, const std::string &)> Set;
@@ -36,7 +36,7 @@
 inline constexpr const char *PeersSection = "peers";
 
 /// The table as docs/OPERATING.md shows it (Markdown).
-std::string settingsTableText();
+std::string settingsTableMarkdown();
 
 } // namespace parsleywing
 
--- a/src/Program/StopSignals.cpp
+++ b/src/Program/StopSignals.cpp
@@ -19,7 +19,7 @@
   if (Signal < 0)
     return std::nullopt;
   if (Signal != SIGHUP)
-    ++this->Received;
+    ++this->StopCount;
   return Signal;
 }
 
--- a/src/Program/StopSignals.h
+++ b/src/Program/StopSignals.h
@@ -19,11 +19,11 @@
   std::optional<int> wait(Duration Limit);
 
   /// Signals to stop that came so far.
-  int count() const { return this->Received; }
+  int stopCount() const { return this->StopCount; }
 
 private:
   sigset_t Set;
-  int Received = 0;
+  int StopCount = 0;
 };
 
 } // namespace parsleywing
--- a/src/Runtime/Log.cpp
+++ b/src/Runtime/Log.cpp
@@ -1,6 +1,6 @@
 #include "Runtime/Log.h"
 
-#include "Runtime/LineBudget.h"
+#include "Runtime/LogRateLimiter.h"
 #include "Runtime/RepeatFilter.h"
 
 #include <array>
@@ -80,9 +80,9 @@
 
 /// What the lines of all threads are bounded by.
 struct LineFilter {
-  std::mutex Guard;
+  std::mutex Mutex;
   RepeatFilter Repeats;
-  LineBudget Budget;
+  LogRateLimiter Budget;
   Clock Time = Clock::steady();
 };
 
@@ -106,7 +106,7 @@
 /// What a line has to end with, that tells of those that were left out before
 /// it; nothing where it is left out too. With the filter's guard held.
 std::optional<std::string> takeLine(LineFilter &Filter) {
-  const auto LeftOut = Filter.Budget.take(Filter.Time.now());
+  const auto LeftOut = Filter.Budget.tryAcquire(Filter.Time.now());
   if (!LeftOut)
     return std::nullopt;
   return *LeftOut == 0
@@ -123,7 +123,7 @@
   LineFilter &Filter = lineFilter();
   std::optional<std::string> Line;
   {
-    const std::lock_guard<std::mutex> Lock(Filter.Guard);
+    const std::lock_guard<std::mutex> Lock(Filter.Mutex);
     Line = Filter.Repeats.admit(Filter.Time.now(), std::string(Sentence));
     // Warnings and errors are few and always written.
     if (Line && Level < LogLevel::Warn) {
@@ -137,7 +137,7 @@
     Logger->log(toLibraryLevel(Level), *Line);
 }
 
-void logEach(LogPart Part, const std::function<std::string()> &Compose) {
+void logLazily(LogPart Part, const std::function<std::string()> &Compose) {
   const log4cxx::LoggerPtr &Logger = loggerOf(Part);
   const log4cxx::LevelPtr Level = toLibraryLevel(LogLevel::Info);
   if (!Logger->isEnabledFor(Level))
@@ -145,7 +145,7 @@
   std::optional<std::string> Tail;
   {
     LineFilter &Filter = lineFilter();
-    const std::lock_guard<std::mutex> Lock(Filter.Guard);
+    const std::lock_guard<std::mutex> Lock(Filter.Mutex);
     Tail = takeLine(Filter);
   }
   if (Tail)
--- a/src/Runtime/Log.h
+++ b/src/Runtime/Log.h
@@ -62,7 +62,7 @@
 /// equal: it is composed only where it will be written, and not compared with
 /// others. Under a flood most are not, and composing and comparing one takes as
 /// long as all else that a refusal costs.
-void logEach(LogPart Part, const std::function<std::string()> &Compose);
+void logLazily(LogPart Part, const std::function<std::string()> &Compose);
 
 } // namespace parsleywing
 
--- a/src/Runtime/Mailbox.h
+++ b/src/Runtime/Mailbox.h
@@ -17,7 +17,7 @@
   /// Appends a message and wakes the reader. Does nothing after `close`.
   void put(Message M) {
     {
-      std::lock_guard<std::mutex> Lock(this->Guard);
+      std::lock_guard<std::mutex> Lock(this->Mutex);
       if (this->Closed)
         return;
       this->Messages.push_back(std::move(M));
@@ -28,7 +28,7 @@
   /// Takes the oldest message, waiting up to `Wait` for one. Nothing where
   /// none came in time or the mailbox is closed and empty.
   std::optional<Message> take(Duration Wait) {
-    std::unique_lock<std::mutex> Lock(this->Guard);
+    std::unique_lock<std::mutex> Lock(this->Mutex);
     this->Arrived.wait_for(
         Lock, Wait, [this] { return this->Closed || !this->Messages.empty(); });
     if (this->Messages.empty())
@@ -41,14 +41,14 @@
   /// Refuses further messages and wakes the reader.
   void close() {
     {
-      std::lock_guard<std::mutex> Lock(this->Guard);
+      std::lock_guard<std::mutex> Lock(this->Mutex);
       this->Closed = true;
     }
     this->Arrived.notify_all();
   }
 
 private:
-  std::mutex Guard;
+  std::mutex Mutex;
   std::condition_variable Arrived;
   std::deque<Message> Messages;
   bool Closed = false;
--- a/src/Runtime/Metrics.cpp
+++ b/src/Runtime/Metrics.cpp
@@ -49,7 +49,7 @@
 } // namespace
 
 void Metrics::insert(Series Added) {
-  std::lock_guard<std::mutex> Lock(this->Guard);
+  std::lock_guard<std::mutex> Lock(this->Mutex);
   const auto Key = [](const Series &S) {
     return std::pair(S.Name.Name, S.Name.Labels);
   };
@@ -89,7 +89,7 @@
 }
 
 std::string Metrics::render() const {
-  std::lock_guard<std::mutex> Lock(this->Guard);
+  std::lock_guard<std::mutex> Lock(this->Mutex);
   std::ostringstream Out;
   std::string Previous;
   for (const Series &Each : this->All) {
--- a/src/Runtime/Metrics.h
+++ b/src/Runtime/Metrics.h
@@ -94,7 +94,7 @@
 
   void insert(Series Added);
 
-  mutable std::mutex Guard;
+  mutable std::mutex Mutex;
   /// Ordered by name, so that series of one name stand together.
   std::vector<Series> All;
 };
--- a/src/Runtime/RepeatFilter.cpp
+++ b/src/Runtime/RepeatFilter.cpp
@@ -11,7 +11,7 @@
 std::optional<std::string> RepeatFilter::admit(TimePoint Now,
                                                const std::string &Line) {
   if (this->Lines.size() >= MaxRemembered)
-    this->forgetOld(Now);
+    this->removeExpired(Now);
   Repeats &Seen = this->Lines.try_emplace(Line, Repeats{Now}).first->second;
   std::string Suffix;
   if (Now - Seen.Start >= Window) {
@@ -19,7 +19,7 @@
       Suffix = " (" + std::to_string(Seen.HeldBack) + " equal lines held back)";
     Seen = Repeats{Now};
   }
-  if (Seen.Written >= LinesAWindow) {
+  if (Seen.Written >= MaxLinesPerWindow) {
     ++Seen.HeldBack;
     return std::nullopt;
   }
@@ -27,7 +27,7 @@
   return Line + Suffix;
 }
 
-void RepeatFilter::forgetOld(TimePoint Now) {
+void RepeatFilter::removeExpired(TimePoint Now) {
   std::erase_if(this->Lines, [Now](const auto &Each) {
     return Now - Each.second.Start >= Window;
   });
--- a/src/Runtime/RepeatFilter.h
+++ b/src/Runtime/RepeatFilter.h
@@ -16,7 +16,7 @@
 class RepeatFilter {
 public:
   /// At most this many equal lines pass in one window.
-  static constexpr std::uint32_t LinesAWindow = 5;
+  static constexpr std::uint32_t MaxLinesPerWindow = 5;
   static constexpr Duration Window = std::chrono::seconds(10);
 
   /// The line to write, or nothing. The first line of a new window says how
@@ -31,7 +31,7 @@
   };
 
   /// Forgets lines whose window is over, so that the table stays small.
-  void forgetOld(TimePoint Now);
+  void removeExpired(TimePoint Now);
 
   std::unordered_map<std::string, Repeats> Lines;
 };
--- a/src/Runtime/SentBytes.cpp
+++ b/src/Runtime/SentBytes.cpp
@@ -5,7 +5,7 @@
 
 namespace parsleywing {
 
-std::optional<int> unconfirmedBytes(int Descriptor) {
+std::optional<int> unacknowledgedBytes(int Descriptor) {
   int Count = 0;
   if (::ioctl(Descriptor, SIOCOUTQ, &Count) != 0)
     return std::nullopt;
--- a/src/Runtime/SentBytes.h
+++ b/src/Runtime/SentBytes.h
@@ -8,7 +8,7 @@
 /// Bytes of a TCP connection that the system has taken and the peer's system
 /// has not confirmed. Nothing where the descriptor is of no connection. Costs a
 /// call of the system.
-std::optional<int> unconfirmedBytes(int Descriptor);
+std::optional<int> unacknowledgedBytes(int Descriptor);
 
 } // namespace parsleywing
 
--- a/standin/CrashableServer.cpp
+++ b/standin/CrashableServer.cpp
@@ -32,7 +32,7 @@
 }
 
 void CrashableServer::crash(Duration BackAfter) {
-  std::unique_lock<std::mutex> Lock(this->Guard);
+  std::unique_lock<std::mutex> Lock(this->Mutex);
   if (this->Wanted || this->Down)
     return;
   this->Wanted = true;
@@ -42,7 +42,7 @@
 }
 
 void CrashableServer::runCrashes() {
-  std::unique_lock<std::mutex> Lock(this->Guard);
+  std::unique_lock<std::mutex> Lock(this->Mutex);
   while (!this->Stopping) {
     this->Changed.wait(Lock, [this] { return this->Stopping || this->Wanted; });
     if (this->Stopping)
@@ -68,7 +68,7 @@
 
 void CrashableServer::stop() {
   {
-    const std::lock_guard<std::mutex> Lock(this->Guard);
+    const std::lock_guard<std::mutex> Lock(this->Mutex);
     this->Stopping = true;
   }
   this->Changed.notify_all();
--- a/standin/CrashableServer.h
+++ b/standin/CrashableServer.h
@@ -50,7 +50,7 @@
   Poco::Net::SocketAddress Place;
   std::unique_ptr<Poco::ThreadPool> Threads;
   std::unique_ptr<Poco::Net::HTTPServer> Server;
-  std::mutex Guard;
+  std::mutex Mutex;
   std::condition_variable Changed;
   bool Stopping = false;
   /// A crash is wanted; it has happened, and the server is away.
--- a/standin/EngineStandIn.cpp
+++ b/standin/EngineStandIn.cpp
@@ -72,7 +72,7 @@
 
 EngineStandIn::~EngineStandIn() {
   {
-    std::lock_guard<std::mutex> Lock(this->Guard);
+    std::lock_guard<std::mutex> Lock(this->Mutex);
     this->Stopping = true;
     for (const auto &[Id, Response] : this->Responses)
       Response->Grown.notify_all();
@@ -91,7 +91,7 @@
 std::string EngineStandIn::address() const { return this->Server.address(); }
 
 EngineResponsePtr EngineStandIn::submit(EngineResponsePtr Response) {
-  std::lock_guard<std::mutex> Lock(this->Guard);
+  std::lock_guard<std::mutex> Lock(this->Mutex);
   Response->Id = "resp_" + std::to_string(this->NextId++);
   beginEvents(*Response);
   this->Responses[Response->Id] = Response;
@@ -102,13 +102,13 @@
 }
 
 EngineResponsePtr EngineStandIn::find(const std::string &Id) const {
-  std::lock_guard<std::mutex> Lock(this->Guard);
+  std::lock_guard<std::mutex> Lock(this->Mutex);
   const auto Found = this->Responses.find(Id);
   return Found == this->Responses.end() ? nullptr : Found->second;
 }
 
 void EngineStandIn::cancel(const EngineResponsePtr &Response) {
-  std::lock_guard<std::mutex> Lock(this->Guard);
+  std::lock_guard<std::mutex> Lock(this->Mutex);
   std::erase(this->Waiting, Response);
   std::erase(this->Running, Response);
   if (!Response->Done)
@@ -118,7 +118,7 @@
 
 std::vector<std::string> EngineStandIn::takeEvents(EngineResponse &Response,
                                                    std::size_t Next) {
-  std::unique_lock<std::mutex> Lock(this->Guard);
+  std::unique_lock<std::mutex> Lock(this->Mutex);
   Response.Grown.wait(Lock, [&] {
     return this->Stopping || Response.Done || Response.Events.size() > Next;
   });
@@ -129,7 +129,7 @@
 }
 
 void EngineStandIn::waitWhile(const std::function<bool()> &Holds) {
-  std::unique_lock<std::mutex> Lock(this->Guard);
+  std::unique_lock<std::mutex> Lock(this->Mutex);
   while (!this->Stopping) {
     Lock.unlock();
     const bool Goes = Holds();
@@ -142,7 +142,7 @@
 
 void EngineStandIn::runSteps() {
   auto Next = std::chrono::steady_clock::now();
-  std::unique_lock<std::mutex> Lock(this->Guard);
+  std::unique_lock<std::mutex> Lock(this->Mutex);
   while (!this->Stopping) {
     if (this->Faults.Stall ||
         (this->Running.empty() && this->Waiting.empty())) {
@@ -232,7 +232,7 @@
 }
 
 std::string EngineStandIn::metrics() const {
-  std::lock_guard<std::mutex> Lock(this->Guard);
+  std::lock_guard<std::mutex> Lock(this->Mutex);
   const TimePoint Seen = Clock::steady().now() - this->Options.ReportLag;
   LoadSample Shown{Seen, static_cast<std::uint32_t>(this->Running.size()),
                    static_cast<std::uint32_t>(this->Waiting.size())};
@@ -257,7 +257,7 @@
 
 int EngineStandIn::obey(const std::string &Path, const std::string &Name,
                         std::uint64_t FencingNumber) {
-  std::lock_guard<std::mutex> Lock(this->Guard);
+  std::lock_guard<std::mutex> Lock(this->Mutex);
   if (this->Options.ChecksFencing && FencingNumber < this->HighestFencing)
     return Conflict;
   this->HighestFencing = std::max(this->HighestFencing, FencingNumber);
@@ -268,52 +268,52 @@
 }
 
 std::map<std::string, int> EngineStandIn::executions() const {
-  std::lock_guard<std::mutex> Lock(this->Guard);
+  std::lock_guard<std::mutex> Lock(this->Mutex);
   return this->Executions;
 }
 
 std::map<std::string, int> EngineStandIn::executionsByKey() const {
-  std::lock_guard<std::mutex> Lock(this->Guard);
+  std::lock_guard<std::mutex> Lock(this->Mutex);
   return this->ExecutionsByKey;
 }
 
 std::uint32_t EngineStandIn::running() const {
-  std::lock_guard<std::mutex> Lock(this->Guard);
+  std::lock_guard<std::mutex> Lock(this->Mutex);
   return static_cast<std::uint32_t>(this->Running.size());
 }
 
 std::uint32_t EngineStandIn::waiting() const {
-  std::lock_guard<std::mutex> Lock(this->Guard);
+  std::lock_guard<std::mutex> Lock(this->Mutex);
   return static_cast<std::uint32_t>(this->Waiting.size());
 }
 
 std::set<std::string> EngineStandIn::loadedModels() const {
-  std::lock_guard<std::mutex> Lock(this->Guard);
+  std::lock_guard<std::mutex> Lock(this->Mutex);
   return this->Loaded;
 }
 
 void EngineStandIn::setFaults(const EngineFaults &F) {
   {
-    std::lock_guard<std::mutex> Lock(this->Guard);
+    std::lock_guard<std::mutex> Lock(this->Mutex);
     this->Faults = F;
   }
   this->Changed.notify_all();
 }
 
 EngineFaults EngineStandIn::faults() const {
-  std::lock_guard<std::mutex> Lock(this->Guard);
+  std::lock_guard<std::mutex> Lock(this->Mutex);
   return this->Faults;
 }
 
 void EngineStandIn::silenceConnections() {
-  std::lock_guard<std::mutex> Lock(this->Guard);
+  std::lock_guard<std::mutex> Lock(this->Mutex);
   ++this->SilenceEpoch;
 }
 
 void EngineStandIn::crash(Duration BackAfter) {
   this->Server.crash(BackAfter);
   // Behind the ends of the connections, or answers would look whole.
-  const std::lock_guard<std::mutex> Lock(this->Guard);
+  const std::lock_guard<std::mutex> Lock(this->Mutex);
   for (const EngineResponsePtr &Each : this->Waiting)
     this->finish(Each);
   for (const EngineResponsePtr &Each : this->Running)
@@ -323,7 +323,7 @@
 }
 
 bool EngineStandIn::isSilenced(std::uint64_t ConnectionCookie) {
-  std::lock_guard<std::mutex> Lock(this->Guard);
+  std::lock_guard<std::mutex> Lock(this->Mutex);
   const auto Known =
       this->EpochOfConnection.emplace(ConnectionCookie, this->SilenceEpoch)
           .first;
--- a/standin/EngineStandIn.h
+++ b/standin/EngineStandIn.h
@@ -126,7 +126,7 @@
   void sampleLoad();
 
   EngineOptions Options;
-  mutable std::mutex Guard;
+  mutable std::mutex Mutex;
   std::condition_variable Changed;
   bool Stopping = false;
   EngineFaults Faults;
--- a/standin/PlainServiceStandIn.cpp
+++ b/standin/PlainServiceStandIn.cpp
@@ -156,7 +156,7 @@
 
 PlainServiceStandIn::~PlainServiceStandIn() {
   {
-    std::lock_guard<std::mutex> Lock(this->Guard);
+    std::lock_guard<std::mutex> Lock(this->Mutex);
     this->Stopping = true;
   }
   this->Changed.notify_all();
@@ -172,7 +172,7 @@
 std::uint64_t PlainServiceStandIn::record(const std::string &Identity,
                                           const std::string &Key,
                                           std::string Headers) {
-  std::lock_guard<std::mutex> Lock(this->Guard);
+  std::lock_guard<std::mutex> Lock(this->Mutex);
   ++this->Executions[Identity];
   if (!Key.empty())
     ++this->ExecutionsByKey[Key];
@@ -181,7 +181,7 @@
 }
 
 void PlainServiceStandIn::waitWhile(const std::function<bool()> &Holds) {
-  std::unique_lock<std::mutex> Lock(this->Guard);
+  std::unique_lock<std::mutex> Lock(this->Mutex);
   while (!this->Stopping) {
     Lock.unlock();
     const bool Goes = Holds();
@@ -193,27 +193,27 @@
 }
 
 std::map<std::string, int> PlainServiceStandIn::executions() const {
-  std::lock_guard<std::mutex> Lock(this->Guard);
+  std::lock_guard<std::mutex> Lock(this->Mutex);
   return this->Executions;
 }
 
 std::map<std::string, int> PlainServiceStandIn::executionsByKey() const {
-  std::lock_guard<std::mutex> Lock(this->Guard);
+  std::lock_guard<std::mutex> Lock(this->Mutex);
   return this->ExecutionsByKey;
 }
 
 std::string PlainServiceStandIn::lastHeaders() const {
-  std::lock_guard<std::mutex> Lock(this->Guard);
+  std::lock_guard<std::mutex> Lock(this->Mutex);
   return this->LastHeaders;
 }
 
 void PlainServiceStandIn::setFaults(const EngineFaults &F) {
-  std::lock_guard<std::mutex> Lock(this->Guard);
+  std::lock_guard<std::mutex> Lock(this->Mutex);
   this->Faults = F;
 }
 
 EngineFaults PlainServiceStandIn::faults() const {
-  std::lock_guard<std::mutex> Lock(this->Guard);
+  std::lock_guard<std::mutex> Lock(this->Mutex);
   return this->Faults;
 }
 
--- a/standin/PlainServiceStandIn.h
+++ b/standin/PlainServiceStandIn.h
@@ -49,7 +49,7 @@
 
 private:
   std::string Address;
-  mutable std::mutex Guard;
+  mutable std::mutex Mutex;
   std::condition_variable Changed;
   bool Stopping = false;
   EngineFaults Faults;
--- a/standin/StoreData.cpp
+++ b/standin/StoreData.cpp
@@ -17,7 +17,7 @@
                             bool Stale) const {
   const auto &Source = Stale ? this->Frozen : this->Entries;
   StoreRange Found;
-  Found.At = this->Current;
+  Found.ReadRevision = this->Current;
   if (End.empty()) {
     if (const auto Place = Source.find(Key); Place != Source.end())
       Found.Entries.push_back(Place->second);
@@ -31,13 +31,13 @@
   return Found;
 }
 
-void StoreData::write(const StoreStep &Step) {
+void StoreData::write(const StoreOperation &Step) {
   StoreEntry &Entry = this->Entries[Step.Key];
   Entry.Key = Step.Key;
   Entry.Value = Step.Value;
   if (Entry.Version == 0)
-    Entry.Created = this->Current;
-  Entry.Modified = this->Current;
+    Entry.CreateRevision = this->Current;
+  Entry.ModRevision = this->Current;
   ++Entry.Version;
   Entry.Lease = Step.Lease;
   this->Changes.push_back({false, Entry});
@@ -48,11 +48,11 @@
     return;
   StoreEntry Gone;
   Gone.Key = Key;
-  Gone.Modified = this->Current;
+  Gone.ModRevision = this->Current;
   this->Changes.push_back({true, Gone});
 }
 
-Revision StoreData::put(const StoreStep &Step) {
+Revision StoreData::put(const StoreOperation &Step) {
   ++this->Current;
   this->write(Step);
   return this->Current;
@@ -62,12 +62,14 @@
   const auto Place = this->Entries.find(Compare.Key);
   const bool Present = Place != this->Entries.end();
   switch (Compare.Target) {
-  case CompareTarget::Created:
-    return (Present ? Place->second.Created : 0) == Compare.Number;
-  case CompareTarget::Modified:
-    return (Present ? Place->second.Modified : 0) == Compare.Number;
+  case CompareTarget::CreateRevision:
+    return (Present ? Place->second.CreateRevision : 0) ==
+           Compare.ExpectedRevision;
+  case CompareTarget::ModRevision:
+    return (Present ? Place->second.ModRevision : 0) ==
+           Compare.ExpectedRevision;
   case CompareTarget::Value:
-    return Present && Place->second.Value == Compare.Value;
+    return Present && Place->second.Value == Compare.ExpectedValue;
   }
   return false;
 }
@@ -78,23 +80,22 @@
   Outcome.Succeeded =
       std::all_of(Transaction.Conditions.begin(), Transaction.Conditions.end(),
                   [&](const StoreCompare &C) { return this->holds(C); });
-  const auto &Steps =
-      Outcome.Succeeded ? Transaction.Then : Transaction.Otherwise;
+  const auto &Steps = Outcome.Succeeded ? Transaction.Then : Transaction.Else;
   const bool Writes =
-      std::any_of(Steps.begin(), Steps.end(), [](const StoreStep &Step) {
-        return Step.Kind != StoreStepKind::Read;
+      std::any_of(Steps.begin(), Steps.end(), [](const StoreOperation &Step) {
+        return Step.Kind != StoreOperationKind::Read;
       });
   if (Writes)
     ++this->Current;
-  for (const StoreStep &Step : Steps) {
-    if (Step.Kind == StoreStepKind::Put)
+  for (const StoreOperation &Step : Steps) {
+    if (Step.Kind == StoreOperationKind::Put)
       this->write(Step);
-    else if (Step.Kind == StoreStepKind::Delete)
+    else if (Step.Kind == StoreOperationKind::Delete)
       this->remove(Step.Key);
     else
       Outcome.Reads.push_back(this->range(Step.Key, {}, Stale));
   }
-  Outcome.At = this->Current;
+  Outcome.CommitRevision = this->Current;
   return Outcome;
 }
 
--- a/standin/StoreData.h
+++ b/standin/StoreData.h
@@ -20,7 +20,7 @@
 
   StoreRange range(const std::string &Key, const std::string &End,
                    bool Stale) const;
-  Revision put(const StoreStep &Step);
+  Revision put(const StoreOperation &Step);
   TransactionOutcome commit(const StoreTransaction &Transaction, bool Stale);
 
   /// Zero where the wanted identity is in use.
@@ -44,7 +44,7 @@
   };
 
   bool holds(const StoreCompare &Compare) const;
-  void write(const StoreStep &Step);
+  void write(const StoreOperation &Step);
   void remove(const std::string &Key);
 
   std::map<std::string, StoreEntry> Entries;
--- a/standin/StoreHandler.cpp
+++ b/standin/StoreHandler.cpp
@@ -11,7 +11,7 @@
 namespace parsleywing::standin {
 
 using internal::fromBase64;
-using internal::numberOf;
+using internal::int64Field;
 using internal::toBase64;
 using Poco::JSON::Array;
 using Poco::JSON::Object;
@@ -52,8 +52,8 @@
 Object::Ptr entryJson(const StoreEntry &Entry, bool KeyOnly) {
   Object::Ptr Message = new Object;
   Message->set("key", toBase64(Entry.Key));
-  Message->set("create_revision", std::to_string(Entry.Created));
-  Message->set("mod_revision", std::to_string(Entry.Modified));
+  Message->set("create_revision", std::to_string(Entry.CreateRevision));
+  Message->set("mod_revision", std::to_string(Entry.ModRevision));
   Message->set("version", std::to_string(Entry.Version));
   if (!KeyOnly)
     Message->set("value", toBase64(Entry.Value));
@@ -80,16 +80,16 @@
   const auto Target = Message.getValue<std::string>("target");
   const std::string Key = textOf(Message, "key");
   if (Target == "CREATE")
-    return keyCreatedAt(Key, numberOf(Message, "create_revision"));
+    return keyCreateRevisionIs(Key, int64Field(Message, "create_revision"));
   if (Target == "MOD")
-    return keyModifiedAt(Key, numberOf(Message, "mod_revision"));
-  return keyHolds(Key, textOf(Message, "value"));
+    return keyModRevisionIs(Key, int64Field(Message, "mod_revision"));
+  return keyValueIs(Key, textOf(Message, "value"));
 }
 
-StoreStep stepOf(const Object &Message) {
+StoreOperation stepOf(const Object &Message) {
   if (const Object::Ptr Put = Message.getObject("request_put"))
     return putKey(textOf(*Put, "key"), textOf(*Put, "value"),
-                  numberOf(*Put, "lease"));
+                  int64Field(*Put, "lease"));
   if (const Object::Ptr Delete = Message.getObject("request_delete_range"))
     return deleteKey(textOf(*Delete, "key"));
   return readKey(textOf(*Message.getObject("request_range"), "key"));
@@ -109,7 +109,7 @@
 Object::Ptr deletedJson(const StoreEntry &Entry) {
   Object::Ptr Message = new Object;
   Message->set("key", toBase64(Entry.Key));
-  Message->set("mod_revision", std::to_string(Entry.Modified));
+  Message->set("mod_revision", std::to_string(Entry.ModRevision));
   return Message;
 }
 
@@ -224,7 +224,7 @@
   Poco::StreamCopier::copyToString(Request.stream(), Text);
   const auto Body = internal::parseMessage(Text);
   StoreStandIn &S = this->Store;
-  Lock Held(S.Guard);
+  Lock Held(S.Mutex);
   S.Connections.insert(Peer);
   ++S.Counts[static_cast<std::size_t>(Kind)];
   if (this->isSilent(Peer)) {
@@ -269,13 +269,13 @@
   if (Kind == StoreCall::Range) {
     const StoreRange Found =
         Data.range(textOf(Body, "key"), textOf(Body, "range_end"), Stale);
-    setHeader(Answer, Found.At);
+    setHeader(Answer, Found.ReadRevision);
     setEntries(Answer, Found, Body.optValue("keys_only", false));
     return Ok;
   }
   if (Kind == StoreCall::Put) {
-    const StoreStep Step = putKey(textOf(Body, "key"), textOf(Body, "value"),
-                                  numberOf(Body, "lease"));
+    const StoreOperation Step = putKey(
+        textOf(Body, "key"), textOf(Body, "value"), int64Field(Body, "lease"));
     if (Step.Lease != 0 && !Data.knowsLease(Step.Lease))
       return NotFound;
     setHeader(Answer, Data.put(Step));
@@ -285,13 +285,13 @@
     return this->performLease(Kind, Body, Answer);
   StoreTransaction Transaction;
   Transaction.Conditions = listOf<StoreCompare>(Body, "compare", compareOf);
-  Transaction.Then = listOf<StoreStep>(Body, "success", stepOf);
-  Transaction.Otherwise = listOf<StoreStep>(Body, "failure", stepOf);
-  for (const StoreStep &Step : Transaction.Then)
+  Transaction.Then = listOf<StoreOperation>(Body, "success", stepOf);
+  Transaction.Else = listOf<StoreOperation>(Body, "failure", stepOf);
+  for (const StoreOperation &Step : Transaction.Then)
     if (Step.Lease != 0 && !Data.knowsLease(Step.Lease))
       return NotFound;
   const TransactionOutcome Outcome = Data.commit(Transaction, Stale);
-  setHeader(Answer, Outcome.At);
+  setHeader(Answer, Outcome.CommitRevision);
   if (Outcome.Succeeded)
     Answer.set("succeeded", true);
   Array::Ptr Responses = new Array;
@@ -311,15 +311,15 @@
   StoreData &Data = this->Store.Data;
   const TimePoint Now = this->Store.Time.now();
   if (Kind == StoreCall::LeaseGrant) {
-    const std::chrono::seconds Life(numberOf(Body, "TTL"));
-    const LeaseId Granted = Data.grant(Life, numberOf(Body, "ID"), Now);
+    const std::chrono::seconds Life(int64Field(Body, "TTL"));
+    const LeaseId Granted = Data.grant(Life, int64Field(Body, "ID"), Now);
     if (Granted == 0)
       return BadRequest;
     Answer.set("ID", std::to_string(Granted));
     Answer.set("TTL", std::to_string(Life.count()));
     return Ok;
   }
-  const LeaseId Lease = numberOf(Body, "ID");
+  const LeaseId Lease = int64Field(Body, "ID");
   if (Kind == StoreCall::LeaseRevoke)
     return Data.revoke(Lease) ? Ok : NotFound;
   Object::Ptr Inner = new Object;
@@ -340,8 +340,8 @@
     End = Key + '\0';
   const std::string Peer = Request.clientAddress().toString();
   StoreStandIn &S = this->Store;
-  Lock Held(S.Guard);
-  Revision Next = numberOf(*Wanted, "start_revision");
+  Lock Held(S.Mutex);
+  Revision Next = int64Field(*Wanted, "start_revision");
   if (Next == 0)
     Next = S.Data.revision() + 1;
   std::size_t Seen = 0;
@@ -361,7 +361,7 @@
     std::vector<StoreChange> Batch;
     for (; Seen < S.Data.changes().size(); ++Seen) {
       const StoreChange &Change = S.Data.changes()[Seen];
-      if (Change.Entry.Modified < Next || Change.Entry.Key < Key ||
+      if (Change.Entry.ModRevision < Next || Change.Entry.Key < Key ||
           Change.Entry.Key >= End || takeOne(S.Faults.WatchDrop))
         continue;
       Batch.push_back(Change);
--- a/standin/StoreStandIn.cpp
+++ b/standin/StoreStandIn.cpp
@@ -31,12 +31,12 @@
 
 StoreStandIn::~StoreStandIn() {
   {
-    std::lock_guard<std::mutex> Lock(this->Guard);
+    std::lock_guard<std::mutex> Lock(this->Mutex);
     this->Stopping = true;
   }
   this->Changed.notify_all();
   {
-    std::lock_guard<std::mutex> Lock(this->AwayGuard);
+    std::lock_guard<std::mutex> Lock(this->AwayMutex);
     if (this->Away.joinable())
       this->Away.join();
   }
@@ -74,7 +74,7 @@
     const std::function<void(StoreFaults &)> &Change) {
   int AwayMs = 0;
   {
-    std::lock_guard<std::mutex> Lock(this->Guard);
+    std::lock_guard<std::mutex> Lock(this->Mutex);
     const bool WasStale = this->Faults.Stale;
     const bool WasSilent = this->Faults.SilentExisting;
     Change(this->Faults);
@@ -92,12 +92,12 @@
 }
 
 void StoreStandIn::goAway(std::chrono::milliseconds Time) {
-  std::lock_guard<std::mutex> Away(this->AwayGuard);
+  std::lock_guard<std::mutex> Away(this->AwayMutex);
   if (this->Away.joinable())
     this->Away.join();
   this->Away = std::thread([this, Time] {
     this->leave();
-    std::unique_lock<std::mutex> Lock(this->Guard);
+    std::unique_lock<std::mutex> Lock(this->Mutex);
     this->Changed.wait_for(Lock, Time, [this] { return this->Stopping; });
     if (this->Stopping)
       return;
@@ -126,7 +126,7 @@
 
 void StoreStandIn::setVm(const std::string &Name, const std::string &State) {
   {
-    std::lock_guard<std::mutex> Lock(this->Guard);
+    std::lock_guard<std::mutex> Lock(this->Mutex);
     const TimePoint Now = this->Time.now();
     const std::chrono::milliseconds Lag(this->Faults.VmLagMs);
     this->VmChanges.push_back({Now + Lag, Name, State});
@@ -136,24 +136,24 @@
 }
 
 std::uint64_t StoreStandIn::calls(StoreCall Kind) const {
-  std::lock_guard<std::mutex> Lock(this->Guard);
+  std::lock_guard<std::mutex> Lock(this->Mutex);
   return this->Counts[static_cast<std::size_t>(Kind)];
 }
 
 std::uint64_t StoreStandIn::allCalls() const {
-  std::lock_guard<std::mutex> Lock(this->Guard);
+  std::lock_guard<std::mutex> Lock(this->Mutex);
   return std::accumulate(this->Counts.begin(), this->Counts.end(),
                          std::uint64_t{0});
 }
 
 int StoreStandIn::watches() const {
-  std::lock_guard<std::mutex> Lock(this->Guard);
+  std::lock_guard<std::mutex> Lock(this->Mutex);
   return this->Waiting;
 }
 
 StoreRange StoreStandIn::peek(const std::string &Prefix) const {
-  std::lock_guard<std::mutex> Lock(this->Guard);
-  return this->Data.range(Prefix, endOfPrefix(Prefix), false);
+  std::lock_guard<std::mutex> Lock(this->Mutex);
+  return this->Data.range(Prefix, prefixRangeEnd(Prefix), false);
 }
 
 } // namespace parsleywing::standin
--- a/standin/StoreStandIn.h
+++ b/standin/StoreStandIn.h
@@ -96,7 +96,7 @@
 
   StoreOptions Options;
   Clock Time = this->Options.Time;
-  mutable std::mutex Guard;
+  mutable std::mutex Mutex;
   std::condition_variable Changed;
   StoreData Data;
   StoreFaults Faults;
@@ -111,7 +111,7 @@
   std::unique_ptr<Poco::ThreadPool> Pool;
   std::unique_ptr<Poco::Net::HTTPServer> Server;
   std::string Bound;
-  std::mutex AwayGuard;
+  std::mutex AwayMutex;
   std::thread Away;
 };
 
--- a/test/Adapter/PlatformStore.cpp
+++ b/test/Adapter/FakePlatformStore.cpp
@@ -1,4 +1,4 @@
-#include "Adapter/PlatformStore.h"
+#include "Adapter/FakePlatformStore.h"
 
 #include "Http/HttpHead.h"
 #include "Platform/StoreCodec.h"
@@ -39,28 +39,28 @@
 
 } // namespace
 
-PlatformStore::PlatformStore() {
+FakePlatformStore::FakePlatformStore() {
   this->Server = std::make_unique<ScriptedServer>(
       [this](Poco::Net::StreamSocket &Connection, const std::string &Request) {
-        return this->answer(Connection, Request);
+        return this->handleRequest(Connection, Request);
       });
 }
 
-bool PlatformStore::answer(Poco::Net::StreamSocket &Connection,
-                           const std::string &Request) {
+bool FakePlatformStore::handleRequest(Poco::Net::StreamSocket &Connection,
+                                      const std::string &Request) {
   const std::size_t Length = headLength(Request);
   const auto Head = parseRequestHead(Request.substr(0, Length));
-  if (!Head || this->Trouble == StoreTrouble::Away)
+  if (!Head || this->Fault == StoreFault::Unreachable)
     return false;
-  if (this->Trouble == StoreTrouble::Silent) {
+  if (this->Fault == StoreFault::Silent) {
     std::this_thread::sleep_for(2s);
     return false;
   }
-  if (this->Trouble == StoreTrouble::Slow)
+  if (this->Fault == StoreFault::Slow)
     std::this_thread::sleep_for(240ms);
   int Status = Ok;
-  const std::string Body =
-      this->respond(Head->Method, Head->Target, Request.substr(Length), Status);
+  const std::string Body = this->dispatchCall(Head->Method, Head->Target,
+                                              Request.substr(Length), Status);
   sendText(Connection, "HTTP/1.1 " + std::to_string(Status) +
                            " X\r\nContent-Type: application/json\r\n"
                            "Content-Length: " +
@@ -68,18 +68,19 @@
   return true;
 }
 
-std::string PlatformStore::respond(const std::string &Method,
-                                   const std::string &Target,
-                                   const std::string &Body, int &Status) {
+std::string FakePlatformStore::dispatchCall(const std::string &Method,
+                                            const std::string &Target,
+                                            const std::string &Body,
+                                            int &Status) {
   const std::string Path = Target.substr(0, Target.find('?'));
   if (Path == wire::WatchPath)
     return this->watch(parameterOf(Target, "prefix"),
                        std::stoll(parameterOf(Target, "after")),
                        std::stoi(parameterOf(Target, "waitMs")), Status);
-  if (Target.ends_with(std::string("&") + wire::StaleParameter))
+  if (Target.ends_with(std::string("&") + wire::AllowStaleParameter))
     ++this->StaleReads;
-  const std::lock_guard<std::mutex> Lock(this->Guard);
-  this->endLapsed();
+  const std::lock_guard<std::mutex> Lock(this->Mutex);
+  this->expireLeases();
   if (Path == wire::ReadKeyPath)
     return this->readKey(parameterOf(Target, "key"), Status);
   if (Path == wire::ReadPrefixPath)
@@ -89,9 +90,9 @@
   if (Path == wire::GrantLeasePath) {
     const auto Asked = Poco::JSON::Parser().parse(Body).extract<Object::Ptr>();
     const std::int64_t Lease = ++this->LastLease;
-    this->Lives[Lease] =
+    this->LeaseTtls[Lease] =
         std::chrono::milliseconds(Asked->getValue<std::int64_t>("ttlMs"));
-    this->Leases[Lease] = SteadyClock::now() + this->Lives[Lease];
+    this->Leases[Lease] = SteadyClock::now() + this->LeaseTtls[Lease];
     return "{\"lease\":" + std::to_string(Lease) + "}";
   }
   const std::int64_t Lease =
@@ -104,12 +105,12 @@
   if (Method == "DELETE")
     Known->second = SteadyClock::now() - 1s;
   else
-    Known->second = SteadyClock::now() + this->Lives[Lease];
-  this->endLapsed();
+    Known->second = SteadyClock::now() + this->LeaseTtls[Lease];
+  this->expireLeases();
   return "{}";
 }
 
-std::string PlatformStore::readKey(const std::string &Key, int &Status) {
+std::string FakePlatformStore::readKey(const std::string &Key, int &Status) {
   const auto Found = this->Items.find(Key);
   if (Found == this->Items.end()) {
     Status = NotFound;
@@ -123,7 +124,7 @@
   return textOf(Message);
 }
 
-std::string PlatformStore::readPrefix(const std::string &Prefix) {
+std::string FakePlatformStore::readPrefix(const std::string &Prefix) {
   Array::Ptr Listed = new Array;
   for (const auto &[Key, Known] : this->Items) {
     if (!Key.starts_with(Prefix))
@@ -142,10 +143,11 @@
   return textOf(Message);
 }
 
-std::string PlatformStore::watch(const std::string &Prefix, std::int64_t After,
-                                 int WaitMs, int &Status) {
-  std::unique_lock<std::mutex> Lock(this->Guard);
-  if (After < this->OldestKept) {
+std::string FakePlatformStore::watch(const std::string &Prefix,
+                                     std::int64_t After, int WaitMs,
+                                     int &Status) {
+  std::unique_lock<std::mutex> Lock(this->Mutex);
+  if (After < this->OldestRevision) {
     Status = HistoryGone;
     return "{}";
   }
@@ -171,7 +173,7 @@
   return textOf(Message);
 }
 
-std::string PlatformStore::commit(const std::string &Body) {
+std::string FakePlatformStore::commit(const std::string &Body) {
   const auto Asked = Poco::JSON::Parser().parse(Body).extract<Object::Ptr>();
   const Array::Ptr Writes = Asked->getArray("writes");
   for (unsigned I = 0; I < Writes->size(); ++I) {
@@ -183,21 +185,21 @@
   return "{\"revision\":" + std::to_string(this->Revision) + "}";
 }
 
-void PlatformStore::write(const std::string &Key, const Item &New) {
+void FakePlatformStore::write(const std::string &Key, const Item &New) {
   Item &Kept = this->Items[Key] = New;
   Kept.Revision = ++this->Revision;
   this->History.push_back({Key, Kept.Revision, false});
   this->Changed.notify_all();
 }
 
-void PlatformStore::erase(const std::string &Key) {
+void FakePlatformStore::erase(const std::string &Key) {
   if (this->Items.erase(Key) == 0)
     return;
   this->History.push_back({Key, ++this->Revision, true});
   this->Changed.notify_all();
 }
 
-void PlatformStore::endLapsed() {
+void FakePlatformStore::expireLeases() {
   const auto Now = SteadyClock::now();
   std::vector<std::string> Gone;
   for (const auto &[Key, Known] : this->Items)
@@ -210,19 +212,19 @@
     this->erase(Key);
 }
 
-void PlatformStore::put(const std::string &Key, const std::string &Value) {
-  const std::lock_guard<std::mutex> Lock(this->Guard);
+void FakePlatformStore::put(const std::string &Key, const std::string &Value) {
+  const std::lock_guard<std::mutex> Lock(this->Mutex);
   this->write(Key, {Value, 0, 0});
 }
 
-void PlatformStore::remove(const std::string &Key) {
-  const std::lock_guard<std::mutex> Lock(this->Guard);
+void FakePlatformStore::remove(const std::string &Key) {
+  const std::lock_guard<std::mutex> Lock(this->Mutex);
   this->erase(Key);
 }
 
-void PlatformStore::dropHistory() {
-  const std::lock_guard<std::mutex> Lock(this->Guard);
-  this->OldestKept = ++this->Revision;
+void FakePlatformStore::dropHistory() {
+  const std::lock_guard<std::mutex> Lock(this->Mutex);
+  this->OldestRevision = ++this->Revision;
   this->History.clear();
   this->Changed.notify_all();
 }
--- a/test/Adapter/PlatformStore.h
+++ b/test/Adapter/FakePlatformStore.h
@@ -1,5 +1,5 @@
-#ifndef PARSLEYWING_TEST_ADAPTER_PLATFORMSTORE_H
-#define PARSLEYWING_TEST_ADAPTER_PLATFORMSTORE_H
+#ifndef PARSLEYWING_TEST_ADAPTER_FAKEPLATFORMSTORE_H
+#define PARSLEYWING_TEST_ADAPTER_FAKEPLATFORMSTORE_H
 
 #include "Gateway/ScriptedServer.h"
 
@@ -13,19 +13,19 @@
 namespace parsleywing::test {
 
 /// What is wrong with the store at present.
-enum class StoreTrouble { None, Away, Silent, Slow };
+enum class StoreFault { None, Unreachable, Silent, Slow };
 
 /// A stand-in for the platform's store: keys with revisions, prefixes, watches
 /// and leases, each call as the platform's pages tell it, and its troubles.
-class PlatformStore {
+class FakePlatformStore {
 public:
-  PlatformStore();
+  FakePlatformStore();
 
   std::string address() const { return this->Server->address(); }
 
   void put(const std::string &Key, const std::string &Value);
   void remove(const std::string &Key);
-  void setTrouble(StoreTrouble Now) { this->Trouble = Now; }
+  void setFault(StoreFault Now) { this->Fault = Now; }
   /// Reads that were allowed to be stale.
   int staleReads() const { return this->StaleReads; }
   /// Watches of earlier revisions are told that their history is gone.
@@ -43,9 +43,10 @@
     bool Deleted = false;
   };
 
-  bool answer(Poco::Net::StreamSocket &Connection, const std::string &Request);
-  std::string respond(const std::string &Method, const std::string &Target,
-                      const std::string &Body, int &Status);
+  bool handleRequest(Poco::Net::StreamSocket &Connection,
+                     const std::string &Request);
+  std::string dispatchCall(const std::string &Method, const std::string &Target,
+                           const std::string &Body, int &Status);
   std::string readKey(const std::string &Key, int &Status);
   std::string readPrefix(const std::string &Prefix);
   std::string watch(const std::string &Prefix, std::int64_t After, int WaitMs,
@@ -53,19 +54,19 @@
   std::string commit(const std::string &Body);
   void write(const std::string &Key, const Item &New);
   void erase(const std::string &Key);
-  void endLapsed();
+  void expireLeases();
 
-  std::mutex Guard;
+  std::mutex Mutex;
   std::condition_variable Changed;
   std::map<std::string, Item> Items;
   std::vector<Change> History;
   std::map<std::int64_t, std::chrono::steady_clock::time_point> Leases;
-  std::map<std::int64_t, std::chrono::milliseconds> Lives;
+  std::map<std::int64_t, std::chrono::milliseconds> LeaseTtls;
   std::int64_t Revision = 1;
-  std::int64_t OldestKept = 0;
+  std::int64_t OldestRevision = 0;
   std::int64_t LastLease = 0;
   std::atomic<int> StaleReads{0};
-  std::atomic<StoreTrouble> Trouble{StoreTrouble::None};
+  std::atomic<StoreFault> Fault{StoreFault::None};
   /// The last member: its threads use all others.
   std::unique_ptr<ScriptedServer> Server;
 };
--- a/test/Adapter/FormatTest.cpp
+++ b/test/Adapter/FormatTest.cpp
@@ -27,28 +27,28 @@
 } // namespace
 
 Test(HeadFormat, readsACallersHead) {
-  const auto Read = Format.ReadCallerHead(callerHead());
+  const auto Read = Format.ParseCallerRequest(callerHead());
   cr_assert(Read.has_value());
   cr_assert_eq(Read->RequestId, "r1");
   cr_assert_eq(Read->Host, "h.example");
-  cr_assert_eq(Read->TimeLeft->count(), Duration(6s).count());
+  cr_assert_eq(Read->Timeout->count(), Duration(6s).count());
   cr_assert_eq(Read->AccountKey, "key");
   cr_assert_eq(Read->PromptTokens, 1460U);
   cr_assert_eq(Read->MaxOutputTokens, 80U);
   cr_assert_eq(Read->PromptParts.size(), 3U);
   cr_assert_eq(Read->PromptParts[1].Tokens, 410U);
-  cr_assert_eq(*Read->ResumeAfter, 12U);
+  cr_assert_eq(*Read->LastEventId, 12U);
 }
 
 // Symptom: a caller runs under another account, or uses up reserved room.
 // Sequence: it sends the fields that the router sets. Cause: they were passed
 // on. The same for a Connection field that names what the server must get.
 Test(HeadFormat, aCallerCannotSetTheRoutersFieldsNorHideItsOwn) {
-  ServerRequest Added;
+  ServerRequestFields Added;
   Added.TimeLeft = 500ms;
   Added.ServerId = "i-1";
   Added.Account = "acc";
-  const HttpHead Head = Format.WriteServerRequest(callerHead(), Added);
+  const HttpHead Head = Format.BuildServerRequest(callerHead(), Added);
   cr_assert_eq(Head.value("Tenant-Id"), "acc");
   cr_assert_eq(Head.count("Tenant-Id"), 1U);
   cr_assert_eq(Head.value("Expect-Instance"), "i-1");
@@ -63,11 +63,11 @@
 Test(HeadFormat, namesWhereKeptPartsAreFetchedFromByTheRoutersWordAlone) {
   HttpHead Caller = callerHead();
   Caller.add("Kv-Fetch", "10.9.9.9:1");
-  ServerRequest Added;
+  ServerRequestFields Added;
   Added.TimeLeft = 500ms;
-  cr_assert_null(Format.WriteServerRequest(Caller, Added).find("Kv-Fetch"));
-  Added.KeptAt = "10.0.0.2:80";
-  const HttpHead Head = Format.WriteServerRequest(Caller, Added);
+  cr_assert_null(Format.BuildServerRequest(Caller, Added).find("Kv-Fetch"));
+  Added.CacheSourceAddress = "10.0.0.2:80";
+  const HttpHead Head = Format.BuildServerRequest(Caller, Added);
   cr_assert_eq(Head.count("Kv-Fetch"), 1U);
   cr_assert_eq(Head.value("Kv-Fetch"), "10.0.0.2:80");
 }
@@ -75,14 +75,14 @@
 Test(HeadFormat, onlyTheServersOwnWordMeansNotRun) {
   HttpHead Head;
   Head.Status = 503;
-  cr_assert_not(Format.ReadServerHead(Head).NotRun);
+  cr_assert_not(Format.ParseServerResponse(Head).NotRun);
   Head.add("Not-Executed", "1");
   Head.add("Server-Load", "3,1,8");
   Head.add("Keep-Alive", "timeout=7");
-  const ServerHead Read = Format.ReadServerHead(Head);
+  const ServerResponseFields Read = Format.ParseServerResponse(Head);
   cr_assert(Read.NotRun);
   cr_assert_eq(Read.Load->Waiting, 1U);
-  cr_assert_eq(Read.IdleLimit->count(), Duration(7s).count());
+  cr_assert_eq(Read.IdleTimeout->count(), Duration(7s).count());
 }
 
 Test(HeadFormat, anyBytesAreReadOrRefused) {
@@ -93,7 +93,7 @@
       Head.remove(Name);
       Head.add(Name, Value);
     }
-    (void)Format.ReadCallerHead(Head);
+    (void)Format.ParseCallerRequest(Head);
   }));
 }
 
@@ -120,7 +120,7 @@
   cr_assert_null(Read->findRoute("h", "/b"));
   // An unknown kind is taken for the one that may run once.
   cr_assert_eq(Read->findRoute("h", "/a/b/c")->Kind, RequestKind::Unsafe);
-  cr_assert_eq(Read->Services.at("s").EngineTokens, 240898U);
+  cr_assert_eq(Read->Services.at("s").KvCapacityTokens, 240898U);
   cr_assert_eq(Read->AccountOfKey.at("k2"), "acc");
   cr_assert_eq(Read->Limits.MaxHeaderBytes, 100U);
 }
@@ -197,7 +197,7 @@
       R"({"version":1,"services":[{"name":"s","coldStartS":3.0,)"
       R"("coldPerS":9.1},{"name":"plain","coldStartS":0.0,"coldPerS":0.0}]})");
   cr_assert(Stated.has_value());
-  cr_assert(Stated->Services.at("s").WarmUp.Life == std::chrono::seconds(3));
+  cr_assert(Stated->Services.at("s").WarmUp.Period == std::chrono::seconds(3));
   cr_assert_float_eq(Stated->Services.at("s").WarmUp.PerSecond, 9.1, 1e-9);
   cr_assert_eq(Stated->Services.at("plain").WarmUp.PerSecond, 0);
 }
@@ -212,7 +212,7 @@
 
 // The parts of a list are those of requests: by the same hash of their name.
 Test(FleetFormat, readsWhatAnEngineKeeps) {
-  const auto Read = decodeKeptParts(
+  const auto Read = decodeCachedParts(
       R"({"epoch":3,"next":9,"born":17,"held":[["","5c1e07a2",800,"m"],)"
       R"(["",7,800,"m"],["","91bd3f06","800","m"],["","e4402b7d",-1,"m"],)"
       R"("x",[],["","91bd3f06",410,"m"]]})");
@@ -223,10 +223,11 @@
   cr_assert_eq(Read->Parts[0].Tokens, 800U);
   cr_assert_eq(Read->Parts[1].Tokens, 410U);
   for (const char *Text : {"", "[]", R"({"held":7})", R"({"born":"x"})"})
-    cr_assert(!decodeKeptParts(Text) || decodeKeptParts(Text)->Parts.empty(),
+    cr_assert(!decodeCachedParts(Text) ||
+                  decodeCachedParts(Text)->Parts.empty(),
               "taken: %s", Text);
   cr_assert(rc::check("foreign lists", [](const std::string &Bytes) {
-    (void)decodeKeptParts(Bytes);
+    (void)decodeCachedParts(Bytes);
   }));
 }
 
@@ -244,5 +245,5 @@
       decodeRouter("a", encodeRouter({"a", "10.0.0.1:7400", 0.25, 0}));
   cr_assert(Router.has_value());
   cr_assert_eq(Router->Address, "10.0.0.1:7400");
-  cr_assert_float_eq(Router->Capacity, 0.25, 1e-9);
+  cr_assert_float_eq(Router->Cores, 0.25, 1e-9);
 }
--- a/test/Backend/EngineSilenceTest.cpp
+++ b/test/Backend/EngineSilenceTest.cpp
@@ -45,7 +45,7 @@
             return true;
           };
           Listener.SetBreaker = [this](std::function<void()> B) {
-            std::lock_guard<std::mutex> Lock(this->Guard);
+            std::lock_guard<std::mutex> Lock(this->Mutex);
             if (B)
               this->Breaker = std::move(B);
           };
@@ -61,7 +61,7 @@
   void breakOff() {
     std::function<void()> Now;
     {
-      std::lock_guard<std::mutex> Lock(this->Guard);
+      std::lock_guard<std::mutex> Lock(this->Mutex);
       Now = this->Breaker;
     }
     if (Now)
@@ -74,7 +74,7 @@
   }
 
 private:
-  std::mutex Guard;
+  std::mutex Mutex;
   std::function<void()> Breaker;
   std::atomic<bool> WasSent{false};
   std::atomic<bool> Over{false};
--- a/test/Backend/LoadPollerTest.cpp
+++ b/test/Backend/LoadPollerTest.cpp
@@ -30,7 +30,7 @@
 
   std::function<void(Event)> sink() {
     return [this](const Event &Happened) {
-      std::lock_guard<std::mutex> Lock(this->Guard);
+      std::lock_guard<std::mutex> Lock(this->Mutex);
       if (const auto *Load = std::get_if<LoadReported>(&Happened))
         this->Last = *Load;
       if (const auto *Change = std::get_if<ServerConditionChanged>(&Happened))
@@ -39,18 +39,18 @@
   }
 
   bool reported(std::uint32_t Running, std::uint32_t Waiting) {
-    std::lock_guard<std::mutex> Lock(this->Guard);
+    std::lock_guard<std::mutex> Lock(this->Mutex);
     return this->Last && this->Last->Running == Running &&
            this->Last->Waiting == Waiting;
   }
 
   bool became(const std::vector<ServerCondition> &Expected) {
-    std::lock_guard<std::mutex> Lock(this->Guard);
+    std::lock_guard<std::mutex> Lock(this->Mutex);
     return this->Conditions == Expected;
   }
 
   std::ptrdiff_t timesUsable() {
-    std::lock_guard<std::mutex> Lock(this->Guard);
+    std::lock_guard<std::mutex> Lock(this->Mutex);
     return std::ranges::count(this->Conditions, ServerCondition::Usable);
   }
 
@@ -61,7 +61,7 @@
     this->Engines.Engine.setFaults(Faults);
   }
 
-  std::mutex Guard;
+  std::mutex Mutex;
   std::optional<LoadReported> Last;
   std::vector<ServerCondition> Conditions;
   EngineFixture Engines;
--- a/test/Backend/OrderClientTest.cpp
+++ b/test/Backend/OrderClientTest.cpp
@@ -11,7 +11,8 @@
 /// A holder whose lease has this number and lasts.
 OrderClient::AskLease holds(FencingNumber Number) {
   return [Number] {
-    return LeaseUse{Number, Clock::steady().now() + std::chrono::seconds(30)};
+    return LeasePermit{Number,
+                       Clock::steady().now() + std::chrono::seconds(30)};
   };
 }
 
--- a/test/Caller/CallerFixture.cpp
+++ b/test/Caller/CallerFixture.cpp
@@ -111,17 +111,17 @@
 }
 
 void PeerWire::add(RouterId Router, ControlLoop &Control) {
-  std::lock_guard<std::mutex> Lock(this->Guard);
+  std::lock_guard<std::mutex> Lock(this->Mutex);
   this->Routers[Router] = &Control;
 }
 
 void PeerWire::remove(RouterId Router) {
-  std::lock_guard<std::mutex> Lock(this->Guard);
+  std::lock_guard<std::mutex> Lock(this->Mutex);
   this->Routers.erase(Router);
 }
 
 void PeerWire::deliver(RouterId From, const PeerPart &Part) {
-  std::lock_guard<std::mutex> Lock(this->Guard);
+  std::lock_guard<std::mutex> Lock(this->Mutex);
   for (const auto &[Router, Control] : this->Routers)
     if (Router != From)
       Control->post(PeerPartReceived{From, FixtureLife, Part, ""});
--- a/test/Caller/CallerFixture.h
+++ b/test/Caller/CallerFixture.h
@@ -52,7 +52,7 @@
   void deliver(RouterId From, const PeerPart &Part);
 
 private:
-  std::mutex Guard;
+  std::mutex Mutex;
   std::map<RouterId, ControlLoop *> Routers;
 };
 
--- a/test/Gateway/KeptPartsReaderTest.cpp
+++ b/test/Gateway/CachedPartsReaderTest.cpp
@@ -1,4 +1,4 @@
-#include "Gateway/KeptPartsReader.h"
+#include "Gateway/CachedPartsReader.h"
 
 #include "Gateway/ScriptedServer.h"
 #include "platform/HeadFormat.h"
@@ -30,9 +30,10 @@
   Fixture()
       : Loop(Clock::steady()), Pool(Loop),
         Subject(Loop, Format, Pool, Measured) {
-    this->Subject.start([this](const GatewayServer &From, const KeptParts &K) {
-      this->Told[From.Id] = K.Parts.size();
-    });
+    this->Subject.start(
+        [this](const GatewayServer &From, const CachedParts &K) {
+          this->Told[From.Id] = K.Parts.size();
+        });
   }
 
   void run(Duration For) {
@@ -44,7 +45,7 @@
   WireFormat Format = platformWireFormat();
   Metrics Measured;
   UpstreamPool Pool;
-  KeptPartsReader Subject;
+  CachedPartsReader Subject;
   std::map<std::string, std::size_t> Told;
 };
 
@@ -58,9 +59,9 @@
     return true;
   });
   Fixture F;
-  F.Subject.ask(listed("e1", Engine.address()));
-  F.Subject.ask(listed("e1", Engine.address()));
-  F.Subject.ask(listed("e2", Engine.address()));
+  F.Subject.query(listed("e1", Engine.address()));
+  F.Subject.query(listed("e1", Engine.address()));
+  F.Subject.query(listed("e2", Engine.address()));
   F.run(300ms);
   cr_assert_eq(F.Told.size(), 2U);
   cr_assert_eq(F.Told["e1"], 2U);
@@ -86,12 +87,12 @@
     return true;
   });
   Fixture F;
-  F.Subject.ask(listed("silent", Silent.address()));
-  F.Subject.ask(listed("refusing", Refusing.address()));
-  F.Subject.ask(listed("nonsense", Nonsense.address()));
-  F.Subject.ask(listed("breaking", Breaking.address()));
-  F.Subject.ask(listed("gone", "127.0.0.1:1"));
-  F.Subject.ask(listed("good", Good.address()));
+  F.Subject.query(listed("silent", Silent.address()));
+  F.Subject.query(listed("refusing", Refusing.address()));
+  F.Subject.query(listed("nonsense", Nonsense.address()));
+  F.Subject.query(listed("breaking", Breaking.address()));
+  F.Subject.query(listed("gone", "127.0.0.1:1"));
+  F.Subject.query(listed("good", Good.address()));
   F.run(1500ms);
   cr_assert_eq(F.Told.size(), 1U);
   cr_assert_eq(F.Told["good"], 2U);
--- a/test/Gateway/CallerSessionTest.cpp
+++ b/test/Gateway/CallerSessionTest.cpp
@@ -32,22 +32,22 @@
   Poco::Net::StreamSocket Caller;
   Caller.connect(Listening.address());
   const auto Channel =
-      ByteChannel::accepted(Loop, Listening.acceptConnection());
+      ByteChannel::fromAccepted(Loop, Listening.acceptConnection());
   int Requests = 0;
   const auto Session = std::make_shared<CallerSession>(
       Loop, Channel, GatewayLimits{},
       [&Requests](const std::shared_ptr<CallerSession> &From,
                   const IncomingRequest &) {
         ++Requests;
-        From->answer(plainAnswer(), "served");
+        From->sendResponse(plainAnswer(), "served");
       },
       [](CallerSession *) {});
-  Session->begin();
+  Session->start();
   const std::string Request = "GET /a HTTP/1.1\r\nHost: h\r\n\r\n";
   Caller.sendBytes(Request.data(), static_cast<int>(Request.size()));
   // The bytes are with the system; the loop has not turned.
   std::this_thread::sleep_for(20ms);
-  Session->closeWhenDone();
+  Session->closeWhenIdle();
   Loop.after(200ms, [&Loop] { Loop.stop(); });
   Loop.run();
   cr_assert_eq(Requests, 1);
--- a/test/Gateway/ConnectionEndTest.cpp
+++ b/test/Gateway/ConnectionEndTest.cpp
@@ -133,7 +133,7 @@
 /// drains.
 void checkDrainWaitsForAnswer(const std::string &Fields) {
   LargeAnswers L;
-  L.Front.Settings.DrainLimit = 8s;
+  L.Front.Settings.DrainTimeout = 8s;
   Socket Slow = L.ask(Fields);
   L.Front.front().drain();
   std::this_thread::sleep_for(3500ms);
@@ -209,7 +209,7 @@
     return true;
   });
   FrontFixture F;
-  F.Settings.MaxCallers = 1;
+  F.Settings.MaxCallerConnections = 1;
   F.addServer(Server);
   F.start();
   Socket Idle = F.connect();
@@ -230,7 +230,7 @@
 Test(ConnectionEnd, aConnectionWithAnAnswerOnItsWayIsNotClosedForOthers,
      .timeout = 30) {
   LargeAnswers L;
-  L.Front.Settings.MaxCallers = 1;
+  L.Front.Settings.MaxCallerConnections = 1;
   Socket Slow = L.ask();
   std::this_thread::sleep_for(500ms);
   const Socket Other = L.Front.connect();
@@ -373,7 +373,7 @@
 // router stands still as the stop signal comes, and its drain runs from later.
 Test(ConnectionEnd, aDrainRunsFromTheSignal, .timeout = 30) {
   HeldRequests H;
-  H.Front.standStillForOperators(2s);
+  H.Front.blockLoopOnMetrics(2s);
   Socket Caller = H.ask();
   Socket Operator{Poco::Net::SocketAddress(H.Front.Settings.OperatorAddress)};
   sendText(Operator, "GET /metrics HTTP/1.1\r\nHost: h\r\n\r\n");
@@ -382,7 +382,7 @@
   H.Front.front().drain();
   readUntil(Caller, "\r\n\r\n");
   const auto After = std::chrono::steady_clock::now() - Signalled;
-  cr_assert(After < H.Front.Settings.DrainLimit, "%.1f s",
+  cr_assert(After < H.Front.Settings.DrainTimeout, "%.1f s",
             std::chrono::duration<double>(After).count());
 }
 
@@ -392,7 +392,7 @@
   LargeAnswers L;
   Socket Caller = L.ask("Connection: close\r\n");
   L.Front.front().drain();
-  std::this_thread::sleep_for(L.Front.Settings.DrainLimit);
+  std::this_thread::sleep_for(L.Front.Settings.DrainTimeout);
   const std::string Got = readUntil(Caller, AnswerEnd);
   cr_assert(Got.ends_with("(broken)"), "got %zu bytes", Got.size());
 }
--- a/test/Gateway/CrashFixture.cpp
+++ b/test/Gateway/CrashFixture.cpp
@@ -26,7 +26,7 @@
 
 CrashFixture::CrashFixture(std::size_t RouterCount, std::size_t ServerCount,
                            std::chrono::milliseconds BackAfter)
-    : Away(BackAfter) {
+    : Downtime(BackAfter) {
   for (std::size_t I = 0; I < ServerCount; ++I)
     this->Servers.push_back(std::make_unique<ScriptedServer>(
         [this, I](Poco::Net::StreamSocket &S, const std::string &Request) {
@@ -40,14 +40,15 @@
     (*Places)[Made->Settings.Name] = {Made->Settings.PeerAddress, 1};
     for (const auto &Each : this->Servers)
       Made->addServer(*Each);
-    this->Fronts.push_back(std::move(Made));
+    this->RouterFixtures.push_back(std::move(Made));
   }
-  for (const auto &Each : this->Fronts)
+  for (const auto &Each : this->RouterFixtures)
     Each->Routers = Places;
 }
 
 void CrashFixture::start(std::size_t Routers) {
-  for (std::size_t I = 0; I < std::min(Routers, this->Fronts.size()); ++I)
+  for (std::size_t I = 0; I < std::min(Routers, this->RouterFixtures.size());
+       ++I)
     this->startRouter(I);
 }
 
@@ -57,7 +58,7 @@
 
 void CrashFixture::restartServers() {
   ++this->StartedMs;
-  for (const auto &Front : this->Fronts)
+  for (const auto &Front : this->RouterFixtures)
     for (std::size_t I = 0; I < this->Servers.size(); ++I)
       Front->restartServer("s" + std::to_string(I), this->StartedMs);
 }
@@ -69,16 +70,16 @@
            "HTTP/1.1 200 OK\r\nRequest-Id: " + fieldOf(Request, "Request-Id") +
                "\r\nResponse-Seal: s\r\nTransfer-Encoding: chunked\r\n\r\n"
                "2\r\nok\r\n");
-  if (Body.starts_with(CrashMark)) {
+  if (Body.starts_with(CrashPrefix)) {
     if (!endsWithin(S, this->CrashDelay))
-      this->Servers.at(Server)->crash(this->Away);
+      this->Servers.at(Server)->crash(this->Downtime);
     return false;
   }
-  if (Body.starts_with(ResetMark) && this->ResetsLeft-- > 0) {
+  if (Body.starts_with(ResetPrefix) && this->ResetsLeft-- > 0) {
     S.setLinger(true, 0);
     return false;
   }
-  if (Body.starts_with(SlowMark))
+  if (Body.starts_with(SlowPrefix))
     std::this_thread::sleep_for(SlowTime);
   sendText(S, "0\r\n\r\n");
   return true;
@@ -93,14 +94,14 @@
       std::to_string(Body.size()) + "\r\n\r\n" + Body);
 }
 
-std::size_t CrashFixture::crashes() const {
+std::size_t CrashFixture::crashCount() const {
   std::size_t Count = 0;
   for (const auto &Each : this->Servers)
-    Count += Each->crashes();
+    Count += Each->crashCount();
   return Count;
 }
 
-std::size_t CrashFixture::arrivals(const std::string &Body) const {
+std::size_t CrashFixture::receivedCount(const std::string &Body) const {
   std::size_t Count = 0;
   for (const auto &Each : this->Servers)
     for (const std::string &Request : Each->requests())
--- a/test/Gateway/CrashFixture.h
+++ b/test/Gateway/CrashFixture.h
@@ -31,22 +31,24 @@
                    const std::string &Body);
 
   /// Servers that have crashed, each time counted.
-  std::size_t crashes() const;
+  std::size_t crashCount() const;
   /// How often the body has reached a server.
-  std::size_t arrivals(const std::string &Body) const;
+  std::size_t receivedCount(const std::string &Body) const;
 
-  FrontFixture &router(std::size_t Number) { return *this->Fronts.at(Number); }
+  FrontFixture &router(std::size_t Number) {
+    return *this->RouterFixtures.at(Number);
+  }
   ScriptedServer &server(std::size_t Number) {
     return *this->Servers.at(Number);
   }
 
   /// Begins the body of a request that crashes its server, unless its
   /// connection ends before.
-  static constexpr const char *CrashMark = "crash";
+  static constexpr const char *CrashPrefix = "crash";
   /// Begins the body of one that takes 300 ms at a server.
-  static constexpr const char *SlowMark = "slow";
+  static constexpr const char *SlowPrefix = "slow";
   /// Begins the body of one whose connection its server resets, three times.
-  static constexpr const char *ResetMark = "reset";
+  static constexpr const char *ResetPrefix = "reset";
 
   /// From the begin of an answer to the crash.
   std::atomic<std::chrono::milliseconds> CrashDelay{
@@ -56,11 +58,11 @@
   bool serve(std::size_t Server, Poco::Net::StreamSocket &Connection,
              const std::string &Request);
 
-  std::chrono::milliseconds Away;
+  std::chrono::milliseconds Downtime;
   std::atomic<int> ResetsLeft{3};
   std::int64_t StartedMs = 0;
   std::vector<std::unique_ptr<ScriptedServer>> Servers;
-  std::vector<std::unique_ptr<FrontFixture>> Fronts;
+  std::vector<std::unique_ptr<FrontFixture>> RouterFixtures;
 };
 
 } // namespace parsleywing::test
--- a/test/Gateway/CrashingRequestTest.cpp
+++ b/test/Gateway/CrashingRequestTest.cpp
@@ -42,8 +42,8 @@
   CrashFixture Fleet(3, 12, 60s);
   Fleet.start();
   repeat(Fleet, 3, 12, "/safe/x", "crash");
-  cr_assert_geq(Fleet.arrivals("crash"), Third);
-  cr_assert_leq(Fleet.arrivals("crash"), Third + AllowedBehindThird);
+  cr_assert_geq(Fleet.receivedCount("crash"), Third);
+  cr_assert_leq(Fleet.receivedCount("crash"), Third + AllowedBehindThird);
 }
 
 // Guards against the same where attempts run once and servers come back.
@@ -57,8 +57,8 @@
     std::this_thread::sleep_for(300ms);
     Fleet.restartServers();
   }
-  cr_assert_geq(Fleet.arrivals("crash"), Third);
-  cr_assert_leq(Fleet.arrivals("crash"), Third + AllowedBehindThird);
+  cr_assert_geq(Fleet.receivedCount("crash"), Third);
+  cr_assert_leq(Fleet.receivedCount("crash"), Third + AllowedBehindThird);
 }
 
 // Guards against a caller that waits for nothing, or is told what is not true.
@@ -66,13 +66,13 @@
   CrashFixture Fleet(2, 6, 60s);
   Fleet.start();
   repeat(Fleet, 2, 6, "/unsafe/x", "crash");
-  const std::size_t Before = Fleet.arrivals("crash");
+  const std::size_t Before = Fleet.receivedCount("crash");
   const auto Asked = std::chrono::steady_clock::now();
   const std::string Answer = Fleet.call(0, "/unsafe/x", "crash");
   cr_assert_lt(std::chrono::steady_clock::now() - Asked, 100ms);
   cr_assert(isRefused(Answer), "%s", Answer.c_str());
   cr_assert_eq(fieldOf(Answer, "Retry-After"), "");
-  cr_assert_eq(Fleet.arrivals("crash"), Before);
+  cr_assert_eq(Fleet.receivedCount("crash"), Before);
   cr_assert_eq(Fleet.router(0).metrics().find("reason=\"crashes-servers\"} 0"),
                std::string::npos);
 }
@@ -122,7 +122,7 @@
   for (int I = 0; I < 5; ++I)
     Fleet.call(0, "/unsafe/x", "crash");
   cr_assert(isServed(Slow.get()));
-  cr_assert_leq(Fleet.arrivals("crash"), Third + AllowedBehindThird);
+  cr_assert_leq(Fleet.receivedCount("crash"), Third + AllowedBehindThird);
 }
 
 // Guards against servers lost to sends older than the third crash.
@@ -142,8 +142,8 @@
   for (auto &Each : Calls)
     Each.wait();
   std::this_thread::sleep_for(NewsTime);
-  cr_assert_eq(Fleet.arrivals("crash"), 4U);
-  cr_assert_eq(Fleet.crashes(), Third);
+  cr_assert_eq(Fleet.receivedCount("crash"), 4U);
+  cr_assert_eq(Fleet.crashCount(), Third);
 }
 
 // Guards against a router that begins, or was killed, and knows of nothing.
@@ -151,11 +151,11 @@
   CrashFixture Fleet(3, 8, 60s);
   Fleet.start(2);
   repeat(Fleet, 2, 6, "/unsafe/x", "crash");
-  const std::size_t Before = Fleet.arrivals("crash");
+  const std::size_t Before = Fleet.receivedCount("crash");
   Fleet.startRouter(2);
   std::this_thread::sleep_for(NewsTime);
   cr_assert(isRefused(Fleet.call(2, "/unsafe/x", "crash")));
-  cr_assert_eq(Fleet.arrivals("crash"), Before);
+  cr_assert_eq(Fleet.receivedCount("crash"), Before);
 }
 
 // Guards against a router that was cut off from the others during the crashes.
@@ -170,10 +170,10 @@
     Fleet.router(Router).Routers = Cut;
   Fleet.start();
   repeat(Fleet, 2, 6, "/unsafe/x", "crash");
-  const std::size_t Before = Fleet.arrivals("crash");
+  const std::size_t Before = Fleet.receivedCount("crash");
   for (const std::size_t Router : {0U, 1U})
-    Fleet.router(Router).listRouters(Whole);
+    Fleet.router(Router).setRouters(Whole);
   std::this_thread::sleep_for(3s);
   cr_assert(isRefused(Fleet.call(2, "/unsafe/x", "crash")));
-  cr_assert_eq(Fleet.arrivals("crash"), Before);
+  cr_assert_eq(Fleet.receivedCount("crash"), Before);
 }
--- a/test/Gateway/FakeStore.h
+++ b/test/Gateway/FakeStore.h
@@ -18,100 +18,100 @@
 
 /// A store that a test can change, turn off and rob of its history.
 struct FakeStore {
-  std::mutex Guard;
+  std::mutex Mutex;
   std::int64_t Version = 1;
-  Revision At = 10;
+  Revision CurrentRevision = 10;
   std::vector<StoredServer> Servers;
   /// Another one, so that the router does not look for others at its start.
   std::vector<StoredRouter> Routers{{"other", "127.0.0.1:1", 1, 1}};
-  std::vector<EvacuatedZone> Evacuated;
-  bool Away = false;
-  bool HistoryGone = false;
+  std::vector<EvacuatedZone> EvacuatedZones;
+  bool Unreachable = false;
+  bool HistoryCompacted = false;
   /// The store's revision as reads of the configuration tell it.
-  Revision StoreAt = 0;
+  Revision StoreRevision = 0;
   /// What a call for changes that does not wait is told.
-  std::vector<FleetChange> Unheard;
+  std::vector<FleetChange> UnwatchedChanges;
   /// What stale reads are behind by: they tell the state before the last
   /// change.
-  std::atomic<bool> CopiesLag{false};
+  std::atomic<bool> ReplicasLag{false};
   /// Waiting calls hang.
   std::atomic<bool> WatchHangs{false};
   std::atomic<int> ConfigurationReads{0};
   /// Of the configuration and the lists, those at the full price.
-  std::atomic<int> NewestReads{0};
+  std::atomic<int> LinearizableReads{0};
   std::atomic<int> ServerReads{0};
   std::atomic<int> Watches{0};
-  std::atomic<int> Registered{0};
+  std::atomic<int> Registrations{0};
   /// The lease that was renewed last, and one that has ended.
-  std::atomic<LeaseId> Renewed{0};
-  std::atomic<LeaseId> LeaseEnded{0};
-  std::atomic<int> Unregistered{0};
+  std::atomic<LeaseId> RenewedLease{0};
+  std::atomic<LeaseId> EndedLease{0};
+  std::atomic<int> Unregistrations{0};
 
-  void count(ReadAge Age) {
-    if (Age == ReadAge::Newest)
-      ++this->NewestReads;
+  void countRead(ReadConsistency Age) {
+    if (Age == ReadConsistency::Linearizable)
+      ++this->LinearizableReads;
   }
 
   FleetSource source() {
     FleetSource Made;
-    Made.Configuration =
-        [this](Revision,
-               ReadAge Age) -> Result<std::optional<StoredConfiguration>> {
+    Made.Configuration = [this](Revision, ReadConsistency Age)
+        -> Result<std::optional<StoredConfiguration>> {
       ++this->ConfigurationReads;
-      this->count(Age);
-      const std::lock_guard<std::mutex> Lock(this->Guard);
-      if (this->Away)
+      this->countRead(Age);
+      const std::lock_guard<std::mutex> Lock(this->Mutex);
+      if (this->Unreachable)
         return failure(ErrorCode::TimedOut, "away");
-      const bool Lags = Age == ReadAge::MayBeStale && this->CopiesLag;
+      const bool Lags = Age == ReadConsistency::AllowStale && this->ReplicasLag;
       auto Read = std::make_shared<GatewayConfiguration>();
       Read->Version = this->Version - (Lags ? 1 : 0);
-      return std::optional(
-          StoredConfiguration{Read, this->At - (Lags ? 1 : 0), this->StoreAt});
+      return std::optional(StoredConfiguration{
+          Read, this->CurrentRevision - (Lags ? 1 : 0), this->StoreRevision});
     };
-    Made.Servers = [this](ReadAge Age) -> Result<StoredServers> {
+    Made.Servers = [this](ReadConsistency Age) -> Result<StoredServers> {
       ++this->ServerReads;
-      this->count(Age);
-      const std::lock_guard<std::mutex> Lock(this->Guard);
-      if (this->Away)
+      this->countRead(Age);
+      const std::lock_guard<std::mutex> Lock(this->Mutex);
+      if (this->Unreachable)
         return failure(ErrorCode::TimedOut, "away");
-      return StoredServers{this->Servers, this->At};
+      return StoredServers{this->Servers, this->CurrentRevision};
     };
-    Made.Routers = [this](ReadAge Age) -> Result<StoredRouters> {
-      this->count(Age);
-      const std::lock_guard<std::mutex> Lock(this->Guard);
-      return StoredRouters{this->Routers, this->At};
+    Made.Routers = [this](ReadConsistency Age) -> Result<StoredRouters> {
+      this->countRead(Age);
+      const std::lock_guard<std::mutex> Lock(this->Mutex);
+      return StoredRouters{this->Routers, this->CurrentRevision};
     };
-    Made.Evacuations = [this](ReadAge Age) -> Result<StoredEvacuations> {
-      this->count(Age);
-      const std::lock_guard<std::mutex> Lock(this->Guard);
-      return StoredEvacuations{this->Evacuated, this->At};
+    Made.Evacuations =
+        [this](ReadConsistency Age) -> Result<StoredEvacuations> {
+      this->countRead(Age);
+      const std::lock_guard<std::mutex> Lock(this->Mutex);
+      return StoredEvacuations{this->EvacuatedZones, this->CurrentRevision};
     };
     Made.Changes = [this](Revision, Duration Wait) -> Result<FleetChanges> {
       ++this->Watches;
       if (Wait == Duration::zero())
-        return FleetChanges{this->Unheard, this->StoreAt};
+        return FleetChanges{this->UnwatchedChanges, this->StoreRevision};
       while (this->WatchHangs)
         std::this_thread::sleep_for(10ms);
       std::this_thread::sleep_for(20ms);
-      const std::lock_guard<std::mutex> Lock(this->Guard);
-      if (this->Away)
+      const std::lock_guard<std::mutex> Lock(this->Mutex);
+      if (this->Unreachable)
         return failure(ErrorCode::TimedOut, "away");
-      if (std::exchange(this->HistoryGone, false))
+      if (std::exchange(this->HistoryCompacted, false))
         return failure(ErrorCode::NotFound, "gone");
-      return FleetChanges{{}, this->At};
+      return FleetChanges{{}, this->CurrentRevision};
     };
     Made.Register = [this](const StoredRouter &, Duration) -> Result<LeaseId> {
-      ++this->Registered;
+      ++this->Registrations;
       return LeaseId{1};
     };
     Made.Renew = [this](LeaseId Lease) -> Result<void> {
-      this->Renewed = Lease;
-      if (this->LeaseEnded == Lease)
+      this->RenewedLease = Lease;
+      if (this->EndedLease == Lease)
         return failure(ErrorCode::NotFound, "ended");
       return {};
     };
     Made.Unregister = [this](LeaseId) -> Result<void> {
-      ++this->Unregistered;
+      ++this->Unregistrations;
       return {};
     };
     return Made;
@@ -133,22 +133,22 @@
     Options.RouterName = "r";
     Options.RouterAddress = "127.0.0.1:9";
     Options.Role = [Role] { return Role; };
-    Options.DistrustRelay = [this] { ++this->Distrusted; };
+    Options.SwitchRelay = [this] { ++this->RelaySwitches; };
     this->Feed = std::make_unique<FleetFeed>(
-        Options, [this] { return this->Store.source(); }, this->Measured,
+        Options, [this] { return this->Store.source(); }, this->MetricsRegistry,
         [this](std::shared_ptr<const FleetView> View) {
-          const std::lock_guard<std::mutex> Lock(this->Guard);
-          this->Last = std::move(View);
+          const std::lock_guard<std::mutex> Lock(this->Mutex);
+          this->LastView = std::move(View);
         });
   }
 
   std::shared_ptr<const FleetView> view() {
-    const std::lock_guard<std::mutex> Lock(this->Guard);
-    return this->Last;
+    const std::lock_guard<std::mutex> Lock(this->Mutex);
+    return this->LastView;
   }
 
   /// Waits until the view is as wanted; false after three seconds.
-  template <typename Wanted> bool within(Wanted Is) {
+  template <typename Wanted> bool eventually(Wanted Is) {
     for (int Try = 0; Try < 300; ++Try) {
       const auto View = this->view();
       if (View != nullptr && Is(*View))
@@ -159,20 +159,20 @@
   }
 
   /// A relay that knows all up to this revision proves that again and again.
-  void hearFor(Duration Time, Revision SeenAt) const {
+  void receiveProofsFor(Duration Time, Revision SeenAt) const {
     const TimePoint Until = Clock::sinceBoot().now() + Time;
     while (Clock::sinceBoot().now() < Until) {
-      this->Feed->takeRelayTold(
-          RelayWord{Clock::sinceBoot().now(), 10, SeenAt, 0});
+      this->Feed->onRelayMessage(
+          RelayStatus{Clock::sinceBoot().now(), 10, SeenAt, 0});
       std::this_thread::sleep_for(50ms);
     }
   }
 
   FakeStore Store;
-  std::atomic<int> Distrusted{0};
-  Metrics Measured;
-  std::mutex Guard;
-  std::shared_ptr<const FleetView> Last;
+  std::atomic<int> RelaySwitches{0};
+  Metrics MetricsRegistry;
+  std::mutex Mutex;
+  std::shared_ptr<const FleetView> LastView;
   std::unique_ptr<FleetFeed> Feed;
 };
 
--- a/test/Gateway/FleetExchangeTest.cpp
+++ b/test/Gateway/FleetExchangeTest.cpp
@@ -1,6 +1,6 @@
 #include "Gateway/FleetExchange.h"
-#include "Gateway/FleetBook.h"
-#include "Gateway/RoutersOnALoop.h"
+#include "Gateway/FleetState.h"
+#include "Gateway/LoopbackRouters.h"
 
 #include <criterion/criterion.h>
 #include <optional>
@@ -30,33 +30,33 @@
         Relay(Fleet.Loop, Large, 2, RelayTimes::of({})) {
     cr_assert(Small.open([this](const RouterMessage &Message,
                                 const Poco::Net::SocketAddress &From) {
-      if (const auto *Told = std::get_if<FleetTold>(&Message))
-        this->Asking.onTold(*Told, From);
+      if (const auto *Told = std::get_if<FleetStatus>(&Message))
+        this->Asking.onStatus(*Told, From);
       else if (!this->loses())
-        this->Asking.onNews(std::get<FleetNews>(Message));
+        this->Asking.onUpdate(std::get<FleetUpdate>(Message));
     }));
     cr_assert(Large.open([this](const RouterMessage &Message,
                                 const Poco::Net::SocketAddress &From) {
-      this->Relay.onAsked(std::get<FleetAsk>(Message), From);
+      this->Relay.onStatusRequest(std::get<FleetStatusRequest>(Message), From);
     }));
-    this->Fleet.list();
+    this->Fleet.publishList();
     StoredServers Nothing;
-    Nothing.At = 1;
-    this->Known.take(Nothing, {});
-    this->Heard.take(Nothing, {});
+    Nothing.ReadRevision = 1;
+    this->Known.applyServers(Nothing, {});
+    this->Heard.applyServers(Nothing, {});
   }
 
   /// Puts the books in force at both.
   void showViews() {
-    this->Relay.takeView(std::make_shared<FleetView>(this->Known.view()));
-    this->Asking.takeView(std::make_shared<FleetView>(this->Heard.view()));
+    this->Relay.updateView(std::make_shared<FleetView>(this->Known.view()));
+    this->Asking.updateView(std::make_shared<FleetView>(this->Heard.view()));
   }
 
   /// Lets the router ask and take what it is told until this holds, or for two
   /// seconds.
   template <typename Condition> bool runUntil(Condition Holds) {
     bool Held = false;
-    this->Asking.start([&](const RelayTold &Told) {
+    this->Asking.start([&](const RelayMessage &Told) {
       this->take(Told);
       Held = Held || Holds();
       if (Held)
@@ -67,19 +67,19 @@
     return Held;
   }
 
-  void take(const RelayTold &Told) {
-    if (const auto *Word = std::get_if<RelayWord>(&Told)) {
+  void take(const RelayMessage &Told) {
+    if (const auto *Word = std::get_if<RelayStatus>(&Told)) {
       this->LastWord = *Word;
       return;
     }
-    const auto &News = std::get<RelayNews>(Told);
+    const auto &News = std::get<RelayUpdate>(Told);
     ++this->NewsCame;
-    if (News.From > this->Heard.seenRevision())
+    if (News.AfterRevision > this->Heard.seenRevision())
       return;
     for (const FleetChange &Each : News.Changes)
-      this->Heard.take(Each, {});
-    this->Heard.noteSeen(News.To);
-    this->Asking.takeView(std::make_shared<FleetView>(this->Heard.view()));
+      this->Heard.applyChange(Each, {});
+    this->Heard.recordSeenRevision(News.ToRevision);
+    this->Asking.updateView(std::make_shared<FleetView>(this->Heard.view()));
   }
 
   bool loses() {
@@ -89,14 +89,14 @@
     return true;
   }
 
-  RoutersOnALoop Fleet;
+  LoopbackRouters Fleet;
   RouterExchange &Small;
   RouterExchange &Large;
   FleetExchange Asking;
   FleetExchange Relay;
-  FleetBook Known;
-  FleetBook Heard;
-  std::optional<RelayWord> LastWord;
+  FleetState Known;
+  FleetState Heard;
+  std::optional<RelayStatus> LastWord;
   int NewsCame = 0;
   /// Messages with changes that do not arrive.
   int ToLose = 0;
@@ -110,7 +110,7 @@
   for (const Duration Age : {Duration(400ms), Duration(3s)}) {
     Pair P;
     const TimePoint Before = Clock::sinceBoot().now();
-    P.Known.prove(Before - Age);
+    P.Known.recordProof(Before - Age);
     P.showViews();
     cr_assert(P.runUntil([&P] { return P.LastWord.has_value(); }));
     const Duration Told = Before - P.LastWord->ProvenAt;
@@ -122,10 +122,11 @@
   Pair P;
   constexpr Revision Many = 25;
   for (Revision At = 2; At < 2 + Many; ++At)
-    P.Known.take(FleetChange(server("s" + std::to_string(At), At)), {});
-  P.Known.take(FleetChange(RemovedServer{"s2", 40}), {});
-  P.Known.take(FleetChange(StoredRouter{"r", "127.0.0.1:1", 0.5, 41}), {});
-  P.Known.noteSeen(50);
+    P.Known.applyChange(FleetChange(server("s" + std::to_string(At), At)), {});
+  P.Known.applyChange(FleetChange(RemovedServer{"s2", 40}), {});
+  P.Known.applyChange(FleetChange(StoredRouter{"r", "127.0.0.1:1", 0.5, 41}),
+                      {});
+  P.Known.recordSeenRevision(50);
   P.showViews();
   cr_assert(P.runUntil([&P] { return P.Heard.seenRevision() == 50; }));
   const FleetView Same = P.Known.view();
@@ -138,7 +139,7 @@
     cr_expect_eq(Came.Zone, Listed.Zone);
     cr_expect_eq(Came.Slots, Listed.Slots);
   }
-  cr_expect_eq(Got.RouterPlaces->at("r").Capacity, 0.5);
+  cr_expect_eq(Got.RouterEndpoints->at("r").Cores, 0.5);
 }
 
 // Symptom: a router sends requests to a server that has gone. Sequence: the
@@ -147,8 +148,8 @@
 Test(FleetExchange, changesThatWereLostComeAgain) {
   Pair P;
   for (Revision At = 2; At < 40; ++At)
-    P.Known.take(FleetChange(server("s" + std::to_string(At), At)), {});
-  P.Known.noteSeen(40);
+    P.Known.applyChange(FleetChange(server("s" + std::to_string(At), At)), {});
+  P.Known.recordSeenRevision(40);
   P.ToLose = 2;
   P.showViews();
   cr_assert(P.runUntil([&P] { return P.Heard.seenRevision() == 40; }));
@@ -161,13 +162,14 @@
 Test(FleetExchange, changesOfOneRevisionAreKnownOnlyAllTogether) {
   Pair P;
   for (Revision At = 2; At < 27; ++At) {
-    P.Known.take(FleetChange(server("s" + std::to_string(At), At)), {});
-    P.Heard.take(FleetChange(server("s" + std::to_string(At), At)), {});
+    P.Known.applyChange(FleetChange(server("s" + std::to_string(At), At)), {});
+    P.Heard.applyChange(FleetChange(server("s" + std::to_string(At), At)), {});
   }
-  P.Heard.noteSeen(30);
+  P.Heard.recordSeenRevision(30);
   for (Revision At = 2; At < 27; ++At)
-    P.Known.take(FleetChange(RemovedServer{"s" + std::to_string(At), 35}), {});
-  P.Known.noteSeen(36);
+    P.Known.applyChange(
+        FleetChange(RemovedServer{"s" + std::to_string(At), 35}), {});
+  P.Known.recordSeenRevision(36);
   P.showViews();
   P.ToLose = 0;
   cr_assert(P.runUntil([&P] {
@@ -185,10 +187,10 @@
   P.showViews();
   TimePoint Changed{};
   P.Fleet.Loop.after(100ms, [&] {
-    P.Known.take(FleetChange(server("s", 5)), {});
-    P.Known.noteSeen(5);
+    P.Known.applyChange(FleetChange(server("s", 5)), {});
+    P.Known.recordSeenRevision(5);
     Changed = P.Fleet.Loop.clock().now();
-    P.Relay.takeView(std::make_shared<FleetView>(P.Known.view()));
+    P.Relay.updateView(std::make_shared<FleetView>(P.Known.view()));
   });
   cr_assert(P.runUntil([&P] { return P.Heard.seenRevision() == 5; }));
   const Duration After = P.Fleet.Loop.clock().now() - Changed;
@@ -204,14 +206,14 @@
   TimePoint Changed{};
   P.Fleet.Loop.after(100ms, [&] {
     P.ToLose = 1;
-    P.Known.take(FleetChange(server("s", 5)), {});
-    P.Known.noteSeen(5);
+    P.Known.applyChange(FleetChange(server("s", 5)), {});
+    P.Known.recordSeenRevision(5);
     Changed = P.Fleet.Loop.clock().now();
-    P.Relay.takeView(std::make_shared<FleetView>(P.Known.view()));
+    P.Relay.updateView(std::make_shared<FleetView>(P.Known.view()));
   });
   P.Fleet.Loop.after(300ms, [&] {
-    P.Known.prove(Clock::sinceBoot().now());
-    P.Relay.takeView(std::make_shared<FleetView>(P.Known.view()));
+    P.Known.recordProof(Clock::sinceBoot().now());
+    P.Relay.updateView(std::make_shared<FleetView>(P.Known.view()));
   });
   cr_assert(P.runUntil([&P] { return P.Heard.seenRevision() == 5; }));
   const Duration After = P.Fleet.Loop.clock().now() - Changed;
@@ -224,17 +226,17 @@
 Test(FleetExchange, aRelayThatLacksTheChangesSaysSo) {
   Pair P;
   StoredServers Later;
-  Later.At = 100;
-  FleetBook Young;
-  Young.take(Later, {});
+  Later.ReadRevision = 100;
+  FleetState Young;
+  Young.applyServers(Later, {});
   P.Known = Young;
-  P.Known.take(FleetChange(server("s", 105)), {});
-  P.Known.noteSeen(105);
+  P.Known.applyChange(FleetChange(server("s", 105)), {});
+  P.Known.recordSeenRevision(105);
   P.showViews();
   cr_assert(P.runUntil([&P] { return P.LastWord.has_value(); }));
   cr_expect_eq(P.NewsCame, 0);
-  cr_expect_eq(P.LastWord->TellsSince, 100);
-  cr_expect_eq(P.LastWord->SeenAt, 105);
+  cr_expect_eq(P.LastWord->HistoryStartRevision, 100);
+  cr_expect_eq(P.LastWord->SeenRevision, 105);
 }
 
 Test(FleetExchange, aDistrustedRelayIsReplaced) {
@@ -242,7 +244,7 @@
   P.showViews();
   cr_assert(P.runUntil([&P] { return P.LastWord.has_value(); }));
   cr_assert(P.Asking.role() == RelayRole::Follower);
-  P.Asking.distrustRelay();
+  P.Asking.switchRelay();
   P.Fleet.Loop.after(700ms, [&P] { P.Fleet.Loop.stop(); });
   P.LastWord.reset();
   P.runUntil([] { return false; });
@@ -264,28 +266,28 @@
           RelayTimes::of({})));
     // Fifty routers make two clusters; these are listed only.
     for (int Number = 0; Number < 50; ++Number)
-      Fleet.Places["idle" + std::to_string(Number)] = {"127.0.0.1:9", 0.001};
+      Fleet.Endpoints["idle" + std::to_string(Number)] = {"127.0.0.1:9", 0.001};
     cr_assert(Small.open([this](const RouterMessage &Message,
                                 const Poco::Net::SocketAddress &From) {
-      if (const auto *Told = std::get_if<FleetTold>(&Message))
-        this->Asking.onTold(*Told, From);
+      if (const auto *Told = std::get_if<FleetStatus>(&Message))
+        this->Asking.onStatus(*Told, From);
     }));
     for (std::size_t Each = 0; Each < this->Relays.size(); ++Each)
-      cr_assert(Fleet.All[Each + 1]->open(
+      cr_assert(Fleet.Exchanges[Each + 1]->open(
           [this, Each](const RouterMessage &Message,
                        const Poco::Net::SocketAddress &From) {
-            if (const auto *Asked = std::get_if<FleetAsk>(&Message))
-              this->Relays[Each]->onAsked(*Asked, From);
+            if (const auto *Asked = std::get_if<FleetStatusRequest>(&Message))
+              this->Relays[Each]->onStatusRequest(*Asked, From);
           }));
-    Fleet.list();
+    Fleet.publishList();
     show(this->Asking, {});
   }
 
   void show(FleetExchange &To, TimePoint Proven) const {
     auto View = std::make_shared<FleetView>();
-    View->RouterPlaces = std::make_shared<RouterList>(this->Fleet.Places);
+    View->RouterEndpoints = std::make_shared<RouterList>(this->Fleet.Endpoints);
     View->ProvenAt = Proven;
-    To.takeView(View);
+    To.updateView(View);
   }
 
   /// All but the one that is cut off prove five times a second.
@@ -299,10 +301,10 @@
   }
 
   std::uint64_t teller(const std::string &Name) const {
-    return hashName(this->Fleet.Places.at(Name).Address);
+    return hashName(this->Fleet.Endpoints.at(Name).Address);
   }
 
-  RoutersOnALoop Fleet;
+  LoopbackRouters Fleet;
   RouterExchange &Small;
   FleetExchange Asking;
   std::vector<std::unique_ptr<FleetExchange>> Relays;
@@ -322,14 +324,14 @@
   T.prove();
   std::optional<TimePoint> LastOfOwn;
   std::optional<Duration> Gap;
-  T.Asking.start([&](const RelayTold &Told) {
-    const auto *Word = std::get_if<RelayWord>(&Told);
-    if (Word == nullptr || !Word->IsOwn)
+  T.Asking.start([&](const RelayMessage &Told) {
+    const auto *Word = std::get_if<RelayStatus>(&Told);
+    if (Word == nullptr || !Word->IsOwnRelay)
       return;
     if (T.CutOff == 0) {
-      T.CutOff = Word->Teller;
+      T.CutOff = Word->SenderHash;
       LastOfOwn = Word->ProvenAt;
-    } else if (Word->Teller != T.CutOff) {
+    } else if (Word->SenderHash != T.CutOff) {
       Gap = Word->ProvenAt - *LastOfOwn;
       T.Fleet.Loop.stop();
     }
@@ -338,7 +340,7 @@
   T.Fleet.Loop.run();
   cr_assert(Gap.has_value());
   // Before the router would read for itself.
-  cr_expect(*Gap < RelayTimes::of({}).LongestAge);
+  cr_expect(*Gap < RelayTimes::of({}).MaxProofAge);
   cr_expect(T.Asking.role() == RelayRole::Follower);
 }
 
@@ -349,12 +351,12 @@
 Test(FleetExchange, whatIsOnItsWayIsNotSentWithEachQuestion) {
   Pair P;
   for (Revision At = 2; At < 32; ++At)
-    P.Known.take(FleetChange(server("s" + std::to_string(At), At)), {});
-  P.Known.noteSeen(32);
+    P.Known.applyChange(FleetChange(server("s" + std::to_string(At), At)), {});
+  P.Known.recordSeenRevision(32);
   P.showViews();
-  const Poco::Net::SocketAddress Small(P.Fleet.Places.at("small").Address);
+  const Poco::Net::SocketAddress Small(P.Fleet.Endpoints.at("small").Address);
   for (std::uint64_t Number = 100; Number < 110; ++Number)
-    P.Relay.onAsked({{1, Number}, 1}, Small);
+    P.Relay.onStatusRequest({{1, Number}, 1}, Small);
   cr_assert_not(P.runUntil([] { return false; }));
   cr_expect_eq(P.Heard.seenRevision(), 32);
   cr_expect_leq(P.NewsCame, 9, "%d messages", P.NewsCame);
@@ -366,8 +368,8 @@
 Test(FleetExchange, whatARouterLacksComesInPartsThatItCanTake) {
   Pair P;
   for (Revision At = 2; At < 6002; ++At)
-    P.Known.take(FleetChange(server("s" + std::to_string(At), At)), {});
-  P.Known.noteSeen(6002);
+    P.Known.applyChange(FleetChange(server("s" + std::to_string(At), At)), {});
+  P.Known.recordSeenRevision(6002);
   P.showViews();
   cr_assert(P.runUntil([&P] { return P.Heard.seenRevision() == 6002; }));
   cr_expect_eq(P.Heard.view().Servers->size(), 6000U);
--- a/test/Gateway/FleetFeedCallsTest.cpp
+++ b/test/Gateway/FleetFeedCallsTest.cpp
@@ -8,15 +8,15 @@
 namespace {
 
 /// A word of a relay that has reached the store at this moment.
-RelayWord wordAt(TimePoint Proven, std::uint64_t Teller, Revision Configuration,
-                 Revision Seen) {
-  RelayWord Word;
+RelayStatus wordAt(TimePoint Proven, std::uint64_t Teller,
+                   Revision Configuration, Revision Seen) {
+  RelayStatus Word;
   Word.ProvenAt = Proven;
-  Word.ConfigurationAt = Configuration;
-  Word.SeenAt = Seen;
+  Word.ConfigurationRevision = Configuration;
+  Word.SeenRevision = Seen;
   Word.ReadsStore = true;
-  Word.Teller = Teller;
-  Word.IsOwn = Teller == 1;
+  Word.SenderHash = Teller;
+  Word.IsOwnRelay = Teller == 1;
   return Word;
 }
 
@@ -30,10 +30,10 @@
 // state. Fails with `ReadAge::Newest` in `listAge`.
 Test(FleetFeedCalls, aRouterThatStartsMakesNoPlainRead) {
   FeedFixture F(false);
-  F.hearFor(1500ms, 10);
-  cr_expect_eq(F.Store.NewestReads, 0);
+  F.receiveProofsFor(1500ms, 10);
+  cr_expect_eq(F.Store.LinearizableReads, 0);
   cr_expect_eq(F.Store.Watches, 0);
-  cr_expect_eq(F.view()->ConfigurationAt, 10);
+  cr_expect_eq(F.view()->ConfigurationRevision, 10);
   cr_expect(age(*F.view()) < 500ms);
 }
 
@@ -42,21 +42,21 @@
 // Cause: a stale read was taken for the newest state.
 Test(FleetFeedCalls, aStaleConfigurationIsReadAgainAndProvesNothing) {
   FeedFixture F(false);
-  cr_assert(F.within(
-      [](const FleetView &View) { return View.ConfigurationAt == 10; }));
+  cr_assert(F.eventually(
+      [](const FleetView &View) { return View.ConfigurationRevision == 10; }));
   {
-    const std::lock_guard<std::mutex> Lock(F.Store.Guard);
-    F.Store.CopiesLag = true;
+    const std::lock_guard<std::mutex> Lock(F.Store.Mutex);
+    F.Store.ReplicasLag = true;
     F.Store.Version = 2;
-    F.Store.At = 11;
+    F.Store.CurrentRevision = 11;
   }
   const TimePoint Told = now();
-  F.Feed->takeRelayTold(wordAt(Told, 1, 11, 10));
+  F.Feed->onRelayMessage(wordAt(Told, 1, 11, 10));
   cr_expect(F.view()->ProvenAt < Told);
-  cr_assert(F.within(
+  cr_assert(F.eventually(
       [](const FleetView &View) { return View.Configuration->Version == 2; }));
   cr_expect(F.view()->ProvenAt >= Told);
-  cr_expect_eq(F.Store.NewestReads, 1);
+  cr_expect_eq(F.Store.LinearizableReads, 1);
   // A fifth of the bound on a configuration, and the read.
   cr_expect(now() - Told < 900ms);
 }
@@ -67,17 +67,17 @@
 // Fails where `RelayTrust::storeSeemsAway` says no: four calls.
 Test(FleetFeedCalls, anOutageThatTheRelaysTellOfCostsOneTry) {
   FeedFixture F(false);
-  F.hearFor(700ms, 10);
+  F.receiveProofsFor(700ms, 10);
   const TimePoint Lost = now();
   {
-    const std::lock_guard<std::mutex> Lock(F.Store.Guard);
-    F.Store.Away = true;
+    const std::lock_guard<std::mutex> Lock(F.Store.Mutex);
+    F.Store.Unreachable = true;
   }
   const int Before = F.Store.ConfigurationReads + F.Store.ServerReads;
   const int Watches = F.Store.Watches;
   while (now() - Lost < 5s) {
     for (const std::uint64_t Teller : {1U, 2U, 3U, 4U})
-      F.Feed->takeRelayTold(wordAt(Lost, Teller, 10, 10));
+      F.Feed->onRelayMessage(wordAt(Lost, Teller, 10, 10));
     std::this_thread::sleep_for(100ms);
   }
   const int Calls = F.Store.ConfigurationReads + F.Store.ServerReads - Before;
@@ -92,15 +92,15 @@
 // Fails without `FailedAlone`: some twenty calls a second.
 Test(FleetFeedCalls, aRouterThatIsTurnedAwayAloneWaitsEverLonger) {
   FeedFixture F(false);
-  F.hearFor(700ms, 10);
+  F.receiveProofsFor(700ms, 10);
   {
-    const std::lock_guard<std::mutex> Lock(F.Store.Guard);
-    F.Store.Away = true;
+    const std::lock_guard<std::mutex> Lock(F.Store.Mutex);
+    F.Store.Unreachable = true;
   }
   const int Before = F.Store.ConfigurationReads;
   const TimePoint Begin = now();
   while (now() - Begin < 4s) {
-    F.Feed->takeRelayTold(wordAt(now(), 1, 11, 10));
+    F.Feed->onRelayMessage(wordAt(now(), 1, 11, 10));
     std::this_thread::sleep_for(50ms);
   }
   cr_expect_leq(F.Store.ConfigurationReads - Before, 6);
@@ -113,10 +113,11 @@
   FeedFixture F(true, [](FakeStore &Store) {
     Store.Routers.push_back({"r", "127.0.0.1:9", 1, 2, 77});
   });
-  cr_assert(F.within([](const FleetView &View) { return View.SeenAt == 10; }));
+  cr_assert(F.eventually(
+      [](const FleetView &View) { return View.SeenRevision == 10; }));
   std::this_thread::sleep_for(400ms);
-  cr_expect_eq(F.Store.Registered, 0);
-  cr_expect_eq(F.Store.Renewed, 77);
+  cr_expect_eq(F.Store.Registrations, 0);
+  cr_expect_eq(F.Store.RenewedLease, 77);
 }
 
 // Symptom: for over 3 s routers that reach the store use an old configuration
@@ -124,14 +125,14 @@
 // away, all relays among them; they say that they do not reach it. Cause:
 // everybody took their word for it. Fails without FleetFeed::takesRelaysWord.
 Test(FleetFeedCalls, aScoutLooksForItselfWhateverTheRelaysSay) {
-  FeedFixture F(RelayRole::Scout);
-  F.hearFor(300ms, 10);
+  FeedFixture F(RelayRole::Verifier);
+  F.receiveProofsFor(300ms, 10);
   const TimePoint Lost = now();
   const int Before = F.Store.ConfigurationReads;
   const int Watches = F.Store.Watches;
   while (now() - Lost < 4s) {
     for (const std::uint64_t Teller : {1U, 2U, 3U, 4U})
-      F.Feed->takeRelayTold(wordAt(Lost, Teller, 10, 10));
+      F.Feed->onRelayMessage(wordAt(Lost, Teller, 10, 10));
     std::this_thread::sleep_for(100ms);
   }
   cr_expect_gt((F.view()->ProvenAt - Lost).count(), Duration(2800ms).count());
@@ -148,12 +149,13 @@
   FeedFixture F(true, [](FakeStore &Store) {
     Store.Routers.push_back({"r", "127.0.0.1:9", 1, 2, 77});
   });
-  cr_assert(F.within([](const FleetView &View) { return View.SeenAt == 10; }));
+  cr_assert(F.eventually(
+      [](const FleetView &View) { return View.SeenRevision == 10; }));
   std::this_thread::sleep_for(400ms);
-  F.Store.LeaseEnded = 77;
-  F.Feed->takeRelayTold(RelayNews{10, 20, {RemovedRouter{"r", 15}}});
+  F.Store.EndedLease = 77;
+  F.Feed->onRelayMessage(RelayUpdate{10, 20, {RemovedRouter{"r", 15}}});
   std::this_thread::sleep_for(400ms);
-  cr_expect_eq(F.Store.Registered, 1);
+  cr_expect_eq(F.Store.Registrations, 1);
 }
 
 // Symptom: 195 routers that start together each take themselves for a relay.
@@ -161,22 +163,23 @@
 Test(FleetFeedCalls, aRouterThatFindsNoOtherListsItselfAndLooksAgain) {
   FeedFixture F(true, [](FakeStore &Store) { Store.Routers.clear(); });
   // The feed registers on its own thread.
-  for (int Try = 0; Try < 1000 && F.Store.Registered == 0; ++Try)
+  for (int Try = 0; Try < 1000 && F.Store.Registrations == 0; ++Try)
     std::this_thread::sleep_for(10ms);
-  cr_expect_eq(F.Store.Registered, 1);
+  cr_expect_eq(F.Store.Registrations, 1);
   {
-    const std::lock_guard<std::mutex> Lock(F.Store.Guard);
+    const std::lock_guard<std::mutex> Lock(F.Store.Mutex);
     F.Store.Routers = {{"other", "127.0.0.1:1", 1, 9}};
   }
-  cr_assert(F.within([](const FleetView &View) { return View.SeenAt == 10; }));
-  cr_expect(F.view()->RouterPlaces->contains("other"));
-  cr_expect_eq(F.Store.Registered, 1);
+  cr_assert(F.eventually(
+      [](const FleetView &View) { return View.SeenRevision == 10; }));
+  cr_expect(F.view()->RouterEndpoints->contains("other"));
+  cr_expect_eq(F.Store.Registrations, 1);
 }
 
 Test(FleetFeedCalls, callsAreCountedByWhatTheyAreFor) {
   FeedFixture F(false);
-  F.hearFor(700ms, 10);
-  const std::string Text = F.Measured.render();
+  F.receiveProofsFor(700ms, 10);
+  const std::string Text = F.MetricsRegistry.render();
   for (const char *Wanted :
        {"parsleywing_fleet_store_calls_total{cause=\"list\"} 3",
         "parsleywing_fleet_store_calls_total{cause=\"configuration\"} 1",
--- a/test/Gateway/FleetFeedTest.cpp
+++ b/test/Gateway/FleetFeedTest.cpp
@@ -7,7 +7,7 @@
 
 Test(FleetFeed, readsAndProvesAgainAndAgain) {
   FeedFixture F;
-  cr_assert(F.within(
+  cr_assert(F.eventually(
       [](const FleetView &View) { return View.Configuration != nullptr; }));
   std::this_thread::sleep_for(1500ms);
   cr_assert(age(*F.view()) < 1200ms);
@@ -17,11 +17,11 @@
 // store. Cause: a call that failed, or a wait without news, counted as a proof.
 Test(FleetFeed, aStoreThatIsAwayProvesNothing) {
   FeedFixture F;
-  cr_assert(F.within(
+  cr_assert(F.eventually(
       [](const FleetView &View) { return View.Configuration != nullptr; }));
   {
-    const std::lock_guard<std::mutex> Lock(F.Store.Guard);
-    F.Store.Away = true;
+    const std::lock_guard<std::mutex> Lock(F.Store.Mutex);
+    F.Store.Unreachable = true;
   }
   std::this_thread::sleep_for(1800ms);
   cr_assert(age(*F.view()) > 1200ms);
@@ -34,34 +34,34 @@
 Test(FleetFeed, everythingIsReadAnewWhenTheHistoryIsGone) {
   FeedFixture F;
   {
-    const std::lock_guard<std::mutex> Lock(F.Store.Guard);
+    const std::lock_guard<std::mutex> Lock(F.Store.Mutex);
     GatewayServer Server;
     Server.Id = "s";
     F.Store.Servers = {{Server, 5}};
-    F.Store.HistoryGone = true;
+    F.Store.HistoryCompacted = true;
   }
-  cr_assert(F.within(
+  cr_assert(F.eventually(
       [](const FleetView &View) { return View.Servers->size() == 1; }));
   {
-    const std::lock_guard<std::mutex> Lock(F.Store.Guard);
+    const std::lock_guard<std::mutex> Lock(F.Store.Mutex);
     F.Store.Servers.clear();
-    F.Store.At = 20;
-    F.Store.HistoryGone = true;
+    F.Store.CurrentRevision = 20;
+    F.Store.HistoryCompacted = true;
   }
-  cr_assert(
-      F.within([](const FleetView &View) { return View.Servers->empty(); }));
+  cr_assert(F.eventually(
+      [](const FleetView &View) { return View.Servers->empty(); }));
 }
 
 // Symptom: the calls on the store grow with the fleet. Cause: each router read
 // the configuration for itself.
 Test(FleetFeed, aProofOfARelayTakesThePlaceOfAnOwnRead) {
   FeedFixture F(false);
-  cr_assert(F.within(
+  cr_assert(F.eventually(
       [](const FleetView &View) { return View.Configuration != nullptr; }));
   const int Before = F.Store.ConfigurationReads;
   for (int Round = 0; Round < 20; ++Round) {
-    F.Feed->takeRelayTold(
-        RelayWord{Clock::sinceBoot().now(), 10, 0, 0, true, 1});
+    F.Feed->onRelayMessage(
+        RelayStatus{Clock::sinceBoot().now(), 10, 0, 0, true, 1});
     std::this_thread::sleep_for(100ms);
   }
   cr_assert_eq(F.Store.ConfigurationReads, Before);
@@ -70,14 +70,15 @@
 
 Test(FleetFeed, aProofOfAnotherConfigurationCountsForNothing) {
   FeedFixture F(false);
-  cr_assert(F.within(
+  cr_assert(F.eventually(
       [](const FleetView &View) { return View.Configuration != nullptr; }));
   {
-    const std::lock_guard<std::mutex> Lock(F.Store.Guard);
-    F.Store.Away = true;
+    const std::lock_guard<std::mutex> Lock(F.Store.Mutex);
+    F.Store.Unreachable = true;
   }
   const TimePoint Proven = F.view()->ProvenAt;
-  F.Feed->takeRelayTold(RelayWord{Clock::sinceBoot().now(), 99, 0, 0, true, 1});
+  F.Feed->onRelayMessage(
+      RelayStatus{Clock::sinceBoot().now(), 99, 0, 0, true, 1});
   std::this_thread::sleep_for(300ms);
   cr_assert(F.view()->ProvenAt == Proven);
 }
@@ -87,21 +88,21 @@
 // later. Cause: the entry was left to its lease.
 Test(FleetFeed, aLeavingRouterTakesItsEntryBackAtOnce) {
   FeedFixture F;
-  cr_assert(F.within(
+  cr_assert(F.eventually(
       [](const FleetView &View) { return View.Configuration != nullptr; }));
   std::this_thread::sleep_for(400ms);
   F.Feed->leave();
   std::this_thread::sleep_for(500ms);
-  cr_assert_eq(F.Store.Unregistered, 1);
+  cr_assert_eq(F.Store.Unregistrations, 1);
 }
 
 Test(FleetFeed, aRouterThatStaysBehindItsRelayReadsForItself) {
   FeedFixture F(false);
-  cr_assert(F.within(
+  cr_assert(F.eventually(
       [](const FleetView &View) { return View.Configuration != nullptr; }));
   const int Before = F.Store.ServerReads;
   for (int Round = 0; Round < 12; ++Round) {
-    F.Feed->takeRelayTold(RelayWord{Clock::sinceBoot().now(), 10, 1000, 0});
+    F.Feed->onRelayMessage(RelayStatus{Clock::sinceBoot().now(), 10, 1000, 0});
     std::this_thread::sleep_for(100ms);
   }
   cr_assert_gt(F.Store.ServerReads, Before);
@@ -111,18 +112,20 @@
 // routers. Cause: each router waited in the store for every change.
 Test(FleetFeed, aRouterWithARelayTakesChangesFromItAlone) {
   FeedFixture F(false);
-  cr_assert(F.within([](const FleetView &View) { return View.SeenAt == 10; }));
-  F.hearFor(200ms, 10);
+  cr_assert(F.eventually(
+      [](const FleetView &View) { return View.SeenRevision == 10; }));
+  F.receiveProofsFor(200ms, 10);
   const int Reads = F.Store.ServerReads;
   const int Watches = F.Store.Watches;
   GatewayServer Server;
   Server.Id = "s";
-  F.Feed->takeRelayTold(RelayNews{10, 20, {StoredServer{Server, 15}}});
+  F.Feed->onRelayMessage(RelayUpdate{10, 20, {StoredServer{Server, 15}}});
   // Behind a gap: what lies between was lost and comes again.
-  F.Feed->takeRelayTold(RelayNews{25, 30, {RemovedServer{"s", 28}}});
-  cr_assert(F.within([](const FleetView &View) { return View.SeenAt == 20; }));
+  F.Feed->onRelayMessage(RelayUpdate{25, 30, {RemovedServer{"s", 28}}});
+  cr_assert(F.eventually(
+      [](const FleetView &View) { return View.SeenRevision == 20; }));
   cr_expect(F.view()->Servers->contains("s"));
-  F.hearFor(1500ms, 20);
+  F.receiveProofsFor(1500ms, 20);
   cr_expect_eq(F.Store.ServerReads, Reads);
   cr_expect_eq(F.Store.Watches, Watches);
 }
@@ -133,12 +136,13 @@
 // shown twice that the store can be reached.
 Test(FleetFeed, aRelayThatProvesNothingNewIsNotReliedOn) {
   FeedFixture F(false);
-  cr_assert(F.within([](const FleetView &View) { return View.SeenAt == 10; }));
-  F.hearFor(200ms, 10);
+  cr_assert(F.eventually(
+      [](const FleetView &View) { return View.SeenRevision == 10; }));
+  F.receiveProofsFor(200ms, 10);
   const TimePoint CutOff = Clock::sinceBoot().now();
   const int Watches = F.Store.Watches;
   while (Clock::sinceBoot().now() - CutOff < 1600ms) {
-    F.Feed->takeRelayTold(RelayWord{CutOff, 10, 10, 0});
+    F.Feed->onRelayMessage(RelayStatus{CutOff, 10, 10, 0});
     std::this_thread::sleep_for(50ms);
   }
   cr_expect_gt(F.Store.Watches, Watches);
@@ -146,31 +150,33 @@
 
 Test(FleetFeed, whatTheRelayCannotTellIsRead) {
   FeedFixture F(false);
-  cr_assert(F.within([](const FleetView &View) { return View.SeenAt == 10; }));
+  cr_assert(F.eventually(
+      [](const FleetView &View) { return View.SeenRevision == 10; }));
   const int Reads = F.Store.ServerReads;
   {
-    const std::lock_guard<std::mutex> Lock(F.Store.Guard);
-    F.Store.At = 50;
+    const std::lock_guard<std::mutex> Lock(F.Store.Mutex);
+    F.Store.CurrentRevision = 50;
   }
-  F.Feed->takeRelayTold(RelayWord{Clock::sinceBoot().now(), 10, 50, 40});
-  cr_assert(F.within([](const FleetView &View) { return View.SeenAt == 50; }));
+  F.Feed->onRelayMessage(RelayStatus{Clock::sinceBoot().now(), 10, 50, 40});
+  cr_assert(F.eventually(
+      [](const FleetView &View) { return View.SeenRevision == 50; }));
   cr_expect_eq(F.Store.ServerReads, Reads + 1);
 }
 
 Test(FleetFeed, aNewerConfigurationOfTheRelayIsReadAtOnce) {
   FeedFixture F(false);
   // The lists and the configuration are read on two threads.
-  cr_assert(F.within([](const FleetView &View) {
-    return View.SeenAt == 10 && View.Configuration != nullptr;
+  cr_assert(F.eventually([](const FleetView &View) {
+    return View.SeenRevision == 10 && View.Configuration != nullptr;
   }));
   {
-    const std::lock_guard<std::mutex> Lock(F.Store.Guard);
+    const std::lock_guard<std::mutex> Lock(F.Store.Mutex);
     F.Store.Version = 2;
-    F.Store.At = 11;
+    F.Store.CurrentRevision = 11;
   }
   const TimePoint Before = Clock::steady().now();
-  F.Feed->takeRelayTold(RelayWord{Clock::sinceBoot().now(), 11, 10, 0});
-  cr_assert(F.within(
+  F.Feed->onRelayMessage(RelayStatus{Clock::sinceBoot().now(), 11, 10, 0});
+  cr_assert(F.eventually(
       [](const FleetView &View) { return View.Configuration->Version == 2; }));
   cr_expect_lt((Clock::steady().now() - Before).count(),
                Duration(200ms).count());
@@ -182,12 +188,12 @@
 Test(FleetFeed, aStoreThatIsAwayIsAskedEverMoreRarely) {
   FeedFixture F(false);
   // The lists and the configuration are read on two threads.
-  cr_assert(F.within([](const FleetView &View) {
-    return View.SeenAt == 10 && View.Configuration != nullptr;
+  cr_assert(F.eventually([](const FleetView &View) {
+    return View.SeenRevision == 10 && View.Configuration != nullptr;
   }));
   {
-    const std::lock_guard<std::mutex> Lock(F.Store.Guard);
-    F.Store.Away = true;
+    const std::lock_guard<std::mutex> Lock(F.Store.Mutex);
+    F.Store.Unreachable = true;
   }
   const int Before = F.Store.ConfigurationReads + F.Store.ServerReads;
   std::this_thread::sleep_for(5s);
@@ -202,17 +208,19 @@
 // counted as a store without changes.
 Test(FleetFeed, aWatchThatHangsIsNoticed) {
   FeedFixture F;
-  cr_assert(F.within([](const FleetView &View) { return View.SeenAt == 10; }));
+  cr_assert(F.eventually(
+      [](const FleetView &View) { return View.SeenRevision == 10; }));
   F.Store.WatchHangs = true;
   GatewayServer Server;
   Server.Id = "s";
   {
-    const std::lock_guard<std::mutex> Lock(F.Store.Guard);
-    F.Store.Unheard = {StoredServer{Server, 15}};
-    F.Store.StoreAt = 15;
+    const std::lock_guard<std::mutex> Lock(F.Store.Mutex);
+    F.Store.UnwatchedChanges = {StoredServer{Server, 15}};
+    F.Store.StoreRevision = 15;
   }
   const TimePoint Before = Clock::steady().now();
-  cr_expect(F.within([](const FleetView &View) { return View.SeenAt == 15; }));
+  cr_expect(F.eventually(
+      [](const FleetView &View) { return View.SeenRevision == 15; }));
   cr_expect_lt((Clock::steady().now() - Before).count(), Duration(2s).count());
   cr_expect(F.view()->Servers->contains("s"));
   F.Store.WatchHangs = false;
@@ -224,11 +232,12 @@
 // lapsed was passed on.
 Test(FleetFeed, aRemovalThatARelayTellsIsInForceAtOnce) {
   FeedFixture F(false);
-  cr_assert(F.within([](const FleetView &View) { return View.SeenAt == 10; }));
+  cr_assert(F.eventually(
+      [](const FleetView &View) { return View.SeenRevision == 10; }));
   GatewayServer Server;
   Server.Id = "s";
-  F.Feed->takeRelayTold(RelayNews{10, 20, {StoredServer{Server, 15}}});
-  F.Feed->takeRelayTold(RelayNews{20, 30, {RemovedServer{"s", 25}}});
+  F.Feed->onRelayMessage(RelayUpdate{10, 20, {StoredServer{Server, 15}}});
+  F.Feed->onRelayMessage(RelayUpdate{20, 30, {RemovedServer{"s", 25}}});
   cr_expect(F.view()->Servers->empty());
 }
 
@@ -238,17 +247,18 @@
 // the outage for it.
 Test(FleetFeed, anOutageIsOverOnceTheRelayHasReachedTheStore) {
   FeedFixture F(false);
-  cr_assert(F.within([](const FleetView &View) { return View.SeenAt == 10; }));
+  cr_assert(F.eventually(
+      [](const FleetView &View) { return View.SeenRevision == 10; }));
   GatewayServer Server;
   Server.Id = "s";
-  F.Feed->takeRelayTold(RelayNews{10, 20, {StoredServer{Server, 15}}});
+  F.Feed->onRelayMessage(RelayUpdate{10, 20, {StoredServer{Server, 15}}});
   {
-    const std::lock_guard<std::mutex> Lock(F.Store.Guard);
-    F.Store.Away = true;
+    const std::lock_guard<std::mutex> Lock(F.Store.Mutex);
+    F.Store.Unreachable = true;
   }
   std::this_thread::sleep_for(2s);
-  F.hearFor(2800ms, 20);
-  F.Feed->takeRelayTold(RelayNews{20, 30, {RemovedServer{"s", 25}}});
+  F.receiveProofsFor(2800ms, 20);
+  F.Feed->onRelayMessage(RelayUpdate{20, 30, {RemovedServer{"s", 25}}});
   cr_expect(F.view()->Servers->empty());
 }
 
@@ -258,19 +268,20 @@
 // still as far off as in the outage.
 Test(FleetFeed, aStoreThatTheRelayHasReachedAgainIsReadAtOnce) {
   FeedFixture F(false);
-  cr_assert(F.within([](const FleetView &View) { return View.SeenAt == 10; }));
+  cr_assert(F.eventually(
+      [](const FleetView &View) { return View.SeenRevision == 10; }));
   {
-    const std::lock_guard<std::mutex> Lock(F.Store.Guard);
-    F.Store.Away = true;
+    const std::lock_guard<std::mutex> Lock(F.Store.Mutex);
+    F.Store.Unreachable = true;
   }
   std::this_thread::sleep_for(5s);
   {
-    const std::lock_guard<std::mutex> Lock(F.Store.Guard);
-    F.Store.Away = false;
+    const std::lock_guard<std::mutex> Lock(F.Store.Mutex);
+    F.Store.Unreachable = false;
     F.Store.Version = 2;
-    F.Store.At = 11;
+    F.Store.CurrentRevision = 11;
   }
-  F.Feed->takeRelayTold(RelayWord{Clock::sinceBoot().now(), 11, 10, 0});
+  F.Feed->onRelayMessage(RelayStatus{Clock::sinceBoot().now(), 11, 10, 0});
   std::this_thread::sleep_for(400ms);
   cr_expect_eq(F.view()->Configuration->Version, 2);
   cr_expect(age(*F.view()) < 600ms);
@@ -281,13 +292,14 @@
 // was left only when it was silent.
 Test(FleetFeed, aRelayWithoutTheStoreIsDistrusted) {
   FeedFixture F(false);
-  cr_assert(F.within([](const FleetView &View) { return View.SeenAt == 10; }));
+  cr_assert(F.eventually(
+      [](const FleetView &View) { return View.SeenRevision == 10; }));
   const TimePoint CutOff = Clock::sinceBoot().now();
-  for (int Round = 0; Round < 50 && F.Distrusted == 0; ++Round) {
-    F.Feed->takeRelayTold(RelayWord{CutOff, 10, 10, 0});
+  for (int Round = 0; Round < 50 && F.RelaySwitches == 0; ++Round) {
+    F.Feed->onRelayMessage(RelayStatus{CutOff, 10, 10, 0});
     std::this_thread::sleep_for(100ms);
   }
-  cr_expect_geq(F.Distrusted, 1);
+  cr_expect_geq(F.RelaySwitches, 1);
   cr_expect(age(*F.view()) < 3s);
 }
 
@@ -295,7 +307,7 @@
 // listed, and so chosen to allocate, before it had read the fleet.
 Test(FleetFeed, aRouterIsListedOnceItKnowsTheFleet) {
   FakeStore Store;
-  Store.Away = true;
+  Store.Unreachable = true;
   Metrics Measured;
   FleetFeed::Options Options;
   Options.RouterName = "r";
@@ -303,11 +315,11 @@
       Options, [&] { return Store.source(); }, Measured,
       [](const std::shared_ptr<const FleetView> &) {});
   std::this_thread::sleep_for(600ms);
-  cr_expect_eq(Store.Registered, 0);
+  cr_expect_eq(Store.Registrations, 0);
   {
-    const std::lock_guard<std::mutex> Lock(Store.Guard);
-    Store.Away = false;
+    const std::lock_guard<std::mutex> Lock(Store.Mutex);
+    Store.Unreachable = false;
   }
   std::this_thread::sleep_for(2s);
-  cr_expect_eq(Store.Registered, 1);
+  cr_expect_eq(Store.Registrations, 1);
 }
--- a/test/Gateway/FrontFixture.cpp
+++ b/test/Gateway/FrontFixture.cpp
@@ -18,8 +18,8 @@
   Made.Kind = Kind;
   Made.Targets = {{"plain", 1}};
   Made.Timeout = 2s;
-  Made.Objective = 150ms;
-  Made.MaxAttempts = 2;
+  Made.LatencyObjective = 150ms;
+  Made.MaxRuns = 2;
   return Made;
 }
 
@@ -31,7 +31,7 @@
   const auto Head = parseResponseHead(Text.substr(0, Length));
   if (!Head)
     return false;
-  BodyDecoder Body(planResponseBody(*Head, "GET").value());
+  BodyDecoder Body(responseBodyLength(*Head, "GET").value());
   std::string Payload;
   Body.feed(Text.substr(Length), Payload);
   return Body.complete();
@@ -43,7 +43,7 @@
   this->Settings.Name = "router";
   this->Settings.CallerAddress = freeLoopbackAddress();
   this->Settings.ReadyAddress = freeLoopbackAddress();
-  this->Settings.DrainLimit = 4s;
+  this->Settings.DrainTimeout = 4s;
   this->Configuration.Version = 1;
   this->Configuration.HasAccounts = true;
   this->Configuration.AccountOfKey["key"] = "acc";
@@ -56,10 +56,10 @@
 }
 
 FrontFixture::~FrontFixture() {
-  if (!this->Worker.joinable())
+  if (!this->LoopThread.joinable())
     return;
   this->Front->stop();
-  this->Worker.join();
+  this->LoopThread.join();
 }
 
 void FrontFixture::addServer(ScriptedServer &Server) {
@@ -73,11 +73,11 @@
 
 void FrontFixture::start(Duration ProofAge) {
   this->Front = std::make_unique<GatewayFront>(this->Settings, this->Format,
-                                               this->Measured);
+                                               this->MetricsRegistry);
   const auto Opened = this->Front->open();
   cr_assert(Opened.has_value());
   this->publish(ProofAge);
-  this->Worker = std::thread([this] { this->Front->run(); });
+  this->LoopThread = std::thread([this] { this->Front->run(); });
   // The view is taken between two rounds of the loop.
   std::this_thread::sleep_for(150ms);
 }
@@ -98,7 +98,7 @@
   this->publish(Duration::zero());
 }
 
-void FrontFixture::listRouters(std::shared_ptr<const RouterList> Listed) {
+void FrontFixture::setRouters(std::shared_ptr<const RouterList> Listed) {
   this->Routers = std::move(Listed);
   this->publish(Duration::zero());
   std::this_thread::sleep_for(150ms);
@@ -110,20 +110,20 @@
       std::make_shared<GatewayConfiguration>(this->Configuration);
   View->Servers = this->Servers;
   if (this->Routers != nullptr) {
-    View->RouterPlaces = this->Routers;
-    View->Routers = static_cast<std::uint32_t>(this->Routers->size());
+    View->RouterEndpoints = this->Routers;
+    View->RouterCount = static_cast<std::uint32_t>(this->Routers->size());
   }
   View->ProvenAt = Clock::sinceBoot().now() - ProofAge;
-  this->Front->takeView(View);
+  this->Front->updateView(View);
 }
 
-void FrontFixture::standStillForOperators(Duration Time) {
+void FrontFixture::blockLoopOnMetrics(Duration Time) {
   this->Settings.OperatorAddress = freeLoopbackAddress();
-  this->Measured.callback(MetricKind::Gauge, {"standstill", "A pause.", ""},
-                          [Time] {
-                            std::this_thread::sleep_for(Time);
-                            return 0.0;
-                          });
+  this->MetricsRegistry.callback(MetricKind::Gauge,
+                                 {"standstill", "A pause.", ""}, [Time] {
+                                   std::this_thread::sleep_for(Time);
+                                   return 0.0;
+                                 });
 }
 
 Poco::Net::StreamSocket FrontFixture::connect() const {
@@ -138,7 +138,7 @@
   sendText(Socket, Request);
   std::string Answer;
   std::array<char, 4096> Buffer{};
-  this->Reset = false;
+  this->ConnectionReset = false;
   try {
     while (!isWhole(Answer)) {
       const int Count = Socket.receiveBytes(Buffer.data(), Buffer.size());
@@ -147,7 +147,7 @@
       Answer.append(Buffer.data(), static_cast<std::size_t>(Count));
     }
   } catch (const Poco::Exception &) {
-    this->Reset = true;
+    this->ConnectionReset = true;
   }
   return Answer;
 }
--- a/test/Gateway/FrontFixture.h
+++ b/test/Gateway/FrontFixture.h
@@ -35,13 +35,13 @@
   void removeServer(const std::string &Id);
 
   /// Other routers are listed from now on.
-  void listRouters(std::shared_ptr<const RouterList> Listed);
+  void setRouters(std::shared_ptr<const RouterList> Listed);
 
   /// The whole answer's bytes to a request's bytes; what came until the router
   /// closed the connection or the answer was whole. `Reset` is set where the
   /// connection broke.
   std::string call(const std::string &Request);
-  bool Reset = false;
+  bool ConnectionReset = false;
 
   Poco::Net::StreamSocket connect() const;
 
@@ -56,20 +56,20 @@
   std::shared_ptr<const RouterList> Routers;
   GatewayFront &front() { return *this->Front; }
   /// What the router's metrics show now.
-  std::string metrics() const { return this->Measured.render(); }
+  std::string metrics() const { return this->MetricsRegistry.render(); }
 
   /// The router stands still for so long as it answers its operators next.
   /// Before `start`, once.
-  void standStillForOperators(Duration Time);
+  void blockLoopOnMetrics(Duration Time);
 
 private:
   void publish(Duration ProofAge);
 
   WireFormat Format = platformWireFormat();
-  Metrics Measured;
+  Metrics MetricsRegistry;
   std::shared_ptr<ServerList> Servers = std::make_shared<ServerList>();
   std::unique_ptr<GatewayFront> Front;
-  std::thread Worker;
+  std::thread LoopThread;
 };
 
 } // namespace parsleywing::test
--- a/test/Gateway/FrontTest.cpp
+++ b/test/Gateway/FrontTest.cpp
@@ -364,7 +364,7 @@
     return true;
   });
   FrontFixture F;
-  F.Settings.MaxCallers = 4;
+  F.Settings.MaxCallerConnections = 4;
   F.addServer(Server);
   F.start();
   std::vector<Socket> Busy;
@@ -388,7 +388,7 @@
     return true;
   });
   FrontFixture F;
-  F.Settings.MaxCallers = 2;
+  F.Settings.MaxCallerConnections = 2;
   F.addServer(Server);
   F.start();
   Socket First = F.connect();
--- a/test/Gateway/RouterExchangeTest.cpp
+++ b/test/Gateway/RouterExchangeTest.cpp
@@ -1,4 +1,4 @@
-#include "Gateway/RoutersOnALoop.h"
+#include "Gateway/LoopbackRouters.h"
 
 #include <criterion/criterion.h>
 #include <set>
@@ -22,24 +22,24 @@
 } // namespace
 
 Test(RouterExchange, allRoutersAgreeOnTheFirst) {
-  RoutersOnALoop Fleet(Clock::paused());
+  LoopbackRouters Fleet(Clock::paused());
   for (const char *Name : {"r1", "r2", "r3"})
     cr_assert(Fleet.add(Name, 1).open(ignore));
-  Fleet.list();
+  Fleet.publishList();
   for (std::uint64_t Key = 1; Key < 100; ++Key)
-    for (const auto &Each : Fleet.All)
-      cr_assert_eq(Each->firstFor(Key), Fleet.All[0]->firstFor(Key));
+    for (const auto &Each : Fleet.Exchanges)
+      cr_assert_eq(Each->firstFor(Key), Fleet.Exchanges[0]->firstFor(Key));
 }
 
 Test(RouterExchange, largerVmsAreFirstMoreOften) {
-  RoutersOnALoop Fleet(Clock::paused());
+  LoopbackRouters Fleet(Clock::paused());
   cr_assert(Fleet.add("small", 0.25).open(ignore));
   cr_assert(Fleet.add("large", 1).open(ignore));
-  Fleet.list();
+  Fleet.publishList();
   int Large = 0;
   constexpr int Keys = 1000;
   for (std::uint64_t Key = 1; Key <= Keys; ++Key)
-    Large += Fleet.All[0]->firstFor(Key) == "large" ? 1 : 0;
+    Large += Fleet.Exchanges[0]->firstFor(Key) == "large" ? 1 : 0;
   // 64 of 65 by the third power of the cores.
   cr_expect_gt(Large, Keys * 95 / 100);
 }
@@ -50,36 +50,36 @@
 // suspicion began or ended.
 Test(RouterExchange, asksASuspectedRouterAgainAfterAWhile) {
   Clock Time = Clock::paused();
-  RoutersOnALoop Fleet(Time);
+  LoopbackRouters Fleet(Time);
   RouterExchange &Self = Fleet.add("r1", 1);
   cr_assert(Self.open(ignore));
   for (const char *Name : {"r2", "r3"})
     cr_assert(Fleet.add(Name, 1).open(ignore));
-  Fleet.list();
+  Fleet.publishList();
   const std::uint64_t Key = keyOfAnother(Self);
   const std::string First = Self.firstFor(Key);
   Self.suspect(First);
   cr_expect_neq(Self.firstFor(Key), First);
   // A new list does not clear it of suspicion.
-  Fleet.list();
+  Fleet.publishList();
   cr_expect_neq(Self.firstFor(Key), First);
   Time.advance(2s);
   cr_expect_eq(Self.firstFor(Key), First);
 }
 
 Test(RouterExchange, aRouterThatStopsIsFirstForNothing) {
-  RoutersOnALoop Fleet(Clock::paused());
+  LoopbackRouters Fleet(Clock::paused());
   RouterExchange &Self = Fleet.add("r1", 1);
   cr_assert(Self.open(ignore));
   cr_assert(Fleet.add("r2", 1).open(ignore));
-  Fleet.list();
+  Fleet.publishList();
   Self.leave();
   for (std::uint64_t Key = 1; Key < 50; ++Key)
     cr_assert_eq(Self.firstFor(Key), "r2");
 }
 
 Test(RouterExchange, datagramsReachTheRouterOfTheName) {
-  RoutersOnALoop Fleet(Clock::steady());
+  LoopbackRouters Fleet(Clock::steady());
   RouterExchange &Self = Fleet.add("r1", 1);
   RouterExchange &Other = Fleet.add("r2", 1);
   std::vector<RouterMessage> Came;
@@ -90,14 +90,14 @@
         if (Came.size() == 7)
           Fleet.Loop.stop();
       }));
-  Fleet.list();
+  Fleet.publishList();
   for (std::uint64_t Number = 1; Number <= 7; ++Number)
-    Self.send("r2", AskQueued{{1, Number}});
-  Self.send("gone", AskQueued{{1, 8}});
+    Self.send("r2", AllocationQueued{{1, Number}});
+  Self.send("gone", AllocationQueued{{1, 8}});
   Fleet.Loop.after(5s, [&] { Fleet.Loop.stop(); });
   Fleet.Loop.run();
   cr_assert_eq(Came.size(), 7);
-  cr_expect_eq(std::get<AskQueued>(Came[6]).Id.Number, 7U);
+  cr_expect_eq(std::get<AllocationQueued>(Came[6]).Id.Number, 7U);
 }
 
 // Symptom: the requests of the busiest router are allocated for 10 s by routers
@@ -108,7 +108,7 @@
 // Fails with 64 datagrams in a turn.
 Test(RouterExchange, allThatWaitsIsReadInOneTurn) {
   constexpr int Datagrams = 150;
-  RoutersOnALoop Fleet(Clock::steady());
+  LoopbackRouters Fleet(Clock::steady());
   RouterExchange &Self = Fleet.add("r1", 1);
   RouterExchange &Other = Fleet.add("r2", 1);
   int Came = 0;
@@ -125,9 +125,9 @@
         if (++Came == Datagrams)
           Fleet.Loop.stop();
       }));
-  Fleet.list();
+  Fleet.publishList();
   // One message of this kind fills a datagram.
-  FleetNews Large;
+  FleetUpdate Large;
   Large.Items.resize(1);
   for (int Number = 0; Number < Datagrams; ++Number)
     Self.send("r2", Large);
--- a/test/Gateway/ScriptedServer.cpp
+++ b/test/Gateway/ScriptedServer.cpp
@@ -17,8 +17,10 @@
 } // namespace
 
 ScriptedServer::ScriptedServer(Script S)
-    : Answer(std::move(S)), Listening(Poco::Net::SocketAddress("127.0.0.1", 0)),
-      Place(Listening.address()), Acceptor([this] { this->accept(); }) {}
+    : Respond(std::move(S)),
+      Listening(Poco::Net::SocketAddress("127.0.0.1", 0)),
+      ListenAddress(Listening.address()), Acceptor([this] { this->accept(); }) {
+}
 
 ScriptedServer::~ScriptedServer() {
   this->Stopping = true;
@@ -28,30 +30,30 @@
 }
 
 std::vector<std::string> ScriptedServer::requests() {
-  const std::lock_guard<std::mutex> Lock(this->Guard);
+  const std::lock_guard<std::mutex> Lock(this->Mutex);
   return this->Requests;
 }
 
 void ScriptedServer::crash(std::chrono::milliseconds BackAfter) {
-  const std::lock_guard<std::mutex> Lock(this->Guard);
-  if (this->AwayUntil)
+  const std::lock_guard<std::mutex> Lock(this->Mutex);
+  if (this->DownUntil)
     return;
   ++this->Crashes;
-  this->AwayUntil = std::chrono::steady_clock::now() + BackAfter;
+  this->DownUntil = std::chrono::steady_clock::now() + BackAfter;
   // Those that wait to connect find nobody at once.
   ::shutdown(this->Listening.impl()->sockfd(), SHUT_RDWR);
-  for (const Poco::Net::StreamSocket &Each : this->Open)
+  for (const Poco::Net::StreamSocket &Each : this->OpenConnections)
     ::shutdown(Each.impl()->sockfd(), SHUT_RDWR);
-  this->Open.clear();
+  this->OpenConnections.clear();
 }
 
 void ScriptedServer::accept() {
   while (!this->Stopping) {
-    this->stayAway();
+    this->waitForRestart();
     try {
       if (this->Listening.poll(Poco::Timespan(PollMicroseconds),
                                Poco::Net::Socket::SELECT_READ))
-        this->take(this->Listening.acceptConnection());
+        this->startWorker(this->Listening.acceptConnection());
     } catch (const Poco::Exception &) {
       // Shut down by a crash.
     }
@@ -59,11 +61,11 @@
 }
 
 /// Returns once the server listens.
-void ScriptedServer::stayAway() {
+void ScriptedServer::waitForRestart() {
   std::optional<std::chrono::steady_clock::time_point> Until;
   {
-    const std::lock_guard<std::mutex> Lock(this->Guard);
-    Until = this->AwayUntil;
+    const std::lock_guard<std::mutex> Lock(this->Mutex);
+    Until = this->DownUntil;
   }
   if (!Until)
     return;
@@ -73,18 +75,18 @@
   if (this->Stopping)
     return;
   this->Listening = Poco::Net::ServerSocket();
-  this->Listening.bind(this->Place, true);
+  this->Listening.bind(this->ListenAddress, true);
   this->Listening.listen();
-  const std::lock_guard<std::mutex> Lock(this->Guard);
-  this->AwayUntil.reset();
+  const std::lock_guard<std::mutex> Lock(this->Mutex);
+  this->DownUntil.reset();
 }
 
-void ScriptedServer::take(const Poco::Net::StreamSocket &Connection) {
+void ScriptedServer::startWorker(const Poco::Net::StreamSocket &Connection) {
   {
-    const std::lock_guard<std::mutex> Lock(this->Guard);
-    if (this->AwayUntil)
+    const std::lock_guard<std::mutex> Lock(this->Mutex);
+    if (this->DownUntil)
       return;
-    this->Open.push_back(Connection);
+    this->OpenConnections.push_back(Connection);
   }
   this->Workers.emplace_back([this, Connection] {
     try {
@@ -92,8 +94,8 @@
     } catch (const Poco::Exception &) {
       // The router has closed the connection; its test sees that.
     }
-    const std::lock_guard<std::mutex> Lock(this->Guard);
-    std::erase(this->Open, Connection);
+    const std::lock_guard<std::mutex> Lock(this->Mutex);
+    std::erase(this->OpenConnections, Connection);
   });
 }
 
@@ -104,17 +106,17 @@
     const std::size_t Length = headLength(In);
     if (Length > 0) {
       const auto Head = parseRequestHead(In.substr(0, Length));
-      BodyDecoder Body(planRequestBody(*Head).value());
+      BodyDecoder Body(requestBodyLength(*Head).value());
       std::string Payload;
       const std::size_t Used = Body.feed(In.substr(Length), Payload);
       if (Body.complete()) {
         const std::string Request = In.substr(0, Length) + Payload;
         In.erase(0, Length + Used);
         {
-          const std::lock_guard<std::mutex> Lock(this->Guard);
+          const std::lock_guard<std::mutex> Lock(this->Mutex);
           this->Requests.push_back(Request);
         }
-        if (!this->Answer(Connection, Request))
+        if (!this->Respond(Connection, Request))
           return;
         continue;
       }
--- a/test/Gateway/ScriptedServer.h
+++ b/test/Gateway/ScriptedServer.h
@@ -27,7 +27,7 @@
   ScriptedServer(const ScriptedServer &) = delete;
   ScriptedServer &operator=(const ScriptedServer &) = delete;
 
-  std::string address() const { return this->Place.toString(); }
+  std::string address() const { return this->ListenAddress.toString(); }
 
   /// Ends like a process that crashes: all connections at once, and new ones
   /// are refused until it listens again at its address, after `BackAfter`. For
@@ -35,26 +35,26 @@
   void crash(std::chrono::milliseconds BackAfter);
 
   /// How often it has crashed.
-  std::size_t crashes() const { return this->Crashes; }
+  std::size_t crashCount() const { return this->Crashes; }
 
   /// The requests read so far, heads and bodies.
   std::vector<std::string> requests();
 
 private:
   void accept();
-  void take(const Poco::Net::StreamSocket &Connection);
-  void stayAway();
+  void startWorker(const Poco::Net::StreamSocket &Connection);
+  void waitForRestart();
   void serve(Poco::Net::StreamSocket Connection);
 
-  Script Answer;
+  Script Respond;
   Poco::Net::ServerSocket Listening;
-  const Poco::Net::SocketAddress Place;
+  const Poco::Net::SocketAddress ListenAddress;
   std::atomic<bool> Stopping{false};
   std::atomic<std::size_t> Crashes{0};
-  std::mutex Guard;
+  std::mutex Mutex;
   /// Not listening until then.
-  std::optional<std::chrono::steady_clock::time_point> AwayUntil;
-  std::vector<Poco::Net::StreamSocket> Open;
+  std::optional<std::chrono::steady_clock::time_point> DownUntil;
+  std::vector<Poco::Net::StreamSocket> OpenConnections;
   std::vector<std::string> Requests;
   std::vector<std::thread> Workers;
   std::thread Acceptor;
--- a/test/Gateway/SettingsTest.cpp
+++ b/test/Gateway/SettingsTest.cpp
@@ -32,9 +32,9 @@
   cr_assert(Read.has_value(), "%s", Read.error().Message.c_str());
   cr_assert_eq(Read->Gateway.Name, "r1");
   cr_assert_eq(Read->StoreAddress, "127.0.0.1:9000");
-  cr_assert(Read->Gateway.DrainLimit == 8s);
+  cr_assert(Read->Gateway.DrainTimeout == 8s);
   cr_assert(Read->Gateway.Retries.Window == 7500ms);
-  cr_assert_eq(Read->Gateway.MaxCallers, 2050U);
+  cr_assert_eq(Read->Gateway.MaxCallerConnections, 2050U);
 }
 
 Test(GatewaySettings, aMistakeIsNamedWithItsPlace) {
--- a/test/Gateway/UpstreamPoolTest.cpp
+++ b/test/Gateway/UpstreamPoolTest.cpp
@@ -24,16 +24,16 @@
   auto Connection = UpstreamConnection::connect(
       Loop, Format, Poco::Net::SocketAddress(Server.address()));
   UpstreamListener Told;
-  Told.Head = [](const HttpHead &, const ServerHead &) {};
-  Told.Payload = [](std::string_view) {};
+  Told.HeadReceived = [](const HttpHead &, const ServerResponseFields &) {};
+  Told.PayloadReceived = [](std::string_view) {};
   Told.Ended = [&Loop](UpstreamEnd) { Loop.stop(); };
   Connection->send("GET / HTTP/1.1\r\nHost: h\r\n\r\n", "GET", "", Told);
   Loop.run();
   cr_assert(Connection->reusable());
-  Pool.put("server", std::exchange(Connection, nullptr));
+  Pool.release("server", std::exchange(Connection, nullptr));
   // The server ends the connection; the loop does not turn.
   std::this_thread::sleep_for(300ms);
-  cr_assert_null(Pool.take("server", 10s).get());
+  cr_assert_null(Pool.acquire("server", 10s).get());
 }
 
 // Guards against the same on a new connection, which its server has ended
--- a/test/Http/BodyTest.cpp
+++ b/test/Http/BodyTest.cpp
@@ -18,7 +18,7 @@
 } // namespace
 
 Test(BodyDecoder, readsALengthAndLeavesWhatIsBehind) {
-  BodyDecoder Decoder({BodyFraming::Length, 3});
+  BodyDecoder Decoder({BodyFraming::ContentLength, 3});
   std::string Out;
   cr_assert_eq(Decoder.feed("abcdef", Out), 3U);
   cr_assert_eq(Out, "abc");
@@ -59,25 +59,25 @@
 // Sequence: a head states a length and chunks; this router goes by one, the
 // server by the other. Cause: both were taken.
 Test(BodyDecoder, refusesTwoStatementsOfTheLength) {
-  cr_assert_not(planRequestBody(headWith({{"Content-Length", "3"},
-                                          {"Transfer-Encoding", "chunked"}}))
+  cr_assert_not(requestBodyLength(headWith({{"Content-Length", "3"},
+                                            {"Transfer-Encoding", "chunked"}}))
                     .has_value());
-  cr_assert_not(planRequestBody(headWith({{"Content-Length", "3"},
-                                          {"Content-Length", "4"}}))
+  cr_assert_not(requestBodyLength(headWith({{"Content-Length", "3"},
+                                            {"Content-Length", "4"}}))
                     .has_value());
   cr_assert_not(
-      planRequestBody(headWith({{"Content-Length", "+3"}})).has_value());
+      requestBodyLength(headWith({{"Content-Length", "+3"}})).has_value());
   cr_assert_not(
-      planRequestBody(headWith({{"Transfer-Encoding", "gzip"}})).has_value());
+      requestBodyLength(headWith({{"Transfer-Encoding", "gzip"}})).has_value());
 }
 
 Test(BodyDecoder, anAnswerWithoutLengthEndsWithItsConnection) {
-  const auto Plan = planResponseBody(headWith({}), "GET");
+  const auto Plan = responseBodyLength(headWith({}), "GET");
   cr_assert(Plan.has_value());
   BodyDecoder Decoder(*Plan);
   std::string Out;
   Decoder.feed("abc", Out);
-  cr_assert(Decoder.endsWithConnection());
+  cr_assert(Decoder.isCloseDelimited());
   cr_assert_not(Decoder.complete());
 }
 
@@ -91,7 +91,7 @@
   cr_assert_eq(Events.size(), 2U);
   cr_assert_eq(*Events[0].Id, 1U);
   cr_assert_eq(*Events[1].Id, 2U);
-  cr_assert_eq(Splitter.rest(), "id: 3\nda");
+  cr_assert_eq(Splitter.partialEvent(), "id: 3\nda");
   Events = Splitter.add("ta: c\n\n");
   cr_assert_eq(Events.size(), 1U);
   cr_assert_eq(Events[0].Text, "id: 3\ndata: c\n\n");
--- a/test/Http/HeadTest.cpp
+++ b/test/Http/HeadTest.cpp
@@ -44,8 +44,8 @@
   Head.add("X-Hop", "1");
   Head.add("Keep-Alive", "timeout=3");
   Head.add("X-Stays", "2");
-  cr_assert_not(keepsConnection(Head));
-  removeConnectionFields(Head);
+  cr_assert_not(isKeepAlive(Head));
+  removeHopByHopFields(Head);
   cr_assert_eq(Head.Fields.size(), 1U);
   cr_assert_eq(Head.Fields[0].Name, "X-Stays");
 }
--- a/test/Lab/AllocationLoadTest.cpp
+++ b/test/Lab/AllocationLoadTest.cpp
@@ -29,11 +29,11 @@
 Series playAll(const Scenario &Played, const Policy &By) {
   Series Whole;
   for (std::uint64_t Seed = 1; Seed <= Seeds; ++Seed) {
-    const PlayResult Result = play(Played, Seed, By);
-    Whole.Worth += Result.Whole.worth() / Seeds;
-    Whole.WorstAccounts += Result.worstAccounts() / Seeds;
-    Whole.Read += Result.Engines.Read;
-    Whole.OnTime += Result.Whole.OnTime;
+    const SimulationResult Result = simulate(Played, Seed, By);
+    Whole.Worth += Result.Total.worth() / Seeds;
+    Whole.WorstAccounts += Result.worstAccountsWorth() / Seeds;
+    Whole.Read += Result.Engines.PrefilledTokens;
+    Whole.OnTime += Result.Total.OnTime;
   }
   return Whole;
 }
@@ -45,7 +45,7 @@
 // engines with room, its short ones behind them until their time is over.
 // Cause: an account's queue was in order of arrival.
 Test(AllocationLoad, theSmallestOfAnAccountFirstServesMoreCallers) {
-  AllocatorChoices InOrder;
+  AllocatorOptions InOrder;
   InOrder.SmallestFirst = false;
   for (const char *Name : {"overloaded-reviews", "flood"}) {
     const Scenario Played = scenario(Name);
@@ -63,9 +63,9 @@
 Test(AllocationLoad, theLargestOfAKindAreNotStarved) {
   const Scenario Played = scenario("overloaded-reviews");
   for (std::uint64_t Seed = 1; Seed <= Seeds; ++Seed) {
-    const PlayResult Result = play(Played, Seed, AllocatorPolicy{});
+    const SimulationResult Result = simulate(Played, Seed, AllocatorPolicy{});
     for (const auto &[Name, Kind] : Result.ByClass) {
-      const Outcomes &Large = Result.Largest.at(Name);
+      const Outcomes &Large = Result.LargestByClass.at(Name);
       const auto Served = [](const Outcomes &Had) {
         return static_cast<double>(Had.OnTime + Had.Late) / Had.Calls;
       };
@@ -78,8 +78,8 @@
 // Symptom: engines read what other engines keep, and callers are refused
 // meanwhile. Cause: kept parts were not moved.
 Test(AllocationLoad, fetchingKeptPartsServesMoreCallers) {
-  AllocatorChoices NoFetch;
-  NoFetch.FetchKept = false;
+  AllocatorOptions NoFetch;
+  NoFetch.FetchCached = false;
   const Scenario Played = scenario("overloaded-reviews");
   const Series With = playAll(Played, AllocatorPolicy{});
   const Series Without = playAll(Played, AllocatorPolicy{NoFetch});
@@ -91,8 +91,8 @@
 // Symptom: prompts wait while engines with free slots read nothing. Cause: the
 // slots that streams take at an engine did not count where prompts go.
 Test(AllocationLoad, promptsGoWhereSlotsAreLeft) {
-  AllocatorChoices Without;
-  Without.Weights.TakenSlots = 0;
+  AllocatorOptions Without;
+  Without.Weights.OccupiedSlots = 0;
   for (const char *Name : {"overloaded-reviews", "flood"}) {
     const Scenario Played = scenario(Name);
     cr_expect_gt(playAll(Played, AllocatorPolicy{}).Worth,
@@ -107,14 +107,15 @@
 // as a whole get no less: worth 0.655 to 0.663 and the worst accounts 0.269 to
 // 0.290 over six seeds.
 Test(AllocationLoad, whatIsInVainIsToldOnArrival) {
-  AllocatorChoices Without;
-  Without.RefuseVain = false;
+  AllocatorOptions Without;
+  Without.RefuseLikelyTimeouts = false;
   const Scenario Played = scenario("flood");
   for (std::uint64_t Seed = 1; Seed <= Seeds; ++Seed) {
-    const PlayResult Told = play(Played, Seed, AllocatorPolicy{});
-    const PlayResult Held = play(Played, Seed, AllocatorPolicy{Without});
-    cr_expect_lt(Told.refusalAt(0.5), 20);
-    cr_expect_gt(Held.refusalAt(0.5), 300);
+    const SimulationResult Told = simulate(Played, Seed, AllocatorPolicy{});
+    const SimulationResult Held =
+        simulate(Played, Seed, AllocatorPolicy{Without});
+    cr_expect_lt(Told.refusalTimeQuantile(0.5), 20);
+    cr_expect_gt(Held.refusalTimeQuantile(0.5), 300);
   }
   // The interval of the difference over twelve seeds.
   constexpr double Noise = 0.007;
@@ -130,18 +131,18 @@
 Test(AllocationLoad, slowLinksAreLeftAlone) {
   const Scenario Played = scenario("slow-links");
   for (std::uint64_t Seed = 1; Seed <= Seeds; ++Seed) {
-    const PlayResult Result = play(Played, Seed, AllocatorPolicy{});
-    cr_expect_eq(Result.Engines.Fetched, 0U);
-    cr_expect_gt(Result.Whole.worth(), 0.95);
+    const SimulationResult Result = simulate(Played, Seed, AllocatorPolicy{});
+    cr_expect_eq(Result.Engines.FetchedTokens, 0U);
+    cr_expect_gt(Result.Total.worth(), 0.95);
   }
 }
 
 Test(AllocationLoad, aSeedPlaysTheSameEveryTime) {
   const Scenario Played = scenario("flood");
-  const PlayResult One = play(Played, 3, AllocatorPolicy{});
-  const PlayResult Other = play(Played, 3, AllocatorPolicy{});
-  cr_expect_eq(One.Whole.OnTime, Other.Whole.OnTime);
-  cr_expect_eq(One.Engines.Read, Other.Engines.Read);
+  const SimulationResult One = simulate(Played, 3, AllocatorPolicy{});
+  const SimulationResult Other = simulate(Played, 3, AllocatorPolicy{});
+  cr_expect_eq(One.Total.OnTime, Other.Total.OnTime);
+  cr_expect_eq(One.Engines.PrefilledTokens, Other.Engines.PrefilledTokens);
   cr_expect_eq(One.FirstTokens, Other.FirstTokens);
 }
 
--- a/test/Loop/ByteChannelTest.cpp
+++ b/test/Loop/ByteChannelTest.cpp
@@ -22,8 +22,8 @@
   Connection() : Listening(Poco::Net::SocketAddress("127.0.0.1:0")) {
     this->Peer.connect(this->Listening.address());
     this->Peer.setReceiveTimeout(Poco::Timespan(2, 0));
-    this->Channel =
-        ByteChannel::accepted(this->Loop, this->Listening.acceptConnection());
+    this->Channel = ByteChannel::fromAccepted(
+        this->Loop, this->Listening.acceptConnection());
     this->Worker = std::thread([this] { this->Loop.run(); });
   }
 
@@ -107,8 +107,8 @@
   Connection C;
   bool Ended = false;
   C.onLoop([&C, &Ended] {
-    C.Channel->whenReleased(
-        [&Ended](const ChannelLoss &Loss) { Ended = Loss.Unsent > 0; });
+    C.Channel->setReleaseCallback(
+        [&Ended](const ChannelLoss &Loss) { Ended = Loss.UnsentBytes > 0; });
     C.Channel->write(std::string(LargeAnswer, 'x'));
     C.Channel->finish();
   });
@@ -139,7 +139,7 @@
   C.onLoop([&C, &Ended] {
     ChannelListener Listener;
     Listener.Ended = [&Ended](ChannelEnd) { Ended = true; };
-    C.Channel->listen(std::move(Listener));
+    C.Channel->setListener(std::move(Listener));
     C.Channel->pauseReading();
     C.Peer.setLinger(true, 0);
     C.Peer.close();
@@ -156,7 +156,7 @@
   Connection C;
   std::atomic<bool> Released{false};
   C.onLoop([&C, &Released] {
-    C.Channel->whenReleased(
+    C.Channel->setReleaseCallback(
         [&Released](const ChannelLoss &) { Released = true; });
     C.Channel->write(std::string(LargeAnswer, 'x'));
     C.Channel->finish();
@@ -179,9 +179,9 @@
   Peer.setReceiveBufferSize(4096);
   Peer.connect(Listening.address());
   const auto Channel =
-      ByteChannel::accepted(Loop, Listening.acceptConnection());
+      ByteChannel::fromAccepted(Loop, Listening.acceptConnection());
   Channel->write(std::string(100U << 10U, 'x'));
   cr_assert_eq(Channel->unsent(), 0U);
-  cr_assert_not(Channel->closeIfQuiet());
-  cr_assert(Channel->open());
+  cr_assert_not(Channel->closeIfIdle());
+  cr_assert(Channel->isOpen());
 }
--- a/test/Loop/EventLoopTest.cpp
+++ b/test/Loop/EventLoopTest.cpp
@@ -17,12 +17,12 @@
   Poco::Net::StreamSocket Peer;
   Peer.connect(Listening.address());
   const auto Channel =
-      ByteChannel::accepted(Loop, Listening.acceptConnection());
+      ByteChannel::fromAccepted(Loop, Listening.acceptConnection());
   bool Heard = false;
   bool HeardAtTimer = false;
   ChannelListener Listener;
   Listener.Received = [&Heard](std::string_view) { Heard = true; };
-  Channel->listen(std::move(Listener));
+  Channel->setListener(std::move(Listener));
   Loop.post([&Peer, &Time] {
     Peer.sendBytes("answer", 6);
     std::this_thread::sleep_for(50ms);
--- a/test/Peer/PeerPair.h
+++ b/test/Peer/PeerPair.h
@@ -17,23 +17,23 @@
 public:
   PeerTransport::Sink sink() {
     return [this](PeerPartReceived Received) {
-      std::lock_guard<std::mutex> Lock(this->Guard);
+      std::lock_guard<std::mutex> Lock(this->Mutex);
       this->Parts.push_back(std::move(Received));
     };
   }
 
   std::size_t size() {
-    std::lock_guard<std::mutex> Lock(this->Guard);
+    std::lock_guard<std::mutex> Lock(this->Mutex);
     return this->Parts.size();
   }
 
   PeerPartReceived at(std::size_t Index) {
-    std::lock_guard<std::mutex> Lock(this->Guard);
+    std::lock_guard<std::mutex> Lock(this->Mutex);
     return this->Parts.at(Index);
   }
 
 private:
-  std::mutex Guard;
+  std::mutex Mutex;
   std::vector<PeerPartReceived> Parts;
 };
 
--- a/test/Placement/AllocatorTest.cpp
+++ b/test/Placement/AllocatorTest.cpp
@@ -24,7 +24,7 @@
     }
     GatewayService Stated;
     Stated.Name = "engines";
-    Stated.EngineTokens = 200'000;
+    Stated.KvCapacityTokens = 200'000;
     this->Configuration.Services["engines"] = Stated;
     this->Configuration.Limits.TokensPerSecond =
         static_cast<std::uint64_t>(Engines) * 25'000;
@@ -32,19 +32,19 @@
     this->Subject.setServers(Made, &this->Configuration, ServerGroups(*Made));
   }
 
-  AskId ask(std::uint64_t Account, std::uint32_t Tokens,
-            std::int32_t OnTimeMs = 600,
-            std::vector<std::uint64_t> Tried = {}) {
-    ServerAsk Ask;
-    Ask.Excluded = std::move(Tried);
+  CorrelationId ask(std::uint64_t Account, std::uint32_t Tokens,
+                    std::int32_t OnTimeMs = 600,
+                    std::vector<std::uint64_t> Tried = {}) {
+    AllocationRequest Ask;
+    Ask.ExcludedServers = std::move(Tried);
     Ask.Id = {1, ++this->Last};
     Ask.Service = Service;
     Ask.Account = Account;
     Ask.Parts = {{1'000'000 + this->Last, Tokens}};
     Ask.PromptTokens = Tokens;
     Ask.OutputTokens = 10;
-    Ask.OnTimeForMs = OnTimeMs;
-    Ask.WaitForMs = OnTimeMs > 0 ? OnTimeMs : 300;
+    Ask.ObjectiveLeftMs = OnTimeMs;
+    Ask.MaxWaitMs = OnTimeMs > 0 ? OnTimeMs : 300;
     this->AccountOf[Ask.Id] = Account;
     this->Subject.handle(Ask, this->Now);
     return Ask.Id;
@@ -52,12 +52,12 @@
 
   /// Takes the answers; grants are remembered as open.
   void collect() {
-    for (const RouterMessage &Each : this->Subject.takeAnswers()) {
-      if (const auto *Granted = std::get_if<ServerGranted>(&Each)) {
+    for (const RouterMessage &Each : this->Subject.takeReplies()) {
+      if (const auto *Granted = std::get_if<AllocationGrant>(&Each)) {
         this->Open.push_back(Granted->Id);
         ++this->GrantedTo[this->AccountOf[Granted->Id]];
       }
-      if (std::holds_alternative<ServerRefused>(Each))
+      if (std::holds_alternative<AllocationRefusal>(Each))
         ++this->Refused;
     }
   }
@@ -65,7 +65,7 @@
   void endOldest() {
     if (this->Open.empty())
       return;
-    this->Subject.handle(GrantEnded{this->Open.front(), ServerVerdict::Sound},
+    this->Subject.handle(GrantEnded{this->Open.front(), ServerVerdict::Healthy},
                          this->Now);
     this->Open.erase(this->Open.begin());
     this->Subject.tick(this->Now);
@@ -77,8 +77,8 @@
   Allocator Subject;
   TimePoint Now{1s};
   std::uint64_t Last = 0;
-  std::map<AskId, std::uint64_t> AccountOf;
-  std::vector<AskId> Open;
+  std::map<CorrelationId, std::uint64_t> AccountOf;
+  std::vector<CorrelationId> Open;
   std::map<std::uint64_t, int> GrantedTo;
   int Refused = 0;
 };
@@ -91,7 +91,7 @@
   F.ask(1, 1000);
   F.collect();
   cr_assert_eq(F.Open.size(), 2U);
-  cr_assert_eq(F.Subject.waiting(), 0U);
+  cr_assert_eq(F.Subject.queuedRequests(), 0U);
 }
 
 // Symptom: everything is late under load, small accounts first. Sequence: each
@@ -103,7 +103,7 @@
     F.ask(1, 3000);
   F.collect();
   cr_assert_leq(F.Open.size(), 3U);
-  cr_assert_geq(F.Subject.waiting(), 7U);
+  cr_assert_geq(F.Subject.queuedRequests(), 7U);
 }
 
 Test(Allocator, aSmallAccountIsServedBeforeTheRestOfAFlood) {
@@ -142,25 +142,25 @@
   F.Subject.tick(F.Now);
   F.collect();
   cr_assert_geq(F.Refused, 7);
-  cr_assert_eq(F.Subject.waiting(), 0U);
+  cr_assert_eq(F.Subject.queuedRequests(), 0U);
 }
 
 Test(Allocator, answersARepeatedAskWithTheSameServer) {
   Fixture F(3);
-  ServerAsk Ask;
+  AllocationRequest Ask;
   Ask.Id = {7, 1};
   Ask.Service = Service;
   Ask.Parts = {{5, 100}};
   Ask.PromptTokens = 100;
-  Ask.OnTimeForMs = 500;
-  Ask.WaitForMs = 500;
+  Ask.ObjectiveLeftMs = 500;
+  Ask.MaxWaitMs = 500;
   F.Subject.handle(Ask, F.Now);
   F.Subject.handle(Ask, F.Now);
-  const auto Answers = F.Subject.takeAnswers();
+  const auto Answers = F.Subject.takeReplies();
   cr_assert_eq(Answers.size(), 2U);
-  cr_assert_eq(std::get<ServerGranted>(Answers[0]).Server,
-               std::get<ServerGranted>(Answers[1]).Server);
-  cr_assert_eq(F.Subject.granted(), 1U);
+  cr_assert_eq(std::get<AllocationGrant>(Answers[0]).Server,
+               std::get<AllocationGrant>(Answers[1]).Server);
+  cr_assert_eq(F.Subject.activeGrants(), 1U);
 }
 
 // Symptom: engines stand idle while requests wait. Sequence: the word of a
@@ -180,11 +180,11 @@
 
 Test(Allocator, learnsFromRoutersWhatRunsAlready) {
   Fixture F(1);
-  F.Subject.handle(SendOpen{{9, 1}, hashName("e0"), 20'000, 10}, F.Now);
+  F.Subject.handle(GrantActive{{9, 1}, hashName("e0"), 20'000, 10}, F.Now);
   F.ask(1, 3000);
   F.collect();
   cr_assert_eq(F.Open.size(), 0U);
-  F.Subject.handle(SendOpen{{9, 1}, hashName("e0"), 0, 10}, F.Now);
+  F.Subject.handle(GrantActive{{9, 1}, hashName("e0"), 0, 10}, F.Now);
   F.Subject.tick(F.Now);
   F.collect();
   cr_assert_eq(F.Open.size(), 1U);
@@ -202,29 +202,29 @@
   const std::size_t Before = F.Open.size();
   cr_assert_lt(Before, 4U);
   // The first word of the restart comes from a router that has sent there.
-  F.Subject.handle(SendOpen{{9, 1}, hashName("e0"), 0, 10, 500}, F.Now);
+  F.Subject.handle(GrantActive{{9, 1}, hashName("e0"), 0, 10, 500}, F.Now);
   F.Subject.tick(F.Now);
   F.collect();
   cr_assert_gt(F.Open.size(), Before);
-  const std::uint32_t Running = F.Subject.book().running(hashName("e0"));
+  const std::uint32_t Running = F.Subject.serverTable().running(hashName("e0"));
   // Words of sends to the earlier process change nothing.
-  F.Subject.handle(SendOpen{{9, 2}, hashName("e0"), 20'000, 10, 400}, F.Now);
+  F.Subject.handle(GrantActive{{9, 2}, hashName("e0"), 20'000, 10, 400}, F.Now);
   F.Subject.handle(GrantEnded{F.Open.front(), ServerVerdict::Silent}, F.Now);
-  cr_assert_eq(F.Subject.book().running(hashName("e0")), Running);
+  cr_assert_eq(F.Subject.serverTable().running(hashName("e0")), Running);
 }
 
 // A grant is made for the process that the allocator knows, so a router whose
 // list is behind does not make it forget the grant.
 Test(Allocator, aRouterThatHasNotHeardOfARestartKeepsItsGrant) {
   Fixture F(1);
-  F.Subject.handle(SendOpen{{9, 1}, hashName("e0"), 0, 10, 500}, F.Now);
-  const AskId Id = F.ask(1, 1000);
+  F.Subject.handle(GrantActive{{9, 1}, hashName("e0"), 0, 10, 500}, F.Now);
+  const CorrelationId Id = F.ask(1, 1000);
   F.collect();
   cr_assert_eq(F.Open.size(), 1U);
-  F.Subject.handle(SendOpen{Id, hashName("e0"), 1000, 10, 400}, F.Now);
-  cr_assert_eq(F.Subject.book().running(hashName("e0")), 2U);
-  F.Subject.handle(GrantEnded{Id, ServerVerdict::Sound}, F.Now);
-  cr_assert_eq(F.Subject.book().running(hashName("e0")), 1U);
+  F.Subject.handle(GrantActive{Id, hashName("e0"), 1000, 10, 400}, F.Now);
+  cr_assert_eq(F.Subject.serverTable().running(hashName("e0")), 2U);
+  F.Subject.handle(GrantEnded{Id, ServerVerdict::Healthy}, F.Now);
+  cr_assert_eq(F.Subject.serverTable().running(hashName("e0")), 1U);
 }
 
 // An allocator asks what engines keep when it takes them over, once, and again
@@ -232,21 +232,21 @@
 Test(Allocator, anAllocatorThatTakesOverNamesTheCachesThatItDoesNotKnow) {
   Fixture F(3);
   F.ask(1, 1000);
-  cr_assert(F.Subject.takeUnknown().empty(), "engines that cannot fetch");
+  cr_assert(F.Subject.takeUnknownCaches().empty(), "engines that cannot fetch");
   Fixture Fetching(3);
   GatewayService &Stated = Fetching.Configuration.Services["engines"];
-  Stated.KeptTokenBytes = 18'432;
+  Stated.KvBytesPerToken = 18'432;
   Stated.LinkBytesPerMs = 35e6;
   Fetching.Subject.setServers(Fetching.Listed, &Fetching.Configuration,
                               ServerGroups(*Fetching.Listed));
   Fetching.ask(1, 1000);
-  cr_assert_eq(Fetching.Subject.takeUnknown().size(), 3U);
+  cr_assert_eq(Fetching.Subject.takeUnknownCaches().size(), 3U);
   Fetching.Now += 1s;
   Fetching.ask(1, 1000);
-  cr_assert(Fetching.Subject.takeUnknown().empty());
+  cr_assert(Fetching.Subject.takeUnknownCaches().empty());
   Fetching.Now += 5s;
   Fetching.ask(1, 1000);
-  cr_assert_eq(Fetching.Subject.takeUnknown().size(), 3U);
+  cr_assert_eq(Fetching.Subject.takeUnknownCaches().size(), 3U);
 }
 
 Test(Allocator, randomRunsLeaveNothingBehind) {
@@ -268,45 +268,46 @@
         F.collect();
         F.Now += 5s;
         F.Subject.tick(F.Now);
-        RC_ASSERT(F.Subject.waiting() == 0U);
-        RC_ASSERT(F.Subject.granted() == 0U);
+        RC_ASSERT(F.Subject.queuedRequests() == 0U);
+        RC_ASSERT(F.Subject.activeGrants() == 0U);
         for (const auto &[Id, Server] : *F.Listed) {
-          RC_ASSERT(F.Subject.book().running(hashName(Id)) == 0U);
-          RC_ASSERT(F.Subject.book().unread(hashName(Id)) == 0U);
+          RC_ASSERT(F.Subject.serverTable().running(hashName(Id)) == 0U);
+          RC_ASSERT(
+              F.Subject.serverTable().pendingPrefillTokens(hashName(Id)) == 0U);
         }
       });
   cr_assert(Good);
 }
 
 Test(RouterMessages, travelThereAndBack) {
-  ServerAsk Ask;
+  AllocationRequest Ask;
   Ask.Id = {3, 4};
   Ask.Parts = {{5, 6}, {7, 8}};
-  Ask.Excluded = {9};
-  Ask.OnTimeForMs = -10;
-  FleetNews News;
-  News.To = 30;
+  Ask.ExcludedServers = {9};
+  Ask.ObjectiveLeftMs = -10;
+  FleetUpdate News;
+  News.ToRevision = 30;
   News.Items.resize(2);
-  News.Items[1].Kind = NewsKind::RouterListed;
+  News.Items[1].Kind = FleetUpdateKind::RouterListed;
   News.Items[1].Name = "r";
-  News.Items[1].Capacity = 0.5;
+  News.Items[1].Cores = 0.5;
   const auto Read = decodeMessages(
       encodeMessages({Ask, GrantEnded{{1, 2}, ServerVerdict::Silent},
-                      FleetTold{{1, 1}, 5, 6, 7, 8}, News}));
+                      FleetStatus{{1, 1}, 5, 6, 7, 8}, News}));
   cr_assert(Read.has_value());
   cr_assert_eq(Read->size(), 4U);
-  const auto &Back = std::get<ServerAsk>((*Read)[0]);
+  const auto &Back = std::get<AllocationRequest>((*Read)[0]);
   cr_assert_eq(Back.Parts.size(), 2U);
   cr_assert_eq(Back.Parts[1].Tokens, 8U);
-  cr_assert_eq(Back.OnTimeForMs, -10);
+  cr_assert_eq(Back.ObjectiveLeftMs, -10);
   cr_assert_eq(std::get<GrantEnded>((*Read)[1]).Verdict, ServerVerdict::Silent);
-  cr_assert_eq(std::get<FleetTold>((*Read)[2]).TellsSince, 8);
-  const auto &Told = std::get<FleetNews>((*Read)[3]);
-  cr_assert_eq(Told.To, 30);
+  cr_assert_eq(std::get<FleetStatus>((*Read)[2]).CompactRevision, 8);
+  const auto &Told = std::get<FleetUpdate>((*Read)[3]);
+  cr_assert_eq(Told.ToRevision, 30);
   cr_assert_eq(Told.Items.size(), 2U);
-  cr_assert_eq(Told.Items[1].Kind, NewsKind::RouterListed);
+  cr_assert_eq(Told.Items[1].Kind, FleetUpdateKind::RouterListed);
   cr_assert_eq(Told.Items[1].Name, "r");
-  cr_assert_eq(Told.Items[1].Capacity, 0.5);
+  cr_assert_eq(Told.Items[1].Cores, 0.5);
 }
 
 Test(RouterMessages, foreignBytesAreRefused) {
@@ -314,7 +315,7 @@
     (void)decodeMessages(Bytes);
   }));
   cr_assert_not(decodeMessages("").has_value());
-  std::string Cut = encodeMessages({ServerAsk{}});
+  std::string Cut = encodeMessages({AllocationRequest{}});
   Cut.pop_back();
   cr_assert_not(decodeMessages(Cut).has_value());
 }
--- a/test/Placement/RequestIdentityTest.cpp
+++ b/test/Placement/RequestIdentityTest.cpp
@@ -9,7 +9,7 @@
 Test(RequestIdentity, isTheSameForTheSameContent) {
   const RequestContent Content{"acc", "h", "POST", "/a/b?c", "body"};
   cr_assert(identityOf(Content) == identityOf(Content));
-  cr_assert_eq(identityOf(Content).Sketch, sketchOf(Content));
+  cr_assert_eq(identityOf(Content).ShortHash, shortHashOf(Content));
 }
 
 // Guards against one request refused for what another has done.
--- a/test/Placement/ServerGroupsTest.cpp
+++ b/test/Placement/ServerGroupsTest.cpp
@@ -25,7 +25,7 @@
                                    const ServerList &Listed) {
   std::map<std::uint64_t, int> Counts;
   for (const auto &[Id, Server] : Listed)
-    ++Counts[Groups.groupOf(Id, Server.Service)];
+    ++Counts[Groups.groupOfServer(Id, Server.Service)];
   return Counts;
 }
 
@@ -55,11 +55,11 @@
     std::map<std::uint64_t, double> Load;
     // Thirteen accounts with two large subjects each, and the rest in small.
     for (int Subject = 0; Subject < 26; ++Subject)
-      Load[Groups.groupFor(hashName("engines"), {{Random(), 100}, {1, 1}},
-                           0)] += 2.5;
+      Load[Groups.groupForRequest(hashName("engines"),
+                                  {{Random(), 100}, {1, 1}}, 0)] += 2.5;
     for (int Subject = 0; Subject < 350; ++Subject)
-      Load[Groups.groupFor(hashName("engines"), {{Random(), 100}, {1, 1}},
-                           0)] += 0.2;
+      Load[Groups.groupForRequest(hashName("engines"),
+                                  {{Random(), 100}, {1, 1}}, 0)] += 0.2;
     // Each engine carries one unit: 135 of 140 are asked for.
     for (const auto &[Group, Work] : Load)
       Turned += std::max(Work - Size.at(Group), 0.0) / 135;
--- a/test/Placement/ServerBookTest.cpp
+++ b/test/Placement/ServerTableTest.cpp
@@ -1,4 +1,4 @@
-#include "Placement/ServerBook.h"
+#include "Placement/ServerTable.h"
 #include "Runtime/Id.h"
 
 #include <criterion/criterion.h>
@@ -23,8 +23,8 @@
   return Listed;
 }
 
-PlacementQuestion question(const std::vector<PromptPart> &Parts) {
-  PlacementQuestion Asked;
+PlacementQuery question(const std::vector<PromptPart> &Parts) {
+  PlacementQuery Asked;
   Asked.Service = Service;
   Asked.Zone = hashName("a");
   Asked.Parts = &Parts;
@@ -39,19 +39,19 @@
 Test(CacheModel, keepsTheNewestPartsAndOnlyWholeStarts) {
   CacheModel Cache;
   Cache.setCapacity(250);
-  Cache.use({{1, 100}, {2, 50}});
-  cr_assert_eq(Cache.kept({{1, 100}, {2, 50}, {3, 10}}), 150U);
-  cr_assert_eq(Cache.kept({{9, 10}, {2, 50}}), 0U);
-  Cache.use({{1, 100}, {4, 90}});
+  Cache.insert({{1, 100}, {2, 50}});
+  cr_assert_eq(Cache.expectedTokens({{1, 100}, {2, 50}, {3, 10}}), 150U);
+  cr_assert_eq(Cache.expectedTokens({{9, 10}, {2, 50}}), 0U);
+  Cache.insert({{1, 100}, {4, 90}});
   // 240 are held; 50 more drop the one that was used longest ago.
-  Cache.use({{1, 100}, {5, 50}});
-  cr_assert_not(Cache.holds(2));
-  cr_assert(Cache.holds(1));
+  Cache.insert({{1, 100}, {5, 50}});
+  cr_assert_not(Cache.contains(2));
+  cr_assert(Cache.contains(1));
 }
 
 Test(ServerBook, twoBooksAgreeOnWhereAPartBegins) {
-  ServerBook One;
-  ServerBook Other;
+  ServerTable One;
+  ServerTable Other;
   One.setServers(engines(12), nullptr);
   Other.setServers(engines(12), nullptr);
   for (std::uint64_t Id = 1; Id < 50; ++Id) {
@@ -62,17 +62,18 @@
 }
 
 Test(ServerBook, aPartIsReadOnceUntilItsServerIsTooBusy) {
-  ServerBook Book;
+  ServerTable Book;
   Book.setServers(engines(4), nullptr);
   const std::vector<PromptPart> First{{1, 4000}, {101, 500}};
   const auto Home = Book.place(question(First));
-  Book.noteSent(Home->Server, {Home->UnreadTokens, 10}, First, TimePoint(1s));
-  Book.noteRead(Home->Server, {Home->UnreadTokens, 10}, First);
+  Book.recordSent(Home->Server, {Home->PrefillTokens, 10}, First,
+                  TimePoint(1s));
+  Book.recordPrefilled(Home->Server, {Home->PrefillTokens, 10}, First);
   const std::vector<PromptPart> Second{{1, 4000}, {102, 500}};
   const auto Again = Book.place(question(Second));
   cr_assert_eq(Again->Server, Home->Server);
-  cr_assert_eq(Again->UnreadTokens, 500U);
-  Book.noteSent(Home->Server, {40'000, 10}, {{7, 40'000}}, TimePoint(1s));
+  cr_assert_eq(Again->PrefillTokens, 500U);
+  Book.recordSent(Home->Server, {40'000, 10}, {{7, 40'000}}, TimePoint(1s));
   cr_assert_neq(Book.place(question(Second))->Server, Home->Server);
 }
 
@@ -80,30 +81,30 @@
 // Sequence: it holds requests and sends nothing, its connections stay open.
 // Cause: only errors counted against a server.
 Test(ServerBook, aSilentServerIsPassedOverUntilItIsHeard) {
-  ServerBook Book;
+  ServerTable Book;
   Book.setServers(engines(1), nullptr);
   const std::uint64_t Server = hashName("e0");
-  Book.noteSent(Server, {10, 0}, {}, TimePoint(1s));
+  Book.recordSent(Server, {10, 0}, {}, TimePoint(1s));
   cr_assert(Book.usable(Server, TimePoint(1s + 600ms)));
   cr_assert_not(Book.usable(Server, TimePoint(1s + 800ms)));
-  Book.noteHeard(Server, TimePoint(1s + 900ms));
+  Book.recordActivity(Server, TimePoint(1s + 900ms));
   cr_assert(Book.usable(Server, TimePoint(1s + 950ms)));
 }
 
 Test(ServerBook, anUnreachableServerIsLeftAloneForLongerEachTime) {
-  ServerBook Book;
+  ServerTable Book;
   Book.setServers(engines(1), nullptr);
   const std::uint64_t Server = hashName("e0");
   TimePoint Now(1s);
-  Book.noteSent(Server, {0, 0}, {}, Now);
-  Book.noteEnded(Server, {0, 0}, {}, ServerVerdict::Unreachable, Now);
+  Book.recordSent(Server, {0, 0}, {}, Now);
+  Book.recordEnded(Server, {0, 0}, {}, ServerVerdict::Unreachable, Now);
   cr_assert_not(Book.usable(Server, Now + 400ms));
   cr_assert(Book.usable(Server, Now + 600ms));
-  Book.noteSent(Server, {0, 0}, {}, Now);
-  Book.noteEnded(Server, {0, 0}, {}, ServerVerdict::Unreachable, Now);
+  Book.recordSent(Server, {0, 0}, {}, Now);
+  Book.recordEnded(Server, {0, 0}, {}, ServerVerdict::Unreachable, Now);
   cr_assert_not(Book.usable(Server, Now + 900ms));
-  Book.noteSent(Server, {0, 0}, {}, Now);
-  Book.noteEnded(Server, {0, 0}, {}, ServerVerdict::Sound, Now);
+  Book.recordSent(Server, {0, 0}, {}, Now);
+  Book.recordEnded(Server, {0, 0}, {}, ServerVerdict::Healthy, Now);
   cr_assert(Book.usable(Server, Now));
 }
 
@@ -112,33 +113,33 @@
 // starts again under its identity. Cause: what was believed of the earlier
 // process stood, and the ends of its requests were counted against the new one.
 Test(ServerBook, aRestartedServerKnowsNothingOfBefore) {
-  ServerBook Book;
+  ServerTable Book;
   auto Listed = std::make_shared<ServerList>(*engines(1));
   Listed->at("e0").StartedMs = 100;
   Book.setServers(Listed, nullptr);
   const std::uint64_t Server = hashName("e0");
   const std::vector<PromptPart> Parts{{1, 4000}, {2, 500}};
-  const SendWork Old{4500, 50, 100};
-  Book.noteSent(Server, Old, Parts, TimePoint(1s));
-  Book.noteSent(Server, Old, Parts, TimePoint(1s));
-  Book.noteEnded(Server, Old, {}, ServerVerdict::Unreachable, TimePoint(1s));
+  const AttemptLoad Old{4500, 50, 100};
+  Book.recordSent(Server, Old, Parts, TimePoint(1s));
+  Book.recordSent(Server, Old, Parts, TimePoint(1s));
+  Book.recordEnded(Server, Old, {}, ServerVerdict::Unreachable, TimePoint(1s));
   cr_assert_not(Book.usable(Server, TimePoint(1s)));
   auto Again = std::make_shared<ServerList>(*Listed);
   Again->at("e0").StartedMs = 200;
   Book.setServers(Again, nullptr);
   cr_assert(Book.usable(Server, TimePoint(1s)));
   cr_assert_eq(Book.running(Server), 0U);
-  cr_assert_eq(Book.unread(Server), 0U);
-  cr_assert_eq(Book.place(question(Parts))->UnreadTokens, 4500U);
+  cr_assert_eq(Book.pendingPrefillTokens(Server), 0U);
+  cr_assert_eq(Book.place(question(Parts))->PrefillTokens, 4500U);
   // The old process's words come late.
-  const SendWork New{100, 10, 200};
-  Book.noteSent(Server, New, {}, TimePoint(1s));
-  Book.noteEnded(Server, Old, {}, ServerVerdict::Silent, TimePoint(1s));
-  Book.noteSent(Server, Old, Parts, TimePoint(1s));
+  const AttemptLoad New{100, 10, 200};
+  Book.recordSent(Server, New, {}, TimePoint(1s));
+  Book.recordEnded(Server, Old, {}, ServerVerdict::Silent, TimePoint(1s));
+  Book.recordSent(Server, Old, Parts, TimePoint(1s));
   cr_assert_eq(Book.running(Server), 1U);
-  cr_assert_eq(Book.unread(Server), 100U);
+  cr_assert_eq(Book.pendingPrefillTokens(Server), 100U);
   cr_assert(Book.usable(Server, TimePoint(1s)));
-  Book.noteStart(Server, 100);
+  Book.recordStart(Server, 100);
   cr_assert_eq(Book.startOf(Server), 200);
   cr_assert_eq(Book.running(Server), 1U);
 }
@@ -148,7 +149,7 @@
 /// Engines that read 24 tokens in a millisecond and fetch 1,900.
 FetchCost fastLink() {
   GatewayService Service;
-  Service.KeptTokenBytes = 18'432;
+  Service.KvBytesPerToken = 18'432;
   Service.LinkBytesPerMs = 35e6;
   return fetchCostOf(Service, 24);
 }
@@ -159,12 +160,12 @@
   BusyKeeper() {
     this->Book.setServers(engines(2), nullptr);
     this->Keeper = hashName("e0");
-    this->Book.noteSent(this->Keeper, {0, 10}, this->Parts, TimePoint(1s));
-    this->Book.noteRead(this->Keeper, {0, 10}, this->Parts);
-    this->Book.noteSent(this->Keeper, {60'000, 10}, {}, TimePoint(1s));
+    this->Book.recordSent(this->Keeper, {0, 10}, this->Parts, TimePoint(1s));
+    this->Book.recordPrefilled(this->Keeper, {0, 10}, this->Parts);
+    this->Book.recordSent(this->Keeper, {60'000, 10}, {}, TimePoint(1s));
   }
 
-  ServerBook Book;
+  ServerTable Book;
   std::vector<PromptPart> Parts{{1, 500}, {2, 4000}, {3, 700}};
   std::vector<PromptPart> Next{{1, 500}, {2, 4000}, {4, 700}};
   std::uint64_t Keeper = 0;
@@ -178,19 +179,19 @@
 // that takes a thirtieth of the time.
 Test(ServerBook, aPartThatABusyServerKeepsIsFetchedFromIt) {
   BusyKeeper K;
-  PlacementQuestion Asked = question(K.Next);
+  PlacementQuery Asked = question(K.Next);
   const auto Reading = K.Book.place(Asked);
   cr_assert_neq(Reading->Server, K.Keeper);
-  cr_assert_eq(Reading->Source, 0U);
-  cr_assert_eq(Reading->UnreadTokens, 5200U);
+  cr_assert_eq(Reading->FetchSource, 0U);
+  cr_assert_eq(Reading->PrefillTokens, 5200U);
   Asked.Fetch = fastLink();
   const auto Fetching = K.Book.place(Asked);
   cr_assert_neq(Fetching->Server, K.Keeper);
-  cr_assert_eq(Fetching->Source, K.Keeper);
-  cr_assert_eq(Fetching->UnreadTokens, 700U);
+  cr_assert_eq(Fetching->FetchSource, K.Keeper);
+  cr_assert_eq(Fetching->PrefillTokens, 700U);
   // It keeps the part from then on, and nothing is fetched a second time.
-  K.Book.noteSent(Fetching->Server, {700, 10}, K.Next, TimePoint(1s));
-  cr_assert_eq(K.Book.place(Asked)->Source, 0U);
+  K.Book.recordSent(Fetching->Server, {700, 10}, K.Next, TimePoint(1s));
+  cr_assert_eq(K.Book.place(Asked)->FetchSource, 0U);
 }
 
 // Symptom: parts are read at several engines at once. Sequence: a part that is
@@ -198,92 +199,92 @@
 // to fetch what the first has not read yet. Cause: what was sent counted as
 // kept.
 Test(ServerBook, whatIsStillBeingReadIsNotFetched) {
-  ServerBook Book;
+  ServerTable Book;
   Book.setServers(engines(2), nullptr);
   const std::vector<PromptPart> First{{1, 4000}, {2, 700}};
   const std::vector<PromptPart> Next{{1, 4000}, {3, 700}};
-  const SendWork Work{4700, 10};
-  PlacementQuestion Asked = question(Next);
+  const AttemptLoad Work{4700, 10};
+  PlacementQuery Asked = question(Next);
   Asked.Fetch = fastLink();
   const std::uint64_t Reader = Book.place(question(First))->Server;
-  Book.noteSent(Reader, Work, First, TimePoint(1s));
+  Book.recordSent(Reader, Work, First, TimePoint(1s));
   // Behind the first at its engine the part is there.
   const auto Behind = Book.place(Asked);
   cr_assert_eq(Behind->Server, Reader);
-  cr_assert_eq(Behind->UnreadTokens, 700U);
+  cr_assert_eq(Behind->PrefillTokens, 700U);
   const std::set<std::uint64_t> NotThere{Reader};
-  Asked.Excluded = &NotThere;
-  cr_assert_eq(Book.place(Asked)->Source, 0U);
-  cr_assert_eq(Book.place(Asked)->UnreadTokens, 4700U);
-  Book.noteRead(Reader, Work, First);
-  cr_assert_eq(Book.place(Asked)->Source, Reader);
+  Asked.ExcludedServers = &NotThere;
+  cr_assert_eq(Book.place(Asked)->FetchSource, 0U);
+  cr_assert_eq(Book.place(Asked)->PrefillTokens, 4700U);
+  Book.recordPrefilled(Reader, Work, First);
+  cr_assert_eq(Book.place(Asked)->FetchSource, Reader);
   // A prompt that was never read leaves nothing behind.
   const std::vector<PromptPart> Lost{{8, 4000}, {9, 700}};
-  Book.noteSent(Reader, Work, Lost, TimePoint(1s));
-  Book.noteEnded(Reader, Work, Lost, ServerVerdict::Sound, TimePoint(1s));
-  PlacementQuestion Again = question(Lost);
-  cr_assert_eq(Book.place(Again)->UnreadTokens, 4700U);
+  Book.recordSent(Reader, Work, Lost, TimePoint(1s));
+  Book.recordEnded(Reader, Work, Lost, ServerVerdict::Healthy, TimePoint(1s));
+  PlacementQuery Again = question(Lost);
+  cr_assert_eq(Book.place(Again)->PrefillTokens, 4700U);
 }
 
 // Symptom: behind the restart of a router that allocates, parts are read again
 // that engines keep. Cause: its cache models began empty.
 Test(ServerBook, whatAServerSaysThatItKeepsIsKnown) {
-  ServerBook Book;
+  ServerTable Book;
   Book.setServers(engines(2), nullptr);
   const std::vector<PromptPart> Parts{{1, 4000}, {3, 700}};
   const std::uint64_t Keeper = hashName("e1");
-  Book.noteKept(Keeper, {0, {{1, 4000}, {2, 500}}});
+  Book.recordCached(Keeper, {0, {{1, 4000}, {2, 500}}});
   const auto Choice = Book.place(question(Parts));
   cr_assert_eq(Choice->Server, Keeper);
-  cr_assert_eq(Choice->UnreadTokens, 700U);
+  cr_assert_eq(Choice->PrefillTokens, 700U);
   // The word of an earlier process comes late.
-  Book.noteStart(Keeper, 200);
-  Book.noteKept(Keeper, {100, {{1, 4000}}});
-  cr_assert_eq(Book.place(question(Parts))->UnreadTokens, 4700U);
+  Book.recordStart(Keeper, 200);
+  Book.recordCached(Keeper, {100, {{1, 4000}}});
+  cr_assert_eq(Book.place(question(Parts))->PrefillTokens, 4700U);
 }
 
 Test(CacheModel, whatIsToldYieldsBeforeWhatWasSentSince) {
   CacheModel Cache;
   Cache.setCapacity(250);
-  Cache.use({{1, 100}});
-  Cache.noteKept({{1, 100}, {2, 100}, {3, 100}, {4, 50}});
-  cr_assert_eq(Cache.keptNow({{1, 100}, {2, 100}}), 200U);
-  cr_assert_not(Cache.holds(3));
-  cr_assert(Cache.holds(4));
-  Cache.use({{5, 100}});
-  cr_assert(Cache.holds(1));
-  cr_assert_not(Cache.holds(4));
+  Cache.insert({{1, 100}});
+  Cache.addReported({{1, 100}, {2, 100}, {3, 100}, {4, 50}});
+  cr_assert_eq(Cache.residentTokens({{1, 100}, {2, 100}}), 200U);
+  cr_assert_not(Cache.contains(3));
+  cr_assert(Cache.contains(4));
+  Cache.insert({{5, 100}});
+  cr_assert(Cache.contains(1));
+  cr_assert_not(Cache.contains(4));
 }
 
 // Symptom: requests wait for a transfer from a server that does not answer.
 // Cause: the choice of a source looked only at what it keeps.
 Test(ServerBook, nothingIsFetchedFromAServerThatIsGoneOrUnsound) {
   BusyKeeper K;
-  PlacementQuestion Asked = question(K.Next);
+  PlacementQuery Asked = question(K.Next);
   Asked.Fetch = fastLink();
-  K.Book.noteEnded(K.Keeper, {0, 10}, {}, ServerVerdict::Unreachable,
-                   TimePoint(1s));
-  cr_assert_eq(K.Book.place(Asked)->Source, 0U);
+  K.Book.recordEnded(K.Keeper, {0, 10}, {}, ServerVerdict::Unreachable,
+                     TimePoint(1s));
+  cr_assert_eq(K.Book.place(Asked)->FetchSource, 0U);
   BusyKeeper Restarted;
-  Restarted.Book.noteStart(Restarted.Keeper, 5000);
-  cr_assert_eq(Restarted.Book.place(Asked)->Source, 0U);
+  Restarted.Book.recordStart(Restarted.Keeper, 5000);
+  cr_assert_eq(Restarted.Book.place(Asked)->FetchSource, 0U);
 }
 
 Test(ServerBook, whatIsReadAsFastAsItIsFetchedIsRead) {
   GatewayService Slow;
-  Slow.KeptTokenBytes = 18'432;
+  Slow.KvBytesPerToken = 18'432;
   Slow.LinkBytesPerMs = 1'250'000; // 10 Gbit/s: 68 tokens in a millisecond.
   cr_assert_not(fetchCostOf(Slow, 24).PerToken.has_value());
   cr_assert_not(fetchCostOf(GatewayService{}, 24).PerToken.has_value());
   // A short part is not worth the setup of a transfer.
-  ServerBook Book;
+  ServerTable Book;
   Book.setServers(engines(2), nullptr);
-  Book.noteSent(hashName("e0"), {0, 10}, {{1, 60}, {2, 40}}, TimePoint(1s));
-  Book.noteSent(hashName("e0"), {60'000, 10}, {}, TimePoint(1s));
+  Book.recordSent(hashName("e0"), {0, 10}, {{1, 60}, {2, 40}}, TimePoint(1s));
+  Book.recordSent(hashName("e0"), {60'000, 10}, {}, TimePoint(1s));
   const std::vector<PromptPart> Parts{{1, 60}, {3, 40}};
-  PlacementQuestion Asked = question(Parts);
+  PlacementQuery Asked = question(Parts);
   Asked.Fetch = fastLink();
-  cr_assert_eq(Book.place(Asked)->Source, 0U);
+  cr_assert_eq(Book.place(Asked)->FetchSource, 0U);
 }
 
 Test(ServerGroups, areBoundedAndTheSameEverywhere) {
@@ -292,13 +293,14 @@
   const ServerGroups Other(*Listed);
   std::map<std::uint64_t, int> Sizes;
   for (const auto &[Id, Server] : *Listed) {
-    cr_assert_eq(One.groupOf(Id, "engines"), Other.groupOf(Id, "engines"));
-    ++Sizes[One.groupOf(Id, "engines")];
+    cr_assert_eq(One.groupOfServer(Id, "engines"),
+                 Other.groupOfServer(Id, "engines"));
+    ++Sizes[One.groupOfServer(Id, "engines")];
   }
   cr_assert_eq(Sizes.size(), 4U);
   std::map<std::uint64_t, int> Requests;
   for (std::uint64_t Id = 1; Id <= 2000; ++Id)
-    ++Requests[One.groupFor(Service, {{Id * 7919, 100}, {1, 1}}, 0)];
+    ++Requests[One.groupForRequest(Service, {{Id * 7919, 100}, {1, 1}}, 0)];
   for (const auto &[Group, Count] : Requests) {
     cr_assert(Sizes.contains(Group));
     const double Expected = 2000.0 * Sizes[Group] / 90;
--- a/test/Placement/WarmUpTest.cpp
+++ b/test/Placement/WarmUpTest.cpp
@@ -1,6 +1,6 @@
 #include "Placement/Allocator.h"
 #include "Placement/RouterOrder.h"
-#include "Placement/SoleAllocator.h"
+#include "Placement/ServerOwnership.h"
 #include "Runtime/Id.h"
 
 #include <algorithm>
@@ -34,7 +34,7 @@
   auto Made = std::make_shared<GatewayConfiguration>();
   GatewayService Stated;
   Stated.Name = "engines";
-  Stated.EngineTokens = 200'000;
+  Stated.KvCapacityTokens = 200'000;
   Stated.WarmUp = Load;
   Made->Services["engines"] = Stated;
   Made->Limits.TokensPerSecond = 50'000;
@@ -57,14 +57,14 @@
 } // namespace
 
 Test(WarmUpLimit, staysBelowTheBoundHoweverGrantsSlip) {
-  WarmUpLimit Limit(Load, Bounds);
+  WarmUpLimiter Limit(Load, Bounds);
   std::vector<TimePoint> Sent;
   std::mt19937_64 Random(5);
   for (TimePoint Now(10s); Now < TimePoint(30s); Now += 3ms)
-    if (Limit.has(Now)) {
-      Limit.noteSent(Now);
+    if (Limit.hasToken(Now)) {
+      Limit.recordSent(Now);
       Sent.push_back(Now + Duration(static_cast<Duration::rep>(
-                               Random() % (WarmUpSlip.count() + 1))));
+                               Random() % (MaxWarmUpSendDelay.count() + 1))));
     }
   cr_assert_leq(static_cast<double>(mostInASecond(Sent)), Bound);
   // And uses the stated rate, not a part of it.
@@ -72,17 +72,17 @@
 }
 
 Test(WarmUpLimit, aServerThatTurnsColdHasHadTheRequestsOfItsLastSecond) {
-  WarmUpLimit Limit(Load, Bounds);
+  WarmUpLimiter Limit(Load, Bounds);
   TimePoint Now(10s);
   for (int Sent = 0; Sent < 400; ++Sent, Now += 25ms)
-    Limit.noteSent(Now);
-  cr_assert_not(Limit.has(Now + 500ms));
+    Limit.recordSent(Now);
+  cr_assert_not(Limit.hasToken(Now + 500ms));
   // But it does not pay for all that it was sent while it was warm.
-  cr_assert(Limit.has(Now + 2s));
+  cr_assert(Limit.hasToken(Now + 2s));
 }
 
 Test(WarmUpLimit, aServiceWithoutARateIsNotLimited) {
-  cr_assert_not(WarmUpLimit(WarmUpLoad{}, Bounds).limited());
+  cr_assert_not(WarmUpLimiter(WarmUpLoad{}, Bounds).isLimited());
 }
 
 // Symptom: the load that a server had before it restarted comes back at once,
@@ -90,7 +90,7 @@
 // send before the list tells of it. Cause: the entry of the earlier process was
 // taken for the new one's.
 Test(ServerBook, aRestartedServerIsColdBeforeItsEntrySaysSo) {
-  ServerBook Book;
+  ServerTable Book;
   auto Listed = std::make_shared<ServerList>();
   GatewayServer One = engine("a");
   One.StartedMs = 100;
@@ -99,11 +99,11 @@
   Book.setServers(Listed, Stated.get());
   const std::uint64_t Server = hashName("a");
   cr_assert(Book.usable(Server, TimePoint(1s)));
-  Book.noteStart(Server, 200);
+  Book.recordStart(Server, 200);
   cr_assert_not(Book.usable(Server, TimePoint(1s)));
   auto Again = std::make_shared<ServerList>();
   One.StartedMs = 200;
-  One.WarmUntil = TimePoint(4s);
+  One.WarmUpEndsAt = TimePoint(4s);
   Again->emplace("a", One);
   Book.setServers(Again, Stated.get(), nullptr, {TimePoint(1s), TimePoint(1s)});
   cr_assert_not(Book.usable(Server, TimePoint(3s)));
@@ -116,25 +116,25 @@
   Allocator Subject;
   auto Listed = std::make_shared<ServerList>();
   GatewayServer Cold = engine("cold");
-  Cold.WarmUntil = TimePoint(100s);
+  Cold.WarmUpEndsAt = TimePoint(100s);
   Listed->emplace("cold", Cold);
   Listed->emplace("warm", engine("warm"));
   const auto Stated = configuration();
-  Subject.setWarmUps(Bounds, [](std::uint64_t) { return true; });
+  Subject.setWarmUpPolicy(Bounds, [](std::uint64_t) { return true; });
   Subject.setServers(Listed, Stated.get(), ServerGroups(*Listed),
                      {TimePoint(1s), TimePoint(1s)});
   std::map<std::uint64_t, int> Granted;
   for (std::uint64_t Number = 1; Number <= 20; ++Number) {
-    ServerAsk Ask;
+    AllocationRequest Ask;
     Ask.Id = {1, Number};
     Ask.Service = hashName("engines");
     Ask.PromptTokens = 10;
-    Ask.OnTimeForMs = 500;
-    Ask.WaitForMs = 500;
+    Ask.ObjectiveLeftMs = 500;
+    Ask.MaxWaitMs = 500;
     Subject.handle(Ask, TimePoint(1s));
   }
-  for (const RouterMessage &Each : Subject.takeAnswers())
-    if (const auto *Answer = std::get_if<ServerGranted>(&Each)) {
+  for (const RouterMessage &Each : Subject.takeReplies())
+    if (const auto *Answer = std::get_if<AllocationGrant>(&Each)) {
       ++Granted[Answer->Server];
       cr_assert_eq(Answer->SendWithinMs > 0,
                    Answer->Server == hashName("cold"));
@@ -156,7 +156,7 @@
     auto Servers = std::make_shared<ServerList>();
     for (const char *Id : {"a", "b"}) {
       GatewayServer Made = engine(Id);
-      Made.WarmUntil = TimePoint(1000s);
+      Made.WarmUpEndsAt = TimePoint(1000s);
       Servers->emplace(Id, Made);
     }
     this->Servers = Servers;
@@ -166,7 +166,7 @@
                                                1};
       this->All.push_back(std::make_unique<Router>("r" + std::to_string(I)));
       Router &Each = *this->All.back();
-      Each.Local.setWarmUps(Bounds, [this, &Each](std::uint64_t Server) {
+      Each.Local.setWarmUpPolicy(Bounds, [this, &Each](std::uint64_t Server) {
         return Each.Sole.owns(Server, this->Now);
       });
       Each.Local.setServers(this->Servers, this->Stated.get(), this->Groups,
@@ -188,7 +188,7 @@
   struct Router {
     explicit Router(std::string N) : Name(std::move(N)), Sole(Name) {}
     std::string Name;
-    SoleAllocator Sole;
+    ServerOwnership Sole;
     Allocator Local;
     std::shared_ptr<const RouterList> Seen;
     TimePoint NextLook{};
@@ -235,9 +235,9 @@
     FleetView View;
     View.Configuration = this->Stated;
     View.Servers = this->Servers;
-    View.RouterPlaces = List;
+    View.RouterEndpoints = List;
     View.ListsProvenAt = Read;
-    Each.Sole.takeView(View, this->Groups, this->Now);
+    Each.Sole.updateView(View, this->Groups, this->Now);
     Each.NextLook = this->Now + 300ms + this->upTo(900ms);
   }
 
@@ -254,24 +254,25 @@
     Router &Each = *this->All[From];
     std::size_t To = this->Random() % Routers;
     if (Each.Seen != nullptr && this->chance(0.8)) {
-      const std::string First = firstListed(*Each.Seen, hashName("engines"));
+      const std::string First =
+          topRankedRouter(*Each.Seen, hashName("engines"));
       for (std::size_t I = 0; I < Routers; ++I)
         if (this->All[I]->Name == First)
           To = I;
     }
-    ServerAsk Ask;
+    AllocationRequest Ask;
     Ask.Id = {From, ++this->LastNumber};
     Ask.Service = hashName("engines");
     Ask.PromptTokens = 10;
-    Ask.OnTimeForMs = 400;
-    Ask.WaitForMs = 400;
+    Ask.ObjectiveLeftMs = 400;
+    Ask.MaxWaitMs = 400;
     Each.AskedAt[Ask.Id.Number] = this->Now;
     this->post(From, To, Ask);
   }
 
   void take(std::size_t To, std::size_t From, const RouterMessage &Message) {
     Router &Each = *this->All[To];
-    const auto *Granted = std::get_if<ServerGranted>(&Message);
+    const auto *Granted = std::get_if<AllocationGrant>(&Message);
     if (Granted == nullptr) {
       Each.Local.handle(Message, this->Now);
       return;
@@ -285,10 +286,10 @@
     Each.AskedAt.erase(Asked);
     if (InTime)
       this->Sends[Granted->Server].push_back(
-          this->Now + this->upTo(WarmUpSlip - WarmUpGrantLife));
+          this->Now + this->upTo(MaxWarmUpSendDelay - WarmUpGrantLifetime));
     else
       ++this->Late;
-    this->post(To, From, GrantEnded{Granted->Id, ServerVerdict::Sound});
+    this->post(To, From, GrantEnded{Granted->Id, ServerVerdict::Healthy});
   }
 
   void step() {
@@ -326,8 +327,8 @@
     if (this->chance(0.25))
       this->ask(Index);
     Each.Local.tick(this->Now);
-    for (const RouterMessage &Answer : Each.Local.takeAnswers())
-      if (const auto *Granted = std::get_if<ServerGranted>(&Answer))
+    for (const RouterMessage &Answer : Each.Local.takeReplies())
+      if (const auto *Granted = std::get_if<AllocationGrant>(&Answer))
         this->post(Index, Granted->Id.Process, Answer);
   }
 
--- a/test/Platform/ConfigurationStoreTest.cpp
+++ b/test/Platform/ConfigurationStoreTest.cpp
@@ -14,10 +14,10 @@
 
   ConfigurationStore open(Duration Patience = 5s) {
     ConfigurationStoreSettings C;
-    C.Patience = Patience;
-    C.CollectEvery = 4;
-    C.KeepParts = 2;
-    C.KeepHistory = 6;
+    C.Timeout = Patience;
+    C.GenerationsPerCollection = 4;
+    C.RetainedPartGenerations = 2;
+    C.RetainedHistoryEntries = 6;
     return ConfigurationStore(C,
                               StoreClient({this->Store.address(), 200ms, 500ms},
                                           this->Budget, Clock::steady()),
@@ -71,11 +71,11 @@
   cr_assert_eq(accepted(Store.apply(fileOf(3, 2), "juma", 1)), 2U);
   cr_assert_eq(accepted(Store.apply(fileOf(3, 3), "neema")), 3U);
   const auto Outcome = Store.apply(fileOf(3, 4), "asha", 1);
-  const auto *Lost = std::get_if<ApplyLost>(&Outcome);
+  const auto *Lost = std::get_if<ApplyConflict>(&Outcome);
   cr_assert_not_null(Lost);
   cr_assert_eq(Lost->Current.Operator, "neema");
-  cr_assert_eq(Lost->Between.size(), 2U);
-  cr_assert_eq(Lost->Between[0].Operator, "juma");
+  cr_assert_eq(Lost->ChangesSinceBase.size(), 2U);
+  cr_assert_eq(Lost->ChangesSinceBase[0].Operator, "juma");
   cr_assert_eq(Store.read()->Text, ConfigurationText(fileOf(3, 3)).whole());
 }
 
--- a/test/Platform/FencedLeaseTest.cpp
+++ b/test/Platform/FencedLeaseTest.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-FencedLeaseTimes shortTimes() { return {2s, 800ms, 300ms, 300ms, 100ms}; }
+FencedLeaseTiming shortTimes() { return {2s, 800ms, 300ms, 300ms, 100ms}; }
 
 template <typename Condition> bool eventually(Condition Holds) {
   for (int Try = 0; Try < 1000; ++Try) {
@@ -42,8 +42,8 @@
       auto Next = this->Queue.extract(this->Queue.begin());
       this->Now = Next.key();
       Next.mapped()();
-      RC_ASSERT(!(this->Holders[0].State.usable(this->Now) &&
-                  this->Holders[1].State.usable(this->Now)));
+      RC_ASSERT(!(this->Holders[0].State.fencingNumber(this->Now) &&
+                  this->Holders[1].State.fencingNumber(this->Now)));
     }
     return this->Arrived;
   }
@@ -51,7 +51,7 @@
   FencingNumber highest() const { return this->Highest; }
 
 private:
-  static constexpr FencedLeaseTimes Times{20s, 8s, 10s, 4s, 2s};
+  static constexpr FencedLeaseTiming Times{20s, 8s, 10s, 4s, 2s};
 
   struct Holder {
     FencedLeaseState State{Times};
@@ -78,8 +78,8 @@
 
   void wake(Holder &Who) {
     this->perform(Who, Who.State.handle(this->Now, LeaseTick{}));
-    if (const auto Number = Who.State.usable(this->Now))
-      this->later(this->draw(Times.SuccessorWait),
+    if (const auto Number = Who.State.fencingNumber(this->Now))
+      this->later(this->draw(Times.TakeoverDelay),
                   [this, Number] { this->arrive(*Number); });
     if (this->chance(100))
       Who.AwakeFrom = this->Now + this->draw(60s);
@@ -121,13 +121,14 @@
     }
     const bool Acquire = std::holds_alternative<AcquireLease>(Action);
     if (Acquire ? this->Owner != nullptr : this->Owner != &Who)
-      return Acquire ? LeaseEvent(LeaseRefused{}) : LeaseEvent(LeaseLapsed{});
+      return Acquire ? LeaseEvent(LeaseAcquisitionFailed{})
+                     : LeaseEvent(LeaseExpired{});
     this->Owner = &Who;
-    this->Lapses = this->Now + Times.Life;
+    this->Lapses = this->Now + Times.Ttl;
     if (Acquire)
       ++this->Created;
     if (Lost)
-      return Acquire ? LeaseEvent(LeaseRefused{})
+      return Acquire ? LeaseEvent(LeaseAcquisitionFailed{})
                      : LeaseEvent(LeaseRenewalFailed{});
     return Acquire ? LeaseEvent(LeaseAcquired{this->Created, SentAt})
                    : LeaseEvent(LeaseRenewed{SentAt});
@@ -174,15 +175,15 @@
   TimePoint Now{1s};
   cr_assert_eq(State.handle(Now, LeaseWanted{}).size(), 1U);
   State.handle(Now + 1s, LeaseAcquired{7, Now});
-  cr_assert_not(State.usable(Now + 10s), "a successor must wait");
-  cr_assert(State.usable(Now + 11s) == FencingNumber{7});
+  cr_assert_not(State.fencingNumber(Now + 10s), "a successor must wait");
+  cr_assert(State.fencingNumber(Now + 11s) == FencingNumber{7});
   // The life counts from before the call was sent.
-  cr_assert_not(State.usable(Now + 12s));
-  cr_assert_not(State.usable(Now + 60s));
+  cr_assert_not(State.fencingNumber(Now + 12s));
+  cr_assert_not(State.fencingNumber(Now + 60s));
   // A renewal answered too late does not bring it back.
   const auto Actions = State.handle(Now + 60s, LeaseRenewed{Now + 59s});
   cr_assert(std::holds_alternative<ReleaseLease>(Actions.at(0)));
-  cr_assert_not(State.usable(Now + 61s));
+  cr_assert_not(State.fencingNumber(Now + 61s));
 }
 
 Test(FencedLease, renewalsExtendItAndFailuresLetItEnd) {
@@ -193,12 +194,12 @@
   cr_assert(std::holds_alternative<RenewLease>(
       State.handle(Now + 4s, LeaseTick{}).at(0)));
   State.handle(Now + 5s, LeaseRenewed{Now + 4s});
-  cr_assert(State.usable(Now + 15s).has_value());
+  cr_assert(State.fencingNumber(Now + 15s).has_value());
   State.handle(Now + 8s, LeaseTick{});
   State.handle(Now + 9s, LeaseRenewalFailed{});
-  cr_assert_not(State.usable(Now + 16s));
-  State.handle(Now + 10s, LeaseLapsed{});
-  cr_assert_not(State.usable(Now + 11s));
+  cr_assert_not(State.fencingNumber(Now + 16s));
+  State.handle(Now + 10s, LeaseExpired{});
+  cr_assert_not(State.fencingNumber(Now + 11s));
 }
 
 // Symptom: two routers give orders to one server. Sequence: both want its
@@ -213,26 +214,26 @@
   const StoreSettings Client{Store.address(), 200ms, 500ms};
   FencedLease A({"orders/s1", "a", shortTimes(), 1}, Client, Budget,
                 Clock::steady());
-  A.want(true);
-  cr_assert(eventually([&] { return A.number().has_value(); }));
-  const FencingNumber First = *A.number();
+  A.setWanted(true);
+  cr_assert(eventually([&] { return A.fencingNumber().has_value(); }));
+  const FencingNumber First = *A.fencingNumber();
   FencedLease B({"orders/s1", "b", shortTimes(), 2}, Client, Budget,
                 Clock::steady());
-  B.want(true);
+  B.setWanted(true);
   std::this_thread::sleep_for(500ms);
-  cr_assert_not(B.number().has_value());
-  cr_assert(A.confirmedNumber() == First);
+  cr_assert_not(B.fencingNumber().has_value());
+  cr_assert(A.confirmedFencingNumber() == First);
   Store.changeFaults([](auto &Faults) { Faults.Silent = true; });
-  cr_assert(eventually([&] { return !A.number().has_value(); }));
+  cr_assert(eventually([&] { return !A.fencingNumber().has_value(); }));
   cr_assert_eq(Store.peek("orders/").Entries.size(), 1U,
                "the holder stops before the store lets the lease lapse");
   Store.changeFaults([](auto &Faults) { Faults.Silent = false; });
-  A.want(false);
+  A.setWanted(false);
   cr_assert(eventually([&] {
-    const auto OfA = A.number();
-    const auto OfB = B.number();
+    const auto OfA = A.fencingNumber();
+    const auto OfB = B.fencingNumber();
     cr_assert_not(OfA && OfB);
     return OfB.has_value();
   }));
-  cr_assert_gt(*B.number(), First);
+  cr_assert_gt(*B.fencingNumber(), First);
 }
--- a/test/Platform/PausedHolderTest.cpp
+++ b/test/Platform/PausedHolderTest.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-constexpr FencedLeaseTimes ShortTimes{2s, 800ms, 300ms, 300ms, 100ms};
+constexpr FencedLeaseTiming ShortTimes{2s, 800ms, 300ms, 300ms, 100ms};
 
 /// An order that could be given, and when the holder looked at its lease, by
 /// the machine's clock, which both processes share.
@@ -32,10 +32,10 @@
       std::make_shared<StoreBudget>(1000, 1000, Clock::steady().now());
   FencedLease Lease({"orders/s1", "child", ShortTimes, 3},
                     {Address, 200ms, 500ms}, Budget, Clock::steady());
-  Lease.want(true);
+  Lease.setWanted(true);
   while (true) {
     Order Next{0, machineTime()};
-    if (const auto Number = Lease.number()) {
+    if (const auto Number = Lease.fencingNumber()) {
       Next.Number = *Number;
       if (write(Pipe, &Next, sizeof(Next)) < 0)
         _exit(1);
@@ -99,9 +99,9 @@
       std::make_shared<StoreBudget>(1000, 1000, Clock::steady().now());
   FencedLease Successor({"orders/s1", "successor", ShortTimes, 4},
                         {Where, 200ms, 500ms}, Budget, Clock::steady());
-  Successor.want(true);
-  cr_assert(eventually([&] { return Successor.number().has_value(); }));
-  cr_assert_gt(*Successor.number(), Before.back().Number);
+  Successor.setWanted(true);
+  cr_assert(eventually([&] { return Successor.fencingNumber().has_value(); }));
+  cr_assert_gt(*Successor.fencingNumber(), Before.back().Number);
   drain(Pipes[0]);
   kill(Child, SIGCONT);
   std::this_thread::sleep_for(1s);
