--- a/test/Platform/PlatformThreadTest.cpp
+++ b/test/Platform/PlatformThreadTest.cpp
@@ -11,11 +11,11 @@
 namespace {
 
 struct Collected {
-  std::mutex Guard;
+  std::mutex Mutex;
   std::vector<PlatformEvent> Events;
 
   template <typename Kind> std::vector<Kind> all() {
-    std::lock_guard<std::mutex> Lock(this->Guard);
+    std::lock_guard<std::mutex> Lock(this->Mutex);
     std::vector<Kind> Found;
     for (const auto &Each : this->Events)
       if (const auto *Event = std::get_if<Kind>(&Each))
@@ -52,16 +52,16 @@
   std::unique_ptr<PlatformThread> startRouter(const std::string &Name,
                                               std::uint64_t Seed) {
     PlatformSettings P;
-    P.LeaseLife = LeaseLife;
-    P.KeepAliveEvery = 300ms;
-    P.ListEvery = 100ms;
+    P.LeaseTtl = LeaseLife;
+    P.KeepAliveInterval = 300ms;
+    P.ListInterval = 100ms;
     P.Seed = Seed;
     return std::make_unique<PlatformThread>(
         P, ConfigurationStoreSettings{}, this->Client, this->Budget,
         RouterRegistration{Name, "z1", "127.0.0.1:1", "127.0.0.1:2", 9,
                            "127.0.0.1:3"},
         this->Time, [this](PlatformEvent Event) {
-          std::lock_guard<std::mutex> Lock(this->Seen.Guard);
+          std::lock_guard<std::mutex> Lock(this->Seen.Mutex);
           this->Seen.Events.push_back(std::move(Event));
         });
   }
@@ -72,10 +72,10 @@
     this->Store.leave();
     Paused.advance(LeaseLife);
     for (int Try = 0; Try < 8; ++Try) {
-      const auto Tries = this->Budget->taken(StoreCall::LeaseKeepAlive);
+      const auto Tries = this->Budget->callCount(StoreCall::LeaseKeepAlive);
       Paused.advance(LongestWait);
       cr_assert(eventually([&] {
-        return this->Budget->taken(StoreCall::LeaseKeepAlive) >=
+        return this->Budget->callCount(StoreCall::LeaseKeepAlive) >=
                Tries + Routers;
       }));
     }
@@ -94,7 +94,7 @@
 
 Test(PlatformThread, passesOnChangesAndLists) {
   Fixture F(Clock::steady(), PatientDeadline);
-  F.Thread->perform(WatchManifest{});
+  F.Thread->submit(WatchManifest{});
   cr_assert(eventually([&] { return F.Store.watches() == 1; }));
   ConfigurationStore Operator(
       {}, StoreClient(F.Client, F.Budget, Clock::steady()), Clock::steady());
@@ -104,7 +104,7 @@
     return !All.empty() && All.back().Manifest.Generation == 1;
   }));
   const auto Manifest = F.Seen.all<ManifestRead>().back().Manifest;
-  F.Thread->perform(ReadParts{1, Manifest.Parts});
+  F.Thread->submit(ReadParts{1, Manifest.Parts});
   cr_assert(eventually([&] { return !F.Seen.all<PartsRead>().empty(); }));
   cr_assert_eq(F.Seen.all<PartsRead>()[0].Texts.at(0), "[a]\nx = 1\n");
   F.Store.setVm("vm1", "leaving");
@@ -119,7 +119,7 @@
     return !All.empty() && !All.back().Routers.empty();
   }));
   const auto Routers = F.Seen.all<RoutersListed>().back().Routers;
-  cr_assert_eq(Routers.at(0).Life, 9U);
+  cr_assert_eq(Routers.at(0).IncarnationNumber, 9U);
 }
 
 // Symptom: a router that came back after an outage is missing from the list
@@ -131,7 +131,7 @@
   Fixture F(Time, PatientDeadline);
   cr_assert(
       eventually([&] { return F.Store.peek("routers/").Entries.size() == 1; }));
-  const Revision Before = F.Store.peek("routers/").Entries[0].Created;
+  const Revision Before = F.Store.peek("routers/").Entries[0].CreateRevision;
   F.loseStore(Time, 1);
   cr_assert(eventually([&] {
     const auto All = F.Seen.all<RouterLeaseChanged>();
@@ -141,7 +141,7 @@
   Time.advance(LongestWait);
   cr_assert(eventually([&] {
     const auto Now = F.Store.peek("routers/").Entries;
-    return Now.size() == 1 && Now[0].Created > Before;
+    return Now.size() == 1 && Now[0].CreateRevision > Before;
   }));
   cr_assert(
       eventually([&] { return F.Seen.all<RouterLeaseChanged>().back().Held; }));
@@ -163,7 +163,7 @@
   cr_assert(eventually([&] { return Entries().size() == More + 1; }));
   Revision Last = 0;
   for (const StoreEntry &Each : Entries())
-    Last = std::max(Last, Each.Created);
+    Last = std::max(Last, Each.CreateRevision);
   F.loseStore(Time, More + 1);
   F.Store.comeBack();
   // The wait of the last try in vain; no other may follow.
@@ -172,7 +172,7 @@
     const auto Now = Entries();
     return Now.size() == More + 1 &&
            std::all_of(Now.begin(), Now.end(), [Last](const StoreEntry &Each) {
-             return Each.Created > Last;
+             return Each.CreateRevision > Last;
            });
   };
   cr_assert(eventually(AllAreNew) || eventually(AllAreNew));
--- a/test/Platform/RunRecordWriterTest.cpp
+++ b/test/Platform/RunRecordWriterTest.cpp
@@ -17,8 +17,8 @@
                                           Duration Patience = 5s,
                                           Duration Deadline = 300ms) {
     RunRecordSettings R;
-    R.Writer = Name;
-    R.Patience = Patience;
+    R.WriterId = Name;
+    R.ClaimTimeout = Patience;
     R.Seed = hashName(Name);
     return std::make_unique<RunRecordWriter>(
         R, StoreSettings{this->Store.address(), Deadline, 500ms}, this->Budget,
--- a/test/Platform/StoreClientTest.cpp
+++ b/test/Platform/StoreClientTest.cpp
@@ -31,15 +31,15 @@
   cr_assert(Read.has_value());
   cr_assert_eq(Read->Entries.size(), 1U);
   cr_assert_eq(Read->Entries[0].Value.size(), 3U);
-  cr_assert_eq(Read->Entries[0].Modified, *Written);
-  cr_assert_eq(Read->Entries[0].Created, *Written);
+  cr_assert_eq(Read->Entries[0].ModRevision, *Written);
+  cr_assert_eq(Read->Entries[0].CreateRevision, *Written);
   const auto Lost = F.Client->commit(
       {{keyAbsent("a/1")}, {putKey("a/1", "z")}, {readKey("a/1")}});
   cr_assert(Lost.has_value());
   cr_assert_not(Lost->Succeeded);
   cr_assert_eq(Lost->Reads.at(0).Entries.at(0).Value.size(), 3U);
   const auto Won = F.Client->commit(
-      {{keyModifiedAt("a/1", *Written)}, {putKey("a/1", "z")}, {}});
+      {{keyModRevisionIs("a/1", *Written)}, {putKey("a/1", "z")}, {}});
   cr_assert(Won.has_value() && Won->Succeeded);
   cr_assert_eq(F.Client->getPrefix("a/")->Entries.at(0).Value, "z");
   cr_assert_eq(F.Client->getPrefix("a/", true)->Entries.at(0).Value, "");
@@ -93,7 +93,7 @@
   cr_assert(Client.get("k").has_value());
   cr_assert_eq(Client.get("k").error().Code, ErrorCode::LimitExceeded);
   cr_assert_eq(F.Store.calls(StoreCall::Range), 2U);
-  cr_assert_eq(Small->taken(StoreCall::Range), 2U);
+  cr_assert_eq(Small->callCount(StoreCall::Range), 2U);
 }
 
 Test(StoreClient, refusesWhileTheStoreRefusesAndReturnsAfterAnOutage) {
--- a/test/Platform/StoreConnectionTest.cpp
+++ b/test/Platform/StoreConnectionTest.cpp
@@ -56,7 +56,7 @@
 };
 
 /// Makes two calls, a moment apart; what the second one got.
-Result<StoreAnswer> secondOfTwo(const std::string &Address) {
+Result<StoreResponse> secondOfTwo(const std::string &Address) {
   StoreConnection Store(Address, 10s, Clock::steady());
   const auto First = Store.call({"GET", "/a", ""}, 1s);
   cr_assert(First.has_value());
--- a/test/Process/MembershipFaultTest.cpp
+++ b/test/Process/MembershipFaultTest.cpp
@@ -107,7 +107,7 @@
               "the old process goes on%s", IsCutOff ? ", cut off" : "");
     const auto Listed = thirdRegistration(Fleet);
     cr_assert(Listed.has_value());
-    cr_expect_eq(Listed->Life, Life);
+    cr_expect_eq(Listed->IncarnationNumber, Life);
     cr_assert(Fleet.waitForViews(3, AllThree));
     cr_assert(Fleet.waitForGeneration(1));
     cr_expect_eq(Fleet.callAt(2, "almond"), 200);
--- a/test/Program/DeclarationsUpdaterTest.cpp
+++ b/test/Program/DeclarationsUpdaterTest.cpp
@@ -91,7 +91,7 @@
       for (const auto &[Copy, Old] : Kept)
         RC_ASSERT(Copy == *Old);
     }
-    InPlace += Updater.madeInPlace();
+    InPlace += Updater.inPlaceUpdates();
   });
   cr_assert(Holds);
   cr_assert_gt(InPlace, 0);
--- a/test/Program/SettingsTest.cpp
+++ b/test/Program/SettingsTest.cpp
@@ -108,7 +108,7 @@
   cr_assert_eq(Read->Callers.MaxConnections, 7);
   cr_assert_eq(Read->Callers.RouterName, "r1");
   cr_assert(Read->Core.Requests.Drain.HardLimit == std::chrono::seconds(9));
-  cr_assert_eq(Read->Peers.Known.at("r2"), "127.0.0.1:7101");
+  cr_assert_eq(Read->Peers.KnownRouters.at("r2"), "127.0.0.1:7101");
   cr_assert(Read->Policy == FairnessMode::Shared);
 }
 
@@ -128,7 +128,7 @@
 
 Test(SettingsTable, TheOperatorsPageShowsTheProgramsOwnTable) {
   const std::string Page = textOfFile(Sources + "/docs/OPERATING.md");
-  cr_assert(Page.find(settingsTableText()) != std::string::npos,
+  cr_assert(Page.find(settingsTableMarkdown()) != std::string::npos,
             "put the output of `parsleywing settings` into docs/OPERATING.md");
 }
 
--- a/test/Runtime/LogTest.cpp
+++ b/test/Runtime/LogTest.cpp
@@ -1,5 +1,5 @@
 #include "Runtime/Log.h"
-#include "Runtime/LineBudget.h"
+#include "Runtime/LogRateLimiter.h"
 #include "Runtime/RepeatFilter.h"
 
 #include <criterion/criterion.h>
@@ -66,30 +66,30 @@
   for (int Round = 0; Round < 100; ++Round)
     log(LogPart::Backend, LogLevel::Warn, "Server s1 refuses connections.");
   log(LogPart::Backend, LogLevel::Warn, "Server s2 refuses connections.");
-  cr_assert_eq(File.lines().size(), RepeatFilter::LinesAWindow + 1);
+  cr_assert_eq(File.lines().size(), RepeatFilter::MaxLinesPerWindow + 1);
 }
 
 // Symptom: a flood of requests spends the processor's time on the log.
 // Sequence: thousands of requests a second, each with a line of its own.
 // Cause: lines that differ were not bounded.
 Test(LineBudget, ABurstPassesAndThenSoManyASecond) {
-  LineBudget Budget;
+  LogRateLimiter Budget;
   Clock Time = Clock::paused();
   int Written = 0;
   for (int Line = 0; Line < 5000; ++Line)
-    Written += Budget.take(Time.now()).has_value() ? 1 : 0;
-  cr_assert_eq(Written, static_cast<int>(LineBudget::Burst));
+    Written += Budget.tryAcquire(Time.now()).has_value() ? 1 : 0;
+  cr_assert_eq(Written, static_cast<int>(LogRateLimiter::Burst));
   Time.advance(std::chrono::milliseconds(100));
-  const auto LeftOut = Budget.take(Time.now());
+  const auto LeftOut = Budget.tryAcquire(Time.now());
   cr_assert(LeftOut.has_value());
-  cr_assert_eq(*LeftOut, 5000U - static_cast<unsigned>(LineBudget::Burst));
-  cr_assert_eq(*Budget.take(Time.now()), 0U);
+  cr_assert_eq(*LeftOut, 5000U - static_cast<unsigned>(LogRateLimiter::Burst));
+  cr_assert_eq(*Budget.tryAcquire(Time.now()), 0U);
 }
 
 Test(RepeatFilter, TheNextWindowTellsHowManyWereHeldBack) {
   RepeatFilter Filter;
   Clock Time = Clock::paused();
-  for (std::uint32_t Line = 0; Line < RepeatFilter::LinesAWindow; ++Line)
+  for (std::uint32_t Line = 0; Line < RepeatFilter::MaxLinesPerWindow; ++Line)
     cr_assert(Filter.admit(Time.now(), "same").has_value());
   cr_assert(!Filter.admit(Time.now(), "same").has_value());
   cr_assert(!Filter.admit(Time.now(), "same").has_value());
--- a/test/Soak/FaultsTest.cpp
+++ b/test/Soak/FaultsTest.cpp
@@ -16,18 +16,18 @@
 void soak(std::uint64_t Seed, std::uint64_t Seconds) {
   SoakFleet Fleet(Seed);
   Fleet.run(std::chrono::seconds(Seconds));
-  const auto Broken = Fleet.broken();
+  const auto Broken = Fleet.violations();
   for (const std::string &Each : Broken)
     cr_log_warn("seed %lu: %s", static_cast<unsigned long>(Seed), Each.c_str());
   cr_assert(Broken.empty(), "seed %lu: %zu promises broken, the first: %s",
             static_cast<unsigned long>(Seed), Broken.size(),
             Broken.empty() ? "" : Broken[0].c_str());
-  cr_assert_gt(Fleet.served() * 4, Fleet.asked(),
+  cr_assert_gt(Fleet.served() * 4, Fleet.requested(),
                "seed %lu: %zu of %zu were served%s",
-               static_cast<unsigned long>(Seed), Fleet.served(), Fleet.asked(),
-               Fleet.summary().c_str());
+               static_cast<unsigned long>(Seed), Fleet.served(),
+               Fleet.requested(), Fleet.summary().c_str());
   cr_log_info("seed %lu: %zu of %zu served", static_cast<unsigned long>(Seed),
-              Fleet.served(), Fleet.asked());
+              Fleet.served(), Fleet.requested());
 }
 
 } // namespace
--- a/test/Soak/KeptConnection.cpp
+++ b/test/Soak/KeepAliveConnection.cpp
@@ -1,4 +1,4 @@
-#include "Soak/KeptConnection.h"
+#include "Soak/KeepAliveConnection.h"
 
 #include "Http/BodyDecoder.h"
 
@@ -25,8 +25,8 @@
 
 } // namespace
 
-bool KeptConnection::connect() {
-  this->Carried = 0;
+bool KeepAliveConnection::connect() {
+  this->RequestCount = 0;
   this->Socket = Poco::Net::StreamSocket();
   try {
     this->Socket.connect(Poco::Net::SocketAddress(this->Address),
@@ -40,23 +40,24 @@
   return true;
 }
 
-void KeptConnection::exchange(const std::string &Request, CallerResult &Got) {
+void KeepAliveConnection::exchange(const std::string &Request,
+                                   CallerResult &Got) {
   using Poco::Net::Socket;
-  if (this->Open && this->LooksFirst &&
+  if (this->Open && this->ChecksFirst &&
       this->Socket.poll(Poco::Timespan(0), Socket::SELECT_READ))
     this->Open = false;
   Got.SentAt = std::chrono::steady_clock::now();
   if (!this->Open && !this->connect())
     return;
   this->Open = false;
-  Got.From = this->Socket.address().toString();
-  Got.Earlier = this->Carried++;
+  Got.LocalAddress = this->Socket.address().toString();
+  Got.EarlierRequests = this->RequestCount++;
   try {
     this->Socket.sendBytes(Request.data(), static_cast<int>(Request.size()),
                            MSG_NOSIGNAL);
-    this->readAnswer(Got);
+    this->readResponse(Got);
   } catch (const Poco::TimeoutException &) {
-    Got.End = CallEnd::Late;
+    Got.End = CallEnd::TimedOut;
     Got.EndedAt = std::chrono::steady_clock::now();
   } catch (const Poco::Exception &) {
     Got.End = CallEnd::Reset;
@@ -64,7 +65,7 @@
   }
 }
 
-void KeptConnection::readAnswer(CallerResult &Got) {
+void KeepAliveConnection::readResponse(CallerResult &Got) {
   std::string In;
   std::array<char, 4096> Buffer{};
   std::optional<BodyDecoder> Body;
@@ -84,15 +85,15 @@
       if (!Head)
         return;
       Got.Status = Head->Status;
-      Keeps = keepsConnection(*Head);
-      Body.emplace(planResponseBody(*Head, "GET").value());
+      Keeps = isKeepAlive(*Head);
+      Body.emplace(responseBodyLength(*Head, "GET").value());
       In.erase(0, Length);
     }
     if (Body)
       In.erase(0, Body->feed(In, Got.Body));
   }
   Got.EndedAt = std::chrono::steady_clock::now();
-  Got.End = CallEnd::Whole;
+  Got.End = CallEnd::Complete;
   this->Open = Keeps;
 }
 
--- a/test/Soak/SoakChecks.cpp
+++ b/test/Soak/SoakChecks.cpp
@@ -33,9 +33,9 @@
   return Path.starts_with("/safe/") || Path.starts_with("/stream/");
 }
 
-bool anyTouches(const std::vector<Span> &Spans, SteadyClock::time_point From,
-                SteadyClock::time_point To) {
-  return std::ranges::any_of(Spans, [&](const Span &Each) {
+bool anyTouches(const std::vector<Interval> &Spans,
+                SteadyClock::time_point From, SteadyClock::time_point To) {
+  return std::ranges::any_of(Spans, [&](const Interval &Each) {
     return Each.From <= To && From <= Each.To;
   });
 }
@@ -56,7 +56,7 @@
   const bool Streamed =
       Got.Path.starts_with("/stream/") || Got.Path.starts_with("/once/");
   const std::string Expected = Streamed ? wholeStream(Id) : Id;
-  if (Got.Status == 200 && Got.whole() && Got.Body != Expected)
+  if (Got.Status == 200 && Got.isComplete() && Got.Body != Expected)
     Into.push_back("not its own whole answer: " + What + " body " + Got.Body);
   if (Got.Status == 200 && !Expected.starts_with(Got.Body))
     Into.push_back("not the beginning of its answer: " + What);
@@ -65,14 +65,14 @@
       Into.push_back("ran with another path: " + What);
     if (Run.Account == "two" &&
         Got.SentAt > this->RevokedAt + RevocationBound &&
-        Run.At > this->RevokedAt + RevocationBound + Transport)
+        Run.StartedAt > this->RevokedAt + RevocationBound + Transport)
       Into.push_back("ran with a key taken away: " + What);
   }
 }
 
 /// The drain whose limit the router came to within the request's time.
-const Span *SoakFleet::reachedDrainLimit(const CallerResult &Got) const {
-  for (const Span &Each : this->Routers.at(Got.Router).Drained)
+const Interval *SoakFleet::reachedDrainLimit(const CallerResult &Got) const {
+  for (const Interval &Each : this->Routers.at(Got.Router).Drained)
     if (Each.To >= Each.From + DrainLimit - DrainReserve &&
         Got.SentAt <= Each.To && Each.To <= Got.EndedAt + Transport)
       return &Each;
@@ -82,10 +82,11 @@
 /// An answer that has begun may end short where its last server broke it off or
 /// spoilt it, the way there was in trouble, its time was over, or the router
 /// came to its drain limit while the server was still at work.
-bool SoakFleet::mayBeCut(const CallerResult &Got, const ServerRun &Last) const {
-  const Span *Drain = this->reachedDrainLimit(Got);
-  return Last.Spoilt || Got.EndedAt - Got.SentAt >= Deadline ||
-         anyTouches(this->ServerWays.at(Last.Server).Troubles,
+bool SoakFleet::mayBeTruncated(const CallerResult &Got,
+                               const ServerRun &Last) const {
+  const Interval *Drain = this->reachedDrainLimit(Got);
+  return Last.Faulty || Got.EndedAt - Got.SentAt >= Deadline ||
+         anyTouches(this->ServerLinks.at(Last.Server).Faults,
                     Got.SentAt - Transport, Got.EndedAt) ||
          (Drain != nullptr && Last.EndedAt + Transport > Drain->To);
 }
@@ -99,32 +100,33 @@
 void SoakFleet::checkEnd(const std::string &Id, const CallerResult &Got,
                          std::vector<std::string> &Into) {
   const Router &Asked = this->Routers.at(Got.Router);
-  if (Got.End == CallEnd::NotSent || Got.whole() ||
+  if (Got.End == CallEnd::NotSent || Got.isComplete() ||
       anyTouches(Asked.Killed, Got.SentAt, Got.EndedAt))
     return;
   const auto &Ran = this->Runs[Id];
   const bool Frozen = anyTouches(Asked.Frozen, Got.SentAt, Got.EndedAt);
-  if (Frozen && Got.End == CallEnd::Late)
+  if (Frozen && Got.End == CallEnd::TimedOut)
     return;
   if (Got.Status == 0 && Got.End == CallEnd::Reset && Ran.empty())
     return;
-  if (Got.Status != 0 && !Ran.empty() && this->mayBeCut(Got, Ran.back()))
+  if (Got.Status != 0 && !Ran.empty() && this->mayBeTruncated(Got, Ran.back()))
     return;
   const auto Ms = [this](SteadyClock::time_point At) {
     return std::to_string(std::chrono::duration_cast<std::chrono::milliseconds>(
-                              At - this->Began)
+                              At - this->StartedAt)
                               .count()) +
            " ms";
   };
   std::string Text =
       Got.Status != 0 ? "answer cut: " : "ended without an answer: ";
-  Text += Id + " " + Got.Path + " at " + Asked.Name + " from " + Got.From +
-          ", request " + std::to_string(Got.Earlier + 1) +
+  Text += Id + " " + Got.Path + " at " + Asked.Name + " from " +
+          Got.LocalAddress + ", request " +
+          std::to_string(Got.EarlierRequests + 1) +
           " of its connection, sent at " + Ms(Got.SentAt) + ", ended at " +
           Ms(Got.EndedAt) + ": " + std::string(nameOf(CallEndNames, Got.End)) +
           ", runs " + std::to_string(Ran.size()) +
           (Frozen ? ", router stood still meanwhile" : "");
-  for (const Span &Each : Asked.Drained)
+  for (const Interval &Each : Asked.Drained)
     if (anyTouches({Each}, Got.SentAt, Got.EndedAt))
       Text += ", SIGTERM at " + Ms(Each.From) + ", exit at " + Ms(Each.To);
   Into.push_back(Text + this->logOf(Id, Got));
@@ -138,7 +140,7 @@
   std::string Found;
   for (std::string Line; std::getline(Log, Line);)
     if (Line.find("request=" + Id + " ") != std::string::npos ||
-        Line.find("connection=" + Got.From + " ") != std::string::npos)
+        Line.find("connection=" + Got.LocalAddress + " ") != std::string::npos)
       Found += "\n  " + Line;
   return Found;
 }
@@ -161,13 +163,14 @@
 
 /// Whether the router that sent it had run undisturbed for `ContactTime`, and
 /// so had the way to the server.
-bool SoakFleet::sentInTouch(const std::string &Id, const ServerRun &Run) {
+bool SoakFleet::sentWhileConnected(const std::string &Id,
+                                   const ServerRun &Run) {
   const Router &By = this->Routers.at(this->Results[Id].Router);
-  const auto From = Run.At - ContactTime;
-  return !anyTouches(By.Killed, From, Run.At) &&
-         !anyTouches(By.Frozen, From, Run.At) &&
-         !anyTouches(By.Drained, From, Run.At) &&
-         !anyTouches(By.Started, From, Run.At);
+  const auto From = Run.StartedAt - ContactTime;
+  return !anyTouches(By.Killed, From, Run.StartedAt) &&
+         !anyTouches(By.Frozen, From, Run.StartedAt) &&
+         !anyTouches(By.Drained, From, Run.StartedAt) &&
+         !anyTouches(By.Started, From, Run.StartedAt);
 }
 
 /// A request that has crashed three servers is sent to three more at most, by
@@ -179,14 +182,16 @@
     for (const ServerRun &Each : Runs)
       if (Each.Path == Path)
         Ran.emplace_back(Id, Each);
-  std::ranges::sort(Ran, {}, [](const auto &Each) { return Each.second.At; });
+  std::ranges::sort(Ran, {},
+                    [](const auto &Each) { return Each.second.StartedAt; });
   if (Ran.size() < CrashesBeforeRefusal)
     return;
-  const auto Third = Ran[CrashesBeforeRefusal - 1].second.At;
+  const auto Third = Ran[CrashesBeforeRefusal - 1].second.StartedAt;
   std::size_t Late = 0;
   std::string Text;
   for (const auto &[Id, Run] : Ran) {
-    if (Run.At <= Third + ContactTime || !this->sentInTouch(Id, Run))
+    if (Run.StartedAt <= Third + ContactTime ||
+        !this->sentWhileConnected(Id, Run))
       continue;
     ++Late;
     Text += this->logOf(Id, this->Results[Id]);
@@ -213,10 +218,10 @@
 
 std::string SoakFleet::summary() {
   std::map<std::pair<std::int64_t, int>, int> Counts;
-  const std::lock_guard<std::mutex> Lock(this->Guard);
+  const std::lock_guard<std::mutex> Lock(this->Mutex);
   for (const auto &[Id, Got] : this->Results) {
     const auto Second = std::chrono::duration_cast<std::chrono::seconds>(
-        Got.SentAt - this->Began);
+        Got.SentAt - this->StartedAt);
     ++Counts[{Second.count(), Got.Status}];
   }
   std::string Text;
@@ -230,9 +235,9 @@
   return Text;
 }
 
-std::vector<std::string> SoakFleet::broken() {
+std::vector<std::string> SoakFleet::violations() {
   std::vector<std::string> Found;
-  const std::lock_guard<std::mutex> Lock(this->Guard);
+  const std::lock_guard<std::mutex> Lock(this->Mutex);
   for (const auto &[Id, Got] : this->Results) {
     this->checkRequest(Id, Got, Found);
     this->checkEnd(Id, Got, Found);
--- a/test/Soak/SoakCrashes.cpp
+++ b/test/Soak/SoakCrashes.cpp
@@ -24,8 +24,8 @@
 bool SoakFleet::crash(Poco::Net::StreamSocket &Connection, const ServerRun &Run,
                       bool Early) {
   {
-    const std::lock_guard<std::mutex> Lock(this->Guard);
-    this->ToCrash.push_back(Run.Server);
+    const std::lock_guard<std::mutex> Lock(this->Mutex);
+    this->ServersToCrash.push_back(Run.Server);
   }
   if (!Early)
     Connection.poll(MostCrashTime, Poco::Net::Socket::SELECT_READ);
@@ -33,23 +33,23 @@
 }
 
 /// A server of its own thread each, so that crashes overlap.
-void SoakFleet::crashesLoop() {
+void SoakFleet::crashLoop() {
   std::vector<std::thread> Away;
   std::set<std::size_t> Known;
-  std::mutex KnownGuard;
+  std::mutex KnownMutex;
   while (!this->Stopping) {
     std::vector<std::size_t> Wanted;
     {
-      const std::lock_guard<std::mutex> Lock(this->Guard);
-      Wanted.swap(this->ToCrash);
+      const std::lock_guard<std::mutex> Lock(this->Mutex);
+      Wanted.swap(this->ServersToCrash);
     }
     for (const std::size_t Server : Wanted) {
-      const std::lock_guard<std::mutex> Lock(KnownGuard);
+      const std::lock_guard<std::mutex> Lock(KnownMutex);
       if (!Known.insert(Server).second)
         continue;
       Away.emplace_back([&, Server] {
-        this->crashAndStart(Server);
-        const std::lock_guard<std::mutex> Ended(KnownGuard);
+        this->crashAndRestart(Server);
+        const std::lock_guard<std::mutex> Ended(KnownMutex);
         Known.erase(Server);
       });
     }
@@ -60,26 +60,26 @@
 }
 
 /// The server is back under another identity, at the same address.
-void SoakFleet::crashAndStart(std::size_t Server) {
-  ServerWay &Way = this->ServerWays.at(Server);
-  this->during(Way.Troubles, [&] {
-    Way.Way->setAway(true);
+void SoakFleet::crashAndRestart(std::size_t Server) {
+  ServerLink &Way = this->ServerLinks.at(Server);
+  this->recordDuring(Way.Faults, [&] {
+    Way.Link->setAway(true);
     std::this_thread::sleep_for(LapseTime);
     this->Store.remove("servers/" + this->identityOf(Server));
     std::this_thread::sleep_for(
         std::chrono::milliseconds(LeastAwayMs + this->chance(MoreAwayMs)));
-    Way.Way->setAway(false);
+    Way.Link->setAway(false);
     ++Way.Starts;
-    this->listServer(Server);
+    this->registerServer(Server);
   });
 }
 
 /// One caller, who repeats one request at any router.
 void SoakFleet::crashingCallerLoop(const std::string &Path) {
   std::mt19937_64 Random(this->Seed * 37 + Path.size());
-  std::vector<KeptConnection> Kept;
+  std::vector<KeepAliveConnection> Kept;
   for (const Router &Each : this->Routers)
-    Kept.emplace_back(Each.Callers, true);
+    Kept.emplace_back(Each.CallerAddress, true);
   while (!this->Stopping) {
     const std::string Id = "crash" + std::to_string(++this->LastRequest);
     CallerResult Got;
@@ -90,7 +90,7 @@
     Request += "\r\nDeadline-Ms: 3000\r\nAuthorization: Token k1\r\n\r\n";
     Kept[Got.Router].exchange(Request, Got);
     {
-      const std::lock_guard<std::mutex> Lock(this->Guard);
+      const std::lock_guard<std::mutex> Lock(this->Mutex);
       this->Results[Id] = Got;
     }
     pauseFor(Random, LeastRepeatMs, MoreRepeatMs);
--- a/test/Soak/SoakFaults.cpp
+++ b/test/Soak/SoakFaults.cpp
@@ -8,42 +8,42 @@
 using SteadyClock = std::chrono::steady_clock;
 
 /// Notes the stretch of time that something takes.
-void SoakFleet::during(std::vector<Span> &Spans,
-                       const std::function<void()> &Do) {
-  const Span Began{SteadyClock::now()};
+void SoakFleet::recordDuring(std::vector<Interval> &Spans,
+                             const std::function<void()> &Do) {
+  const Interval Began{SteadyClock::now()};
   std::size_t Place = 0;
   {
-    const std::lock_guard<std::mutex> Lock(this->Guard);
+    const std::lock_guard<std::mutex> Lock(this->Mutex);
     Place = Spans.size();
     Spans.push_back(Began);
   }
   Do();
-  const std::lock_guard<std::mutex> Lock(this->Guard);
+  const std::lock_guard<std::mutex> Lock(this->Mutex);
   Spans[Place].To = SteadyClock::now();
 }
 
-void SoakFleet::oneRouterFault(Router &Chosen, std::mt19937_64 &Random) {
+void SoakFleet::injectRouterFault(Router &Chosen, std::mt19937_64 &Random) {
   switch (Random() % 4) {
   case 0:
-    this->killAndStart(Chosen, Random);
+    this->killAndRestart(Chosen, Random);
     return;
   case 1:
     this->freeze(Chosen, Random);
     return;
   default:
-    this->restartInOrder(Chosen, Random);
+    this->restartGracefully(Chosen, Random);
     return;
   }
 }
 
-void SoakFleet::killAndStart(Router &Chosen, std::mt19937_64 &Random) {
-  this->during(Chosen.Killed, [&] { Chosen.Process->kill(); });
+void SoakFleet::killAndRestart(Router &Chosen, std::mt19937_64 &Random) {
+  this->recordDuring(Chosen.Killed, [&] { Chosen.Process->kill(); });
   pauseFor(Random, 50, 500);
   this->startRouter(Chosen);
 }
 
 void SoakFleet::freeze(Router &Chosen, std::mt19937_64 &Random) {
-  this->during(Chosen.Frozen, [&] {
+  this->recordDuring(Chosen.Frozen, [&] {
     Chosen.Process->signal(SIGSTOP);
     pauseFor(Random, 200, 1500);
     Chosen.Process->signal(SIGCONT);
@@ -51,15 +51,15 @@
 }
 
 /// Other signals come while the router still drains.
-void SoakFleet::restartInOrder(Router &Chosen, std::mt19937_64 &Random) {
+void SoakFleet::restartGracefully(Router &Chosen, std::mt19937_64 &Random) {
   bool Killed = false;
-  this->during(Chosen.Drained, [&] {
+  this->recordDuring(Chosen.Drained, [&] {
     Chosen.Process->signal(SIGTERM);
     switch (Random() % 6) {
     case 0:
       pauseFor(Random, 0, 3000);
       Killed = true;
-      this->killAndStart(Chosen, Random);
+      this->killAndRestart(Chosen, Random);
       return;
     case 1:
       pauseFor(Random, 0, 2000);
@@ -80,17 +80,17 @@
 
 /// The store is in trouble for a third of the time: a router that starts
 /// meanwhile has no configuration and refuses all.
-void SoakFleet::oneStoreFault(std::mt19937_64 &Random) {
+void SoakFleet::injectStoreFault(std::mt19937_64 &Random) {
   pauseFor(Random, 0, 2000);
   switch (Random() % 5) {
   case 0:
-    this->Store.setTrouble(StoreTrouble::Away);
+    this->Store.setFault(StoreFault::Unreachable);
     break;
   case 1:
-    this->Store.setTrouble(StoreTrouble::Silent);
+    this->Store.setFault(StoreFault::Silent);
     break;
   case 2:
-    this->Store.setTrouble(StoreTrouble::Slow);
+    this->Store.setFault(StoreFault::Slow);
     break;
   case 3:
     this->Store.dropHistory();
@@ -100,12 +100,12 @@
     return;
   }
   pauseFor(Random, 300, 1500);
-  this->Store.setTrouble(StoreTrouble::None);
+  this->Store.setFault(StoreFault::None);
 }
 
 /// A way to a server or from a router to the store resets, holds or delays
 /// what goes over it.
-void SoakFleet::oneWayFault(std::mt19937_64 &Random) {
+void SoakFleet::injectLinkFault(std::mt19937_64 &Random) {
   const std::array<WayTrouble, 4> Troubles{
       WayTrouble::Cut, WayTrouble::SilentTo, WayTrouble::SilentFrom,
       WayTrouble::Delayed};
@@ -115,11 +115,12 @@
     Way.setTrouble(WayTrouble::None);
   };
   if (Random() % 3 == 0) {
-    Trouble(*this->Routers.at(Random() % this->Routers.size()).Way);
+    Trouble(*this->Routers.at(Random() % this->Routers.size()).StoreLink);
     return;
   }
-  ServerWay &Chosen = this->ServerWays.at(Random() % this->ServerWays.size());
-  this->during(Chosen.Troubles, [&] { Trouble(*Chosen.Way); });
+  ServerLink &Chosen =
+      this->ServerLinks.at(Random() % this->ServerLinks.size());
+  this->recordDuring(Chosen.Faults, [&] { Trouble(*Chosen.Link); });
 }
 
 } // namespace parsleywing::test
--- a/test/Soak/SoakFleet.cpp
+++ b/test/Soak/SoakFleet.cpp
@@ -54,42 +54,42 @@
         [this, I](Poco::Net::StreamSocket &S, const std::string &Request) {
           return this->serve(static_cast<std::size_t>(I), S, Request);
         }));
-    this->ServerWays.push_back(
+    this->ServerLinks.push_back(
         {std::make_unique<TroubledWay>(this->Servers.back()->address()), {}});
-    this->listServer(static_cast<std::size_t>(I));
+    this->registerServer(static_cast<std::size_t>(I));
   }
   this->writeConfiguration();
   for (int I = 0; I < RouterCount; ++I) {
     Router Made;
     Made.Name = "r" + std::to_string(I);
-    Made.Callers = freeLoopbackAddress();
-    Made.Way = std::make_unique<TroubledWay>(this->Store.address());
+    Made.CallerAddress = freeLoopbackAddress();
+    Made.StoreLink = std::make_unique<TroubledWay>(this->Store.address());
     Made.Settings = this->Folder.write(
         Made.Name + ".ini",
         "[gateway]\nname = " + Made.Name + "\nzone = a\ncallers = " +
-            Made.Callers + "\npeers = " + freeLoopbackAddress() +
+            Made.CallerAddress + "\npeers = " + freeLoopbackAddress() +
             "\ndrain-limit-s = " + std::to_string(DrainLimit.count()) + "\n" +
             callersLimit(this->Seed) + "\n[store]\naddress = " +
-            Made.Way->address() + "\n[log]\ntarget = stdout\n");
+            Made.StoreLink->address() + "\n[log]\ntarget = stdout\n");
     this->Routers.push_back(std::move(Made));
   }
   for (Router &Each : this->Routers)
     this->startRouter(Each);
   for (Router &Each : this->Routers)
-    waitForListener(Each.Callers);
+    waitForListener(Each.CallerAddress);
   std::this_thread::sleep_for(1500ms);
 }
 
 std::string SoakFleet::identityOf(std::size_t Server) const {
   return "s" + std::to_string(Server) + "-" +
-         std::to_string(this->ServerWays.at(Server).Starts);
+         std::to_string(this->ServerLinks.at(Server).Starts);
 }
 
-void SoakFleet::listServer(std::size_t Server) {
+void SoakFleet::registerServer(std::size_t Server) {
   const std::string Service = Server < EngineCount ? "engines" : "plain";
   this->Store.put("servers/" + this->identityOf(Server),
                   R"({"service":")" + Service + R"(","address":")" +
-                      this->ServerWays.at(Server).Way->address() +
+                      this->ServerLinks.at(Server).Link->address() +
                       R"(","zone":"a","slots":32,"state":"ready",)"
                       R"("version":"v1","seqNo":1,"coldLeftMs":0})");
 }
@@ -102,7 +102,7 @@
 }
 
 void SoakFleet::startRouter(Router &Each) {
-  this->during(Each.Started, [] {});
+  this->recordDuring(Each.Started, [] {});
   Each.Process = std::make_unique<ChildProcess>(
       "parsleywing",
       std::vector<std::string>{"gateway", "--settings", Each.Settings},
@@ -118,7 +118,7 @@
            R"("resumable":)" + (Resumable ? "true" : "false") +
            R"(,"service":")" + Service + "\"}";
   };
-  const std::lock_guard<std::mutex> Lock(this->Guard);
+  const std::lock_guard<std::mutex> Lock(this->Mutex);
   const bool WithSecondKey = this->RevokedAt == SteadyClock::time_point::max();
   this->Store.put(
       "op/config",
@@ -135,14 +135,14 @@
 }
 
 int SoakFleet::chance(int Below) {
-  const std::lock_guard<std::mutex> Lock(this->Guard);
+  const std::lock_guard<std::mutex> Lock(this->Mutex);
   return static_cast<int>(this->ServerRandom() % static_cast<unsigned>(Below));
 }
 
 /// A server: most requests are served, some refused, broken off or spoilt.
 bool SoakFleet::serve(std::size_t Server, Poco::Net::StreamSocket &S,
                       const std::string &Request) {
-  const int Luck = this->Calm ? 99 : this->chance(100);
+  const int Luck = this->FaultsStopped ? 99 : this->chance(100);
   if (Luck < 3 && !pathOf(Request).ends_with("/crash")) {
     sendText(S, "HTTP/1.1 503 Full\r\nNot-Executed: 1\r\n"
                 "Content-Length: 0\r\n\r\n");
@@ -153,7 +153,7 @@
   const std::string Id = fieldOf(Request, "Request-Id");
   std::size_t Place = 0;
   {
-    const std::lock_guard<std::mutex> Lock(this->Guard);
+    const std::lock_guard<std::mutex> Lock(this->Mutex);
     Place = this->Runs[Id].size();
     this->Runs[Id].push_back(Run);
   }
@@ -164,7 +164,7 @@
     // The router has closed its connection.
   }
   Run.EndedAt = SteadyClock::now();
-  const std::lock_guard<std::mutex> Lock(this->Guard);
+  const std::lock_guard<std::mutex> Lock(this->Mutex);
   this->Runs[Id][Place] = Run;
   return Keeps;
 }
@@ -172,7 +172,7 @@
 bool SoakFleet::serveRun(int Luck, Poco::Net::StreamSocket &S,
                          const std::string &Request, ServerRun &Run) {
   const std::string Id = fieldOf(Request, "Request-Id");
-  Run.Spoilt = Luck < 10;
+  Run.Faulty = Luck < 10;
   if (Run.Path.ends_with("/crash"))
     return this->crash(S, Run, Luck % 2 == 0);
   if (Luck < 6)
@@ -199,14 +199,15 @@
   const std::string Id = fieldOf(Request, "Request-Id");
   const std::string Last = fieldOf(Request, "Last-Event-Id");
   const int From = Last.empty() ? 1 : std::stoi(Last) + 1;
-  const int BreakAt =
-      !this->Calm && this->chance(100) < 8 ? this->chance(StreamEvents) : -1;
+  const int BreakAt = !this->FaultsStopped && this->chance(100) < 8
+                          ? this->chance(StreamEvents)
+                          : -1;
   sendText(S, "HTTP/1.1 200 OK\r\nRequest-Id: " + Id +
                   "\r\nResponse-Seal: s\r\nContent-Type: text/event-stream\r\n"
                   "Transfer-Encoding: chunked\r\n\r\n");
   for (int Number = From; Number <= StreamEvents; ++Number) {
     if (Number == BreakAt) {
-      Run.Spoilt = true;
+      Run.Faulty = true;
       sendText(S, chunk(streamEvent(Number, Id).substr(0, 4)));
       return false;
     }
@@ -218,7 +219,7 @@
 }
 
 void SoakFleet::callOnce(std::mt19937_64 &Random,
-                         std::vector<KeptConnection> &Kept) {
+                         std::vector<KeepAliveConnection> &Kept) {
   const std::array<std::string, 4> Paths{"/safe/", "/unsafe/", "/stream/",
                                          "/once/"};
   const std::string Id = "q" + std::to_string(++this->LastRequest);
@@ -228,7 +229,7 @@
   Got.Path = Paths.at(Random() % Paths.size()) + std::to_string(Random() % 200);
   const std::string Part = std::to_string(Random() % 8);
   Got.Router = Random() % Kept.size();
-  ++this->Asked;
+  ++this->Requested;
   Kept[Got.Router].exchange(
       "GET " + Got.Path + " HTTP/1.1\r\nHost: h\r\nRequest-Id: " + Id +
           "\r\nDeadline-Ms: " +
@@ -237,74 +238,74 @@
           "\r\nToken-Count: 700,60\r\nPrefix-Hash: " + Part + ":500," + Id +
           ":200\r\n\r\n",
       Got);
-  if (Got.whole() && Got.Status == 200)
+  if (Got.isComplete() && Got.Status == 200)
     ++this->Served;
   if (Got.End == CallEnd::NotSent || Got.Status == 503)
     std::this_thread::sleep_for(RefusedPause);
-  const std::lock_guard<std::mutex> Lock(this->Guard);
+  const std::lock_guard<std::mutex> Lock(this->Mutex);
   this->Results[Id] = Got;
 }
 
 /// Callers differ in how long they wait between requests, and in whether they
 /// look at a connection before they use it again.
-void SoakFleet::callersLoop(std::size_t Number) {
+void SoakFleet::callerLoop(std::size_t Number) {
   constexpr std::array<unsigned, 4> LongestPauses{1, 30, 300, 1500};
   const unsigned LongestPause = LongestPauses.at(Number % LongestPauses.size());
   const bool Looks = Number % 3 == 0;
   std::mt19937_64 Random(this->Seed * 31 + Number);
-  std::vector<KeptConnection> Kept;
+  std::vector<KeepAliveConnection> Kept;
   for (const Router &Each : this->Routers)
-    Kept.emplace_back(Each.Callers, Looks);
+    Kept.emplace_back(Each.CallerAddress, Looks);
   while (!this->Stopping) {
     this->callOnce(Random, Kept);
     pauseFor(Random, 0, LongestPause);
   }
-  this->CallersGone.count_down();
+  this->CallersDone.count_down();
 }
 
-void SoakFleet::faultsLoop(std::uint64_t Start, const Fault &One) {
+void SoakFleet::faultLoop(std::uint64_t Start, const Fault &One) {
   std::mt19937_64 Random(Start);
-  while (!this->Stopping && !this->Calm) {
+  while (!this->Stopping && !this->FaultsStopped) {
     One(Random);
     std::this_thread::sleep_for(std::chrono::milliseconds(Random() % 500));
   }
-  this->FaultsOver.count_down();
+  this->FaultsDone.count_down();
   // A process that this thread has started is killed with its end.
-  this->CallersGone.wait();
+  this->CallersDone.wait();
 }
 
 void SoakFleet::run(std::chrono::milliseconds Time) {
-  this->Began = SteadyClock::now();
+  this->StartedAt = SteadyClock::now();
   std::vector<std::thread> Workers;
   for (std::size_t Number = 0; Number < CallerThreads; ++Number)
-    Workers.emplace_back([this, Number] { this->callersLoop(Number); });
-  Workers.emplace_back([this] { this->crashesLoop(); });
+    Workers.emplace_back([this, Number] { this->callerLoop(Number); });
+  Workers.emplace_back([this] { this->crashLoop(); });
   for (const char *Path : CrashingPaths)
     Workers.emplace_back([this, Path] { this->crashingCallerLoop(Path); });
   // Series of their own, so that faults overlap; a router belongs to one.
-  const std::array<Fault, SeriesOfFaults> Series{
-      [this](std::mt19937_64 &Random) { this->oneStoreFault(Random); },
-      [this](std::mt19937_64 &Random) { this->oneWayFault(Random); },
+  const std::array<Fault, FaultSeriesCount> Series{
+      [this](std::mt19937_64 &Random) { this->injectStoreFault(Random); },
+      [this](std::mt19937_64 &Random) { this->injectLinkFault(Random); },
       [this](std::mt19937_64 &Random) {
-        this->oneRouterFault(this->Routers[0], Random);
+        this->injectRouterFault(this->Routers[0], Random);
       },
       [this](std::mt19937_64 &Random) {
-        this->oneRouterFault(this->Routers[1 + Random() % 2], Random);
+        this->injectRouterFault(this->Routers[1 + Random() % 2], Random);
       }};
   for (std::size_t Number = 0; Number < Series.size(); ++Number)
     Workers.emplace_back([this, Number, &Series] {
-      this->faultsLoop(this->Seed + Number, Series.at(Number));
+      this->faultLoop(this->Seed + Number, Series.at(Number));
     });
   std::this_thread::sleep_for(Time / 2);
   // In the middle of the faults one account loses its key.
   {
-    const std::lock_guard<std::mutex> Lock(this->Guard);
+    const std::lock_guard<std::mutex> Lock(this->Mutex);
     this->RevokedAt = SteadyClock::now();
   }
   this->writeConfiguration();
   std::this_thread::sleep_for(Time / 2);
-  this->Calm = true;
-  this->FaultsOver.wait();
+  this->FaultsStopped = true;
+  this->FaultsDone.wait();
   std::this_thread::sleep_for(3s);
   this->Stopping = true;
   for (std::thread &Each : Workers)
--- a/test/Soak/SoakFleet.h
+++ b/test/Soak/SoakFleet.h
@@ -1,10 +1,10 @@
 #ifndef PARSLEYWING_TEST_SOAK_SOAKFLEET_H
 #define PARSLEYWING_TEST_SOAK_SOAKFLEET_H
 
-#include "Adapter/PlatformStore.h"
+#include "Adapter/FakePlatformStore.h"
 #include "Process/Fleet.h"
 #include "Process/TroubledWay.h"
-#include "Soak/KeptConnection.h"
+#include "Soak/KeepAliveConnection.h"
 
 #include <array>
 #include <atomic>
@@ -22,7 +22,7 @@
 namespace parsleywing::test {
 
 /// A stretch of time in which something was wrong.
-struct Span {
+struct Interval {
   std::chrono::steady_clock::time_point From;
   std::chrono::steady_clock::time_point To =
       std::chrono::steady_clock::time_point::max();
@@ -33,12 +33,12 @@
   std::string Path;
   std::string Account;
   std::size_t Server = 0;
-  std::chrono::steady_clock::time_point At;
+  std::chrono::steady_clock::time_point StartedAt;
   /// When the server had sent all or found its connection broken.
   std::chrono::steady_clock::time_point EndedAt =
       std::chrono::steady_clock::time_point::max();
   /// The server itself broke its answer off or spoilt it.
-  bool Spoilt = false;
+  bool Faulty = false;
 };
 
 /// An event of a stream, with the request's identity as its data.
@@ -69,35 +69,35 @@
   void run(std::chrono::milliseconds Time);
 
   /// The promises that were broken, a line each.
-  std::vector<std::string> broken();
+  std::vector<std::string> violations();
 
   /// How many calls ended with which status, second by second of the run; 0 is
   /// no answer.
   std::string summary();
 
   std::size_t served() const { return this->Served; }
-  std::size_t asked() const { return this->Asked; }
+  std::size_t requested() const { return this->Requested; }
 
 private:
   struct Router {
     std::string Name;
-    std::string Callers;
+    std::string CallerAddress;
     std::string Settings;
-    std::unique_ptr<TroubledWay> Way;
+    std::unique_ptr<TroubledWay> StoreLink;
     std::unique_ptr<ChildProcess> Process;
-    std::vector<Span> Killed;
-    std::vector<Span> Frozen;
+    std::vector<Interval> Killed;
+    std::vector<Interval> Frozen;
     /// From each SIGTERM to the end of the process.
-    std::vector<Span> Drained;
+    std::vector<Interval> Drained;
     /// The moments at which its processes were started.
-    std::vector<Span> Started;
+    std::vector<Interval> Started;
   };
 
   /// The way from the routers to a server.
-  struct ServerWay {
-    std::unique_ptr<TroubledWay> Way;
+  struct ServerLink {
+    std::unique_ptr<TroubledWay> Link;
     /// Crashes of the server too.
-    std::vector<Span> Troubles;
+    std::vector<Interval> Faults;
     /// Starts of its process; each has an identity of its own.
     int Starts = 0;
   };
@@ -115,62 +115,64 @@
   bool crash(Poco::Net::StreamSocket &Connection, const ServerRun &Run,
              bool Early);
   int chance(int Below);
-  void callersLoop(std::size_t Number);
-  void callOnce(std::mt19937_64 &Random, std::vector<KeptConnection> &Kept);
+  void callerLoop(std::size_t Number);
+  void callOnce(std::mt19937_64 &Random,
+                std::vector<KeepAliveConnection> &Kept);
   using Fault = std::function<void(std::mt19937_64 &)>;
-  void faultsLoop(std::uint64_t Start, const Fault &One);
+  void faultLoop(std::uint64_t Start, const Fault &One);
   std::string identityOf(std::size_t Server) const;
-  void listServer(std::size_t Server);
-  void crashesLoop();
-  void crashAndStart(std::size_t Server);
+  void registerServer(std::size_t Server);
+  void crashLoop();
+  void crashAndRestart(std::size_t Server);
   void crashingCallerLoop(const std::string &Path);
-  void during(std::vector<Span> &Spans, const std::function<void()> &Do);
-  void oneRouterFault(Router &Chosen, std::mt19937_64 &Random);
+  void recordDuring(std::vector<Interval> &Spans,
+                    const std::function<void()> &Do);
+  void injectRouterFault(Router &Chosen, std::mt19937_64 &Random);
   void freeze(Router &Chosen, std::mt19937_64 &Random);
-  void restartInOrder(Router &Chosen, std::mt19937_64 &Random);
-  void killAndStart(Router &Chosen, std::mt19937_64 &Random);
-  void oneStoreFault(std::mt19937_64 &Random);
-  void oneWayFault(std::mt19937_64 &Random);
+  void restartGracefully(Router &Chosen, std::mt19937_64 &Random);
+  void killAndRestart(Router &Chosen, std::mt19937_64 &Random);
+  void injectStoreFault(std::mt19937_64 &Random);
+  void injectLinkFault(std::mt19937_64 &Random);
   void checkRequest(const std::string &Id, const CallerResult &Got,
                     std::vector<std::string> &Into);
   void checkEnd(const std::string &Id, const CallerResult &Got,
                 std::vector<std::string> &Into);
-  bool mayBeCut(const CallerResult &Got, const ServerRun &Last) const;
-  const Span *reachedDrainLimit(const CallerResult &Got) const;
+  bool mayBeTruncated(const CallerResult &Got, const ServerRun &Last) const;
+  const Interval *reachedDrainLimit(const CallerResult &Got) const;
   std::string logOf(const std::string &Id, const CallerResult &Got) const;
   void checkLog(const Router &Of, std::vector<std::string> &Into) const;
   void checkCrashing(const std::string &Path, std::vector<std::string> &Into);
   std::string crashLog() const;
-  bool sentInTouch(const std::string &Id, const ServerRun &Run);
+  bool sentWhileConnected(const std::string &Id, const ServerRun &Run);
 
   /// Requests that crash each server that runs them, and come again and again.
   static constexpr std::array<const char *, 2> CrashingPaths{"/stream/crash",
                                                              "/safe/crash"};
-  static constexpr int SeriesOfFaults = 4;
+  static constexpr int FaultSeriesCount = 4;
   static constexpr int CallerThreads = 12;
 
   std::uint64_t Seed;
   TemporaryFolder Folder;
-  PlatformStore Store;
-  std::mutex Guard;
+  FakePlatformStore Store;
+  std::mutex Mutex;
   std::mt19937_64 ServerRandom;
   std::map<std::string, std::vector<ServerRun>> Runs;
   std::map<std::string, CallerResult> Results;
   /// Servers that a request is to crash now.
-  std::vector<std::size_t> ToCrash;
+  std::vector<std::size_t> ServersToCrash;
   std::vector<std::unique_ptr<ScriptedServer>> Servers;
-  std::vector<ServerWay> ServerWays;
+  std::vector<ServerLink> ServerLinks;
   std::vector<Router> Routers;
   std::atomic<bool> Stopping{false};
-  std::atomic<bool> Calm{false};
+  std::atomic<bool> FaultsStopped{false};
   /// All series of faults have ended.
-  std::latch FaultsOver{SeriesOfFaults};
+  std::latch FaultsDone{FaultSeriesCount};
   /// All callers have ended.
-  std::latch CallersGone{CallerThreads};
+  std::latch CallersDone{CallerThreads};
   std::atomic<std::uint64_t> LastRequest{0};
   std::atomic<std::size_t> Served{0};
-  std::atomic<std::size_t> Asked{0};
-  std::chrono::steady_clock::time_point Began;
+  std::atomic<std::size_t> Requested{0};
+  std::chrono::steady_clock::time_point StartedAt;
   std::int64_t Version = 0;
   std::chrono::steady_clock::time_point RevokedAt =
       std::chrono::steady_clock::time_point::max();
