--- a/src/Platform/Backoff.h
+++ b/src/Platform/Backoff.h
@@ -11,26 +11,27 @@
 
 namespace internal {
 
-/// The chosen seed, or where it is zero one of the system's.
-inline std::uint64_t seedOrRandom(std::uint64_t Chosen) {
-  if (Chosen != 0)
-    return Chosen;
+/// Returns the seed, or a random one if it is zero.
+inline std::uint64_t seedOrRandom(std::uint64_t Seed) {
+  if (Seed != 0)
+    return Seed;
   std::random_device Device;
   return (std::uint64_t{Device()} << 32U) | Device();
 }
 
 } // namespace internal
 
-/// Waits between tries that grow twofold up to a limit, each drawn at random
-/// from zero to the whole of it. Without the random part all routers that saw
-/// the same outage begin would call again at the same moments, and the service
-/// would go down again as it returns.
+/// Exponential backoff with full jitter: the upper bound of the delay doubles
+/// with each retry up to a maximum, and each delay is drawn uniformly between
+/// zero and that bound. Without jitter all routers that saw the same outage
+/// start would retry at the same times and overload the service as it recovers.
 class Backoff {
 public:
-  Backoff(Duration First, Duration Limit, std::uint64_t Seed)
-      : InitialDelay(First), MaxDelay(Limit), NextDelay(First), Random(Seed) {}
+  Backoff(Duration Initial, Duration Max, std::uint64_t Seed)
+      : InitialDelay(Initial), MaxDelay(Max), NextDelay(Initial), Random(Seed) {
+  }
 
-  /// The wait before the next try.
+  /// Draws the delay before the next attempt.
   Duration nextDelay() {
     std::uniform_int_distribution<Duration::rep> Wait(0,
                                                       this->NextDelay.count());
@@ -38,7 +39,7 @@
     return Duration(Wait(this->Random));
   }
 
-  /// A try went well.
+  /// Starts again from the initial delay, after a successful attempt.
   void reset() { this->NextDelay = this->InitialDelay; }
 
 private:
--- a/src/Platform/ConfigurationStore.h
+++ b/src/Platform/ConfigurationStore.h
@@ -13,7 +13,7 @@
 
 namespace parsleywing {
 
-/// One accepted change of the configuration, for a person.
+/// One accepted change of the configuration, as shown to operators.
 struct ConfigurationChange {
   std::uint64_t Generation = 0;
   std::string Operator;
@@ -21,25 +21,25 @@
   std::string Time;
 };
 
-/// The file is in force under this generation.
+/// The file is the active configuration, with this generation.
 struct ApplyAccepted {
   std::uint64_t Generation;
 };
 
-/// Somebody else's change came first; nothing of the file is in force.
+/// Another operator's change was applied first; nothing of the file is active.
 struct ApplyConflict {
   ConfigurationChange Current;
-  /// All changes after the one that this apply began from, the oldest first.
+  /// All changes after the generation this apply is based on, oldest first.
   std::vector<ConfigurationChange> ChangesSinceBase;
 };
 
-/// The write was sent and the store stayed away: the file may be in force now,
-/// or be so soon. `show` tells, by the apply's identity.
+/// The write was sent, but the store stopped answering: the file may be active
+/// now or become so soon. `show` reports which, by the ID of the apply.
 struct ApplyUnknown {
   std::string ApplyId;
 };
 
-/// The file is certainly not in force.
+/// The file is certainly not active.
 struct ApplyFailed {
   Error Reason;
 };
@@ -47,56 +47,60 @@
 using ApplyOutcome =
     std::variant<ApplyAccepted, ApplyConflict, ApplyUnknown, ApplyFailed>;
 
-/// The configuration as the store holds it.
+/// The configuration read from the store.
 struct StoredConfiguration {
   ConfigurationManifest Manifest;
   std::string Text;
 };
 
-/// Reads a manifest as the store holds it.
+/// Decodes a manifest from its stored form.
 Result<ConfigurationManifest> decodeManifest(const std::string &Text);
 
 struct ConfigurationStoreSettings {
   std::string Prefix = "config/";
-  /// The largest part; the service takes values of at most a megabyte.
+  /// Maximum size of a part. The service accepts values of up to one megabyte.
   std::size_t MaxPartBytes = 256U << 10U;
-  /// Time for one apply or one whole read, tries included.
+  /// Timeout of one apply or one complete read, retries included.
   Duration Timeout = std::chrono::seconds(20);
-  /// Parts of so many last generations are kept for readers.
+  /// Number of most recent generations whose parts are kept for readers.
   std::uint64_t RetainedPartGenerations = 8;
-  /// The history of so many is kept, to tell operators what came between.
+  /// Number of generations kept in the history, from which a conflicting apply
+  /// reports the changes that it missed.
   std::uint64_t RetainedHistoryEntries = 64;
-  /// Old parts are removed each so many generations.
+  /// Old parts are removed once every this many generations.
   std::uint64_t GenerationsPerCollection = 32;
-  /// For the identities of applies, which must differ; zero draws one.
+  /// Seed of the random apply IDs, which must be unique; zero picks a random
+  /// seed.
   std::uint64_t Seed = 0;
 };
 
-/// Keeps the operators' declarations in the platform's store: the text in
-/// parts under their hash, and one manifest that names them. A change writes
-/// the parts that are missing, then swaps the manifest, whole or not at all.
-/// For one thread; each call blocks for at most the patience.
+/// Keeps the operators' declarations in the platform's store: the text as
+/// parts keyed by their hash, and one manifest that lists them. A change writes
+/// the missing parts, then replaces the manifest atomically. Not thread-safe;
+/// each call blocks for at most the timeout.
 class ConfigurationStore {
 public:
   ConfigurationStore(ConfigurationStoreSettings C, StoreClient S, Clock T);
 
-  /// Puts a whole declarations file in force, as this operator. With `Base`
-  /// only where that generation is in force. The text must have been checked.
+  /// Makes a complete declarations file the active configuration, on behalf of
+  /// the operator. With `Base`, only if that generation is the active one. The
+  /// text must have been validated.
   ApplyOutcome apply(const std::string &File, const std::string &Operator,
                      std::optional<std::uint64_t> Base = std::nullopt);
 
-  /// Reads the whole configuration; generation zero where there is none.
+  /// Reads the complete configuration; generation zero if there is none.
   Result<StoredConfiguration> read();
 
-  /// One call on the store. Generation zero where there is none.
+  /// Reads the manifest, with one call to the store. Generation zero if there
+  /// is none.
   Result<ConfigurationManifest> readManifest();
 
-  /// The texts of these parts, in their order. `NotFound` where one has been
-  /// removed: read the manifest again.
+  /// Reads the texts of these parts, in the same order. Returns `NotFound` if
+  /// one has been removed; the caller must then read the manifest again.
   Result<std::vector<std::string>>
   readParts(const std::vector<TextHash> &Parts);
 
-  /// The changes still in the history, the oldest first.
+  /// Returns the changes still in the history, oldest first.
   Result<std::vector<ConfigurationChange>> history();
 
   std::string manifestKey() const { return this->Settings.Prefix + "manifest"; }
@@ -104,15 +108,15 @@
 private:
   struct ApplyState;
 
-  std::optional<ApplyOutcome> tryApply(ApplyState &Try);
-  Result<void> readBaseManifest(ApplyState &Try);
-  Result<void> fenceCollector(ApplyState &Try);
-  Result<void> uploadMissingParts(const ApplyState &Try);
+  std::optional<ApplyOutcome> tryApply(ApplyState &State);
+  Result<void> readBaseManifest(ApplyState &State);
+  Result<void> fenceCollector(ApplyState &State);
+  Result<void> uploadMissingParts(const ApplyState &State);
   Result<void> uploadBatch(const std::vector<const std::string *> &Parts);
-  std::optional<ApplyOutcome> swapManifest(ApplyState &Try);
+  std::optional<ApplyOutcome> swapManifest(ApplyState &State);
   std::optional<ApplyOutcome>
-  resolveFailedSwap(ApplyState &Try, const TransactionOutcome &Outcome);
-  ApplyOutcome makeConflict(const ApplyState &Try);
+  resolveFailedSwap(ApplyState &State, const TransactionOutcome &Outcome);
+  ApplyOutcome makeConflict(const ApplyState &State);
   void collectGarbage(std::uint64_t Generation, Revision Manifest);
   void removeExpired(std::uint64_t Generation, Revision Fence);
 
--- a/src/Platform/FencedLease.h
+++ b/src/Platform/FencedLease.h
@@ -13,15 +13,17 @@
 
 namespace parsleywing {
 
-/// Holds one named lease in the platform's store, with a fencing number, on a
-/// thread of its own while it is wanted. Costs a call every few seconds while
-/// held: for the few servers that get orders at a time, not for each one.
+/// Holds one named lease with a fencing number in the platform's store, for as
+/// long as it is wanted; runs its own thread. A held lease costs one call to
+/// the store every few seconds, so leases are for the few servers that receive
+/// orders at a time, not for every server.
 class FencedLease {
 public:
   struct Options {
-    /// The key that stands for the lease, such as `orders/<server>`.
+    /// The key that represents the lease, such as `orders/<server>`.
     std::string Key;
-    /// Names this process in the store, for a person: router and incarnation.
+    /// Identifies this process to people who read the store, for instance by
+    /// router and incarnation.
     std::string Holder;
     FencedLeaseTiming Timing;
     std::uint64_t Seed = 0;
@@ -29,27 +31,28 @@
 
   FencedLease(Options O, const StoreSettings &S,
               const std::shared_ptr<StoreBudget> &B, const Clock &C);
-  /// Gives the lease up if the store answers in time.
+  /// Releases the lease if the store answers in time.
   ~FencedLease();
 
   FencedLease(const FencedLease &) = delete;
   FencedLease &operator=(const FencedLease &) = delete;
 
-  /// Seeks the lease, or gives it up.
+  /// Starts to acquire and renew the lease, or releases it.
   void setWanted(bool Wanted);
 
-  /// The number to give an order under at this very moment, by a fresh look at
-  /// the clock; nothing where none may be given. Call it right before the first
-  /// byte of each order, never ahead of time. Costs no call on the store.
+  /// Returns the fencing number for an order sent right now, checked against
+  /// the current time, or nothing if no order may be sent. Call it immediately
+  /// before the first byte of each order, never ahead of time. Makes no call to
+  /// the store.
   std::optional<FencingNumber> fencingNumber() const;
 
-  /// The same, with the moment at which the use must end.
+  /// Same as `fencingNumber`, with the time until which orders may be sent.
   std::optional<LeasePermit> permit() const;
 
-  /// The number, after the store has confirmed that the key still has the
-  /// number. For servers that ignore the number: it also catches a machine
-  /// whose clock stood still with it. Costs one call; blocks for at most its
-  /// deadline.
+  /// Returns the fencing number after the store has confirmed that the key
+  /// still has it. For servers that ignore the number: it also covers a machine
+  /// whose clock was suspended together with the process. Makes one call to the
+  /// store and blocks for at most the call's timeout.
   std::optional<FencingNumber> confirmedFencingNumber();
   std::optional<LeasePermit> confirmedPermit();
 
@@ -73,7 +76,7 @@
   std::vector<LeaseAction> PendingActions;
   bool Stopping = false;
 
-  // Only the worker uses these.
+  // Used by the worker thread only.
   std::mt19937_64 Random;
   LeaseId Lease = 0;
 
--- a/src/Platform/FencedLeaseState.h
+++ b/src/Platform/FencedLeaseState.h
@@ -10,11 +10,11 @@
 
 namespace parsleywing {
 
-/// Numbers the holders of one named lease: each later holder's is higher. It is
-/// the revision at which the store created the lease's key.
+/// Identifies a holder of one named lease; each later holder's number is
+/// higher. It is the create revision of the lease's key in the store.
 using FencingNumber = Revision;
 
-/// Leave to give orders: under which number, and until when by the holder's
+/// Permission to send orders with this number until this time, by the holder's
 /// own clock.
 struct LeasePermit {
   FencingNumber Number = 0;
@@ -22,39 +22,39 @@
 };
 
 struct FencedLeaseTiming {
-  /// After so long without a renewal the store lets the lease lapse.
+  /// The lease expires in the store after this long without a renewal.
   std::chrono::seconds Ttl = std::chrono::seconds(20);
-  /// A holder stops this long before the lease can lapse, by its own clock.
+  /// A holder stops this long before the lease can expire, by its own clock.
   Duration SafetyMargin = std::chrono::seconds(8);
-  /// A new holder gives no order for so long: longer than any pause between a
-  /// holder's last look at its clock and the arrival of its order.
+  /// A new holder sends no orders for this long. It must exceed any pause
+  /// between a holder's last check of its clock and the arrival of its order.
   Duration TakeoverDelay = std::chrono::seconds(10);
   Duration RenewInterval = std::chrono::seconds(4);
   Duration RetryInterval = std::chrono::seconds(2);
 };
 
-/// Somebody here needs the lease, or no longer does.
+/// This process needs the lease, or no longer does.
 struct LeaseWanted {};
 struct LeaseUnwanted {};
 
-/// The store gave the lease. The time is from before the call was sent: the
-/// store's own count of the life began no earlier.
+/// The store granted the lease. `SentAt` is taken before the call was sent: the
+/// TTL in the store started no earlier.
 struct LeaseAcquired {
   FencingNumber Number;
   TimePoint SentAt;
 };
 
-/// The lease is another's, or the store did not answer.
+/// Another process holds the lease, or the store did not answer.
 struct LeaseAcquisitionFailed {};
 
 struct LeaseRenewed {
   TimePoint SentAt;
 };
 
-/// A renewal got no answer; it is tried again while there is time.
+/// A renewal got no response; it is retried while the lease is valid.
 struct LeaseRenewalFailed {};
 
-/// The store says that the lease has lapsed.
+/// The store reported that the lease has expired.
 struct LeaseExpired {};
 
 struct LeaseTick {};
@@ -65,30 +65,33 @@
 
 struct AcquireLease {};
 struct RenewLease {};
-/// Give the lease up, or whatever stands of it.
+/// Revoke the lease, including one whose acquisition is incomplete.
 struct ReleaseLease {};
 
 using LeaseAction = std::variant<AcquireLease, RenewLease, ReleaseLease>;
 
-/// Decides when a named lease with a fencing number is sought, renewed and
-/// given up, and when an order may be given under it. Does no I/O.
+/// State machine that decides when a named lease with a fencing number is
+/// acquired, renewed and released, and when an order may be sent under it. Does
+/// no I/O.
 ///
-/// A holder that is paused still believes that it holds the lease. So it asks
-/// `usable` with a fresh time right before each order, and the answer ends a
-/// margin before the store can let the lease lapse, counted from before the
-/// last renewal was sent. A pause after that last look is what the successor's
-/// wait covers, and what a server that checks the number refuses.
+/// A holder that was paused still believes that it holds the lease. It
+/// therefore calls `fencingNumber` with the current time right before each
+/// order. The number is valid until a safety margin before the lease can expire
+/// in the store, counted from before the last renewal was sent. A pause after
+/// that check is covered by the takeover delay of the next holder, and by
+/// servers that check the number and refuse an old one.
 class FencedLeaseState {
 public:
   explicit FencedLeaseState(FencedLeaseTiming T);
 
   std::vector<LeaseAction> handle(TimePoint Now, const LeaseEvent &Event);
 
-  /// The number to give an order under now; nothing where none may be given.
+  /// Returns the number for an order sent now, or nothing if none may be sent.
   std::optional<FencingNumber> fencingNumber(TimePoint Now) const;
 
-  /// The same, with the moment at which the use must end. An order is bounded
-  /// by it, so that none is still on its way when the lease can have lapsed.
+  /// Same as `fencingNumber`, with the time until which orders may be sent.
+  /// Orders time out by then, so that none is still in transit once the lease
+  /// can have expired.
   std::optional<LeasePermit> permit(TimePoint Now) const;
 
   bool isHeld() const { return this->Number.has_value(); }
@@ -109,7 +112,7 @@
 
   FencedLeaseTiming Timing;
   bool Wanted = false;
-  /// A call is under way; its outcome comes as an event.
+  /// A call to the store is in progress; its outcome arrives as an event.
   bool CallInProgress = false;
   std::optional<FencingNumber> Number;
   FencingNumber HighestNumber = 0;
--- a/src/Platform/PlatformThread.h
+++ b/src/Platform/PlatformThread.h
@@ -20,7 +20,7 @@
 
 namespace parsleywing {
 
-/// What the platform's list says of a VM. The list lags.
+/// State of a VM in the platform's list, which lags behind the actual state.
 enum class VmState { Live, Leaving };
 
 inline constexpr EnumNames<VmState, 2> VmStateNames{{
@@ -33,12 +33,13 @@
   VmState State;
 };
 
-/// The router's lease was granted, or has lapsed or cannot be renewed.
+/// The router's lease was granted, or has expired or cannot be renewed.
 struct RouterLeaseChanged {
   bool Held;
 };
 
-/// The routers that hold a lease; one that died stays until its lease lapses.
+/// The routers that hold a lease. A router that died is listed until its lease
+/// expires.
 struct RoutersListed {
   std::vector<RouterRegistration> Routers;
 };
@@ -48,15 +49,15 @@
   std::vector<VmListing> Vms;
 };
 
-/// What the platform's services told.
+/// An event from the platform's services.
 using PlatformEvent =
     std::variant<ManifestRead, PartsRead, StoreFailed, RouterLeaseChanged,
                  RoutersListed, VmsListed>;
 
-/// Read both lists once.
+/// Read the lists of routers and VMs once.
 struct ReadLists {};
 
-/// What can be asked of the platform's services.
+/// A request to the platform's services.
 using PlatformRequest = std::variant<WatchManifest, StopWatching, ReadManifest,
                                      ReadParts, ReadLists>;
 
@@ -65,28 +66,29 @@
   std::string VmPrefix = "vms/";
   std::chrono::seconds LeaseTtl = std::chrono::seconds(30);
   Duration KeepAliveInterval = std::chrono::seconds(10);
-  /// A router that watches the manifest reads the two lists so often.
+  /// Interval at which a router that watches the manifest reads both lists.
   Duration ListInterval = std::chrono::seconds(2);
   std::uint64_t Seed = 0;
 };
 
-/// Calls the platform's services on a thread of its own and posts what they
-/// tell. Holds the router's one lease. Every call is under the budget.
+/// Calls the platform's services on its own thread and posts the results as
+/// events. Holds the single lease of this router. Every call is rate limited
+/// by the budget.
 class PlatformThread {
 public:
-  /// Called on this object's threads; must not block.
+  /// Receives the events, on this object's threads; must not block.
   using Sink = std::function<void(PlatformEvent)>;
 
   PlatformThread(PlatformSettings P, const ConfigurationStoreSettings &C,
                  const StoreSettings &S, const std::shared_ptr<StoreBudget> &B,
                  RouterRegistration R, const Clock &T, Sink Post);
-  /// Gives the lease up if the store answers in time.
+  /// Releases the lease if the store answers in time.
   ~PlatformThread();
 
   PlatformThread(const PlatformThread &) = delete;
   PlatformThread &operator=(const PlatformThread &) = delete;
 
-  /// Asks for something; the answer comes as an event. Safe from every thread.
+  /// Queues a request; the result arrives as an event. Thread-safe.
   void submit(PlatformRequest Request);
 
   Poco::JSON::Object::Ptr dump() const { return this->Budget->dump(); }
@@ -96,7 +98,7 @@
   void on(const WatchManifest &);
   void on(const StopWatching &);
   void on(const ReadManifest &);
-  void on(const ReadParts &Wanted);
+  void on(const ReadParts &Request);
   void on(const ReadLists &);
   void maintainLease();
   bool acquireLease();
--- a/src/Platform/RouterRegistration.h
+++ b/src/Platform/RouterRegistration.h
@@ -8,22 +8,23 @@
 
 namespace parsleywing {
 
-/// A router as it lists itself in the store, under its one lease.
+/// The entry with which a router registers itself in the store, attached to its
+/// lease.
 struct RouterRegistration {
   std::string Name;
   std::string Zone;
   std::string CallerAddress;
   std::string PeerAddress;
   Incarnation IncarnationNumber = 0;
-  /// Where operators reach it; empty where it has no such address.
+  /// Address for operators; empty if the router has none.
   std::string OperatorAddress;
 };
 
-/// The value that stands in the store.
+/// Encodes the value kept in the store.
 std::string encodeRegistration(const RouterRegistration &Router);
 
-/// Reads such a value; nothing where it is not one. An earlier version wrote
-/// no operator address.
+/// Decodes such a value; returns nothing if it is malformed. The operator
+/// address is optional, since an earlier version did not write it.
 std::optional<RouterRegistration> decodeRegistration(const std::string &Text);
 
 } // namespace parsleywing
--- a/src/Platform/RunRecordWriter.h
+++ b/src/Platform/RunRecordWriter.h
@@ -17,11 +17,11 @@
 
 namespace parsleywing {
 
-/// Whether a request that may not be repeated may be sent now.
+/// Whether a non-repeatable request may be sent now.
 enum class RunVerdict {
-  Claimed,      ///< This claim has the record: send it, once.
-  TakenByOther, ///< Another claim has it: the request may have run.
-  Unavailable,  ///< Not claimed; never send it. "Not run" is true of it.
+  Claimed,      ///< This claim owns the record: send the request, once.
+  TakenByOther, ///< Another claim owns it: the request may have run.
+  Unavailable,  ///< Not claimed: never send it. The request has not run.
 };
 
 inline constexpr EnumNames<RunVerdict, 3> RunVerdictNames{{
@@ -32,44 +32,46 @@
 
 struct RunRecordSettings {
   std::string Prefix = "runs/";
-  /// Names this process: the router and its incarnation.
+  /// Identifies this process: the router and its incarnation.
   std::string WriterId;
-  /// How long a record lasts at least. A caller that repeats its key later is
-  /// taken for a new one.
+  /// Minimum time that a record is kept. A key that is repeated later counts as
+  /// a new request.
   std::chrono::seconds MinRecordLifetime = std::chrono::hours(24);
-  /// A new lease is begun so often; all records in between share one.
+  /// Interval at which a new lease is started; all records in between share
+  /// one lease.
   std::chrono::seconds LeaseRotationInterval = std::chrono::hours(1);
-  /// Time over which claims are gathered into one transaction.
+  /// Time for which claims are collected into one transaction.
   Duration BatchDelay = std::chrono::milliseconds(2);
-  /// At most 120: the service takes 128 steps in one transaction.
+  /// At most 120: the service accepts 128 operations in one transaction.
   std::size_t MaxBatchSize = 100;
-  /// A claim without a verdict after so long is Unavailable.
+  /// A claim without a verdict after this time is Unavailable.
   Duration ClaimTimeout = std::chrono::seconds(2);
-  /// Claims that may wait; more are Unavailable at once.
+  /// Maximum number of queued claims; further ones are Unavailable at once.
+  /// Also the maximum number of queued record updates.
   std::size_t MaxPending = 10000;
-  /// For the identities of leases; zero draws one.
+  /// Seed of the random lease IDs; zero picks a random seed.
   std::uint64_t Seed = 0;
 };
 
-/// Keeps, in the platform's store, who may run each request that may not be
-/// repeated. Each claim carries an identity that no other claim ever has. Many
-/// claims share one conditional write; the cost of a claim is one part in the
-/// size of the batch, of one write.
+/// Records in the platform's store which claim may run each non-repeatable
+/// request. Each claim carries a globally unique identity. Claims are batched:
+/// all claims of a batch share one conditional write.
 ///
-/// A reply lost after its write took effect: the same transaction is sent
-/// again, and its reads show the claim's own identity, which is Claimed. A
-/// write whose reply is missing may also still be under way and arrive much
-/// later. So every claim compares the revision of a guard key of this writer,
-/// and after a missing reply the writer first writes the guard anew: whatever
-/// was under way can then no longer take effect, and what the next read shows
-/// is final.
+/// If a response is lost after its write took effect, the same transaction is
+/// sent again; its reads then show the claim's own identity, and the verdict is
+/// Claimed. A write whose response is missing may also still be in transit and
+/// arrive much later. Therefore every claim compares the revision of a guard
+/// key of this writer, and after a missing response the writer first writes the
+/// guard key again: writes still in transit can then no longer take effect, and
+/// the next read is final.
 ///
-/// Where the store stays away until the patience ends, the claim is Unavailable
-/// and its request must not be sent. What stands of it is deleted as soon as
-/// the store is back and the guard is new. Until then a repeat may be told
-/// TakenByOther; no two claims are ever told Claimed. If this process dies
-/// first, the record lasts to the end of its lease; one that ends in order
-/// waits up to two seconds for the store to take what is left.
+/// If the store is unreachable until the claim times out, the claim is
+/// Unavailable and its request must not be sent. Any record it left is deleted
+/// as soon as the store is reachable and the guard key is rewritten. Until then
+/// a retry may get TakenByOther; two claims never both get Claimed. If this
+/// process dies first, the record stays until its lease expires; on an orderly
+/// shutdown the writer waits up to two seconds for the store to accept the
+/// pending updates.
 class RunRecordWriter {
 public:
   /// Called once for each claim, on the writer's thread.
@@ -77,23 +79,23 @@
 
   RunRecordWriter(RunRecordSettings R, StoreSettings S,
                   std::shared_ptr<StoreBudget> B, Clock C);
-  /// Every claim that still waits is told Unavailable.
+  /// Reports Unavailable for every claim that is still queued.
   ~RunRecordWriter();
 
   RunRecordWriter(const RunRecordWriter &) = delete;
   RunRecordWriter &operator=(const RunRecordWriter &) = delete;
 
-  /// Claims the record of the account's key. Safe from every thread.
+  /// Claims the record of the account's key. Thread-safe.
   void claim(AccountId Account, const std::string &Key,
-             const std::string &Identity, Callback Tell);
+             const std::string &Identity, Callback OnVerdict);
 
-  /// Marks a claimed record as finished, so that a repeat can be told that it
-  /// ran. Best effort: lost if the store is away for long.
+  /// Marks a claimed record as done, so that a retry learns that the request
+  /// ran. Best effort: the update is lost if the store is unreachable for long.
   void complete(AccountId Account, const std::string &Key,
                 const std::string &Identity);
 
   /// Deletes a claimed record whose request certainly did not run, so that a
-  /// repeat may. Done later if the store is away.
+  /// retry may run. Delayed while the store is unreachable.
   void release(AccountId Account, const std::string &Key,
                const std::string &Identity);
 
@@ -105,7 +107,8 @@
     std::string Identity;
     Callback OnVerdict;
     TimePoint Deadline;
-    /// A transaction with this claim may have taken effect unseen.
+    /// A transaction with this claim may have taken effect although its
+    /// response is missing.
     bool OutcomeUnknown = false;
   };
   enum class RecordUpdateKind { Complete, Release };
@@ -126,11 +129,12 @@
   bool ensureReady();
   bool acquireLease();
   void waitForBackoff();
-  /// False where the store did not take what waits.
+  /// Writes a batch of pending updates. Returns false if there was none or the
+  /// store did not accept it.
   bool flushUpdates();
   void flushUpdatesAtShutdown();
   std::size_t pendingUpdateCount() const;
-  /// Whether the batch needs no further try.
+  /// Returns whether the batch is complete and needs no retry.
   bool commitUpdates(const std::vector<RecordUpdate> &Batch);
   void queueUpdate(RecordUpdateKind Kind, std::string Key,
                    std::string Identity);
@@ -153,11 +157,11 @@
   std::uint64_t DroppedUpdateCount = 0;
   bool Stopping = false;
 
-  // Only the writer's thread uses these.
+  // Used by the writer's thread only.
   LeaseId Lease = 0;
   LeaseId PendingLease = 0;
   TimePoint LeaseStartedAt;
-  /// Zero where the guard must be written before the next claim.
+  /// Zero if the guard key must be written before the next claim.
   Revision GuardRevision = 0;
   std::mt19937_64 Random;
 
--- a/src/Platform/StoreBudget.h
+++ b/src/Platform/StoreBudget.h
@@ -11,7 +11,8 @@
 
 namespace parsleywing {
 
-/// The kinds of calls on the platform's key-value service, as they are counted.
+/// The kinds of calls to the platform's key-value service, which are counted
+/// separately.
 enum class StoreCall {
   Range,
   Put,
@@ -32,25 +33,26 @@
     {StoreCall::Watch, "watch"},
 }};
 
-/// What one router may ask of the service: a token bucket over calls of every
-/// kind, shared by all its clients. Safe from every thread. Without it a fault
-/// that makes one router repeat its calls would use up the service's rate for
-/// the whole fleet.
+/// Limits the rate of one router's calls to the service: a token bucket for
+/// calls of every kind, shared by all clients in the process. Thread-safe.
+/// Without it a fault that makes one router repeat its calls would use up the
+/// service's rate limit for the whole fleet.
 class StoreBudget {
 public:
-  /// At most `PerSecond` calls on average, `Burst` at once.
+  /// Allows `PerSecond` calls on average, and `Burst` at once.
   StoreBudget(double PerSecond, double Burst, TimePoint Now)
       : PerSecond(PerSecond), Burst(Burst), Tokens(Burst), RefilledAt(Now) {}
 
-  /// Takes one call and counts it: zero. Or takes nothing: the time to wait.
+  /// Consumes a token, counts the call and returns zero; if no token is
+  /// available, returns the time to wait.
   Duration tryAcquire(StoreCall Kind, TimePoint Now);
 
-  /// How long `take` would have the caller wait now; takes nothing.
+  /// The time until a token is available; consumes none.
   Duration timeUntilAvailable(TimePoint Now) const;
 
   std::uint64_t callCount(StoreCall Kind) const;
 
-  /// Calls of each kind since the start, and how often a call had to wait.
+  /// The number of calls of each kind, and how often a call had to wait.
   Poco::JSON::Object::Ptr dump() const;
 
 private:
--- a/src/Platform/StoreClient.h
+++ b/src/Platform/StoreClient.h
@@ -13,24 +13,24 @@
 
 namespace parsleywing {
 
-/// How one router calls the platform's key-value service.
+/// Settings of a client of the platform's key-value service.
 struct StoreSettings {
   /// Numeric host and port of the service.
   std::string Address;
-  /// Time for a call from its start to the end of its answer.
+  /// Time from the start of a call to the end of its response.
   Duration CallTimeout = std::chrono::seconds(1);
-  /// A connection idle for longer is not used again, but replaced.
+  /// A connection that was idle for longer is replaced instead of reused.
   Duration MaxIdleTime = std::chrono::milliseconds(500);
 };
 
-/// Typed calls on the platform's key-value service over one HTTP connection
-/// (the etcd v3 JSON gateway). Each call blocks for at most the deadline. For
-/// one thread; make one client for each. Failures say what may have happened:
-/// `Unreachable`, `LimitExceeded` and `Refused` mean that the call took no
-/// effect; `TimedOut`, `Interrupted` and `Malformed` that it may have.
+/// Typed calls to the platform's key-value service over one HTTP connection
+/// (the etcd v3 JSON gateway). Each call blocks for at most the call timeout.
+/// Not thread-safe; use one client per thread. The error tells whether the call
+/// may have taken effect: with `Unreachable`, `LimitExceeded` and `Refused` it
+/// did not; with `TimedOut`, `Interrupted` and `Malformed` it may have.
 ///
-/// Nothing is sent again by itself: the callers' writes carry conditions that
-/// let them recognise their own effect.
+/// Calls are never retried automatically: writes carry conditions by which the
+/// code that sends them recognises their effect.
 class StoreClient {
 public:
   StoreClient(StoreSettings S, std::shared_ptr<StoreBudget> B, Clock C);
@@ -38,23 +38,23 @@
   /// Reads one key.
   Result<StoreRange> get(const std::string &Key);
 
-  /// Reads all keys that start with the prefix; without their values where
-  /// `KeysOnly`.
+  /// Reads all keys that start with the prefix, without their values if
+  /// `KeysOnly` is set.
   Result<StoreRange> getPrefix(const std::string &Prefix,
                                bool KeysOnly = false);
 
-  /// Writes without a condition. Returns the revision of the write.
+  /// Writes unconditionally. Returns the revision of the write.
   Result<Revision> put(const std::string &Key, const std::string &Value,
                        LeaseId Lease = 0);
 
-  /// Compares and swaps many keys at one revision.
+  /// Executes a transaction, which compares and writes several keys atomically.
   Result<TransactionOutcome> commit(const StoreTransaction &Transaction);
 
-  /// Begins a lease. With an identity chosen by the caller (not zero) a grant
-  /// whose reply was lost can be found again by keeping it alive.
-  Result<LeaseId> grantLease(std::chrono::seconds Life, LeaseId Wanted = 0);
+  /// Creates a lease. With a requested ID (not zero), a grant whose response
+  /// was lost can be recovered by a keep-alive for that ID.
+  Result<LeaseId> grantLease(std::chrono::seconds Ttl, LeaseId RequestedId = 0);
 
-  /// Returns the new remaining life; `NotFound` where the lease has lapsed.
+  /// Returns the new remaining TTL, or `NotFound` if the lease has expired.
   Result<std::chrono::seconds> keepLeaseAlive(LeaseId Lease);
   Result<void> revokeLease(LeaseId Lease);
 
--- a/src/Platform/StoreCodec.h
+++ b/src/Platform/StoreCodec.h
@@ -9,12 +9,13 @@
 
 namespace parsleywing::internal {
 
-/// The JSON form of the service's messages (the etcd v3 gateway): keys and
-/// values in Base64, 64-bit numbers as strings, zero values left out.
+// JSON encoding of the service's messages (the etcd v3 gateway): keys and
+// values in Base64, 64-bit numbers as strings, zero values omitted.
+
 std::string toBase64(const std::string &Bytes);
 std::string fromBase64(const std::string &Text);
 
-/// A 64-bit number of a message; zero where it is left out.
+/// Returns a 64-bit number from a message; zero if the field is omitted.
 std::int64_t int64Field(const Poco::JSON::Object &Message,
                         const std::string &Name);
 
@@ -24,7 +25,7 @@
 StoreRange decodeRange(const Poco::JSON::Object &Message);
 TransactionOutcome decodeTransactionOutcome(const Poco::JSON::Object &Message);
 
-/// Parses one whole message; `Malformed` where it is no JSON object.
+/// Parses one complete message; `Malformed` if it is not a JSON object.
 Result<Poco::JSON::Object::Ptr> parseMessage(const std::string &Text);
 
 std::string stringify(const Poco::JSON::Object &Message);
--- a/src/Platform/StoreConnection.h
+++ b/src/Platform/StoreConnection.h
@@ -10,27 +10,28 @@
 
 namespace parsleywing {
 
-/// A call on a key-value service as it goes over the wire.
+/// An HTTP request to a key-value service.
 struct StoreRequest {
   std::string Method;
   std::string Path;
   std::string Body;
 };
 
-/// The whole answer to a call.
+/// The complete HTTP response to a request.
 struct StoreResponse {
   int Status = 0;
   std::string Body;
 };
 
-/// Calls over one kept HTTP connection, one after the other, each bounded as a
-/// whole. Shared by the clients of both forms of the platform's store. For one
-/// thread. `Unreachable` says that the call took no effect, `TimedOut` and
-/// `Interrupted` that it may have. Nothing is sent again by itself.
+/// Sends requests one at a time over a persistent HTTP connection; the time
+/// limit of a call covers the whole exchange. Used by the clients of both
+/// protocols of the platform's store. Not thread-safe. `Unreachable` means that
+/// the call took no effect, `TimedOut` and `Interrupted` that it may have.
+/// Nothing is retried automatically.
 class StoreConnection {
 public:
-  /// A connection idle for longer than `MaxIdle` is replaced, not used again,
-  /// and so is one that the store has ended.
+  /// A connection that was idle for longer than `MaxIdle`, or that the store
+  /// has closed, is replaced instead of reused.
   StoreConnection(std::string Address, Duration MaxIdle, Clock C);
   ~StoreConnection();
   StoreConnection(StoreConnection &&) noexcept;
@@ -38,16 +39,16 @@
   StoreConnection(const StoreConnection &) = delete;
   StoreConnection &operator=(const StoreConnection &) = delete;
 
-  Result<StoreResponse> call(const StoreRequest &Message, Duration Limit);
+  Result<StoreResponse> call(const StoreRequest &Request, Duration Limit);
 
-  /// Begins anew with the next call.
+  /// Closes the connection; the next call opens a new one.
   void close();
 
 private:
   class HttpSession;
 
   Result<void> connect(Duration Limit);
-  Result<StoreResponse> exchange(const StoreRequest &Message,
+  Result<StoreResponse> exchange(const StoreRequest &Request,
                                  TimePoint Deadline);
 
   std::string Address;
--- a/src/Platform/StoreTypes.h
+++ b/src/Platform/StoreTypes.h
@@ -7,13 +7,14 @@
 
 namespace parsleywing {
 
-/// A revision of the platform's key-value service; each write has a higher one.
+/// A revision of the platform's key-value service; it increases with each
+/// write.
 using Revision = std::int64_t;
 
-/// Names a lease of the service; zero is none.
+/// Identifies a lease of the service; zero means no lease.
 using LeaseId = std::int64_t;
 
-/// A key as the service holds it.
+/// A key with its value and metadata.
 struct StoreEntry {
   std::string Key;
   std::string Value;
@@ -23,17 +24,17 @@
   LeaseId Lease = 0;
 };
 
-/// What a read found, and the revision at which the service read it.
+/// The result of a read, and the revision at which it was read.
 struct StoreRange {
   std::vector<StoreEntry> Entries;
   Revision ReadRevision = 0;
 };
 
-/// What a condition of a transaction looks at. An absent key has the revision
-/// zero and equals no value.
+/// The property of a key that a condition compares. An absent key has the
+/// revision zero and equals no value.
 enum class CompareTarget { CreateRevision, ModRevision, Value };
 
-/// One condition of a transaction: equality only.
+/// One condition of a transaction, a test for equality.
 struct StoreCompare {
   std::string Key;
   CompareTarget Target = CompareTarget::ModRevision;
@@ -41,30 +42,31 @@
   std::string ExpectedValue;
 };
 
-/// Holds where the key does not exist.
+/// True if the key does not exist.
 inline StoreCompare keyAbsent(std::string Key) {
   return {std::move(Key), CompareTarget::CreateRevision, 0, {}};
 }
 
-/// Holds where the key was last written at this revision; zero is absent.
+/// True if the key was last written at this revision; zero means absent.
 inline StoreCompare keyModRevisionIs(std::string Key, Revision At) {
   return {std::move(Key), CompareTarget::ModRevision, At, {}};
 }
 
-/// Holds where the key was created at this revision: a fencing number.
+/// True if the key was created at this revision, which serves as a fencing
+/// number.
 inline StoreCompare keyCreateRevisionIs(std::string Key, Revision At) {
   return {std::move(Key), CompareTarget::CreateRevision, At, {}};
 }
 
-/// Holds where the key has this value.
+/// True if the key has this value.
 inline StoreCompare keyValueIs(std::string Key, std::string Value) {
   return {std::move(Key), CompareTarget::Value, 0, std::move(Value)};
 }
 
-/// What a step of a transaction does.
+/// The kinds of operations of a transaction.
 enum class StoreOperationKind { Put, Delete, Read };
 
-/// One step of a transaction.
+/// One operation of a transaction.
 struct StoreOperation {
   StoreOperationKind Kind = StoreOperationKind::Put;
   std::string Key;
@@ -72,7 +74,7 @@
   LeaseId Lease = 0;
 };
 
-/// Writes the key, under a lease where one is given.
+/// Writes the key, attached to the lease if one is given.
 inline StoreOperation putKey(std::string Key, std::string Value,
                              LeaseId Lease = 0) {
   return {StoreOperationKind::Put, std::move(Key), std::move(Value), Lease};
@@ -86,29 +88,30 @@
   return {StoreOperationKind::Read, std::move(Key), {}, 0};
 }
 
-/// All conditions hold: `Then` is done; else `Otherwise`. Either whole, at one
-/// revision. At most 128 of each, the service's own default limit.
+/// If all conditions are true, executes `Then`, otherwise `Else`, in either
+/// case atomically at one revision. Each list holds at most 128 items, the
+/// default limit of the service.
 struct StoreTransaction {
   std::vector<StoreCompare> Conditions;
   std::vector<StoreOperation> Then;
   std::vector<StoreOperation> Else;
 };
 
-/// How a transaction went, with what its reads found, in their order.
+/// The outcome of a transaction, with the results of its reads in order.
 struct TransactionOutcome {
   bool Succeeded = false;
   Revision CommitRevision = 0;
   std::vector<StoreRange> Reads;
 };
 
-/// A change of one key. A deletion has no value and its own revision.
+/// A change of one key. The entry of a deletion has no value, and the revision
+/// of the deletion.
 struct StoreChange {
   bool Deleted = false;
   StoreEntry Entry;
 };
 
-/// The end of the range of all keys that start with the prefix, as the
-/// protocol names it.
+/// Returns the protocol's `range_end` for all keys that start with the prefix.
 std::string prefixRangeEnd(std::string Prefix);
 
 } // namespace parsleywing
--- a/src/Platform/StoreWatch.h
+++ b/src/Platform/StoreWatch.h
@@ -14,22 +14,23 @@
 
 namespace parsleywing {
 
-/// Watches a prefix on a thread of its own and reports that something under it
-/// changed. Its reports are hints: changes may come late, out of order or not
-/// at all, so a reader asks the store what holds now. Costs one waiting call,
-/// and two calls at each renewal.
+/// Watches a key prefix on its own thread and reports changes. The reports are
+/// hints: changes may arrive late, out of order or not at all, so the receiver
+/// reads the current state from the store. Costs one long-lived call, and two
+/// calls at each renewal.
 class StoreWatch {
 public:
   struct Options {
     std::string Prefix;
-    /// A watch that told nothing for so long is replaced: its connection may
-    /// have gone silent, which nothing else on it would show.
+    /// A watch that received nothing for this long is replaced: a dead
+    /// connection and a watch without changes look the same.
     Duration SilenceTimeout = std::chrono::seconds(10);
     std::uint64_t Seed = 1;
   };
 
-  /// Called on the watch's thread with the changes of one message; with none
-  /// each time a watch begins, since changes may have been missed before.
+  /// Called on the watch's thread with the changes of one message. Called with
+  /// no changes each time a watch starts, since earlier changes may have been
+  /// missed.
   using ChangeHandler = std::function<void(const std::vector<StoreChange> &)>;
 
   StoreWatch(StoreSettings S, std::shared_ptr<StoreBudget> B, Clock C,
@@ -41,7 +42,8 @@
 
 private:
   void run();
-  /// Watches until the connection fails or is silent. Whether it began at all.
+  /// Watches until the connection fails or is silent. Returns whether the watch
+  /// started.
   bool watchOnce();
   void readChanges(std::istream &In);
   void waitOrStop(Duration Wait);
--- a/src/Program/CallerMetrics.h
+++ b/src/Program/CallerMetrics.h
@@ -6,11 +6,11 @@
 
 namespace parsleywing {
 
-/// Registers what the front to callers counts, and histograms of the times of
-/// its requests: until the first attempt, until the first piece of the answer,
-/// and until the final answer. Before `Callers` starts; both must outlive every
-/// request. A request costs up to three observations.
-void addCallerMetrics(Metrics &Measured, CallerServer &Callers);
+/// Registers the counters of the caller server, and histograms of the time of a
+/// request until its first attempt, until the first chunk of the response and
+/// until the final response. Call before `Callers` starts; both arguments must
+/// outlive every request. Adds up to three observations per request.
+void addCallerMetrics(Metrics &Registry, CallerServer &Callers);
 
 } // namespace parsleywing
 
--- a/src/Program/CommandLine.h
+++ b/src/Program/CommandLine.h
@@ -8,9 +8,10 @@
 
 namespace parsleywing {
 
-/// Finds the command that the first word names, reads its options and runs it.
-/// Messages go to standard error, one line each; results to standard output.
-ExitCode runCommandLine(const std::vector<std::string> &Words);
+/// Runs the command named by the first argument, with the other arguments as
+/// its options. Prints messages to standard error, one per line, and results to
+/// standard output.
+ExitCode runCommandLine(const std::vector<std::string> &Arguments);
 
 } // namespace parsleywing
 
--- a/src/Program/Commands/ApplyCommand.h
+++ b/src/Program/Commands/ApplyCommand.h
@@ -5,7 +5,7 @@
 
 namespace parsleywing {
 
-/// Puts a declarations file in force through the platform's store.
+/// Activates a declarations file through the platform's store.
 class ApplyCommand {
 public:
   const char *name() const { return "apply"; }
@@ -14,11 +14,11 @@
            "[--wait SECONDS] [--wait-in-force SECONDS]";
   }
   const char *summary() const {
-    return "Put a declarations file in force, whole or not at all.";
+    return "Put a declarations file in force, atomically.";
   }
   OptionsDescription options() const;
   PositionalOptions positional() const;
-  ExitCode run(const OptionValues &Given) const;
+  ExitCode run(const OptionValues &Values) const;
 };
 
 } // namespace parsleywing
--- a/src/Program/Commands/CheckCommand.h
+++ b/src/Program/Commands/CheckCommand.h
@@ -5,7 +5,7 @@
 
 namespace parsleywing {
 
-/// Checks files without running or applying anything.
+/// Validates files without running or applying anything.
 class CheckCommand {
 public:
   const char *name() const { return "check"; }
@@ -17,7 +17,7 @@
   }
   OptionsDescription options() const;
   PositionalOptions positional() const { return {}; }
-  ExitCode run(const OptionValues &Given) const;
+  ExitCode run(const OptionValues &Values) const;
 };
 
 } // namespace parsleywing
--- a/src/Program/Commands/CommandOptions.h
+++ b/src/Program/Commands/CommandOptions.h
@@ -14,22 +14,22 @@
     boost::program_options::positional_options_description;
 using OptionValues = boost::program_options::variables_map;
 
-/// Prints a failure as one line on standard error; the exit code that tells it.
-inline ExitCode printError(const Error &Failure) {
-  std::cerr << "parsleywing: " << Failure.Message << '\n';
-  return exitCodeOf(Failure.Code);
+/// Prints an error as one line to standard error and returns its exit code.
+inline ExitCode printError(const Error &Problem) {
+  std::cerr << "parsleywing: " << Problem.Message << '\n';
+  return exitCodeOf(Problem.Code);
 }
 
-/// The same, with a code of the command's own choice.
-inline ExitCode printError(const Error &Failure, ExitCode Code) {
-  printError(Failure);
+/// Prints an error and returns the given exit code.
+inline ExitCode printError(const Error &Problem, ExitCode Code) {
+  printError(Problem);
   return Code;
 }
 
-/// The value of an option that was given or has a default.
+/// Returns the value of an option that was given or has a default.
 template <typename Value>
-const Value &optionValue(const OptionValues &Given, const char *Name) {
-  return Given[Name].as<Value>();
+const Value &optionValue(const OptionValues &Values, const char *Name) {
+  return Values[Name].as<Value>();
 }
 
 } // namespace parsleywing
--- a/src/Program/Commands/DrainCommand.h
+++ b/src/Program/Commands/DrainCommand.h
@@ -5,7 +5,7 @@
 
 namespace parsleywing {
 
-/// Asks a router to drain, and can wait for its end.
+/// Starts the drain of a router and optionally waits until it has ended.
 class DrainCommand {
 public:
   const char *name() const { return "drain"; }
@@ -13,11 +13,11 @@
     return "drain --router ADDRESS [--wait SECONDS]";
   }
   const char *summary() const {
-    return "Let a router finish its requests and end.";
+    return "Drain a router: let it finish its requests and exit.";
   }
   OptionsDescription options() const;
   PositionalOptions positional() const { return {}; }
-  ExitCode run(const OptionValues &Given) const;
+  ExitCode run(const OptionValues &Values) const;
 };
 
 } // namespace parsleywing
--- a/src/Program/Commands/FetchCommand.h
+++ b/src/Program/Commands/FetchCommand.h
@@ -5,7 +5,7 @@
 
 namespace parsleywing {
 
-/// Prints what a router's operator address answers for one path.
+/// Prints the response of a router's operator address for one path.
 class FetchCommand {
 public:
   FetchCommand(std::string N, std::string S, std::string P)
@@ -17,7 +17,7 @@
   const char *summary() const { return this->Summary.c_str(); }
   OptionsDescription options() const;
   PositionalOptions positional() const { return {}; }
-  ExitCode run(const OptionValues &Given) const;
+  ExitCode run(const OptionValues &Values) const;
 
 private:
   std::string Name;
--- a/src/Program/Commands/GatewayCommand.h
+++ b/src/Program/Commands/GatewayCommand.h
@@ -15,7 +15,7 @@
   }
   OptionsDescription options() const;
   PositionalOptions positional() const { return {}; }
-  ExitCode run(const OptionValues &Given) const;
+  ExitCode run(const OptionValues &Values) const;
 };
 
 } // namespace parsleywing
--- a/src/Program/Commands/LogFiles.h
+++ b/src/Program/Commands/LogFiles.h
@@ -12,26 +12,26 @@
 
 namespace parsleywing {
 
-/// The logs, each read line by line as often as is wanted. Standard input can
-/// be read only once, so it is kept.
+/// Log files that can be read line by line several times. Standard input can be
+/// read only once, so its text is cached.
 class LogFiles {
 public:
   static constexpr const char *StandardInput = "-";
 
   explicit LogFiles(std::vector<std::string> P) : Paths(std::move(P)) {}
 
-  /// Calls `Look` with the source and the text of every line.
-  template <typename Function> Result<void> forEachLine(Function Look) {
+  /// Calls `Visit` with the source and the text of every line.
+  template <typename Function> Result<void> forEachLine(Function Visit) {
     for (const std::string &Path : this->Paths) {
       if (Path == StandardInput) {
-        std::istringstream Kept(this->cachedInput());
-        forEachLineOf(Kept, Path, Look);
+        std::istringstream Cached(this->cachedInput());
+        forEachLineOf(Cached, Path, Visit);
         continue;
       }
       std::ifstream File(Path);
       if (!File)
         return failure(ErrorCode::NotFound, Path + " cannot be opened");
-      forEachLineOf(File, Path, Look);
+      forEachLineOf(File, Path, Visit);
     }
     return {};
   }
@@ -39,10 +39,10 @@
 private:
   template <typename Function>
   static void forEachLineOf(std::istream &From, const std::string &Path,
-                            const Function &Look) {
+                            const Function &Visit) {
     std::string Line;
     while (std::getline(From, Line))
-      Look(Path, Line);
+      Visit(Path, Line);
   }
 
   const std::string &cachedInput() {
--- a/src/Program/Commands/OrderCommand.h
+++ b/src/Program/Commands/OrderCommand.h
@@ -5,7 +5,8 @@
 
 namespace parsleywing {
 
-/// Gives one order to one backend server, under its lease in the store.
+/// Sends one order to one backend server, under the server's lease in the
+/// store.
 class OrderCommand {
 public:
   const char *name() const { return "order"; }
@@ -19,7 +20,7 @@
   }
   OptionsDescription options() const;
   PositionalOptions positional() const { return {}; }
-  ExitCode run(const OptionValues &Given) const;
+  ExitCode run(const OptionValues &Values) const;
 };
 
 } // namespace parsleywing
--- a/src/Program/Commands/ReportCommand.h
+++ b/src/Program/Commands/ReportCommand.h
@@ -5,17 +5,17 @@
 
 namespace parsleywing {
 
-/// Adds the logs of several routers up.
+/// Summarises the logs of several routers.
 class ReportCommand {
 public:
   static const char *name() { return "report"; }
   static const char *usage() { return "report [LOG ...]"; }
   static const char *summary() {
-    return "Tell from the routers' logs how requests ended, and what bound.";
+    return "Summarise from the routers' logs how requests ended.";
   }
   static OptionsDescription options();
   static PositionalOptions positional();
-  static ExitCode run(const OptionValues &Given);
+  static ExitCode run(const OptionValues &Values);
 };
 
 } // namespace parsleywing
--- a/src/Program/Commands/SettingsCommand.h
+++ b/src/Program/Commands/SettingsCommand.h
@@ -5,7 +5,7 @@
 
 namespace parsleywing {
 
-/// Prints the table of settings in the form of docs/OPERATING.md.
+/// Prints the table of settings, formatted as in docs/OPERATING.md.
 class SettingsCommand {
 public:
   const char *name() const { return "settings"; }
@@ -15,7 +15,7 @@
   }
   OptionsDescription options() const { return OptionsDescription("Options"); }
   PositionalOptions positional() const { return {}; }
-  ExitCode run(const OptionValues &Given) const;
+  ExitCode run(const OptionValues &Values) const;
 };
 
 } // namespace parsleywing
--- a/src/Program/Commands/ShowCommand.h
+++ b/src/Program/Commands/ShowCommand.h
@@ -5,7 +5,7 @@
 
 namespace parsleywing {
 
-/// Prints the declarations that the platform's store holds.
+/// Prints the active declarations from the platform's store.
 class ShowCommand {
 public:
   const char *name() const { return "show"; }
@@ -15,7 +15,7 @@
   }
   OptionsDescription options() const;
   PositionalOptions positional() const { return {}; }
-  ExitCode run(const OptionValues &Given) const;
+  ExitCode run(const OptionValues &Values) const;
 };
 
 } // namespace parsleywing
--- a/src/Program/Commands/TraceCommand.h
+++ b/src/Program/Commands/TraceCommand.h
@@ -5,17 +5,17 @@
 
 namespace parsleywing {
 
-/// Tells a request's story from the logs of several routers.
+/// Prints the history of a request from the logs of several routers.
 class TraceCommand {
 public:
   static const char *name() { return "trace"; }
   static const char *usage() { return "trace ID [LOG ...]"; }
   static const char *summary() {
-    return "Print what the routers' logs say of a request, in order.";
+    return "Print what the routers' logs say about a request, in order.";
   }
   static OptionsDescription options();
   static PositionalOptions positional();
-  static ExitCode run(const OptionValues &Given);
+  static ExitCode run(const OptionValues &Values);
 };
 
 } // namespace parsleywing
--- a/src/Program/Commands/VersionCommand.h
+++ b/src/Program/Commands/VersionCommand.h
@@ -5,7 +5,6 @@
 
 namespace parsleywing {
 
-/// Prints the version.
 class VersionCommand {
 public:
   const char *name() const { return "version"; }
@@ -13,7 +12,7 @@
   const char *summary() const { return "Print the version."; }
   OptionsDescription options() const { return OptionsDescription("Options"); }
   PositionalOptions positional() const { return {}; }
-  ExitCode run(const OptionValues &Given) const;
+  ExitCode run(const OptionValues &Values) const;
 };
 
 } // namespace parsleywing
--- a/src/Program/DeclarationsLoader.h
+++ b/src/Program/DeclarationsLoader.h
@@ -11,23 +11,23 @@
 
 namespace parsleywing {
 
-/// Reads each configuration that is put in force into declarations, on a
-/// thread of its own: 24,000 accounts take longer than the control thread may
-/// stand still. Where several wait, only the newest is read. See
-/// `DeclarationsUpdater` for the cost.
+/// Parses each configuration that becomes active into declarations. Runs its
+/// own thread, since parsing 24,000 accounts would block the control thread for
+/// too long. If several configurations are queued, only the newest is parsed.
+/// See `DeclarationsUpdater` for the cost.
 class DeclarationsLoader {
 public:
-  /// `T` is called on the loader's thread, with rising generations.
+  /// `T` is called on the loader's thread, with increasing generations.
   explicit DeclarationsLoader(std::function<void(DeclarationsPtr)> T);
   ~DeclarationsLoader();
   DeclarationsLoader(const DeclarationsLoader &) = delete;
   DeclarationsLoader &operator=(const DeclarationsLoader &) = delete;
 
-  void load(PutInForce Wanted) { this->Pending.put(std::move(Wanted)); }
+  void load(PutInForce Next) { this->Pending.put(std::move(Next)); }
 
 private:
   void run();
-  void update(const PutInForce &Newest, bool FollowsTheLast);
+  void update(const PutInForce &Next, bool FollowsLast);
 
   std::function<void(DeclarationsPtr)> OnLoaded;
   DeclarationsUpdater Updater;
--- a/src/Program/DeclarationsUpdater.h
+++ b/src/Program/DeclarationsUpdater.h
@@ -14,25 +14,26 @@
 
 namespace parsleywing {
 
-/// Turns each configuration that is put in force into declarations. A change
-/// that follows the last one and concerns client accounts alone costs what it
-/// changes: it is made on the declarations before the last, once nobody holds
-/// them, or else on a copy of the last. Everything else costs a whole read.
-/// Takes the memory of two sets of declarations. One thread calls it;
-/// declarations may be let go of on any thread.
+/// Turns each configuration that becomes active into declarations. A change
+/// that directly follows the last one and only concerns client accounts is
+/// applied in place to the second-to-last declarations once they are no longer
+/// referenced, or else to a copy of the last ones. Everything else is parsed
+/// completely. Uses the memory of two sets of declarations. Called by a single
+/// thread; declarations may be released on any thread.
 class DeclarationsUpdater {
 public:
   DeclarationsUpdater() : Recycled(std::make_shared<RecyclePool>()) {}
 
-  /// What a whole read of the text gives. `FollowsTheLast` where the changes
-  /// are those since the call before.
-  Result<DeclarationsPtr> update(const PutInForce &Next, bool FollowsTheLast);
+  /// Returns the same declarations as parsing the complete text.
+  /// `FollowsLast` is true if the changes are those since the previous call.
+  Result<DeclarationsPtr> update(const PutInForce &Next, bool FollowsLast);
 
-  /// Changes made without a whole read or a copy; for tests and measurements.
+  /// The number of updates made without complete parsing or a copy; for tests
+  /// and benchmarks.
   std::uint64_t inPlaceUpdates() const { return this->InPlaceUpdates; }
 
 private:
-  /// Declarations that nobody holds any more come back here.
+  /// Receives declarations that are no longer referenced, for reuse.
   struct RecyclePool {
     std::mutex Mutex;
     std::unique_ptr<Declarations> Latest;
@@ -47,9 +48,10 @@
 
   std::shared_ptr<RecyclePool> Recycled;
   DeclarationsPtr
-      LastDeclarations; ///< Null where the next read must be a whole one.
+      LastDeclarations; ///< Null if the next text must be parsed completely.
   std::uint64_t PreviousGeneration = 0;
-  std::optional<AccountChanges> LastChanges; ///< From `BeforeLast` to `Last`.
+  std::optional<AccountChanges>
+      LastChanges; ///< From `PreviousGeneration` to `LastDeclarations`.
   std::unordered_map<std::string, AccountId> AccountByKeyDigest;
   std::uint64_t InPlaceUpdates = 0;
 };
--- a/src/Program/ExitCode.h
+++ b/src/Program/ExitCode.h
@@ -6,7 +6,7 @@
 
 namespace parsleywing {
 
-/// What the process tells the shell. The numbers are part of the interface
+/// Exit codes of the process. The numbers are part of the interface
 /// (docs/OPERATING.md) and never change their meaning.
 enum class ExitCode {
   Success = 0,
@@ -16,11 +16,11 @@
   MissingFile = 4,   ///< A file cannot be opened.
   CannotStart = 5,   ///< An address cannot be listened on.
   Unreachable = 6,   ///< The router or the platform does not answer.
-  Conflict = 7,      ///< Another operator's file came between.
-  TimedOut = 8,      ///< Not known or not finished in time.
-  Unfinished = 9,    ///< The router ended with requests unanswered.
+  Conflict = 7,      ///< Another operator's file was applied first.
+  TimedOut = 8,      ///< Timed out, or the outcome is unknown.
+  Unfinished = 9,    ///< The router ended with unanswered requests.
   NotAvailable = 10, ///< This build does not have the function.
-  StaleOrder = 11,   ///< The engine knows a newer order than this one.
+  StaleOrder = 11,   ///< The engine has received a newer order than this one.
   LeaseLost = 12,    ///< The lease was lost before the order was sent.
 };
 
@@ -40,7 +40,7 @@
     {ExitCode::LeaseLost, "lease-lost"},
 }};
 
-/// The exit code for a failure that ends a command.
+/// Returns the exit code for an error that ends a command.
 constexpr ExitCode exitCodeOf(ErrorCode Code) {
   switch (Code) {
   case ErrorCode::InvalidInput:
--- a/src/Program/FleetGeneration.h
+++ b/src/Program/FleetGeneration.h
@@ -7,23 +7,23 @@
 
 namespace parsleywing {
 
-/// A live router that is not known to have a generation in force.
+/// A live router that is not known to have reached a generation.
 struct LaggingRouter {
   std::string Name;
-  /// What it answered, or why there is no answer; for a person.
+  /// Its response, or why there is none, as text for operators.
   std::string Reason;
 };
 
-/// Waits until every router that holds a lease in the store says at its
-/// operator address that this generation or a later one is in force there. The
-/// list is read anew each second, so one that starts meanwhile is waited for,
-/// and one whose lease has lapsed is not. Gives the routers that are behind or
-/// do not answer when the time is over; none where all have it. An error where
-/// the list could not be read once. A router that died counts as live until
-/// its lease lapses.
+/// Waits until every router that holds a lease in the store reports at its
+/// operator address that this generation or a later one is active. The list is
+/// read again every second, so that routers that start in the meantime are
+/// included and those whose lease has expired are not. Returns the routers that
+/// lag or do not answer when the timeout passes; none if all have the
+/// generation. Fails if the list could never be read. A router that died counts
+/// as live until its lease expires.
 Result<std::vector<LaggingRouter>>
 waitForGeneration(const PlatformEndpoint &Platform, std::uint64_t Generation,
-                  Duration Wait);
+                  Duration Timeout);
 
 } // namespace parsleywing
 
--- a/src/Program/GatewayProcess.h
+++ b/src/Program/GatewayProcess.h
@@ -10,20 +10,21 @@
 
 namespace parsleywing {
 
-/// Joins the parts of a gateway: the loop of its traffic on one thread, the
-/// feed that keeps its view of the fleet on others, the signals on the first.
+/// Runs the parts of a gateway: the event loop for the traffic on one thread,
+/// the feed that updates its view of the fleet on others, and signal handling
+/// on the main thread.
 class GatewayProcess {
 public:
   GatewayProcess(std::string SettingsPath, GatewayFileSettings S);
 
-  /// Serves until a stop signal and the drain behind it. Fails where an address
-  /// cannot be listened on.
+  /// Serves until a stop signal and the drain that follows it. Fails if it
+  /// cannot listen on an address.
   Result<void> run();
 
 private:
   void handleSignals();
-  /// Says what a changed settings file would change; it comes in force with
-  /// the next start.
+  /// Logs whether the current settings file is valid. Changed settings take
+  /// effect at the next start.
   void checkSettingsFile() const;
 
   std::string Path;
--- a/src/Program/Orders/LoadRateLimiter.h
+++ b/src/Program/Orders/LoadRateLimiter.h
@@ -8,34 +8,36 @@
 namespace parsleywing {
 
 struct LoadRateLimiterSettings {
-  /// Start of the keys that stand for loads begun.
+  /// Prefix of the keys that represent started loads.
   std::string Prefix;
-  /// At most so many loads begin in each `Period`, fleet-wide.
+  /// Maximum number of loads started in each `Period`, fleet-wide.
   std::uint32_t MaxLoads = 4;
   std::chrono::seconds Period = std::chrono::seconds(60);
   std::uint64_t Seed = 0;
 };
 
-/// Keeps loads from the weight store within its rate over the whole fleet. Each
-/// load takes one of a few keys in the platform's store and leaves it under a
-/// lease of one period; the store's own clock frees it. So no two machines'
-/// clocks are compared: one that ran ahead could otherwise block everybody, or
-/// let everybody through.
+/// Limits the rate of loads from the weight store for the whole fleet. Each
+/// load acquires one of a few keys in the platform's store and attaches it to a
+/// lease of one period, which expires by the store's clock. No clocks of
+/// different machines are compared: a clock that runs fast could otherwise
+/// block every load or admit every load.
 ///
-/// Costs three calls a load (read, lease, swap), and one read a second while
-/// it waits. A reply that is lost costs one load of the period, never adds one.
+/// Costs three calls per load (read, lease, swap), and about one read per
+/// second while waiting. A lost response may waste one load of the period, but
+/// never permits an additional one.
 class LoadRateLimiter {
 public:
   LoadRateLimiter(LoadRateLimiterSettings S, StoreClient C, Clock T);
 
-  /// Waits for leave to begin one load, until the deadline at the latest.
-  /// `TimedOut` where none came free, or the store's error of the last try.
+  /// Waits until one load may start, at most until the deadline. Returns
+  /// `TimedOut` if no key became free, or the store's error of the last
+  /// attempt.
   Result<void> acquire(TimePoint Deadline);
 
 private:
   Result<bool> tryAcquire();
   Result<bool> claimSlot(const std::string &Key);
-  std::string slotKey(std::uint32_t Place) const;
+  std::string slotKey(std::uint32_t Index) const;
 
   LoadRateLimiterSettings Settings;
   StoreClient Store;
--- a/src/Program/Orders/ServerOrder.h
+++ b/src/Program/Orders/ServerOrder.h
@@ -13,41 +13,43 @@
 
 struct ServerOrderSettings {
   StoreSettings Store;
-  /// Start of every key that the fleet uses in the store.
+  /// Prefix of every key that the fleet uses in the store.
   std::string Prefix;
-  /// The backend server's declared name; its lease bears it.
+  /// The backend server's declared name, which is part of its lease's key.
   std::string Server;
-  /// Who orders; others who wait for their turn can read it in the store.
+  /// Identifies the sender of the order to people who read the store while they
+  /// wait for the lease.
   std::string Holder;
   std::chrono::seconds LeaseTtl = std::chrono::seconds(20);
-  /// How long to wait for the server's lease and for leave to load.
+  /// How long to wait for the server's lease and for permission to load.
   Duration Timeout = std::chrono::seconds(120);
   LoadRateLimiterSettings Rate;
 };
 
-/// How an order ended, and what was seen around it.
+/// The outcome of an order, and other changes observed meanwhile.
 struct ServerOrderReport {
   OrderOutcome Outcome = OrderOutcome::Unknown;
   FencingNumber Number = 0;
-  /// How often an older order undid this one and it was given again.
+  /// How often this order was sent again because an older order had undone it.
   std::uint32_t Repeats = 0;
-  /// What else was loaded or unloaded meanwhile, although the lease was held
-  /// here: older orders that were still on their way.
+  /// Other adapters that were loaded or unloaded although this process held the
+  /// lease, by older orders that were still in transit.
   std::set<std::string> OtherChanges;
 };
 
-/// Gives one order to one backend server: takes the server's lease, waits its
-/// turn, takes leave to load, gives the order with the lease's number, and at
-/// a server that ignores the number watches its report for a while.
-/// Blocks for the patience and some lease lives; for a process of its own.
+/// Sends one order to one backend server: acquires the server's lease, waits
+/// for the takeover delay and for permission to load, and sends the order with
+/// the lease's fencing number. At a server that ignores the number it then
+/// watches the server's report for a while. Blocks for up to the timeout plus
+/// several lease TTLs; intended for a process of its own.
 class ServerOrder {
 public:
-  /// Told each step in one short line.
+  /// Receives one short line of text for each step.
   using ProgressCallback = std::function<void(const std::string &)>;
 
   ServerOrder(ServerOrderSettings S, EngineOrder O, ProgressCallback T);
 
-  /// An error: nothing was sent.
+  /// Returns an error only if nothing was sent.
   Result<ServerOrderReport> run();
 
 private:
@@ -73,9 +75,9 @@
   std::set<std::string> AdaptersBefore;
 };
 
-/// The times of an order's lease, in proportion to its life. At a server that
-/// checks the number a successor need not wait.
-FencedLeaseTiming orderLeaseTiming(std::chrono::seconds Life,
+/// Returns the timing of an order's lease, in proportion to its TTL. At a
+/// server that checks the number the next holder need not wait.
+FencedLeaseTiming orderLeaseTiming(std::chrono::seconds Ttl,
                                    FencingCheck Check);
 
 } // namespace parsleywing
--- a/src/Program/PlatformDeclarations.h
+++ b/src/Program/PlatformDeclarations.h
@@ -11,43 +11,44 @@
 
 namespace parsleywing {
 
-/// Where a command finds the platform's store.
+/// Location of the fleet's data in the platform's store.
 struct PlatformEndpoint {
   /// Numeric host and port.
   std::string Address;
-  /// Start of every key that the fleet uses.
+  /// Prefix of every key that the fleet uses.
   std::string Prefix;
 };
 
-/// One operator's wish to put a file in force.
+/// An operator's request to activate a declarations file.
 struct ApplyRequest {
   PlatformEndpoint Platform;
-  /// The whole file, already checked.
+  /// The complete file, already validated.
   std::string Text;
-  /// Who applies; shown to others whose file comes second.
+  /// The operator's name, shown to others whose apply conflicts with this one.
   std::string OperatorName;
-  /// How long to go on trying while the store does not answer.
+  /// How long to retry while the store does not answer.
   Duration Timeout = Duration::zero();
 };
 
-/// What is in force: its generation and its canonical text.
+/// The active declarations: their generation and canonical text.
 struct AppliedDeclarations {
   std::uint64_t Generation = 0;
   std::string Text;
 };
 
-/// Puts the file in force by one compare-and-swap in the platform's store.
-/// `Conflict` where another operator's file came first: the message names who
-/// and what came between, and nothing of this file is in force. `Interrupted`
-/// where the store stayed away after the write was sent, so that it may be in
-/// force; `show` tells. Any other error: it is certainly not in force.
-Result<AppliedDeclarations> applyToPlatform(const ApplyRequest &Wanted);
+/// Activates the file by one compare-and-swap in the platform's store. Returns
+/// `Conflict` if another operator's file was applied first; the message names
+/// the operator and the changes since, and nothing of this file is active.
+/// Returns `Interrupted` if the store stopped answering after the write was
+/// sent, so that the file may be active; `show` reports which. With any other
+/// error the file is certainly not active.
+Result<AppliedDeclarations> applyToPlatform(const ApplyRequest &Request);
 
-/// Reads what is in force; `NotFound` where nothing was applied yet.
+/// Reads the active declarations; `NotFound` if none have been applied yet.
 Result<AppliedDeclarations> readFromPlatform(const PlatformEndpoint &Platform);
 
-/// The routers that hold a lease, each as it registered itself. One call on
-/// the store.
+/// Lists the routers that hold a lease, with the data they registered. Makes
+/// one call to the store.
 Result<std::vector<RouterRegistration>>
 listRouters(const PlatformEndpoint &Platform);
 
--- a/src/Program/ProcessUsage.h
+++ b/src/Program/ProcessUsage.h
@@ -3,11 +3,11 @@
 
 namespace parsleywing {
 
-/// Processor time that this process has used, in seconds (getrusage).
+/// CPU time that this process has used, in seconds (getrusage).
 double cpuSeconds();
 
-/// Memory of this process that is in RAM, in bytes; zero where the system does
-/// not tell (/proc/self/statm).
+/// Resident memory of this process in bytes; zero if the system does not report
+/// it (/proc/self/statm).
 double residentBytes();
 
 } // namespace parsleywing
--- a/src/Program/RouterLinks.h
+++ b/src/Program/RouterLinks.h
@@ -15,65 +15,64 @@
 
 namespace parsleywing {
 
-/// Joins the control thread to what a router speaks to beside callers: other
-/// routers, the platform, and the load reports of backend servers. Carries out
-/// the actions that are not for the thread of one request, and posts what
-/// arrives as events. Parts that the settings leave out are not there.
+/// Connects the control thread with everything a router communicates with
+/// except callers: other routers, the platform, and the load reports of backend
+/// servers. Executes the actions that do not belong to the thread of a single
+/// request, and posts incoming data as events. Parts that are not configured
+/// are absent.
 class RouterLinks {
 public:
-  RouterLinks(const Settings &Wanted, Incarnation Life, ControlLoop &Control,
-              std::function<void(DeclarationsPtr)> PutInForce);
+  RouterLinks(const Settings &W, Incarnation L, ControlLoop &C,
+              std::function<void(DeclarationsPtr)> OnDeclarations);
   ~RouterLinks();
   RouterLinks(const RouterLinks &) = delete;
   RouterLinks &operator=(const RouterLinks &) = delete;
 
-  /// Opens the peers' sockets and starts the threads. Before the control
-  /// thread starts, since it calls `carryOut`.
+  /// Opens the sockets for other routers and starts the threads. Must be called
+  /// before the control thread starts, since that thread calls `execute`.
   Result<void> start();
 
-  /// Carries out one action. Called from the control thread; never blocks.
-  void execute(const Action &Wanted);
+  /// Executes one action. Called from the control thread; never blocks.
+  void execute(const Action &A);
 
-  /// Says which declarations the load reports and the VM list refer to.
-  void setDeclarations(const DeclarationsPtr &InForce);
+  /// Sets the declarations that the load reports and the VM list refer to.
+  void setDeclarations(const DeclarationsPtr &Active);
 
-  /// True once a later process of this router's name was met.
+  /// True once a later process with this router's name has been seen.
   bool superseded() const { return this->IsSuperseded; }
 
-  /// Requests that the time limit of the drain cut off.
+  /// Requests that were aborted by the time limit of the drain.
   std::uint64_t unfinishedRequests() const { return this->UnfinishedRequests; }
 
   const PeerTransport *peerTransport() const { return this->Peers.get(); }
-  /// Calls on the platform's store so far.
+  /// The number of calls to the platform's store so far.
   std::uint64_t storeCallCount(StoreCall Kind) const;
   const RunRecordWriter *runRecords() const { return this->RunRecords.get(); }
   Poco::JSON::Object::Ptr dump() const;
 
-  /// Puts the faults of an order in place of those before. `Denied` unless the
-  /// settings allow it.
+  /// Replaces the injected faults with those of the order. Returns `Denied`
+  /// unless the settings allow fault injection.
   Result<void> setFaults(const PeerFaultOrder &Order);
 
 private:
   Result<void> startPeers();
   void startPlatform();
-  void onPlatformEvent(const PlatformEvent &Told);
-  void onRoutersListed(const RoutersListed &Listed);
-  void onVmsListed(const VmsListed &Listed);
+  void onPlatformEvent(const PlatformEvent &Event);
+  void onRoutersListed(const RoutersListed &List);
+  void onVmsListed(const VmsListed &List);
   void watchServers(const std::vector<ServerId> &Servers);
 
-  void on(const SendToPeer &Wanted);
-  void on(const ContactAddress &Wanted);
-  void on(const PeerAddressLearned &Wanted);
-  void on(const Superseded &Wanted);
-  void on(const ClaimRunRecord &Wanted);
-  void on(const CompleteRunRecord &Wanted);
-  void on(const ReleaseRunRecord &Wanted);
-  void on(const PutInForce &Wanted) { this->Loader.load(Wanted); }
-  void on(const WatchServers &Wanted);
-  void on(const DrainFinished &Wanted) {
-    this->UnfinishedRequests = Wanted.Unfinished;
-  }
-  template <typename OtherAction> void on(const OtherAction &Wanted);
+  void on(const SendToPeer &A);
+  void on(const ContactAddress &A);
+  void on(const PeerAddressLearned &A);
+  void on(const Superseded &A);
+  void on(const ClaimRunRecord &A);
+  void on(const CompleteRunRecord &A);
+  void on(const ReleaseRunRecord &A);
+  void on(const PutInForce &A) { this->Loader.load(A); }
+  void on(const WatchServers &A);
+  void on(const DrainFinished &A) { this->UnfinishedRequests = A.Unfinished; }
+  template <typename OtherAction> void on(const OtherAction &A);
 
   const Settings &RouterSettings;
   Incarnation IncarnationNumber;
@@ -94,8 +93,9 @@
   std::unique_ptr<LoadPoller> Poller;
 };
 
-/// Fills in what the decision modules need to know of this process.
-RouterCoreSettings coreSettings(const Settings &Wanted, Incarnation Life);
+/// Returns the settings of the decision modules, completed with the names,
+/// seeds and addresses of this process.
+RouterCoreSettings coreSettings(const Settings &From, Incarnation Number);
 
 } // namespace parsleywing
 
--- a/src/Program/RouterProcess.h
+++ b/src/Program/RouterProcess.h
@@ -16,8 +16,9 @@
 
 namespace parsleywing {
 
-/// Builds the parts of a router in order, joins them, and takes them down.
-/// Each part has one function here that makes it and one line in `start`.
+/// Creates the parts of a router in order, connects them and shuts them down.
+/// Each part is created by one function here and started by one line in
+/// `start`.
 class RouterProcess {
 public:
   explicit RouterProcess(Settings S);
@@ -25,18 +26,18 @@
   RouterProcess(const RouterProcess &) = delete;
   RouterProcess &operator=(const RouterProcess &) = delete;
 
-  /// Serves until a stop signal or an operator's drain, then drains: new
-  /// requests are refused, those in hand are finished, up to the drain limit.
-  /// A second signal ends the drain at once. Gives the number of requests left
-  /// unanswered. Fails where a part cannot start: `Unreachable` for an address
-  /// that cannot be listened on, else as the reader of the declarations says.
+  /// Serves until a stop signal or an operator's drain, then drains: refuses
+  /// new requests and finishes those in progress, up to the drain limit. A
+  /// second signal ends the drain at once. Returns the number of requests left
+  /// unanswered. Fails if a part cannot start: with `Unreachable` if it cannot
+  /// listen on an address, else with the error of the declarations reader.
   Result<std::size_t> run();
 
 private:
   Result<void> start();
   Result<void> startDeclarations();
   Result<void> startOperatorServer();
-  void activateDeclarations(DeclarationsPtr Declared);
+  void activateDeclarations(DeclarationsPtr Active);
 
   void addMetrics();
   void addTrafficMetrics();
@@ -44,7 +45,7 @@
   void addCounter(MetricName Name, std::function<double()> Read);
   void addStateSources();
 
-  /// A source whose state belongs to the control thread.
+  /// Returns a source that reads its state on the control thread.
   StateSource
   controlThreadSource(std::function<Poco::JSON::Object::Ptr()> Read);
 
@@ -54,7 +55,8 @@
 
   Settings RouterSettings;
   StopSignals Signals;
-  /// From the wall clock, so that a later process of the name has a higher one.
+  /// Taken from the wall clock, so that a later process of the same name has a
+  /// higher number.
   std::uint64_t IncarnationNumber;
   TimePoint StartedAt;
   std::atomic<bool> DrainOrdered{false};
--- a/src/Program/Settings.h
+++ b/src/Program/Settings.h
@@ -13,43 +13,43 @@
 
 namespace parsleywing {
 
-/// How this router reaches the platform's key-value service.
+/// Access of this router to the platform's key-value service.
 struct PlatformAccess {
-  /// Numeric host and port; empty where the router runs without the store.
+  /// Numeric host and port; empty if the router runs without the store.
   std::string Address;
-  /// Start of every key that the fleet uses.
+  /// Prefix of every key that the fleet uses.
   std::string Prefix = "parsleywing/";
-  /// Start of the keys that list the platform's VMs.
+  /// Prefix of the keys that list the platform's VMs.
   std::string VmPrefix = "vms/";
-  /// The part of the store's rates that this router may use for its lease, the
-  /// configuration and the lists, all kinds of calls together.
+  /// Rate limit of this router's calls for its lease, the configuration and the
+  /// lists, all kinds of calls together.
   std::uint32_t MaxCallsPerSecond = 8;
-  /// The same for run records. With one rate for both, many claims would use
-  /// up the calls that keep the router's lease.
+  /// Rate limit of the calls for run records. With one limit for both, many
+  /// claims would use up the calls that renew the router's lease.
   std::uint32_t MaxRecordCallsPerSecond = 12;
   Duration RequestTimeout = std::chrono::seconds(2);
   Duration LeaseTtl = std::chrono::seconds(30);
 };
 
-/// How this router reaches the others.
+/// Access of this router to the other routers.
 struct FleetAccess {
   /// Names and addresses of the routers known from the start.
   std::map<std::string, std::string> KnownRouters;
-  /// Shared by the whole fleet; proves that a datagram comes from a router.
+  /// Secret shared by the whole fleet; authenticates datagrams from routers.
   std::string Secret;
-  /// The most that this router may send to the others, headers included: a
-  /// guard against storms, twice the goal of 4 KB/s on average. A guard at the
-  /// goal itself held slots back at the busiest routers, which then sent more
-  /// to ask for them.
+  /// Rate limit of the traffic to other routers, headers included. Protects
+  /// against message storms; it is twice the goal of 4 KB/s on average. A limit
+  /// at the goal itself delayed slots at the busiest routers, which then sent
+  /// more messages to request them.
   std::int64_t MaxBytesPerSecond = 8192;
-  /// Lets operators cut this router off from others; for tests only.
+  /// Lets operators disconnect this router from others; for tests only.
   bool FaultInjection = false;
 };
 
-/// Which of the fairness policies is in force.
+/// The fairness policy.
 enum class FairnessMode {
-  Local,  ///< Each router its own fair queue.
-  Shared, ///< Account positions and slots are shared between routers.
+  Local,  ///< Each router has a fair queue of its own.
+  Shared, ///< Routers share the accounts' virtual times and the slots.
 };
 
 inline constexpr EnumNames<FairnessMode, 2> FairnessModeNames{{
@@ -57,32 +57,33 @@
     {FairnessMode::Shared, "shared"},
 }};
 
-/// The settings of one router process, as its file gives them.
+/// The settings of one router process, read from its settings file.
 struct Settings {
   std::string Name;
   std::string Zone;
   std::string PeerAddress;
   std::string OperatorAddress;
-  /// Declarations in force until the platform gives newer ones; may be empty.
+  /// Declarations that are active until the platform has newer ones; may be
+  /// empty.
   std::string DeclarationsFile;
   FleetAccess Peers;
   PlatformAccess Platform;
   CallerSettings Callers;
   FairnessMode Policy = FairnessMode::Shared;
-  /// Settings of the decision modules. Names, seeds and addresses in it are
-  /// filled in by the process.
+  /// Settings of the decision modules. The process fills in the names, seeds
+  /// and addresses.
   RouterCoreSettings Core;
   PollSettings Polling;
   LogLevel Level = LogLevel::Info;
   std::string LogTarget = "stderr";
 };
 
-/// Reads and checks a settings file: every section and key must be known and
-/// each value allowed. The first problem is returned as one sentence with the
-/// file, line, section and key.
+/// Reads and validates a settings file: every section and key must be known and
+/// each value allowed. The error describes the first problem in one sentence,
+/// with the file, line, section and key.
 Result<Settings> readSettings(const std::string &Path);
 
-/// The same for a file already parsed.
+/// Validates the settings of a parsed file.
 Result<Settings> readSettings(const IniFile &File);
 
 } // namespace parsleywing
--- a/src/Program/SettingsTable.h
+++ b/src/Program/SettingsTable.h
@@ -13,29 +13,29 @@
 struct Setting {
   std::string Section;
   std::string Key;
-  /// What a value may be, as the end of a sentence "must be ...".
+  /// The allowed values, as the end of a sentence "must be ...".
   std::string AllowedValues;
   std::string Description;
   bool Required = false;
-  /// Stores a value; false where it is not allowed.
+  /// Stores a value; returns false if it is not allowed.
   std::function<bool(Settings &, const std::string &)> Set;
-  /// The value in force, as the file would give it.
+  /// Returns the current value, as written in the settings file.
   std::function<std::string(const Settings &)> Get;
 };
 
-/// Every setting, in the order of the documentation. A key is one line here.
+/// Returns every setting, in the order of the documentation.
 const std::vector<Setting> &settingsTable();
 
-/// The setting of this section and key, or null.
+/// Returns the setting with this section and key, or null.
 const Setting *findSetting(const std::string &Section, const std::string &Key);
 
-/// Whether the section exists; `[peers]` does, with keys of its own.
+/// Returns whether the section exists.
 bool isSettingsSection(const std::string &Section);
 
-/// The section whose keys are names of routers and whose values are addresses.
+/// The section whose other keys are router names, with addresses as values.
 inline constexpr const char *PeersSection = "peers";
 
-/// The table as docs/OPERATING.md shows it (Markdown).
+/// Returns the table in Markdown, as docs/OPERATING.md shows it.
 std::string settingsTableMarkdown();
 
 } // namespace parsleywing
--- a/src/Program/StopSignals.h
+++ b/src/Program/StopSignals.h
@@ -8,17 +8,18 @@
 
 namespace parsleywing {
 
-/// Waits for SIGTERM, SIGINT and SIGHUP. Made before any other thread: it
-/// blocks the signals in this thread and in all that are started later, so that
-/// none of them is interrupted in the middle of its work.
+/// Waits for SIGTERM, SIGINT and SIGHUP. Must be created before any other
+/// thread: it blocks the signals in this thread and in all threads started
+/// later, so that none of them is interrupted by a signal.
 class StopSignals {
 public:
   StopSignals();
 
-  /// Waits up to `Limit` (below one second) for a signal and gives its number.
+  /// Waits up to `Limit` (less than one second) for a signal and returns its
+  /// number.
   std::optional<int> wait(Duration Limit);
 
-  /// Signals to stop that came so far.
+  /// The number of stop signals received so far.
   int stopCount() const { return this->StopCount; }
 
 private:
--- a/src/Program/Version.h
+++ b/src/Program/Version.h
@@ -3,7 +3,7 @@
 
 namespace parsleywing {
 
-/// The version of the program, equal to the project's in CMakeLists.txt.
+/// The version of the program; must equal the project's in CMakeLists.txt.
 inline constexpr const char *Version = "0.1.0";
 
 } // namespace parsleywing
