--- a/src/Platform/FencedLeaseState.cpp
+++ b/src/Platform/FencedLeaseState.cpp
@@ -8,10 +8,10 @@
 
 FencedLeaseState::FencedLeaseState(FencedLeaseTiming T) : Timing(T) {
   PARSLEYWING_INVARIANT(this->Timing.SafetyMargin < this->Timing.Ttl,
-                        "a lease can be used for some time");
+                        "the safety margin is shorter than the lease's TTL");
   PARSLEYWING_INVARIANT(this->Timing.RenewInterval <
                             this->Timing.Ttl - this->Timing.SafetyMargin,
-                        "a lease is renewed before its use must end");
+                        "a lease is renewed before its safety margin begins");
 }
 
 std::vector<LeaseAction> FencedLeaseState::handle(TimePoint Now,
@@ -23,29 +23,30 @@
 
 std::optional<FencingNumber>
 FencedLeaseState::fencingNumber(TimePoint Now) const {
-  if (!this->Wanted || !this->Number || Now < this->ValidFrom ||
+  if (!this->IsWanted || !this->Number || Now < this->ValidFrom ||
       Now >= this->ValidUntil)
     return std::nullopt;
   return this->Number;
 }
 
 std::optional<LeasePermit> FencedLeaseState::permit(TimePoint Now) const {
-  const auto Usable = this->fencingNumber(Now);
-  if (!Usable)
+  const auto CurrentNumber = this->fencingNumber(Now);
+  if (!CurrentNumber)
     return std::nullopt;
-  return LeasePermit{*Usable, this->ValidUntil};
+  return LeasePermit{*CurrentNumber, this->ValidUntil};
 }
 
 void FencedLeaseState::on(TimePoint Now, const LeaseWanted &, Actions &Out) {
-  this->Wanted = true;
+  this->IsWanted = true;
   this->on(Now, LeaseTick{}, Out);
 }
 
 void FencedLeaseState::on(TimePoint, const LeaseUnwanted &, Actions &Out) {
-  if (!this->Wanted)
+  if (!this->IsWanted)
     return;
-  this->Wanted = false;
-  // What is under way is given up as soon as its outcome is known.
+  this->IsWanted = false;
+  // A call in progress is handled when its outcome arrives; the lease is
+  // released then.
   if (this->CallInProgress)
     return;
   if (this->Number)
@@ -61,10 +62,11 @@
 void FencedLeaseState::on(TimePoint Now, const LeaseAcquired &Event,
                           Actions &Out) {
   this->CallInProgress = false;
-  // A store that was set back would give numbers again that servers have seen.
-  const bool Rises = Event.Number > this->HighestNumber;
+  // A store that was reset to an earlier state would issue numbers that servers
+  // have already seen.
+  const bool IsHigher = Event.Number > this->HighestNumber;
   this->HighestNumber = std::max(this->HighestNumber, Event.Number);
-  if (!this->Wanted || !Rises) {
+  if (!this->IsWanted || !IsHigher) {
     Out.emplace_back(ReleaseLease{});
     this->NextCallAt = Now + this->Timing.RetryInterval;
     return;
@@ -85,15 +87,15 @@
 void FencedLeaseState::on(TimePoint Now, const LeaseRenewed &Event,
                           Actions &Out) {
   this->CallInProgress = false;
-  if (!this->Wanted) {
+  if (!this->IsWanted) {
     Out.emplace_back(ReleaseLease{});
     this->Number.reset();
     return;
   }
   if (!this->Number)
     return;
-  // Whether the lease lapsed and came back in between cannot be told from
-  // here: what ran past its end is lost and sought anew.
+  // Whether the lease expired and was acquired by another holder in between is
+  // unknown here, so a lease past its validity is lost and acquired again.
   if (Now >= this->ValidUntil) {
     Out.emplace_back(ReleaseLease{});
     this->markLost(Now);
@@ -107,7 +109,7 @@
                           Actions &Out) {
   this->CallInProgress = false;
   this->NextCallAt = Now + this->Timing.RetryInterval / 2;
-  if (this->Wanted)
+  if (this->IsWanted)
     return;
   Out.emplace_back(ReleaseLease{});
   this->Number.reset();
@@ -124,7 +126,7 @@
 }
 
 void FencedLeaseState::on(TimePoint Now, const LeaseTick &, Actions &Out) {
-  if (this->CallInProgress || !this->Wanted)
+  if (this->CallInProgress || !this->IsWanted)
     return;
   if (this->Number && Now >= this->ValidUntil) {
     Out.emplace_back(ReleaseLease{});
