--- a/src/Program/Commands/OrderCommand.cpp
+++ b/src/Program/Commands/OrderCommand.cpp
@@ -106,9 +106,7 @@
   case OrderOutcome::Refused:
     return "the engine refused the order";
   case OrderOutcome::Unknown:
-    return "the order may or may not be in effect; the engine's report does "
-           "not "
-           "show it";
+    return "the order may or may not be in effect; the report does not show it";
   }
   return "";
 }
