--- a/src/Placement/Allocator.cpp
+++ b/src/Placement/Allocator.cpp
@@ -72,7 +72,7 @@
 }
 
 void Allocator::handle(const RouterMessage &Message, TimePoint Now) {
-  std::visit([this, Now](const auto &M) { this->take(M, Now); }, Message);
+  std::visit([this, Now](const auto &M) { this->process(M, Now); }, Message);
 }
 
 /// An allocator that takes servers over believes that they keep nothing, and
@@ -108,7 +108,7 @@
   return Lowest;
 }
 
-void Allocator::take(const AllocationRequest &Ask, TimePoint Now) {
+void Allocator::process(const AllocationRequest &Ask, TimePoint Now) {
   // Asked again since the answer was lost or late.
   if (const auto Known = this->ActiveGrants.find(Ask.Id);
       Known != this->ActiveGrants.end()) {
@@ -158,12 +158,12 @@
     this->Replies.emplace_back(AllocationQueued{Ask.Id});
 }
 
-void Allocator::take(const AllocationCancelled &Message, TimePoint Now) {
+void Allocator::process(const AllocationCancelled &Message, TimePoint Now) {
   this->removeQueued(Message.Id);
-  this->take(GrantEnded{Message.Id, ServerVerdict::Healthy}, Now);
+  this->process(GrantEnded{Message.Id, ServerVerdict::Healthy}, Now);
 }
 
-void Allocator::take(const GrantStarted &Message, TimePoint) {
+void Allocator::process(const GrantStarted &Message, TimePoint) {
   const auto Found = this->ActiveGrants.find(Message.Id);
   if (Found == this->ActiveGrants.end())
     return;
@@ -172,7 +172,7 @@
   Found->second.Load.PrefillTokens = 0;
 }
 
-void Allocator::take(const GrantEnded &Message, TimePoint Now) {
+void Allocator::process(const GrantEnded &Message, TimePoint Now) {
   const auto Found = this->ActiveGrants.find(Message.Id);
   if (Found == this->ActiveGrants.end())
     return;
@@ -188,7 +188,7 @@
   });
 }
 
-void Allocator::take(const GrantActive &Message, TimePoint Now) {
+void Allocator::process(const GrantActive &Message, TimePoint Now) {
   const std::int64_t Known = this->Servers.startOf(Message.Server);
   if (Message.ServerStartedMs > Known) {
     this->Servers.recordStart(Message.Server, Message.ServerStartedMs);
@@ -211,13 +211,13 @@
   }
   // Its router has sent it elsewhere since.
   if (Found->second.Server != Message.Server) {
-    this->take(GrantEnded{Message.Id, ServerVerdict::Healthy}, Now);
-    this->take(Message, Now);
+    this->process(GrantEnded{Message.Id, ServerVerdict::Healthy}, Now);
+    this->process(Message, Now);
     return;
   }
   Found->second.LastReported = Now;
   if (Message.PrefillTokens == 0)
-    this->take(GrantStarted{Message.Id}, Now);
+    this->process(GrantStarted{Message.Id}, Now);
 }
 
 void Allocator::tick(TimePoint Now) {
--- a/src/Placement/Allocator.h
+++ b/src/Placement/Allocator.h
@@ -10,92 +10,100 @@
 
 namespace parsleywing {
 
-/// How much an allocator lets the engines of a service have at once.
+/// How much work an allocator gives to the engines of a service at a time.
 struct AllocationLimits {
-  /// Prompt tokens that may wait unread at one server before the next request
-  /// is held back. An engine admits in order of arrival: what is queued there
-  /// can neither be ordered nor taken back.
+  /// The maximum number of pending prefill tokens at one server; further
+  /// requests wait at the allocator. Engines admit requests in order of
+  /// arrival, so a request that is queued at an engine can neither be reordered
+  /// nor withdrawn.
   std::uint64_t MaxPendingPrefillTokens = 5000;
-  /// Prompt tokens that a server reads in a millisecond, for estimates.
+  /// The estimated prefill speed of one server.
   double PrefillTokensPerMs = 25;
-  /// What it costs to fetch kept parts of prompts from another server.
+  /// The cost of fetching cached prompt parts from another server.
   FetchCost Fetch;
 };
 
-/// Mechanisms of an allocator that tests and the lab switch off, to show what
-/// each is worth. The product runs with all of them.
+/// Allocator features that tests and the simulator in `lab/` disable to measure
+/// the effect of each. Production code enables all of them.
 struct AllocatorOptions {
-  /// An account's least work first, in place of the order of arrival.
+  /// Serve the smallest request of an account first, not the oldest.
   bool SmallestFirst = true;
-  /// Kept parts are fetched from other engines.
+  /// Fetch cached parts from other engines.
   bool FetchCached = true;
-  /// Accounts that are far behind take any engine with room.
+  /// Accounts that have received much less than others use any engine with
+  /// capacity.
   bool UnderservedUseAnyServer = true;
-  /// What would wait in vain is refused on its arrival.
+  /// Refuse requests on arrival that would time out in the queue.
   bool RefuseLikelyTimeouts = true;
   PlacementWeights Weights;
 };
 
-/// How many servers of a service take more, and why the others do not.
+/// How many servers of a service have free capacity, and why the others do not.
 struct CapacitySummary {
   std::uint32_t Free = 0;
-  /// As many requests run there as it has slots.
+  /// All slots are occupied.
   std::uint32_t SlotsFull = 0;
-  /// Too many prompt tokens wait there unread.
+  /// Too many prompt tokens are waiting for prefill.
   std::uint32_t PrefillFull = 0;
-  /// It has failed of late.
+  /// The server has failed recently.
   std::uint32_t Unhealthy = 0;
-  /// It warms up, and has what it bears or is not this allocator's to grant.
+  /// The server is warming up, and has reached its warm-up limit or is owned by
+  /// another allocator.
   std::uint32_t WarmingUp = 0;
 };
 
-/// Gives the servers of a service to the requests of all routers, so that short
-/// queues stand at the engines and the long one here: in order of what each
-/// client account has had, and of what can still be on time. Makes no calls and
-/// has no clock of its own; its answers are collected and taken by the caller.
+/// Allocates the servers of a service to the requests of all routers. Requests
+/// wait in a long queue here instead of at the engines, and are served by how
+/// much each client account has received and by which requests can still meet
+/// their latency objective. Performs no I/O and has no clock of its own; the
+/// caller delivers its replies.
 ///
-/// In two files: what it hears and forgets (`Allocator.cpp`), whom it grants
-/// what and whom it refuses (`AllocatorGrants.cpp`).
+/// `Allocator.cpp` maintains the state from messages and time;
+/// `AllocatorGrants.cpp` grants and refuses requests.
 ///
-/// Any router can be the allocator of a service, and more than one may believe
-/// to be it for a while. Each then fills the servers by itself, which makes
-/// them busier than planned and breaks no promise.
+/// Any router can be the allocator of a service, and several routers may
+/// consider themselves the allocator for some time. Each of them then fills the
+/// servers on its own, which makes the servers busier than planned but violates
+/// no guarantee.
 class Allocator {
 public:
-  explicit Allocator(AllocatorOptions C = {});
+  explicit Allocator(AllocatorOptions O = {});
 
-  void setServers(const std::shared_ptr<const ServerList> &Servers,
-                  const GatewayConfiguration *Stated,
-                  const ServerGroups &Groups, const ViewTime &At = {});
+  void setServers(const std::shared_ptr<const ServerList> &Listed,
+                  const GatewayConfiguration *Configuration,
+                  const ServerGroups &Groups, const ViewTime &Time = {});
 
-  /// What the fleet may send to servers that warm up, and whether this
-  /// allocator alone grants one of them. Before `setServers`.
+  /// Sets the fleet's bounds for servers that are warming up, and the predicate
+  /// that decides whether only this allocator may grant such a server. Takes
+  /// effect with the next `setServers`.
   void setWarmUpPolicy(const WarmUpBounds &Bounds,
-                       std::function<bool(std::uint64_t Server)> MayGrant) {
+                       std::function<bool(std::uint64_t Server)> Owns) {
     this->Servers.setWarmUpBounds(Bounds);
-    this->Servers.setWarmUpOwnership(std::move(MayGrant));
+    this->Servers.setWarmUpOwnership(std::move(Owns));
   }
 
   void handle(const RouterMessage &Message, TimePoint Now);
 
-  /// Refuses what waits too long, forgets what is no longer told, and grants
-  /// what there is room for. Called every few milliseconds.
+  /// Refuses requests that have waited too long, drops grants that are no
+  /// longer reported, and grants requests that now fit. Called every few
+  /// milliseconds.
   void tick(TimePoint Now);
 
-  /// Servers whose caches this allocator knows nothing of, since it has not
-  /// allocated them for a while. Each is named once.
+  /// Returns and clears the servers whose cache contents are unknown, since
+  /// this allocator has not allocated them for some time.
   std::vector<std::uint64_t> takeUnknownCaches();
-  /// One of them has told what it keeps.
-  void recordCached(std::uint64_t Server, const CachedParts &Told) {
-    this->Servers.recordCached(Server, Told);
+  /// Records the parts that a server reports as cached.
+  void recordCached(std::uint64_t Server, const CachedParts &Reported) {
+    this->Servers.recordCached(Server, Reported);
   }
 
-  /// The answers since the last call.
+  /// Returns and clears the replies to send.
   std::vector<RouterMessage> takeReplies();
 
   std::size_t queuedRequests() const { return this->QueuedRequests.size(); }
   std::size_t activeGrants() const { return this->ActiveGrants.size(); }
-  /// What keeps the servers of a service (or group) from taking more.
+  /// How many servers of a service (or group) have capacity, and what limits
+  /// the others.
   CapacitySummary capacityOf(std::uint64_t Service, TimePoint Now) const;
   const ServerTable &serverTable() const { return this->Servers; }
 
@@ -108,7 +116,8 @@
     bool Late = false;
     bool ArrivedLate = false;
     std::set<std::uint64_t> ExcludedServers;
-    /// Where it would go now, and its tokens counted there as queued.
+    /// The server for which the request currently waits, and the tokens that
+    /// are counted as queued there.
     std::uint64_t PlannedServer = 0;
     std::uint32_t PlannedTokens = 0;
     TimePoint PlannedAt{};
@@ -117,28 +126,28 @@
 
   struct ActiveGrant {
     std::uint64_t Server = 0;
-    /// Where kept parts are fetched from; 0 for none.
+    /// The server from which cached parts are fetched; 0 for none.
     std::uint64_t FetchSource = 0;
     AttemptLoad Load;
     TimePoint LastReported{};
-    /// Of the prompt; empty where another allocator granted it.
+    /// The parts of the prompt; empty if another allocator granted the request.
     std::vector<PromptPart> Parts{};
-    /// As granted; 0 for a server that does not warm up.
+    /// As in the grant; 0 if the server is not warming up.
     std::uint32_t SendWithinMs = 0;
   };
 
-  /// What an account has had, in tokens; a lower one is served first.
   struct AccountState {
+    /// The tokens that the account has received; the lowest is served first.
     double VirtualTime = 0;
-    /// What waits, by the work that it is for an engine, in tokens. The least
-    /// is served first: where not all can be served, most callers are. In order
-    /// of arrival a few long prompts held up many short ones, which were late
-    /// or refused in their turn: 0.63 against 0.67 of the worth on a deployment
-    /// at 1.2 times its capacity, five days and three seeds each, and 0.66
-    /// against 0.71 on one at 1.0. Only the account's own requests are ordered
-    /// so; what an account gets does not depend on their sizes.
+    /// The waiting requests, ordered by their work for an engine in tokens. The
+    /// smallest request is served first, which serves the most callers if not
+    /// all can be served: in order of arrival, a few long prompts delay many
+    /// short ones until these are late or refused. The order applies only
+    /// within an account; the share of an account does not depend on the size
+    /// of its requests.
     std::set<std::pair<double, CorrelationId>> Queue;
-    /// Of requests that could be on time when they came, and of late ones.
+    /// Timeouts of requests that could meet their objective on arrival, and of
+    /// requests that arrived late.
     RecentTimeouts Timeouts;
     RecentTimeouts LateTimeouts;
 
@@ -149,57 +158,62 @@
 
   using AccountKey = std::pair<std::uint64_t, std::uint64_t>;
 
-  void take(const AllocationRequest &Ask, TimePoint Now);
-  void take(const AllocationCancelled &Message, TimePoint Now);
-  void take(const GrantStarted &Message, TimePoint Now);
-  void take(const GrantEnded &Message, TimePoint Now);
-  void take(const GrantActive &Message, TimePoint Now);
-  /// Answers of another allocator are nothing to this one.
-  template <typename Other> void take(const Other &, TimePoint) {}
+  void process(const AllocationRequest &Request, TimePoint Now);
+  void process(const AllocationCancelled &Message, TimePoint Now);
+  void process(const GrantStarted &Message, TimePoint Now);
+  void process(const GrantEnded &Message, TimePoint Now);
+  void process(const GrantActive &Message, TimePoint Now);
+  /// Ignores messages that are not addressed to an allocator.
+  template <typename Other> void process(const Other &, TimePoint) {}
 
   void dispatch(TimePoint Now);
   bool grantNext(std::uint64_t Service, TimePoint Now, bool Late);
-  /// `AnyServer`: one with room, even where reading the prompt there costs more
-  /// than the wait for the best one.
-  bool tryGrant(QueuedRequest &Asked, TimePoint Now, bool AnyServer);
-  /// Whether an account has had much less than the one that has had most.
-  bool isUnderserved(const AccountKey &Key, double MostPosition) const;
+  /// `AnyServer` permits any server with capacity, even if prefilling the
+  /// prompt there costs more than waiting for the best server.
+  bool tryGrant(QueuedRequest &Queued, TimePoint Now, bool AnyServer);
+  /// Whether an account has received much less than the one that has received
+  /// the most.
+  bool isUnderserved(const AccountKey &Key, double MaxVirtualTime) const;
   bool anyCapacity(std::uint64_t Service, TimePoint Now) const;
-  bool hasCapacity(std::uint64_t Server, std::uint32_t Unread) const;
+  bool hasCapacity(std::uint64_t Server, std::uint32_t PrefillTokens) const;
   bool hasFreeSlot(std::uint64_t Server) const;
-  void grant(const QueuedRequest &Asked, const ServerChoice &Choice,
+  void grant(const QueuedRequest &Queued, const ServerChoice &Choice,
              TimePoint Now);
-  void refuse(const AllocationRequest &Ask);
+  void refuse(const AllocationRequest &Request);
   void removeQueued(const CorrelationId &Id);
-  void planFor(QueuedRequest &Asked, std::uint64_t Server,
+  /// Counts the request's tokens as queued at this server instead of the
+  /// previous one.
+  void planFor(QueuedRequest &Queued, std::uint64_t Server,
                std::uint32_t Tokens);
   void expireQueued(TimePoint Now);
   void expireGrants(TimePoint Now);
+  /// Marks the caches of the service's servers as unknown if this allocator has
+  /// not allocated them recently.
   void recordRequest(std::uint64_t Service, TimePoint Now);
-  /// Forgets the sends to earlier processes of servers that have restarted.
+  /// Drops grants to earlier processes of servers that have restarted.
   void dropLostGrants();
   AllocationLimits limitsOf(std::uint64_t Service) const;
   double lowestVirtualTime(std::uint64_t Service) const;
 
-  /// The key of a request in its account's queue.
-  double queueKey(const QueuedRequest &Asked) const;
+  /// The sort key of a request in its account's queue.
+  double queueKey(const QueuedRequest &Queued) const;
 
   AllocatorOptions Options;
   ServerTable Servers;
   std::map<std::uint64_t, AllocationLimits> Limits;
-  /// The service (or group) of each server in force.
+  /// The service (or group) of each listed server.
   std::unordered_map<std::uint64_t, std::uint64_t> ServiceOf;
   std::map<CorrelationId, QueuedRequest> QueuedRequests;
   std::map<CorrelationId, ActiveGrant> ActiveGrants;
   std::map<AccountKey, AccountState> Accounts;
-  /// The last ask for each service.
+  /// The time of the last allocation request for each service.
   std::unordered_map<std::uint64_t, TimePoint> LastRequestAt;
   std::vector<std::uint64_t> UnknownCaches;
-  /// Asks that wait, for each service.
+  /// The number of queued requests for each service.
   std::map<std::uint64_t, std::size_t> QueuedCounts;
   std::vector<RouterMessage> Replies;
   TimePoint LastExpiry{};
-  /// Numbers the asks in order of arrival.
+  /// Numbers the requests in order of arrival.
   std::uint64_t LastArrivalNumber = 0;
 };
 
--- a/src/Placement/AttemptPolicy.h
+++ b/src/Placement/AttemptPolicy.h
@@ -8,14 +8,14 @@
 
 namespace parsleywing {
 
-/// How one send of a request to a server ended.
+/// How one attempt to send a request to a server ended.
 enum class AttemptResult {
-  Served,        ///< A whole success.
-  ErrorResponse, ///< A whole answer that tells of a failure: it has run.
-  NotSent,       ///< Nothing of it has left this router.
-  NotRun,        ///< The server stated that it did not run it.
-  NoResponse,    ///< No usable answer; it may have run.
-  Truncated,     ///< The stream ended after some events had been passed on.
+  Served,        ///< A complete, successful response.
+  ErrorResponse, ///< A complete error response: the request has run.
+  NotSent,       ///< No byte of the request has left this router.
+  NotRun,        ///< The server stated that it did not run the request.
+  NoResponse,    ///< No usable response; the request may have run.
+  Truncated,     ///< The stream broke after some events had been forwarded.
 };
 
 inline constexpr EnumNames<AttemptResult, 6> AttemptResultNames{{
@@ -27,27 +27,27 @@
     {AttemptResult::Truncated, "broken-off"},
 }};
 
-/// What is known of a request when a send has ended.
+/// The state of a request after an attempt has ended.
 struct RequestProgress {
-  /// A second server may run it.
+  /// More than one server may run the request.
   bool Repeatable = false;
   std::uint32_t MaxRuns = 1;
-  /// Sends after which it may have run.
+  /// Attempts that may have run the request.
   std::uint32_t Runs = 0;
   std::uint32_t Attempts = 0;
-  /// Something of an answer has been passed on to the caller.
+  /// Part of a response has been forwarded to the caller.
   bool ResponseStarted = false;
   Duration TimeLeft{};
 };
 
-/// What comes next for a request.
+/// The next step for a request after an attempt.
 enum class NextStep {
-  Retry,         ///< To another server, or behind the last event.
-  ForwardError,  ///< The server's own failure is the final answer.
-  Refuse,        ///< Final answer: not run; the caller may come back.
-  FailUncertain, ///< Final answer: it is not known whether it ran.
-  Truncate,      ///< The answer has begun and cannot be finished.
-  Done,          ///< It is served.
+  Retry,         ///< Try another server, or resume after the last event.
+  ForwardError,  ///< Forward the server's error response to the caller.
+  Refuse,        ///< Reply that the request has not run and may be retried.
+  FailUncertain, ///< Reply that the request may or may not have run.
+  Truncate,      ///< Abort a response that has started.
+  Done,          ///< The request has been served.
 };
 
 inline constexpr EnumNames<NextStep, 6> NextStepNames{{
@@ -59,17 +59,17 @@
     {NextStep::Done, "done"},
 }};
 
-/// Whether the rules of the request let it be sent once more after a send that
-/// ended so. Whether the retry allowance lets it is for the caller to ask.
-bool mayRetry(const RequestProgress &Known, AttemptResult Ended);
+/// Whether the request itself permits another attempt after this result. The
+/// caller has to check the service's `RetryAllowance` as well.
+bool mayRetry(const RequestProgress &Progress, AttemptResult Result);
 
-/// Whether another send would count as a repeat at the service.
-bool countsAsRetry(AttemptResult Ended);
+/// Whether an attempt after this result counts as a retry at the service.
+bool countsAsRetry(AttemptResult Result);
 
-/// What to do after a send, where `SendAgain` says whether another send is both
-/// allowed and possible.
-NextStep nextStep(const RequestProgress &Known, AttemptResult Ended,
-                  bool SendAgain);
+/// The next step after an attempt. `Retry` states whether another attempt is
+/// both permitted and possible.
+NextStep nextStep(const RequestProgress &Progress, AttemptResult Result,
+                  bool Retry);
 
 } // namespace parsleywing
 
--- a/src/Placement/CacheModel.h
+++ b/src/Placement/CacheModel.h
@@ -8,32 +8,35 @@
 
 namespace parsleywing {
 
-/// What one engine is likely to keep of the prompts that it has read: the most
-/// recently used parts that fit its memory. A model of the engine's own rule,
-/// fed with what is sent there; the engine is not asked.
+/// Models the prompt cache of one engine: the most recently used parts that fit
+/// its memory, like the engine's own LRU eviction. The model is updated from
+/// the requests that are sent to the engine; it does not query the engine.
 class CacheModel {
 public:
-  /// Tokens that the engine keeps.
+  /// The cache capacity in tokens.
   void setCapacity(std::uint64_t Tokens) { this->Capacity = Tokens; }
   std::uint64_t capacity() const { return this->Capacity; }
 
-  /// A prompt was sent there: all of its parts become the newest. Those that
-  /// are new there are still to be read.
+  /// Records that a prompt was sent to the engine. All of its parts become the
+  /// most recently used ones; new parts are not prefilled yet.
   void insert(const std::vector<PromptPart> &Parts);
-  /// The prompt has been read: its parts are there.
+  /// Marks the parts of a prompt as prefilled, and so as resident.
   void markPrefilled(const std::vector<PromptPart> &Parts);
-  /// The prompt was not read: what was only expected of it is not there.
+  /// Removes the parts of a prompt that was never prefilled, unless another
+  /// prompt has made them resident.
   void evictUnfilled(const std::vector<PromptPart> &Parts);
 
-  /// The engine says that it keeps these, with what it has been sent since the
-  /// question: they are older than all that is known here. No more than fit.
+  /// Adds parts that the engine reports as cached. They count as less recently
+  /// used than all known parts, since they are older than everything sent since
+  /// the query. Parts that do not fit are ignored.
   void addReported(const std::vector<PromptPart> &Parts);
 
-  /// Tokens at the start of the prompt that are kept, or will be by the time at
-  /// which a request that is sent now is begun: a part helps only if all before
-  /// it are kept too.
+  /// The number of tokens at the start of the prompt that will be cached when
+  /// the engine starts a request that is sent now. A part counts only if all
+  /// parts before it are cached too.
   std::uint64_t expectedTokens(const std::vector<PromptPart> &Parts) const;
-  /// The same of what is there already, for others to fetch.
+  /// Like `expectedTokens`, but only prefilled parts, which other engines can
+  /// fetch.
   std::uint64_t residentTokens(const std::vector<PromptPart> &Parts) const;
 
   bool contains(std::uint64_t Part) const { return this->Index.contains(Part); }
@@ -47,11 +50,11 @@
   };
   using LruList = std::list<Entry>;
 
-  void evict(LruList::iterator Which);
+  void evict(LruList::iterator Position);
 
   std::uint64_t Capacity = 0;
   std::uint64_t UsedTokens = 0;
-  /// The newest first.
+  /// The most recently used part first.
   LruList Lru;
   std::unordered_map<std::uint64_t, LruList::iterator> Index;
 };
--- a/src/Placement/CrashRegistry.h
+++ b/src/Placement/CrashRegistry.h
@@ -13,8 +13,8 @@
 
 namespace parsleywing {
 
-/// One process of a backend server: the hash of its identity, and the start of
-/// its process as its entry tells it.
+/// One process of a backend server: the hash of the server's identity, and the
+/// start of the process as stated in the server's entry.
 struct ServerProcess {
   std::uint64_t Server = 0;
   std::int64_t StartedMs = 0;
@@ -31,15 +31,15 @@
   }
 };
 
-/// A request was in hand at a server's process as that crashed. Facts may come
-/// in any order and more than once.
+/// States that a request was in progress at a server's process when that
+/// process crashed. Facts may arrive in any order and more than once.
 struct CrashFact {
   RequestIdentity Request;
   ServerProcess Process;
-  /// The request has been answered whole since, so this speaks against it no
-  /// longer.
+  /// The request has had a complete response since, so that this crash no
+  /// longer counts against it.
   bool Cleared = false;
-  /// Seconds since the request was last seen, as far as the teller knows.
+  /// Seconds since the request was last seen, as far as the sender knows.
   std::uint32_t AgeSeconds = 0;
 
   template <class Archive> void serialize(Archive &Ar) {
@@ -47,69 +47,72 @@
   }
 };
 
-/// Remembers which requests were in hand at servers that crashed, and judges
-/// which of them are the cause. All routers hold the same facts sooner or
-/// later, and judge alike from the same facts.
+/// Records which requests were in progress at servers that crashed, and decides
+/// which requests cause crashes and must be refused. All routers eventually
+/// hold the same facts, and make the same decisions from the same facts.
 ///
-/// A crash ends the innocent requests at its server too, and sent again they
-/// meet the next one by chance. So a crash that a refused request explains does
-/// not count against the others: of all requests with enough crashes those with
-/// the most are refused first, and each of the rest is judged by what is left.
-/// One more fact may refuse a request or return one. A request that has been
-/// answered whole begins anew.
+/// A crash also ends innocent requests at the server, and their retries may
+/// meet the next crash by chance. Therefore a crash that a refused request
+/// explains does not count against other requests. Of all requests with enough
+/// crashes, those with the most are refused first, and the remaining requests
+/// are judged only by crashes that are still unexplained. A new fact may cause
+/// a request to be refused or to be accepted again. A request that gets a
+/// complete response starts over.
 ///
-/// Makes no calls and has no clock of its own.
+/// Performs no I/O and has no clock of its own.
 class CrashRegistry {
 public:
-  /// False where the fact was known.
+  /// Records a fact; returns false if it was already known.
   bool record(const CrashFact &Fact, TimePoint Now);
 
-  /// The request has been answered whole: nothing known speaks against it any
-  /// more. The facts that changed by it.
+  /// Clears all crashes of a request that had a complete response, and returns
+  /// the facts that changed.
   std::vector<CrashFact> clear(const RequestIdentity &Request, TimePoint Now);
 
   /// Whether the request must not be sent to a server.
   bool isRefused(const RequestIdentity &Request) const;
-  /// It came again and was refused: it is remembered for longer.
+  /// A refused request was received again, which extends the lifetime of its
+  /// record.
   void recordRefused(const RequestIdentity &Request, TimePoint Now);
 
-  /// Whether a refused request may be sent once to find out whether it still
-  /// crashes servers: it was innocent, or servers have been mended. Twice in
-  /// its life, long behind its last crash and the last try.
+  /// Whether a refused request may be sent once, as a probe, to find out
+  /// whether it still crashes servers: it may have been innocent, or the
+  /// servers may have been fixed. Permitted at most twice per request, a long
+  /// time after its last crash and its last probe.
   bool mayProbe(const RequestIdentity &Request, TimePoint Now) const;
   void recordProbe(const RequestIdentity &Request, TimePoint Now);
 
-  /// Crashes of servers that speak against the request.
+  /// The number of crashes that count against the request.
   std::size_t crashCount(const RequestIdentity &Request) const;
 
-  /// Whether a request with this sketch may be known. False spares its
-  /// identity's digest.
-  bool mayContain(std::uint32_t Sketch) const {
-    return this->ShortHashes.contains(Sketch);
+  /// Whether a request with this short hash may be recorded. If not, the digest
+  /// of its identity need not be computed.
+  bool mayContain(std::uint32_t ShortHash) const {
+    return this->ShortHashes.contains(ShortHash);
   }
 
-  /// The next facts to tell another router, at most so many (and at least 12),
-  /// round after round:
-  /// of refused requests, and of those that were seen lately.
-  std::vector<CrashFact> nextFacts(std::size_t Most, TimePoint Now);
-  /// All of these.
+  /// The next facts to send to another router, at most `MaxFacts` (which must
+  /// be at least 12). Cycles through the facts of refused requests and of
+  /// requests that were seen recently.
+  std::vector<CrashFact> nextFacts(std::size_t MaxFacts, TimePoint Now);
+  /// All of these facts.
   std::vector<CrashFact> allFacts(TimePoint Now) const;
 
-  /// Drops what was not seen for long. Called now and then.
+  /// Removes requests that were not seen for a long time. Called periodically.
   void removeExpired(TimePoint Now);
 
   std::size_t size() const { return this->Suspects.size(); }
   std::size_t refusedCount() const;
 
-  /// For the dump of state.
-  template <typename Visitor> void visit(Visitor Each) const {
-    for (const auto &[Request, Known] : this->Suspects)
-      Each(Request, Known.activeCrashes(), Known.Refused);
+  /// Calls `Visit` with each recorded request, for the state dump.
+  template <typename Visitor> void visit(Visitor Visit) const {
+    for (const auto &[Request, Entry] : this->Suspects)
+      Visit(Request, Entry.activeCrashes(), Entry.Refused);
   }
 
 private:
   struct Suspect {
-    /// Each with whether it was cleared.
+    /// Maps each crashed process to whether the crash is cleared.
     std::map<ServerProcess, bool> Crashes;
     TimePoint LastSeen{};
     TimePoint LastCrashOrProbe{};
@@ -119,18 +122,18 @@
   };
   using SuspectMap = std::map<RequestIdentity, Suspect>;
 
-  /// Whether a change of the record may change what is refused.
-  static bool affectsRefusals(const Suspect &Known);
+  /// Whether a change of this entry may change which requests are refused.
+  static bool affectsRefusals(const Suspect &Entry);
   void updateRefusals();
   void evictExcess();
-  void erase(SuspectMap::iterator Each);
-  /// Where they are to be told.
-  static void appendFacts(const SuspectMap::value_type &Of, TimePoint Now,
-                          std::vector<CrashFact> &Into);
+  void erase(SuspectMap::iterator Position);
+  /// Appends the facts of an entry, unless they need not be sent any more.
+  static void appendFacts(const SuspectMap::value_type &Entry, TimePoint Now,
+                          std::vector<CrashFact> &Facts);
 
   SuspectMap Suspects;
   std::multiset<std::uint32_t> ShortHashes;
-  /// The request whose facts were told last.
+  /// The request whose facts `nextFacts` returned last.
   RequestIdentity LastSent;
 };
 
--- a/src/Placement/FleetView.h
+++ b/src/Placement/FleetView.h
@@ -16,11 +16,11 @@
 
 namespace parsleywing {
 
-/// What may be done with a request again.
+/// Whether a request may run more than once.
 enum class RequestKind {
   Safe,   ///< Idempotent: may run more than once.
-  Unsafe, ///< Runs once at most.
-  Stream, ///< Answered by an event stream; as `Unsafe` unless resumable.
+  Unsafe, ///< Runs at most once.
+  Stream, ///< The response is an event stream; like `Unsafe` unless resumable.
 };
 
 inline constexpr EnumNames<RequestKind, 3> RequestKindNames{{
@@ -29,7 +29,7 @@
     {RequestKind::Stream, "stream"},
 }};
 
-/// A service that a route sends to, with its part of the route's requests.
+/// A target service of a route and its share of the route's requests.
 struct RouteTarget {
   std::string Service;
   std::uint32_t Weight = 1;
@@ -43,103 +43,107 @@
   std::string Prefix;
   RequestKind Kind = RequestKind::Unsafe;
   std::vector<RouteTarget> Targets;
-  /// The longest time that a caller is kept waiting.
+  /// The maximum time until the caller has the complete response.
   Duration Timeout{};
-  /// The time within which an answer earns all it can (for streams: its first
-  /// event).
+  /// The target latency of the response, or of the first event of a stream.
+  /// Later responses are worth less.
   Duration LatencyObjective{};
-  /// Servers that one request may run on.
+  /// The maximum number of attempts that may run the request. Attempts that
+  /// provably did not run it do not count.
   std::uint32_t MaxRuns = 1;
-  /// Served without an account's key.
+  /// Requests need no account key.
   bool Public = false;
-  /// Requests carry the parts of their prompt, and servers cache them.
+  /// Requests name the parts of their prompt, and servers cache these parts.
   bool Sticky = false;
-  /// A stream may go on at another server behind the last event.
+  /// Another server can continue a stream after the last received event.
   bool Resumable = false;
 
-  /// Whether a second server may run the same request.
+  /// Whether the request may run on more than one server.
   bool repeatable() const {
     return this->Kind == RequestKind::Safe ||
            (this->Kind == RequestKind::Stream && this->Resumable);
   }
 };
 
-/// What the servers of a service have in common.
+/// Settings that all servers of a service share.
 struct GatewayService {
   std::string Name;
   std::string HealthPath;
-  /// Connections that one server takes from all routers together.
+  /// The maximum number of connections to one server, from all routers
+  /// together.
   std::uint32_t MaxConnections = 0;
-  /// Tokens that one engine keeps, cache and running requests together; 0 for
-  /// services that are no engines.
+  /// The KV cache capacity of one engine in tokens, shared by cached prompts
+  /// and running requests; 0 for services that are not engines.
   std::uint64_t KvCapacityTokens = 0;
-  /// Bytes of a kept token, and what the link of an engine carries of them in a
-  /// millisecond; 0 where engines cannot fetch from each other.
+  /// The KV cache size of one token, and the bandwidth of an engine's link; 0
+  /// if engines cannot fetch cached parts from each other.
   double KvBytesPerToken = 0;
   double LinkBytesPerMs = 0;
-  /// What a server bears behind its start.
+  /// The load that a server can take right after its start.
   WarmUpLoad WarmUp;
 };
 
-/// Bounds on what a caller may send.
+/// Limits for callers, and the capacity of the fleet.
 struct GatewayLimits {
   std::size_t MaxHeaderBytes = 16U << 10U;
   std::size_t MaxBodyBytes = 4U << 20U;
   Duration HeaderTimeout = std::chrono::seconds(3);
   Duration IdleTimeout = std::chrono::seconds(15);
-  /// What all engines together produce in a second; 0 where it is not stated.
+  /// The token throughput of all engines together; 0 if not configured.
   std::uint64_t TokensPerSecond = 0;
 };
 
-/// A version of the configuration.
+/// One version of the configuration.
 struct GatewayConfiguration {
   std::int64_t Version = 0;
   std::vector<GatewayRoute> Routes;
   std::map<std::string, GatewayService> Services;
   GatewayLimits Limits;
-  /// Keys to the name of the client account.
+  /// Maps each API key to the name of its client account.
   std::unordered_map<std::string, std::string> AccountOfKey;
-  /// Whether requests need a key at all.
+  /// Whether requests need a key. False if no accounts are configured.
   bool HasAccounts = false;
 
-  /// The route of the longest prefix that begins the path, or null.
+  /// The route of the host with the longest prefix that matches the path, or
+  /// null.
   const GatewayRoute *findRoute(std::string_view Host,
                                 std::string_view Path) const;
 };
 
-/// A backend server of the list.
+/// A listed backend server.
 struct GatewayServer {
   std::string Id;
   std::string Service;
   Poco::Net::SocketAddress Address;
   std::string Zone;
   std::uint32_t Slots = 1;
-  /// It leaves: no new requests.
+  /// The server is about to stop and takes no new requests.
   bool Draining = false;
-  /// When its process started, in milliseconds since 1970 by its own clock; 0
-  /// where it does not say. The same identity with a later start is a process
-  /// that knows nothing of what the earlier one did.
+  /// When the server's process started, in milliseconds since 1970 by its own
+  /// clock; 0 if unknown. The same identity with a later start is a new process
+  /// without any state of the earlier one.
   std::int64_t StartedMs = 0;
-  /// How long its warm-up goes on, as its entry said when it was written;
-  /// nothing where it does not say.
+  /// The remaining warm-up when the entry was written, if the entry states it.
   std::optional<Duration> WarmUpLeft{};
-  /// By that, and by all else that is known of it: it warms up until then, on
-  /// the clock that counts suspended time. Set where the entry is put in force.
+  /// The end of the warm-up, from `WarmUpLeft` and everything else known of the
+  /// server, on the clock that includes suspended time. Set when the entry
+  /// becomes active.
   TimePoint WarmUpEndsAt{};
-  /// The operators have asked that nothing be sent to its availability zone.
+  /// The operators have evacuated the server's availability zone.
   bool Evacuated = false;
 
-  /// Whether new requests may be sent to it.
+  /// Whether new requests may be sent to the server.
   bool acceptsRequests() const { return !this->Draining && !this->Evacuated; }
 };
 
 using ServerList = std::map<std::string, GatewayServer>;
 
-/// Where a router takes datagrams of the others, and how many cores it has.
+/// Where a router receives datagrams from other routers, and its CPU cores.
 struct RouterEndpoint {
   std::string Address;
   double Cores = 1;
-  /// The revision of its entry: another one after a gap in the list.
+  /// The revision at which the router's entry was created. It changes if the
+  /// router was removed from the list and listed again.
   std::int64_t ListedRevision = 0;
   std::string Zone{};
 };
@@ -148,29 +152,30 @@
 
 using RouterList = std::map<std::string, RouterEndpoint>;
 
-/// What the router believes of the fleet, as one immutable whole. The control
-/// thread makes a new one at each change; the traffic thread reads it. What has
-/// not changed is the same object in both.
+/// An immutable snapshot of the router's view of the fleet. The control thread
+/// creates a new snapshot for each change, and the traffic thread reads it.
+/// Parts that did not change are shared between snapshots.
 struct FleetView {
   std::shared_ptr<const GatewayConfiguration> Configuration;
   std::shared_ptr<const ServerList> Servers;
-  /// Routers that share the servers, this one included.
+  /// The number of routers that share the servers, including this one.
   std::uint32_t RouterCount = 1;
-  /// The listed routers, this one included.
+  /// The listed routers, including this one.
   std::shared_ptr<const RouterList> RouterEndpoints;
-  /// The configuration was the newest one at this moment (a clock that counts
-  /// suspended time), the moment of the question.
+  /// The last time at which the configuration was known to be the newest: when
+  /// the request that confirmed it was sent, on a clock that includes suspended
+  /// time.
   TimePoint ProvenAt{};
-  /// The configuration's revision in the store.
+  /// The revision of the configuration in the store.
   std::int64_t ConfigurationRevision = 0;
-  /// All changes of servers and routers up to this revision are in the lists.
+  /// The lists contain all changes of servers and routers up to this revision.
   std::int64_t SeenRevision = 0;
-  /// The lists lacked no change of the store at this moment, on the same clock.
+  /// The last time at which the lists were known to be complete, on the same
+  /// clock.
   TimePoint ListsProvenAt{};
-  /// Availability zones that the operators have asked to be left, and the
-  /// revision at which they did.
+  /// Evacuated availability zones, each with the revision of its evacuation.
   std::shared_ptr<const std::map<std::string, std::int64_t>> EvacuatedZones;
-  /// The latest of these changes, for routers that hear of them from this one.
+  /// Recent changes of the lists, for routers that use this one as their relay.
   std::shared_ptr<const FleetHistory> History;
 };
 
--- a/src/Placement/PromptPart.h
+++ b/src/Placement/PromptPart.h
@@ -6,9 +6,9 @@
 
 namespace parsleywing {
 
-/// A part of a prompt that other requests may share.
+/// A part of a prompt that several requests may share.
 struct PromptPart {
-  /// A hash of the part's name.
+  /// The hash of the part's name.
   std::uint64_t Id = 0;
   std::uint32_t Tokens = 0;
 
@@ -17,15 +17,16 @@
   }
 };
 
-/// What an engine says that it keeps.
+/// The prompt parts that an engine reports as cached.
 struct CachedParts {
-  /// The start of its process; 0 where it does not say.
+  /// When the engine's process started; 0 if not reported.
   std::int64_t ServerStartedMs = 0;
   std::vector<PromptPart> Parts;
 };
 
-/// The part by which requests are gathered: the deepest that others share, null
-/// where there is none. The last part belongs to the request alone.
+/// The deepest part that other requests may share, by which requests are
+/// grouped; null if there is none. The last part of a prompt is specific to its
+/// request.
 inline const PromptPart *sharedPart(const std::vector<PromptPart> &Parts) {
   return Parts.size() < 2 ? nullptr : &Parts[Parts.size() - 2];
 }
--- a/src/Placement/RecentTimeouts.h
+++ b/src/Placement/RecentTimeouts.h
@@ -7,26 +7,23 @@
 
 namespace parsleywing {
 
-/// What an account's queue has shown of late: requests of some work waited in
-/// vain. One of as much work or more that comes now, behind others that wait
-/// already, would fare no better. Has no clock of its own.
+/// Predicts which requests of an account would time out in the queue. While a
+/// request has timed out recently, a new request of at least the same work that
+/// queues behind others would time out as well. Has no clock of its own.
 ///
-/// Answers the load in which one account asks for much more than its part: its
-/// larger requests would each be held until they are too late, and only then
-/// told to come back, when little of their callers' time is left. What was seen
-/// holds for half a second; then the next one waits again, and shows whether it
-/// is still so. In the lab, 12 seeds, half of the refused hear so within 2 ms
-/// in place of 504, and callers get the same: worth by +0.006 (± 0.007) on
-/// `overloaded-reviews`, -0.001 (± 0.005) on `flood`, -0.002 (± 0.005) on
-/// `slow-links`. A forecast from the rate at which a queue drains was tried
-/// beside it and hardly ever foretold a refusal: queues of smallest-first
-/// accounts are short.
+/// This matters if one account sends much more than its share. Without the
+/// prediction, each of its larger requests waits until it is too late and is
+/// refused only then, with little of the caller's time left. A timeout counts
+/// for half a second. After that, the next request waits again and shows
+/// whether the overload lasts. The drain rate of the queue does not predict
+/// these timeouts, since the queues of accounts that are served smallest first
+/// are short.
 class RecentTimeouts {
 public:
-  /// A request of this work has waited for its whole time.
+  /// A request of this work has timed out in the queue.
   void recordTimeout(double Work, TimePoint Now) {
-    const bool Known = Now < this->Until;
-    this->MinWork = Known ? std::min(this->MinWork, Work) : Work;
+    const bool Active = Now < this->Until;
+    this->MinWork = Active ? std::min(this->MinWork, Work) : Work;
     this->Until = Now + Lifetime;
   }
 
@@ -36,14 +33,14 @@
       this->Until = TimePoint{};
   }
 
-  /// Whether a request of this work would wait in vain now.
+  /// Whether a request of this work would time out now.
   bool wouldTimeOut(double Work, TimePoint Now) const {
     return Now < this->Until && Work >= this->MinWork;
   }
 
 private:
-  /// The shortest objectives are 0.3 to 0.6 s: what waits in vain does so about
-  /// as long.
+  /// About as long as a request waits before it times out: the shortest latency
+  /// objectives are 0.3 to 0.6 s.
   static constexpr Duration Lifetime = std::chrono::milliseconds(500);
 
   double MinWork = 0;
--- a/src/Placement/RequestIdentity.h
+++ b/src/Placement/RequestIdentity.h
@@ -8,14 +8,15 @@
 
 namespace parsleywing {
 
-/// Names what a caller asks for, the same for all of its attempts and at all
+/// Identifies a request by its content, the same for all attempts and at all
 /// routers: the first half of a SHA-256 digest over account, host, method,
-/// target and body. Nobody can make a request of one account that bears the
-/// identity of another's, since finding equal digests is infeasible.
+/// target and body. Finding equal digests is infeasible, so no account can
+/// forge the identity of another account's request.
 struct RequestIdentity {
   std::uint64_t High = 0;
   std::uint64_t Low = 0;
-  /// Tells almost all requests apart at a fiftieth of the digest's cost.
+  /// A cheap hash that differs for almost all requests; it costs a fiftieth of
+  /// the digest.
   std::uint32_t ShortHash = 0;
 
   friend bool operator==(const RequestIdentity &,
@@ -31,7 +32,7 @@
   }
 };
 
-/// What an identity is made of.
+/// The input of the identity's digest.
 struct RequestContent {
   /// The client account; empty on public routes.
   std::string_view Account;
@@ -41,13 +42,13 @@
   std::string_view Body;
 };
 
-/// Reads the whole body, about 6 microseconds a KB.
+/// Hashes the complete body, at about 6 microseconds per KB.
 RequestIdentity identityOf(const RequestContent &Content);
 
-/// The sketch in this identity.
+/// `RequestIdentity::ShortHash` alone, without the digest.
 std::uint32_t shortHashOf(const RequestContent &Content);
 
-/// The identity in log lines.
+/// The identity as it appears in log lines.
 std::string textOf(const RequestIdentity &Identity);
 
 } // namespace parsleywing
--- a/src/Placement/RetryAllowance.h
+++ b/src/Placement/RetryAllowance.h
@@ -8,30 +8,31 @@
 
 namespace parsleywing {
 
-/// The bound on repeated sends to one service, all routers together.
+/// The limit on retries to one service, for all routers together.
 struct RetryBounds {
-  /// Repeats for each request of the window.
+  /// Retries per request within the window.
   double Ratio = 0.2;
   Duration Window = std::chrono::seconds(10);
-  /// Repeats beyond the ratio in each window, for the whole fleet.
+  /// Additional retries per window, for the whole fleet.
   double Slack = 50;
 };
 
-/// Decides whether a request may be sent once more. Without it, a service that
-/// fails gets all its requests twice just when it can bear them least. Each
-/// router spends the ratio of its own requests and its even part of the slack,
-/// so that no word between routers is needed.
+/// Limits the retries to one service. Without a limit, a failing service gets
+/// twice its load just when it can handle it least. Each router uses the ratio
+/// of its own requests and an equal share of the slack, so that routers need
+/// not communicate.
 class RetryAllowance {
 public:
   explicit RetryAllowance(RetryBounds B) : Bounds(B) {}
 
   void recordRequest(TimePoint Now);
 
-  /// Whether a repeat is left; `Routers` share the slack.
-  bool hasRetry(TimePoint Now, std::uint32_t Routers);
+  /// Whether a retry is permitted now; the slack is shared by `RouterCount`
+  /// routers.
+  bool hasRetry(TimePoint Now, std::uint32_t RouterCount);
 
-  /// Takes one repeat where there is one left.
-  bool tryAcquire(TimePoint Now, std::uint32_t Routers);
+  /// Consumes a retry if one is permitted, and returns whether it was.
+  bool tryAcquire(TimePoint Now, std::uint32_t RouterCount);
 
 private:
   void dropExpired(TimePoint Now);
--- a/src/Placement/RouterMessages.h
+++ b/src/Placement/RouterMessages.h
@@ -18,8 +18,8 @@
 
 namespace parsleywing {
 
-/// Names a request for a server at its allocator: the router's process and a
-/// number of its own.
+/// Identifies a request from one router to another: the process of the sender
+/// and a sequence number that is unique within it.
 struct CorrelationId {
   std::uint64_t Process = 0;
   std::uint64_t Number = 0;
@@ -36,41 +36,43 @@
   }
 };
 
-/// An ask's identity in log lines, the same at router and allocator.
+/// The identifier as it appears in log lines, the same at the router and at the
+/// allocator.
 std::string textOf(const CorrelationId &Id);
 
-/// A router wants a server for a request.
+/// Asks the allocator of a service for a server that can run a request.
 struct AllocationRequest {
   CorrelationId Id;
-  /// Hashes of names, as everywhere between routers.
+  /// Routers identify services, accounts, zones and servers to each other by
+  /// the hashes of their names.
   std::uint64_t Service = 0;
   std::uint64_t Account = 0;
   std::uint64_t Zone = 0;
   std::vector<PromptPart> Parts;
   std::uint32_t PromptTokens = 0;
-  /// The most that may be generated.
+  /// The maximum number of tokens that may be generated.
   std::uint32_t OutputTokens = 0;
-  /// Servers that have been tried.
+  /// Servers that earlier attempts have used.
   std::vector<std::uint64_t> ExcludedServers;
-  /// Milliseconds to the last moment at which the answer's first piece is on
-  /// time; not positive where it is late already.
+  /// Milliseconds until the latency objective of the first response chunk
+  /// expires; zero or negative if it has expired.
   std::int32_t ObjectiveLeftMs = 0;
-  /// Milliseconds that the request may wait at all.
+  /// The maximum time in the allocator's queue, in milliseconds.
   std::int32_t MaxWaitMs = 0;
-  /// As in `PlacementQuestion`.
+  /// See `PlacementQuery::SpreadKey`.
   std::optional<std::uint32_t> SpreadKey;
 
   template <class Archive> void serialize(Archive &Ar) {
     Ar(this->Id, this->Service, this->Account, this->Zone, this->PromptTokens,
        this->OutputTokens, this->ObjectiveLeftMs, this->MaxWaitMs);
     Ar(this->SpreadKey);
-    compactList(Ar, this->Parts);
-    compactList(Ar, this->ExcludedServers);
+    serializeCompactList(Ar, this->Parts);
+    serializeCompactList(Ar, this->ExcludedServers);
   }
 
-  /// A list with a length of one byte.
+  /// Serializes a list with its length in a single byte.
   template <class Archive, class Entry>
-  static void compactList(Archive &Ar, std::vector<Entry> &Entries) {
+  static void serializeCompactList(Archive &Ar, std::vector<Entry> &Entries) {
     auto Count = static_cast<std::uint8_t>(Entries.size());
     Ar(Count);
     Entries.resize(Count);
@@ -79,34 +81,36 @@
   }
 };
 
-/// The ask has arrived and waits.
+/// Acknowledges an allocation request that waits in the allocator's queue.
 struct AllocationQueued {
   CorrelationId Id;
 
   template <class Archive> void serialize(Archive &Ar) { Ar(this->Id); }
 };
 
-/// The request no longer needs a server.
+/// Withdraws an allocation request: the router no longer needs a server for it.
 struct AllocationCancelled {
   CorrelationId Id;
 
   template <class Archive> void serialize(Archive &Ar) { Ar(this->Id); }
 };
 
-/// The request may be sent to this server now.
+/// Permits the router to send the request to this server now.
 struct AllocationGrant {
   CorrelationId Id;
   std::uint64_t Server = 0;
   std::uint32_t PrefillTokens = 0;
-  /// Prompt tokens that the server has to read before.
+  /// Prompt tokens that the server has to prefill before this request.
   std::uint32_t BacklogTokens = 0;
-  /// The start of the server's process that the allocator knows: a router may
-  /// hear of a restart here first.
+  /// When the server's process started, as far as the allocator knows. The
+  /// grant may be the first message that tells the router of a restart.
   std::int64_t ServerStartedMs = 0;
-  /// The server to fetch the kept start of the prompt from; 0 for none.
+  /// The server from which to fetch the cached prefix of the prompt; 0 for
+  /// none.
   std::uint64_t FetchSource = 0;
-  /// Where above zero, the server warms up, and the request must not be sent
-  /// later than so long after its router first asked this allocator.
+  /// If above zero, the server is warming up, and the request must be sent
+  /// within this time after the router first sent its request to this
+  /// allocator.
   std::uint32_t SendWithinMs = 0;
 
   template <class Archive> void serialize(Archive &Ar) {
@@ -115,13 +119,13 @@
   }
 };
 
-/// The request cannot be served in time.
+/// Rejects an allocation request that cannot be served in time.
 struct AllocationRefusal {
   CorrelationId Id;
-  /// When there is likely to be room for it.
+  /// When capacity is likely to be available again.
   std::uint32_t RetryAfterMs = 0;
-  /// The service (or group) that it was asked for. For the allocator's own log:
-  /// it does not travel.
+  /// The service (or group) of the request. Used only in the allocator's own
+  /// log; not serialized.
   std::uint64_t Service = 0;
 
   template <class Archive> void serialize(Archive &Ar) {
@@ -129,14 +133,14 @@
   }
 };
 
-/// The server has begun to answer: the prompt is read.
+/// Reports that the server has started to respond, so the prompt is prefilled.
 struct GrantStarted {
   CorrelationId Id;
 
   template <class Archive> void serialize(Archive &Ar) { Ar(this->Id); }
 };
 
-/// The request has ended at its server.
+/// Reports that the attempt at the granted server has ended.
 struct GrantEnded {
   CorrelationId Id;
   ServerVerdict Verdict = ServerVerdict::Healthy;
@@ -146,16 +150,16 @@
   }
 };
 
-/// A request is at a server. Sent again and again while that is so: an
-/// allocator that is new learns what runs, and one that missed an end forgets
-/// what is no longer told.
+/// Reports an attempt that is in progress at a server. Sent periodically, so
+/// that a new allocator learns what is running, and an allocator that missed a
+/// `GrantEnded` drops the grant once the reports stop.
 struct GrantActive {
   CorrelationId Id;
   std::uint64_t Server = 0;
-  /// Zero once the prompt is read.
+  /// Zero once the prompt is prefilled.
   std::uint32_t PrefillTokens = 0;
   std::uint32_t OutputTokens = 0;
-  /// The start of the server's process that the request was sent to.
+  /// When the server process that received the request started.
   std::int64_t ServerStartedMs = 0;
 
   template <class Archive> void serialize(Archive &Ar) {
@@ -164,11 +168,11 @@
   }
 };
 
-/// A router asks its relay how fresh the relay's view is, and for the changes
-/// behind what it has seen itself.
+/// Asks a relay for the age of its view and for the changes after the given
+/// revision.
 struct FleetStatusRequest {
   CorrelationId Id;
-  /// All changes up to this revision are known; 0 where nothing is.
+  /// The sender knows all changes up to this revision; 0 if it knows none.
   std::int64_t SeenRevision = 0;
 
   template <class Archive> void serialize(Archive &Ar) {
@@ -176,24 +180,25 @@
   }
 };
 
-/// What the relay knows, in answer to a question and again with each proof that
-/// comes behind it. The one that asked dates the proof from the moment of its
-/// own question, which was before the relay received it: so a message that
-/// comes late proves less, never more.
+/// The state of a relay's view, sent in response to a `FleetStatusRequest` and
+/// again with each later proof. The receiver counts the proof's time from the
+/// point at which it sent its own request, which is before the relay received
+/// it. A delayed message therefore makes a proof look older, never newer.
 struct FleetStatus {
   CorrelationId Id;
-  /// From the moment at which the relay received the question to the one that
-  /// its proof holds for; negative where that was before.
+  /// The time for which the proof holds, relative to the relay's receipt of the
+  /// request; negative if it is earlier.
   std::int32_t ProvenAfterMs = 0;
   /// The revision of the relay's configuration.
   std::int64_t ConfigurationRevision = 0;
-  /// All changes up to this revision are known to the relay.
+  /// The relay knows all changes up to this revision.
   std::int64_t SeenRevision = 0;
-  /// The relay can tell of all changes behind this revision.
+  /// The relay's history holds all changes after this revision.
   std::int64_t CompactRevision = 0;
-  /// It reads the store itself: where its proof is old, it has not reached it.
+  /// The relay reads the store itself, so an old proof means that it cannot
+  /// reach the store.
   bool ReadsStore = false;
-  /// The lists lacked nothing at this moment, told like `ProvenAfterMs`.
+  /// The time at which the lists were complete, relative like `ProvenAfterMs`.
   std::int32_t ListsProvenAfterMs = 0;
 
   template <class Archive> void serialize(Archive &Ar) {
@@ -213,23 +218,24 @@
   ZoneRestored,
 };
 
-/// One change of the lists. What a kind does not need is empty.
+/// One change of the server, router or zone list. Fields that do not apply to
+/// the kind of change are empty.
 struct FleetUpdateItem {
   FleetUpdateKind Kind = FleetUpdateKind::ServerListed;
-  /// The server's identity, or the router's or zone's name.
+  /// The identity of the server, or the name of the router or zone.
   std::string Name;
   std::int64_t ModRevision = 0;
   std::string Address;
-  /// Of a server.
+  /// The service of a server.
   std::string Service;
   std::string Zone;
   std::uint32_t Slots = 0;
   bool Draining = false;
   std::int64_t StartedMs = 0;
-  /// Milliseconds of its warm-up that were left when its entry was written;
-  /// negative where it does not say.
+  /// The remaining warm-up in milliseconds when the entry was written; negative
+  /// if the entry does not state it.
   std::int32_t WarmUpLeftMs = -1;
-  /// Cores of a router.
+  /// The number of CPU cores of a router.
   double Cores = 0;
 
   template <class Archive> void serialize(Archive &Ar) {
@@ -239,7 +245,8 @@
   }
 };
 
-/// Changes of the lists: all that were made behind `From` and up to `To`.
+/// All changes of the lists after `AfterRevision`, up to and including
+/// `ToRevision`.
 struct FleetUpdate {
   CorrelationId Id;
   std::int64_t AfterRevision = 0;
@@ -248,33 +255,37 @@
 
   template <class Archive> void serialize(Archive &Ar) {
     Ar(this->Id, this->AfterRevision, this->ToRevision);
-    AllocationRequest::compactList(Ar, this->Items);
+    AllocationRequest::serializeCompactList(Ar, this->Items);
   }
 };
 
-/// Which requests were in hand at servers that crashed, as far as the sender
-/// knows.
+/// Reports which requests were in progress at servers that crashed, as far as
+/// the sender knows.
 struct CrashReport {
   CorrelationId Id;
-  /// The sender has begun and wants to hear what others know.
+  /// Set by a router that has just started: the receiver sends back all facts
+  /// that it knows.
   bool WantsReport = false;
   std::vector<CrashFact> Facts;
 
   template <class Archive> void serialize(Archive &Ar) {
     Ar(this->Id, this->WantsReport);
-    AllocationRequest::compactList(Ar, this->Facts);
+    AllocationRequest::serializeCompactList(Ar, this->Facts);
   }
 };
 
+/// A message between routers. The index of the alternative and the order of the
+/// serialized fields are the wire format and must not change.
 using RouterMessage =
     std::variant<AllocationRequest, AllocationQueued, AllocationCancelled,
                  AllocationGrant, AllocationRefusal, GrantStarted, GrantEnded,
                  GrantActive, FleetStatusRequest, FleetStatus, FleetUpdate,
                  CrashReport>;
 
-/// The datagram of some messages, and back. `Malformed` where the bytes are
-/// none.
+/// Encodes messages into one datagram.
 std::string encodeMessages(const std::vector<RouterMessage> &Messages);
+/// Decodes a datagram; fails with `Malformed` if the bytes are not in this
+/// format.
 Result<std::vector<RouterMessage>> decodeMessages(std::string_view Bytes);
 
 } // namespace parsleywing
--- a/src/Placement/RouterOrder.h
+++ b/src/Placement/RouterOrder.h
@@ -5,14 +5,15 @@
 
 namespace parsleywing {
 
-/// The score of a router in the weighted rendezvous order of a key. The third
-/// power of its cores: among many small VMs, the few large ones get nearly all
-/// of the work that is done for others. `Router` is the hash of its name.
+/// The score of a router for a key in weighted rendezvous hashing. The weight
+/// is the third power of the core count, so that among many small VMs the few
+/// large ones get nearly all of the work that routers do for each other.
+/// `Router` is the hash of the router's name.
 double routerScore(std::uint64_t Router, std::uint64_t Key, double Cores);
 
-/// The first router of the order, by the list alone; empty where none is
-/// listed. Routers with the same list agree, whatever they think of who
-/// answers.
+/// The router with the highest score for the key; empty if none is listed. It
+/// depends only on the list, so that routers with the same list agree,
+/// whichever routers each of them can reach.
 std::string topRankedRouter(const RouterList &Listed, std::uint64_t Key);
 
 } // namespace parsleywing
--- a/src/Placement/ServerGroups.h
+++ b/src/Placement/ServerGroups.h
@@ -9,30 +9,31 @@
 
 namespace parsleywing {
 
-/// Cuts the engines of each service into groups of a bounded size, each with an
-/// allocator of its own, so that an allocator's work does not grow with the
-/// fleet. Every router computes the same groups from the same list, and most
+/// Partitions the servers of each service into groups of bounded size. Each
+/// group has its own allocator, so that the work of an allocator does not grow
+/// with the fleet. All routers compute the same groups from the same list. Most
 /// servers stay in their group when others come and go: the number of groups
 /// changes only when the service has grown or shrunk by half.
 class ServerGroups {
 public:
   explicit ServerGroups(const ServerList &Servers = {});
 
-  /// The group of a server; the service itself where it is not cut.
+  /// The group of a server; the service itself if it is not partitioned.
   std::uint64_t groupOfServer(const std::string &ServerId,
                               const std::string &Service) const;
 
-  /// The group for a request to the service: all requests that share a prompt
-  /// part come to the same one, and each group gets its part of them by its
-  /// number of servers.
+  /// The group for a request to the service. All requests that share a prompt
+  /// part get the same group, and the share of each group is proportional to
+  /// its number of servers. `FallbackKey` replaces the shared part if the
+  /// request has none.
   std::uint64_t groupForRequest(std::uint64_t Service,
                                 const std::vector<PromptPart> &Parts,
-                                std::uint64_t Otherwise) const;
+                                std::uint64_t FallbackKey) const;
 
 private:
   struct Partition {
     std::uint64_t Groups = 1;
-    /// Servers that take requests, in each group.
+    /// For each group, the number of servers that accept requests.
     std::vector<std::uint32_t> Sizes;
   };
 
--- a/src/Placement/ServerOwnership.h
+++ b/src/Placement/ServerOwnership.h
@@ -9,42 +9,44 @@
 
 namespace parsleywing {
 
-/// Knows for which servers this router is the only allocator of the whole
-/// fleet, cut off routers included. Two that believe to allocate a server make
-/// it busier than planned, which a warm one bears; one that warms up crashes.
+/// Determines for which servers this router is the only allocator in the fleet,
+/// even if some routers are disconnected. Two allocators of one server make it
+/// busier than planned. A warm server can handle that; a server that is warming
+/// up crashes.
 ///
-/// Ownership follows from the store's list of routers, and from nothing that a
-/// router thinks of another: the first listed router in the order of the
-/// server's group. A claim needs a list that was complete less than
-/// `ListsLife` ago, and to have been the first without a break for `TakeOver`.
-/// Then no two claim a server at once: were both first, each by its own list,
-/// the later one has been listed for longer than the other's list is old, so
-/// that other would have seen it. A router that was listed anew begins anew,
-/// since it may not have seen the gap.
+/// The owner is the top-ranked listed router for the server's group. This
+/// depends only on the router list in the store, not on whether a router
+/// considers another one reachable. A router owns a server if its list was
+/// complete at most `MaxListAge` ago, and if it has been first without
+/// interruption for `TakeoverDelay`. Then two routers never own a server at the
+/// same time: if each were first in its own list, the later one would have been
+/// listed for longer than the age of the other's list, and the other's list
+/// would contain it. A router that is listed again starts the delay again,
+/// since it may have missed the time in which it was not listed.
 ///
-/// What it costs: a server that warms up gets nothing for `TakeOver` after its
-/// allocator was lost or has started, nor while the store is away. Takes no
-/// calls and has no clock of its own; all moments are on the clock that counts
-/// suspended time.
+/// The cost: a server that is warming up gets no requests for `TakeoverDelay`
+/// after its allocator was lost or has started, nor while the store is
+/// unreachable. Performs no I/O and has no clock of its own; all times are on
+/// the clock that includes suspended time.
 class ServerOwnership {
 public:
-  /// A list that was complete so long ago still counts. Relays prove theirs
-  /// about once a second, and three proofs fit.
+  /// The maximum age of a list. Relays prove their lists about once per second,
+  /// so that three proofs fit.
   static constexpr Duration MaxListAge = std::chrono::seconds(3);
-  /// The life of the other's list, the slip of its last grant, and the second
-  /// over which requests are counted.
+  /// The maximum age of the previous owner's list, plus the send delay of its
+  /// last grant, plus the one second over which requests are counted.
   static constexpr Duration TakeoverDelay =
       MaxListAge + std::chrono::milliseconds(1600);
 
   explicit ServerOwnership(std::string Router)
       : RouterName(std::move(Router)) {}
 
-  /// Takes what this router has learnt of the fleet.
+  /// Updates the ownership from this router's current view.
   void updateView(const FleetView &View, const ServerGroups &Groups,
                   TimePoint Now);
 
-  /// Whether this router alone may grant the server (by the hash of its
-  /// identity).
+  /// Whether this router alone may grant the server, given as the hash of its
+  /// identity.
   bool owns(std::uint64_t Server, TimePoint Now) const;
 
 private:
@@ -54,11 +56,12 @@
   /// The revision of this router's entry.
   std::int64_t ListedRevision = 0;
   TimePoint ListsProvenAt{};
-  /// Since when this router has been the first for a server. Only servers
-  /// whose service states a warm-up are in it.
+  /// Since when this router has been first for a server. Contains only servers
+  /// of services with a warm-up limit.
   std::unordered_map<std::uint64_t, TimePoint> FirstSince;
-  /// Whether this router is the first of a group by that list of routers.
+  /// The router list from which `FirstForGroup` was computed.
   std::shared_ptr<const RouterList> Routers;
+  /// Cached results of `isFirstFor`.
   std::unordered_map<std::uint64_t, bool> FirstForGroup;
 };
 
--- a/src/Placement/ServerTable.h
+++ b/src/Placement/ServerTable.h
@@ -17,94 +17,96 @@
 
 namespace parsleywing {
 
-/// What it costs an engine to fetch a kept part of a prompt from another one,
-/// in prompt tokens that it could read in the same time.
+/// The cost for an engine to fetch a cached part of a prompt from another
+/// engine, in prompt tokens that it could prefill in the same time.
 struct FetchCost {
-  /// For each fetched token; none where engines cannot or should not fetch.
+  /// Per fetched token; empty if engines cannot or should not fetch.
   std::optional<double> PerToken;
-  /// For each fetch.
+  /// Per fetch.
   std::uint32_t Fixed = 0;
 };
 
-/// The cost of fetching where a token is read at this speed. None where the way
-/// between the engines is so slow that reading again is as good.
-FetchCost fetchCostOf(const GatewayService &Service, double ReadPerMs);
+/// The fetch cost in a service whose engines prefill `PrefillTokensPerMs`. The
+/// cost per token is empty if the link is so slow that prefilling the part
+/// again costs about the same.
+FetchCost fetchCostOf(const GatewayService &Service, double PrefillTokensPerMs);
 
-/// What speaks against a server beside the work ahead of it, all in prompt
-/// tokens to read. Tests and the lab vary them; the product uses these.
+/// The weights of a server's placement cost beside its backlog, all in prompt
+/// tokens to prefill. Only tests and the simulator in `lab/` vary them.
 struct PlacementWeights {
-  /// Of a token that another server keeps and this one reads again: it is time
-  /// of the engine that others would use, and it drives other parts out of the
-  /// cache. Weights of 0, 1, 2 and 4 gave re-read shares of 18, 12, 9 and 7 %
-  /// of all prompt tokens on a moderate day without fetches; above 3 the queues
-  /// at the keeping server cost more than is saved.
+  /// Per token that is cached at another server and would be prefilled again
+  /// here: this takes engine time from other requests and evicts other parts
+  /// from the cache. Above 3, the queues at the server with the cached part
+  /// cost more than is saved.
   double DuplicatePrefill = 3;
-  /// Of a prompt token where all slots are taken. An engine whose slots are
-  /// full of streams cannot read, so its reading stands idle while prompts wait
-  /// elsewhere: prompts go where slots are left. In the lab 0.84 against 0.75
-  /// of the worth on `overloaded-reviews`, 0.66 against 0.61 on `flood`; on the
-  /// fleet's load 0.683 against 0.675 and 0.730 against 0.725. A weight by the
-  /// tokens that running requests may still generate gave 0.71 on the first and
-  /// 0.68 on the second: it left engines without prompts while reviews were
-  /// refused.
+  /// Per prompt token at a server with all slots occupied; fewer occupied slots
+  /// weigh less. An engine whose slots are full of streams cannot prefill, and
+  /// its prefill capacity is idle while prompts wait elsewhere. Prompts
+  /// therefore go to servers with free slots. The weight depends on the number
+  /// of slots and not on the tokens that running requests may still generate,
+  /// since the latter left engines without prompts while requests were refused.
   double OccupiedSlots = 100;
-  /// Of a token to generate, in prompt tokens, where the engine reads all the
-  /// time: each reading step holds up the streams beside it.
+  /// Per token to generate at an engine that prefills all the time, since each
+  /// prefill step delays the streams that run beside it.
   double PrefillInterference = 20;
-  /// What a server that is not the first of a part's rendezvous order has to be
-  /// better by, as a part of the shared tokens that nobody is known to keep.
+  /// The advantage that a server needs over the home server (the first in the
+  /// rendezvous order of the shared part), as a fraction of the shared tokens.
+  /// Applies only while no server has the shared part cached.
   double NonHomeServer = 0.5;
 };
 
-/// What has to be placed. Names are hashes (`hashName`).
+/// A request for which to choose a server. Names are hashes (`hashName`).
 struct PlacementQuery {
   std::uint64_t Service = 0;
   std::uint64_t Zone = 0;
   const std::vector<PromptPart> *Parts = nullptr;
   std::uint32_t PromptTokens = 0;
   std::uint32_t OutputTokens = 0;
-  /// What one server of the service reads in a second; 0 where it is unknown.
+  /// The prefill speed of one server of the service; 0 if unknown.
   double PrefillTokensPerSecond = 0;
   FetchCost Fetch;
   PlacementWeights Weights;
-  /// Servers that are not to be used again for this request.
+  /// Servers that must not be used again for this request.
   const std::set<std::uint64_t> *ExcludedServers = nullptr;
-  /// Where given, servers are taken by their rendezvous order for this number
-  /// in place of the work ahead of them.
+  /// If set, the server is chosen by rendezvous hashing with this key instead
+  /// of by cost.
   std::optional<std::uint32_t> SpreadKey{};
-  /// Where given, only servers with room for this many unread tokens more.
-  std::function<bool(std::uint64_t Server, std::uint32_t Unread)> HasCapacity;
+  /// If set, only servers with capacity for this many more prefill tokens are
+  /// chosen.
+  std::function<bool(std::uint64_t Server, std::uint32_t PrefillTokens)>
+      HasCapacity;
   TimePoint Now;
 };
 
-/// What a request is for its server.
+/// The load that an attempt puts on its server.
 struct AttemptLoad {
-  /// Prompt tokens that it has to read; 0 once it has.
+  /// Prompt tokens still to prefill; 0 once the prompt is prefilled.
   std::uint32_t PrefillTokens = 0;
-  /// Tokens that it may generate.
+  /// The maximum number of tokens to generate.
   std::uint32_t OutputTokens = 0;
-  /// The start of the server's process that it was sent to.
+  /// When the server process that received the request started.
   std::int64_t ServerStartedMs = 0;
 };
 
-/// A server for a request, and the work that the request is for it.
+/// The server chosen for a request, and the resulting load.
 struct ServerChoice {
   std::uint64_t Server = 0;
-  /// Prompt tokens that the server will have to read.
+  /// Prompt tokens that the server will have to prefill for the request.
   std::uint32_t PrefillTokens = 0;
-  /// The work ahead of it, in prompt tokens.
+  /// The work ahead of the request, in prompt tokens.
   std::uint32_t BacklogTokens = 0;
-  /// The server to fetch the kept start of the prompt from; 0 for none.
+  /// The server from which to fetch the cached prefix of the prompt; 0 for
+  /// none.
   std::uint64_t FetchSource = 0;
 };
 
-/// How a send to a server went, as far as the server's soundness is concerned.
+/// What the result of an attempt says about the health of its server.
 enum class ServerVerdict : std::uint8_t {
-  Healthy,     ///< It answered.
-  Failed,      ///< It answered with an error, or broke off.
-  Full,        ///< It refused without running.
-  Unreachable, ///< No connection came about.
-  Silent,      ///< Nothing came within the limit.
+  Healthy,     ///< The server responded.
+  Failed,      ///< The server responded with an error or broke the response.
+  Full,        ///< The server refused the request without running it.
+  Unreachable, ///< No connection could be established.
+  Silent,      ///< Nothing was received within the time limit.
 };
 
 inline constexpr EnumNames<ServerVerdict, 5> ServerVerdictNames{{
@@ -115,114 +117,122 @@
     {ServerVerdict::Silent, "silent"},
 }};
 
-/// One moment on the clock of the caller of a `ServerBook`, and on the one that
-/// counts suspended time, by which the fleet's view is dated.
+/// One point in time on two clocks: the one that the owner of a `ServerTable`
+/// uses, and the one that includes suspended time, which the fleet view uses.
 struct ViewTime {
   TimePoint Now{};
   TimePoint SinceBoot{};
 };
 
-/// What is known of the load and soundness of each server, and where the next
-/// request goes. Makes no calls and has no clock of its own. A router keeps one
-/// for what it sends itself, and one for the servers that it allocates.
+/// Tracks the load and health of each server, and chooses servers for requests.
+/// Performs no I/O and has no clock of its own. A router has one table for the
+/// requests that it sends itself, and one for the servers that it allocates.
 ///
-/// A request goes where it is read soonest: the prompt tokens that wait there
-/// and those of its own that the server does not keep. Parts that no server
-/// keeps go to the first server of their rendezvous order, so that routers
-/// which know nothing of each other agree.
+/// A request is placed where its prompt is prefilled soonest: the cost includes
+/// the prompt tokens that wait at the server and those of the request that the
+/// server has not cached. A prompt part that no server has cached goes to the
+/// first server in the part's rendezvous order, so that independent routers
+/// agree.
 class ServerTable {
 public:
-  /// Takes the servers and what their services state; forgets those that are
-  /// gone.
-  /// `Groups`: servers are asked for by their group in place of their service.
+  /// Replaces the list of servers and the settings of their services, and drops
+  /// the state of servers that are no longer listed. If `Groups` is set,
+  /// servers are looked up by their group instead of their service.
   void setServers(std::shared_ptr<const ServerList> Servers,
-                  const GatewayConfiguration *Stated,
+                  const GatewayConfiguration *Configuration,
                   const ServerGroups *Groups = nullptr,
-                  const ViewTime &At = {});
+                  const ViewTime &Time = {});
 
-  /// What the fleet may send to servers that warm up. Before `setServers`.
+  /// Sets the fleet's bounds for servers that are warming up. Takes effect with
+  /// the next `setServers`.
   void setWarmUpBounds(const WarmUpBounds &Bounds) {
     this->FleetWarmUpBounds = Bounds;
   }
-  /// Says of a server that warms up whether this book alone grants it. Where
-  /// nothing is given, such servers are not used.
-  void setWarmUpOwnership(std::function<bool(std::uint64_t Server)> MayGrant) {
-    this->OwnsWarmUp = std::move(MayGrant);
+  /// Sets the predicate that decides whether only this table's owner may grant
+  /// a server that is warming up. Without it, such servers are not used.
+  void setWarmUpOwnership(std::function<bool(std::uint64_t Server)> Owns) {
+    this->OwnsWarmUp = std::move(Owns);
   }
   bool isWarmingUp(std::uint64_t Server, TimePoint Now) const;
-  /// Servers that warm up, and the requests a second that those of them bear
-  /// which this book grants.
+  /// The number of servers that are warming up, and the total rate permitted
+  /// for those that this table's owner grants.
   struct WarmUpTotals {
     std::uint32_t Servers = 0;
     double GrantedPerSecond = 0;
   };
   WarmUpTotals warmUpTotals(TimePoint Now) const;
 
-  std::optional<ServerChoice> place(const PlacementQuery &Asked);
+  /// Chooses the server with the lowest cost; empty if none is available.
+  std::optional<ServerChoice> place(const PlacementQuery &Query);
 
-  /// A request was sent; its prompt is unread until `noteRead`.
-  void recordSent(std::uint64_t Server, const AttemptLoad &Work,
+  /// Records an attempt that was sent. Its prompt counts as pending until
+  /// `recordPrefilled`.
+  void recordSent(std::uint64_t Server, const AttemptLoad &Load,
                   const std::vector<PromptPart> &Parts, TimePoint Now);
-  /// The first piece of the answer came: the prompt has been read.
-  void recordPrefilled(std::uint64_t Server, const AttemptLoad &Work,
+  /// Records the first chunk of the response: the prompt has been prefilled.
+  void recordPrefilled(std::uint64_t Server, const AttemptLoad &Load,
                        const std::vector<PromptPart> &Parts);
-  /// The send ended. `Work` as sent, with nothing unread after `noteRead`. The
-  /// end of a send to an earlier process of the server says nothing of the
-  /// present one.
-  void recordEnded(std::uint64_t Server, const AttemptLoad &Work,
+  /// Records the end of an attempt. `Load` is as sent, but without prefill
+  /// tokens after `recordPrefilled`. Attempts at an earlier process of the
+  /// server are ignored, since they say nothing about the current one.
+  void recordEnded(std::uint64_t Server, const AttemptLoad &Load,
                    const std::vector<PromptPart> &Parts, ServerVerdict Verdict,
                    TimePoint Now);
+  /// Records that data was received from the server.
   void recordActivity(std::uint64_t Server, TimePoint Now);
 
-  /// The server has told what it keeps.
-  void recordCached(std::uint64_t Server, const CachedParts &Told);
+  /// Records the parts that the server reports as cached.
+  void recordCached(std::uint64_t Server, const CachedParts &Reported);
 
-  /// Whether anything came from the server after this moment.
-  bool activeSince(std::uint64_t Server, TimePoint Moment) const;
+  /// Whether anything was received from the server after this time.
+  bool activeSince(std::uint64_t Server, TimePoint Time) const;
 
-  /// Requests that this book has at the server.
+  /// The number of requests in progress at the server.
   std::uint32_t running(std::uint64_t Server) const;
   std::uint64_t pendingPrefillTokens(std::uint64_t Server) const;
-  /// The newest start of the server's process that is known.
+  /// The latest known start of the server's process.
   std::int64_t startOf(std::uint64_t Server) const;
-  /// The server's process has started at this moment: what was believed of an
-  /// earlier one is void. An earlier start is an old word and changes nothing.
+  /// Records the start of the server's process, and resets the state of an
+  /// earlier process. A start before the latest known one is outdated
+  /// information and is ignored.
   void recordStart(std::uint64_t Server, std::int64_t StartedMs);
 
-  /// Whether requests may be sent there now.
+  /// Whether requests may be sent to the server now.
   bool usable(std::uint64_t Server, TimePoint Now) const;
-  /// The same for a request that was granted by whoever alone may grant a
-  /// server that warms up.
+  /// Like `usable`, for a request with a grant from the owner of a server that
+  /// is warming up: the warm-up limit is not checked again.
   bool usableIfGranted(std::uint64_t Server, TimePoint Now) const;
 
-  /// The server of this hash; null where it is not in force.
+  /// The server with this hash; null if it is not listed.
   const GatewayServer *find(std::uint64_t Server) const;
 
-  /// Servers of a service (or group) that take requests.
+  /// The number of servers of a service (or group) that accept requests.
   std::uint32_t serverCount(std::uint64_t Service) const;
 
-  /// Whether one of its servers may be used now and has this property.
-  template <typename Test>
-  bool anyUsable(std::uint64_t Service, TimePoint Now, Test Wanted) const {
+  /// Whether the predicate holds for a server of the service (or group) that is
+  /// usable now.
+  template <typename Predicate>
+  bool anyUsable(std::uint64_t Service, TimePoint Now,
+                 Predicate Matches) const {
     const auto Found = this->ByService.find(Service);
     if (Found == this->ByService.end())
       return false;
-    for (const auto &[Hash, Known] : Found->second)
-      if (this->acceptsRequests(*Known) &&
-          this->isAvailable(Hash, *Known, Now) && Wanted(Hash))
+    for (const auto &[Hash, Entry] : Found->second)
+      if (this->acceptsRequests(*Entry) &&
+          this->isAvailable(Hash, *Entry, Now) && Matches(Hash))
         return true;
     return false;
   }
 
-  /// Tokens of a queue whose requests are meant for the server; counted as if
-  /// they had been sent.
+  /// Adds the tokens of queued requests that are planned for the server. They
+  /// count as if the requests had been sent.
   void addQueuedTokens(std::uint64_t Server, std::int64_t Tokens);
 
   const ServerList &servers() const { return *this->ActiveServers; }
 
-  /// Whether silence of a server with requests counts against it. Only the
-  /// router that reads the answers can tell.
-  void setSilenceDetection(bool Judge) { this->DetectsSilence = Judge; }
+  /// Whether a server that has requests but sends nothing counts as unhealthy.
+  /// Only the router that receives the responses can decide this.
+  void setSilenceDetection(bool Enabled) { this->DetectsSilence = Enabled; }
 
 private:
   struct ServerEntry {
@@ -232,7 +242,8 @@
     std::int64_t StartedMs = 0;
     std::uint32_t Running = 0;
     std::uint64_t PendingPrefillTokens = 0;
-    /// Tokens to read that were sent lately, decaying, and when that was so.
+    /// Exponentially decaying sum of the prefill tokens that were sent, as of
+    /// `RecentPrefillAt`.
     double RecentPrefillTokens = 0;
     TimePoint RecentPrefillAt{};
     std::int64_t QueuedTokens = 0;
@@ -242,56 +253,59 @@
     TimePoint LastSent{};
     CacheModel Cache;
     TimePoint WarmUpEndsAt{};
-    /// It has started anew, and no entry of its new process is known yet.
+    /// The process has restarted, and the list does not have the new process
+    /// yet.
     bool RestartUnlisted = false;
     WarmUpLimiter SendLimiter;
   };
 
-  bool acceptsRequests(const ServerEntry &Known) const {
-    return Known.Server != nullptr && Known.Server->acceptsRequests();
+  bool acceptsRequests(const ServerEntry &Entry) const {
+    return Entry.Server != nullptr && Entry.Server->acceptsRequests();
   }
-  static bool isWarmingUp(const ServerEntry &Known, TimePoint Now) {
-    return Known.SendLimiter.isLimited() &&
-           (Known.RestartUnlisted || Now < Known.WarmUpEndsAt);
+  static bool isWarmingUp(const ServerEntry &Entry, TimePoint Now) {
+    return Entry.SendLimiter.isLimited() &&
+           (Entry.RestartUnlisted || Now < Entry.WarmUpEndsAt);
   }
-  /// Sound, and not held back while it warms up.
-  bool isAvailable(std::uint64_t Server, const ServerEntry &Known,
+  /// Healthy, and not held back by the warm-up limit.
+  bool isAvailable(std::uint64_t Server, const ServerEntry &Entry,
                    TimePoint Now) const;
-  bool isHealthy(const ServerEntry &Known, TimePoint Now) const;
-  static std::uint64_t backlogOf(const ServerEntry &Known);
-  static double recentPrefillAt(const ServerEntry &Known, TimePoint Now);
-  /// What the request and those that run there would hold each other up by, in
-  /// prompt tokens.
-  static double interference(const ServerEntry &Known,
-                             const PlacementQuery &Asked, std::uint64_t Unread);
+  bool isHealthy(const ServerEntry &Entry, TimePoint Now) const;
+  static std::uint64_t backlogOf(const ServerEntry &Entry);
+  static double recentPrefillAt(const ServerEntry &Entry, TimePoint Now);
+  /// The cost of the delay that the request and the requests that run at the
+  /// server would cause each other, in prompt tokens.
+  static double interference(const ServerEntry &Entry,
+                             const PlacementQuery &Query,
+                             std::uint64_t PrefillTokens);
   const ServerEntry *findEntry(std::uint64_t Server) const;
 
-  /// Who keeps how much of a prompt.
+  /// Which servers have parts of a prompt cached.
   struct CacheLocations {
-    /// The first server of the shared part's rendezvous order.
+    /// The first server in the rendezvous order of the shared part.
     std::uint64_t HomeServer = 0;
     bool SharedIsCached = false;
     std::uint64_t MaxCachedTokens = 0;
-    /// The server that can be fetched from and has read most of it; 0 for none.
+    /// The healthy server with the longest prefilled prefix of the prompt; 0
+    /// for none.
     std::uint64_t FetchSource = 0;
     std::uint64_t FetchableTokens = 0;
   };
-  /// A server for a request, and all that speaks against it.
+  /// A server for a request, and its total placement cost.
   struct Candidate {
     ServerChoice Choice;
     std::uint64_t Cost = 0;
   };
   static Candidate makeCandidate(std::uint64_t Hash, const ServerEntry &Server,
-                                 const PlacementQuery &Asked,
-                                 const CacheLocations &Known);
-  CacheLocations findCached(const PlacementQuery &Asked,
+                                 const PlacementQuery &Query,
+                                 const CacheLocations &Locations);
+  CacheLocations findCached(const PlacementQuery &Query,
                             const PromptPart &Shared) const;
 
   std::shared_ptr<const ServerList> ActiveServers =
       std::make_shared<ServerList>();
-  /// Ordered, so that equal choices fall alike in every process.
+  /// Ordered, so that ties are broken in the same way in every process.
   std::map<std::uint64_t, ServerEntry> Entries;
-  /// The servers in force by their service (or group).
+  /// The listed servers by service (or group).
   std::unordered_map<std::uint64_t,
                      std::vector<std::pair<std::uint64_t, ServerEntry *>>>
       ByService;
--- a/src/Placement/WarmUp.h
+++ b/src/Placement/WarmUp.h
@@ -5,58 +5,59 @@
 
 namespace parsleywing {
 
-/// What the servers of a service bear while they warm up, from the
-/// configuration. A rate of zero: they bear what they bear later.
+/// The load that a server of a service can take while it warms up, from the
+/// configuration. A rate of zero means no limit.
 struct WarmUpLoad {
-  /// From a start to the end of the warm-up.
+  /// The time from the server's start to the end of the warm-up.
   Duration Period{};
-  /// Requests a second.
+  /// Requests per second.
   double PerSecond = 0;
 };
 
-/// How far the fleet as a whole may go beyond that rate at one server, from the
-/// operators' settings: in no second more than `Over` times the rate, and
-/// `Slack` requests. Above, the server crashes.
+/// How far the whole fleet may exceed that rate at one server, from the
+/// operators' settings: at most `RateFactor` times the rate, plus `Slack`
+/// requests, in any second. Above this bound the server crashes.
 struct WarmUpBounds {
   double RateFactor = 1.5;
   double Slack = 5;
 };
 
-/// A grant to a server that warms up is void at its router after this. It
-/// covers a datagram's way and a loop that is a few turns late; what comes
-/// later, after a freeze or a cut, must not be sent.
+/// A grant for a server that is warming up expires after this time. It covers
+/// the transport of a datagram and an event loop that is a few iterations late.
+/// A request that would be sent later, after a stall or a network outage, must
+/// not be sent.
 inline constexpr Duration WarmUpGrantLifetime = std::chrono::milliseconds(100);
 
-/// The longest from such a grant to the request's first byte: its life, and a
-/// new connection to the server.
+/// The maximum time from such a grant to the first byte of the request: the
+/// grant's lifetime and the time for a new connection to the server.
 inline constexpr Duration MaxWarmUpSendDelay =
     WarmUpGrantLifetime + std::chrono::milliseconds(400);
 
-/// The requests that one allocator lets a server have while it warms up: a
-/// token bucket. What fails without it: servers that come back together get
-/// the load that they had before, crash, come back, and crash again.
+/// A token bucket for the requests that one allocator grants to a server that
+/// is warming up. Without it, servers that restart together get the load that
+/// they had before, crash, restart, and crash again.
 ///
-/// A grant leads to a send up to `WarmUpSlip` later, so the sends of one second
-/// come from the grants of a second and that much more; rate and burst are such
-/// that these stay below the bound, with a part left for requests that were
-/// sent by routers that did not know of the warm-up.
+/// A request is sent up to `MaxWarmUpSendDelay` after its grant, so the
+/// requests of one second stem from the grants of that second and of this delay
+/// before it. Rate and burst keep these requests below the fleet's bound, with
+/// a reserve for requests from routers that do not know of the warm-up.
 ///
-/// Sends are counted at all times, also to warm servers: one that says that it
-/// has turned cold has had requests in the second before.
+/// Requests to warm servers are counted as well, since a server that turns out
+/// to be cold has received requests within the last second.
 class WarmUpLimiter {
 public:
   WarmUpLimiter() = default;
   WarmUpLimiter(const WarmUpLoad &Load, const WarmUpBounds &Bounds);
 
-  /// Whether the service's servers are limited at all.
+  /// Whether servers of the service have a warm-up limit at all.
   bool isLimited() const { return this->Limited; }
   double ratePerSecond() const { return this->Rate; }
 
   bool hasToken(TimePoint Now) const;
   void recordSent(TimePoint Now);
 
-  /// Takes rate and burst over from another limit, and keeps the count.
-  void copyRateFrom(const WarmUpLimiter &Load);
+  /// Copies rate and burst from another limiter, and keeps the current tokens.
+  void copyRateFrom(const WarmUpLimiter &Other);
 
 private:
   double tokensAt(TimePoint Now) const;
--- a/test/Soak/KeepAliveConnection.h
+++ b/test/Soak/KeepAliveConnection.h
@@ -11,11 +11,11 @@
 
 /// How a request ended for its caller.
 enum class CallEnd {
-  NotSent,  ///< There was no connection to send it on.
-  Complete, ///< Its answer ended as the framing says.
-  Reset,    ///< A socket error behind the send.
-  Closed,   ///< The connection was closed in order, and no reset followed.
-  TimedOut, ///< The caller waited no longer.
+  NotSent,  ///< No connection could be established.
+  Complete, ///< The response was complete according to its framing.
+  Reset,    ///< The connection failed after the request was sent.
+  Closed,   ///< The router closed the connection, and no reset followed.
+  TimedOut, ///< The caller gave up waiting.
 };
 
 inline constexpr EnumNames<CallEnd, 5> CallEndNames{{
@@ -26,39 +26,41 @@
     {CallEnd::TimedOut, "late"},
 }};
 
-/// What a caller got.
+/// The result of a request for its caller.
 struct CallerResult {
   std::string Path;
   std::size_t Router = 0;
-  /// The caller's end of the connection.
+  /// The caller's address on the connection.
   std::string LocalAddress;
-  /// Requests that the connection had carried before.
+  /// The number of earlier requests on the same connection.
   int EarlierRequests = 0;
   int Status = 0;
   CallEnd End = CallEnd::NotSent;
   std::string Body;
   std::chrono::steady_clock::time_point SentAt;
-  /// When the caller had the answer or the end of the connection.
+  /// When the caller had received the response or the end of the connection.
   std::chrono::steady_clock::time_point EndedAt;
 
   bool isComplete() const { return this->End == CallEnd::Complete; }
 };
 
-/// A caller's connection to one router, used again until an answer announces
-/// its close or it breaks; then the next request opens another.
+/// A caller's connection to one router. It is reused until a response announces
+/// that it will be closed, or until it breaks; the next request then opens
+/// another connection.
 class KeepAliveConnection {
 public:
-  /// One that `Looks` asks before each request whether the router has closed,
-  /// as most clients do; others learn it from their next request.
-  KeepAliveConnection(std::string RouterAddress, bool Looks)
-      : Address(std::move(RouterAddress)), ChecksFirst(Looks) {}
+  /// With `Checks`, the caller checks before each request whether the router
+  /// has closed the connection, as most clients do. Otherwise it finds out by
+  /// the next request.
+  KeepAliveConnection(std::string RouterAddress, bool Checks)
+      : Address(std::move(RouterAddress)), ChecksFirst(Checks) {}
 
-  /// Sends a request whole and waits for its answer.
-  void exchange(const std::string &Request, CallerResult &Got);
+  /// Sends a complete request and waits for its response.
+  void exchange(const std::string &Request, CallerResult &Result);
 
 private:
   bool connect();
-  void readResponse(CallerResult &Got);
+  void readResponse(CallerResult &Result);
 
   std::string Address;
   bool ChecksFirst;
--- a/test/Soak/SoakFleet.h
+++ b/test/Soak/SoakFleet.h
@@ -21,7 +21,7 @@
 
 namespace parsleywing::test {
 
-/// A stretch of time in which something was wrong.
+/// A time interval, such as the duration of a fault.
 struct Interval {
   std::chrono::steady_clock::time_point From;
   std::chrono::steady_clock::time_point To =
@@ -34,30 +34,33 @@
   std::string Account;
   std::size_t Server = 0;
   std::chrono::steady_clock::time_point StartedAt;
-  /// When the server had sent all or found its connection broken.
+  /// When the server had sent the complete response or found its connection
+  /// broken.
   std::chrono::steady_clock::time_point EndedAt =
       std::chrono::steady_clock::time_point::max();
-  /// The server itself broke its answer off or spoilt it.
+  /// The server deliberately truncated or corrupted its response.
   bool Faulty = false;
 };
 
-/// An event of a stream, with the request's identity as its data.
+/// An event of a stream, with the request's ID as its data.
 std::string streamEvent(int Number, const std::string &Id);
 
-/// Sleeps for `Least` milliseconds and up to `More` more.
-void pauseFor(std::mt19937_64 &Random, int Least, unsigned More);
+/// Sleeps for a random time of at least `MinMs` milliseconds, and less than
+/// `RangeMs` more.
+void pauseFor(std::mt19937_64 &Random, int MinMs, unsigned RangeMs);
 
-/// Routers as processes, with ways to the store and to the servers that can be
-/// in trouble; servers and the store in this process; callers, faults, and the
-/// promises checked from what callers and servers saw. Everything random
-/// follows from the seed, but for the interleaving of processes. The faults
-/// stand in `SoakFaults.cpp` and `SoakCrashes.cpp`, the promises in
-/// `SoakChecks.cpp`.
+/// Runs routers as child processes, with links to the store and to the servers
+/// in which faults can be injected. Servers, store and callers run in this
+/// process. Afterwards the guarantees are checked from what callers and servers
+/// observed. Everything random follows from the seed, except the interleaving
+/// of processes. The faults are in `SoakFaults.cpp` and `SoakCrashes.cpp`, the
+/// checks in `SoakChecks.cpp`.
 class SoakFleet {
 public:
   static constexpr int StreamEvents = 12;
-  /// Of a request, and of a router's drain.
+  /// The deadline of a request.
   static constexpr std::chrono::seconds Deadline{3};
+  /// The drain limit of a router.
   static constexpr std::chrono::seconds DrainLimit{4};
 
   explicit SoakFleet(std::uint64_t Seed);
@@ -65,14 +68,15 @@
   SoakFleet(const SoakFleet &) = delete;
   SoakFleet &operator=(const SoakFleet &) = delete;
 
-  /// Lets callers and faults go on for this long, then waits for calm.
+  /// Runs callers and faults for this time, then ends the faults and runs the
+  /// callers for some more seconds.
   void run(std::chrono::milliseconds Time);
 
-  /// The promises that were broken, a line each.
+  /// The violated guarantees, one line each.
   std::vector<std::string> violations();
 
-  /// How many calls ended with which status, second by second of the run; 0 is
-  /// no answer.
+  /// The number of requests by status for each second of the run; status 0
+  /// means no response.
   std::string summary();
 
   std::size_t served() const { return this->Served; }
@@ -89,63 +93,72 @@
     std::vector<Interval> Frozen;
     /// From each SIGTERM to the end of the process.
     std::vector<Interval> Drained;
-    /// The moments at which its processes were started.
+    /// When each of the router's processes was started.
     std::vector<Interval> Started;
   };
 
-  /// The way from the routers to a server.
+  /// The link from the routers to a server.
   struct ServerLink {
     std::unique_ptr<TroubledWay> Link;
-    /// Crashes of the server too.
+    /// Faults of the link and crashes of the server.
     std::vector<Interval> Faults;
-    /// Starts of its process; each has an identity of its own.
+    /// The number of simulated restarts of the server; each process has its own
+    /// identity.
     int Starts = 0;
   };
 
-  void startRouter(Router &Each);
-  /// The second account has its key until that is taken away.
+  void startRouter(Router &Target);
+  /// Writes the configuration; the second account has its key until the key is
+  /// revoked.
   void writeConfiguration();
   bool serve(std::size_t Server, Poco::Net::StreamSocket &Connection,
              const std::string &Request);
   bool serveStream(Poco::Net::StreamSocket &Connection,
                    const std::string &Request, ServerRun &Run);
-  bool serveRun(int Luck, Poco::Net::StreamSocket &Connection,
+  /// `Roll` from 0 to 99 chooses how the server behaves.
+  bool serveRun(int Roll, Poco::Net::StreamSocket &Connection,
                 const std::string &Request, ServerRun &Run);
-  /// Crashes the run's server. `Early`: the connection ends just before it.
+  /// Crashes the run's server. With `Early`, this connection ends just before
+  /// the crash.
   bool crash(Poco::Net::StreamSocket &Connection, const ServerRun &Run,
              bool Early);
-  int chance(int Below);
+  /// A random number from 0 to below `Bound`.
+  int chance(int Bound);
   void callerLoop(std::size_t Number);
   void callOnce(std::mt19937_64 &Random,
-                std::vector<KeepAliveConnection> &Kept);
+                std::vector<KeepAliveConnection> &Connections);
   using Fault = std::function<void(std::mt19937_64 &)>;
-  void faultLoop(std::uint64_t Start, const Fault &One);
+  void faultLoop(std::uint64_t SeriesSeed, const Fault &Inject);
   std::string identityOf(std::size_t Server) const;
   void registerServer(std::size_t Server);
   void crashLoop();
   void crashAndRestart(std::size_t Server);
   void crashingCallerLoop(const std::string &Path);
-  void recordDuring(std::vector<Interval> &Spans,
-                    const std::function<void()> &Do);
-  void injectRouterFault(Router &Chosen, std::mt19937_64 &Random);
-  void freeze(Router &Chosen, std::mt19937_64 &Random);
-  void restartGracefully(Router &Chosen, std::mt19937_64 &Random);
-  void killAndRestart(Router &Chosen, std::mt19937_64 &Random);
+  void recordDuring(std::vector<Interval> &Intervals,
+                    const std::function<void()> &Action);
+  void injectRouterFault(Router &Target, std::mt19937_64 &Random);
+  void freeze(Router &Target, std::mt19937_64 &Random);
+  void restartGracefully(Router &Target, std::mt19937_64 &Random);
+  void killAndRestart(Router &Target, std::mt19937_64 &Random);
   void injectStoreFault(std::mt19937_64 &Random);
   void injectLinkFault(std::mt19937_64 &Random);
-  void checkRequest(const std::string &Id, const CallerResult &Got,
-                    std::vector<std::string> &Into);
-  void checkEnd(const std::string &Id, const CallerResult &Got,
-                std::vector<std::string> &Into);
-  bool mayBeTruncated(const CallerResult &Got, const ServerRun &Last) const;
-  const Interval *reachedDrainLimit(const CallerResult &Got) const;
-  std::string logOf(const std::string &Id, const CallerResult &Got) const;
-  void checkLog(const Router &Of, std::vector<std::string> &Into) const;
-  void checkCrashing(const std::string &Path, std::vector<std::string> &Into);
+  void checkRequest(const std::string &Id, const CallerResult &Result,
+                    std::vector<std::string> &Violations);
+  void checkEnd(const std::string &Id, const CallerResult &Result,
+                std::vector<std::string> &Violations);
+  bool mayBeTruncated(const CallerResult &Result,
+                      const ServerRun &LastRun) const;
+  const Interval *reachedDrainLimit(const CallerResult &Result) const;
+  std::string logOf(const std::string &Id, const CallerResult &Result) const;
+  void checkLog(const Router &Target,
+                std::vector<std::string> &Violations) const;
+  void checkCrashing(const std::string &Path,
+                     std::vector<std::string> &Violations);
   std::string crashLog() const;
   bool sentWhileConnected(const std::string &Id, const ServerRun &Run);
 
-  /// Requests that crash each server that runs them, and come again and again.
+  /// Paths of requests that crash every server that runs them, and that their
+  /// callers repeat all the time.
   static constexpr std::array<const char *, 2> CrashingPaths{"/stream/crash",
                                                              "/safe/crash"};
   static constexpr int FaultSeriesCount = 4;
@@ -158,16 +171,16 @@
   std::mt19937_64 ServerRandom;
   std::map<std::string, std::vector<ServerRun>> Runs;
   std::map<std::string, CallerResult> Results;
-  /// Servers that a request is to crash now.
+  /// Servers that a request has told to crash.
   std::vector<std::size_t> ServersToCrash;
   std::vector<std::unique_ptr<ScriptedServer>> Servers;
   std::vector<ServerLink> ServerLinks;
   std::vector<Router> Routers;
   std::atomic<bool> Stopping{false};
   std::atomic<bool> FaultsStopped{false};
-  /// All series of faults have ended.
+  /// Reaches zero when all fault series have ended.
   std::latch FaultsDone{FaultSeriesCount};
-  /// All callers have ended.
+  /// Reaches zero when all callers have ended.
   std::latch CallersDone{CallerThreads};
   std::atomic<std::uint64_t> LastRequest{0};
   std::atomic<std::size_t> Served{0};
