--- a/src/Placement/Allocator.cpp
+++ b/src/Placement/Allocator.cpp
@@ -7,62 +7,65 @@
 
 namespace {
 
-/// The time for which a server's unread prompts may keep it busy. Longer queues
-/// at the engines make requests late that could be on time elsewhere or later;
-/// shorter ones let an engine run dry between a grant and its arrival, some
-/// 10 ms.
-constexpr double RoomMs = 200;
+/// The maximum pending prefill work of a server. Longer queues at an engine
+/// delay requests that could meet their objective elsewhere or later. Shorter
+/// queues let the engine idle between a grant and the arrival of its request,
+/// about 10 ms.
+constexpr double MaxPendingPrefillMs = 200;
 
-/// A send that its router has not told of for so long has ended unseen.
-constexpr Duration OpenLife = std::chrono::milliseconds(1500);
+/// An attempt that its router has not reported for this time has ended, and the
+/// report of its end was lost.
+constexpr Duration GrantReportTimeout = std::chrono::milliseconds(1500);
 constexpr Duration ExpiryInterval = std::chrono::milliseconds(100);
 
-constexpr std::uint64_t LeastRoomTokens = 1024;
+constexpr std::uint64_t MinPendingPrefillTokens = 1024;
 
-/// Without an ask for so long, another router may have allocated the servers:
-/// what they keep has to be asked for. A service with less than one request in
-/// this time has little to gain by a cache.
-constexpr Duration KnowledgeLife = std::chrono::seconds(4);
+/// Without a request for this time, another router may have allocated the
+/// servers, so their cache contents have to be queried. A service with less
+/// than one request in this time benefits little from a cache.
+constexpr Duration CacheKnowledgeLifetime = std::chrono::seconds(4);
 
 } // namespace
 
-Allocator::Allocator(AllocatorOptions C) : Options(C) {
-  // The answers are read by the routers; here nothing is ever heard.
+Allocator::Allocator(AllocatorOptions O) : Options(O) {
+  // The routers receive the responses, so silence cannot be detected here.
   this->Servers.setSilenceDetection(false);
 }
 
 void Allocator::setServers(const std::shared_ptr<const ServerList> &Listed,
-                           const GatewayConfiguration *Stated,
-                           const ServerGroups &Groups, const ViewTime &At) {
-  this->Servers.setServers(Listed, Stated, &Groups, At);
+                           const GatewayConfiguration *Configuration,
+                           const ServerGroups &Groups, const ViewTime &Time) {
+  this->Servers.setServers(Listed, Configuration, &Groups, Time);
   this->dropLostGrants();
   this->ServiceOf.clear();
-  if (Stated == nullptr)
+  if (Configuration == nullptr)
     return;
   std::uint32_t Engines = 0;
   for (const auto &[Id, Server] : *Listed) {
     this->ServiceOf[hashName(Id)] = Groups.groupOfServer(Id, Server.Service);
-    const auto Known = Stated->Services.find(Server.Service);
-    const bool IsEngine =
-        Known != Stated->Services.end() && Known->second.KvCapacityTokens > 0;
+    const auto Service = Configuration->Services.find(Server.Service);
+    const bool IsEngine = Service != Configuration->Services.end() &&
+                          Service->second.KvCapacityTokens > 0;
     if (IsEngine && !Server.Draining)
       ++Engines;
   }
-  if (Engines == 0 || Stated->Limits.TokensPerSecond == 0)
+  if (Engines == 0 || Configuration->Limits.TokensPerSecond == 0)
     return;
-  AllocationLimits Made;
-  Made.PrefillTokensPerMs =
-      static_cast<double>(Stated->Limits.TokensPerSecond) / Engines / 1000.0;
-  Made.MaxPendingPrefillTokens = std::max<std::uint64_t>(
-      static_cast<std::uint64_t>(Made.PrefillTokensPerMs * RoomMs),
-      LeastRoomTokens);
+  AllocationLimits Limit;
+  Limit.PrefillTokensPerMs =
+      static_cast<double>(Configuration->Limits.TokensPerSecond) / Engines /
+      1000.0;
+  Limit.MaxPendingPrefillTokens = std::max<std::uint64_t>(
+      static_cast<std::uint64_t>(Limit.PrefillTokensPerMs *
+                                 MaxPendingPrefillMs),
+      MinPendingPrefillTokens);
   for (const auto &[Id, Server] : *Listed) {
-    const auto Known = Stated->Services.find(Server.Service);
-    if (Known == Stated->Services.end())
+    const auto Service = Configuration->Services.find(Server.Service);
+    if (Service == Configuration->Services.end())
       continue;
     if (this->Options.FetchCached)
-      Made.Fetch = fetchCostOf(Known->second, Made.PrefillTokensPerMs);
-    this->Limits[this->ServiceOf.at(hashName(Id))] = Made;
+      Limit.Fetch = fetchCostOf(Service->second, Limit.PrefillTokensPerMs);
+    this->Limits[this->ServiceOf.at(hashName(Id))] = Limit;
   }
 }
 
@@ -75,13 +78,13 @@
   std::visit([this, Now](const auto &M) { this->process(M, Now); }, Message);
 }
 
-/// An allocator that takes servers over believes that they keep nothing, and
-/// has all that they keep read again elsewhere.
+/// Without this, an allocator that takes over servers would consider their
+/// caches empty and have cached parts prefilled again at other servers.
 void Allocator::recordRequest(std::uint64_t Service, TimePoint Now) {
   const auto [Last, Fresh] = this->LastRequestAt.try_emplace(Service, Now);
-  const bool Continues = !Fresh && Now - Last->second < KnowledgeLife;
+  const bool StillKnown = !Fresh && Now - Last->second < CacheKnowledgeLifetime;
   Last->second = Now;
-  if (Continues || !this->limitsOf(Service).Fetch.PerToken)
+  if (StillKnown || !this->limitsOf(Service).Fetch.PerToken)
     return;
   for (const auto &[Server, Group] : this->ServiceOf)
     if (Group == Service && this->Servers.usable(Server, Now))
@@ -108,54 +111,56 @@
   return Lowest;
 }
 
-void Allocator::process(const AllocationRequest &Ask, TimePoint Now) {
-  // Asked again since the answer was lost or late.
-  if (const auto Known = this->ActiveGrants.find(Ask.Id);
-      Known != this->ActiveGrants.end()) {
+void Allocator::process(const AllocationRequest &Request, TimePoint Now) {
+  // Repeated because the reply was lost or late.
+  if (const auto Granted = this->ActiveGrants.find(Request.Id);
+      Granted != this->ActiveGrants.end()) {
     this->Replies.emplace_back(AllocationGrant{
-        Ask.Id, Known->second.Server, Known->second.Load.PrefillTokens, 0,
-        Known->second.Load.ServerStartedMs, Known->second.FetchSource,
-        Known->second.SendWithinMs});
+        Request.Id, Granted->second.Server, Granted->second.Load.PrefillTokens,
+        0, Granted->second.Load.ServerStartedMs, Granted->second.FetchSource,
+        Granted->second.SendWithinMs});
     return;
   }
-  if (this->QueuedRequests.contains(Ask.Id)) {
-    this->Replies.emplace_back(AllocationQueued{Ask.Id});
+  if (this->QueuedRequests.contains(Request.Id)) {
+    this->Replies.emplace_back(AllocationQueued{Request.Id});
     return;
   }
-  this->recordRequest(Ask.Service, Now);
-  QueuedRequest Asked;
-  Asked.Request = Ask;
-  Asked.ArrivedAt = Now;
-  Asked.ObjectiveDeadline =
-      Now + std::chrono::milliseconds(Ask.ObjectiveLeftMs);
-  Asked.WaitDeadline = Now + std::chrono::milliseconds(Ask.MaxWaitMs);
-  Asked.Late = Ask.ObjectiveLeftMs <= 0;
-  Asked.ArrivedLate = Asked.Late;
-  Asked.ExcludedServers.insert(Ask.ExcludedServers.begin(),
-                               Ask.ExcludedServers.end());
-  const AccountKey Key{Ask.Service, Ask.Account};
+  this->recordRequest(Request.Service, Now);
+  QueuedRequest Queued;
+  Queued.Request = Request;
+  Queued.ArrivedAt = Now;
+  Queued.ObjectiveDeadline =
+      Now + std::chrono::milliseconds(Request.ObjectiveLeftMs);
+  Queued.WaitDeadline = Now + std::chrono::milliseconds(Request.MaxWaitMs);
+  Queued.Late = Request.ObjectiveLeftMs <= 0;
+  Queued.ArrivedLate = Queued.Late;
+  Queued.ExcludedServers.insert(Request.ExcludedServers.begin(),
+                                Request.ExcludedServers.end());
+  const AccountKey Key{Request.Service, Request.Account};
   AccountState &State = this->Accounts[Key];
-  // An account that asked for nothing meanwhile has saved nothing up.
+  // An idle account does not accumulate credit.
   if (State.Queue.empty())
     State.VirtualTime =
-        std::max(State.VirtualTime, this->lowestVirtualTime(Ask.Service));
-  Asked.ArrivalNumber = ++this->LastArrivalNumber;
-  const bool IsBehind = !State.Queue.empty() &&
-                        State.Queue.begin()->first <= this->queueKey(Asked);
-  // One that was sent before may have run, and its answer have begun: refused,
-  // it would fail or be cut off, so it waits while there is hope.
-  const bool IsNew = Ask.ExcludedServers.empty();
-  if (this->Options.RefuseLikelyTimeouts && IsNew && IsBehind &&
-      State.timeouts(Asked.Late).wouldTimeOut(this->queueKey(Asked), Now)) {
-    this->refuse(Ask);
+        std::max(State.VirtualTime, this->lowestVirtualTime(Request.Service));
+  Queued.ArrivalNumber = ++this->LastArrivalNumber;
+  const bool QueuesBehindOthers =
+      !State.Queue.empty() &&
+      State.Queue.begin()->first <= this->queueKey(Queued);
+  // A request with an earlier attempt may have run, and its response may have
+  // started. A refusal would make it fail or truncate the response, so it waits
+  // as long as it can still be served.
+  const bool IsNew = Request.ExcludedServers.empty();
+  if (this->Options.RefuseLikelyTimeouts && IsNew && QueuesBehindOthers &&
+      State.timeouts(Queued.Late).wouldTimeOut(this->queueKey(Queued), Now)) {
+    this->refuse(Request);
     return;
   }
-  State.Queue.emplace(this->queueKey(Asked), Ask.Id);
-  ++this->QueuedCounts[Ask.Service];
-  this->QueuedRequests.emplace(Ask.Id, std::move(Asked));
+  State.Queue.emplace(this->queueKey(Queued), Request.Id);
+  ++this->QueuedCounts[Request.Service];
+  this->QueuedRequests.emplace(Request.Id, std::move(Queued));
   this->dispatch(Now);
-  if (this->QueuedRequests.contains(Ask.Id))
-    this->Replies.emplace_back(AllocationQueued{Ask.Id});
+  if (this->QueuedRequests.contains(Request.Id))
+    this->Replies.emplace_back(AllocationQueued{Request.Id});
 }
 
 void Allocator::process(const AllocationCancelled &Message, TimePoint Now) {
@@ -189,14 +194,14 @@
 }
 
 void Allocator::process(const GrantActive &Message, TimePoint Now) {
-  const std::int64_t Known = this->Servers.startOf(Message.Server);
-  if (Message.ServerStartedMs > Known) {
+  const std::int64_t KnownStart = this->Servers.startOf(Message.Server);
+  if (Message.ServerStartedMs > KnownStart) {
     this->Servers.recordStart(Message.Server, Message.ServerStartedMs);
     this->dropLostGrants();
   }
-  // Sent to a process that is gone. A send that was granted here is to the
-  // present one, whatever its router has heard.
-  if (Message.ServerStartedMs < Known &&
+  // The attempt was sent to an earlier process. A grant of this allocator is
+  // for the current process, even if the router does not know of the restart.
+  if (Message.ServerStartedMs < KnownStart &&
       !this->ActiveGrants.contains(Message.Id))
     return;
   const auto [Found, Fresh] = this->ActiveGrants.try_emplace(
@@ -209,7 +214,7 @@
     this->Servers.recordSent(Message.Server, Found->second.Load, {}, Now);
     return;
   }
-  // Its router has sent it elsewhere since.
+  // The router has sent the request to another server since.
   if (Found->second.Server != Message.Server) {
     this->process(GrantEnded{Message.Id, ServerVerdict::Healthy}, Now);
     this->process(Message, Now);
@@ -232,7 +237,7 @@
 void Allocator::expireGrants(TimePoint Now) {
   for (auto Each = this->ActiveGrants.begin();
        Each != this->ActiveGrants.end();) {
-    if (Now - Each->second.LastReported < OpenLife) {
+    if (Now - Each->second.LastReported < GrantReportTimeout) {
       ++Each;
       continue;
     }
@@ -243,23 +248,23 @@
 }
 
 void Allocator::expireQueued(TimePoint Now) {
-  std::vector<CorrelationId> Over;
-  for (auto &[Id, Asked] : this->QueuedRequests) {
-    const double Reading =
-        Asked.PlannedTokens /
-        this->limitsOf(Asked.Request.Service).PrefillTokensPerMs;
-    const Duration Needed{static_cast<Duration::rep>(Reading * 1000)};
-    if (Now >= Asked.WaitDeadline)
-      Over.push_back(Id);
-    else if (Now + Needed >= Asked.ObjectiveDeadline)
-      Asked.Late = true;
+  std::vector<CorrelationId> Expired;
+  for (auto &[Id, Queued] : this->QueuedRequests) {
+    const double PrefillMs =
+        Queued.PlannedTokens /
+        this->limitsOf(Queued.Request.Service).PrefillTokensPerMs;
+    const Duration Needed{static_cast<Duration::rep>(PrefillMs * 1000)};
+    if (Now >= Queued.WaitDeadline)
+      Expired.push_back(Id);
+    else if (Now + Needed >= Queued.ObjectiveDeadline)
+      Queued.Late = true;
   }
-  for (const CorrelationId &Id : Over) {
-    const QueuedRequest &Asked = this->QueuedRequests.at(Id);
-    this->Accounts[{Asked.Request.Service, Asked.Request.Account}]
-        .timeouts(Asked.ArrivedLate)
-        .recordTimeout(this->queueKey(Asked), Now);
-    this->refuse(Asked.Request);
+  for (const CorrelationId &Id : Expired) {
+    const QueuedRequest &Queued = this->QueuedRequests.at(Id);
+    this->Accounts[{Queued.Request.Service, Queued.Request.Account}]
+        .timeouts(Queued.ArrivedLate)
+        .recordTimeout(this->queueKey(Queued), Now);
+    this->refuse(Queued.Request);
     this->removeQueued(Id);
   }
 }
--- a/src/Placement/AllocatorGrants.cpp
+++ b/src/Placement/AllocatorGrants.cpp
@@ -6,41 +6,43 @@
 
 namespace {
 
-/// Requests of one account that are looked at for a server with room: the first
-/// may be meant for a server that is full.
-constexpr int LookAhead = 6;
-
-/// How long the server that a waiting request is meant for is not looked for
-/// anew. Placing costs some microseconds a server, and every end of a request
-/// makes the queue be looked through.
-constexpr Duration PlacementLife = std::chrono::milliseconds(40);
-
-/// Requests that an engine runs at once are stated as its slots; the last few
-/// are left for what other allocators or routers without one send.
-constexpr double SlotPart = 0.92;
-
-/// A refused caller is told to come back when what waits now is likely to be
-/// served, within these bounds.
-constexpr std::uint32_t LeastReturnMs = 250;
-constexpr std::uint32_t MostReturnMs = 1000;
-
-/// A generated token counts as two read ones in what an account has had: so
-/// the operators count their capacity.
+/// The number of requests of one account that are tried for a server with
+/// capacity, since the first may be planned for a server that is full.
+constexpr int MaxExamined = 6;
+
+/// How long a queued request keeps its planned server before it is placed
+/// again. Placement costs a few microseconds per server, and the end of every
+/// request causes a pass over the queue.
+constexpr Duration PlanLifetime = std::chrono::milliseconds(40);
+
+/// The fraction of an engine's slots (its maximum concurrency) that is
+/// allocated. The rest is left for requests from other allocators, and from
+/// routers that cannot reach an allocator.
+constexpr double UsableSlotFraction = 0.92;
+
+/// Bounds for the retry time of a refused caller, which is the estimated time
+/// to serve the current queue.
+constexpr std::uint32_t MinRetryAfterMs = 250;
+constexpr std::uint32_t MaxRetryAfterMs = 1000;
+
+/// A generated token counts as this many prompt tokens in the usage of an
+/// account, as in the capacity figures of the operators.
 constexpr double OutputWeight = 2;
 
-/// An account that is this far behind another that waits too, in seconds of one
-/// engine's reading, is no longer held back for a server that keeps its
-/// prompts: requests about few prompts would get no more than the few engines
-/// that keep them, while others are served by all.
-constexpr double BehindSeconds = 8;
+/// An account is underserved if its virtual time is this far below that of
+/// another account with queued requests, in seconds of one engine's prefill.
+/// Its requests no longer wait for a server that has their prompts cached.
+/// Otherwise an account with few distinct prompts would only ever get the few
+/// engines that cache them, while other accounts use all engines.
+constexpr double UnderservedSeconds = 8;
 
-double costOf(const AllocationRequest &Ask) {
-  return Ask.PromptTokens + OutputWeight * Ask.OutputTokens;
+double costOf(const AllocationRequest &Request) {
+  return Request.PromptTokens + OutputWeight * Request.OutputTokens;
 }
 
-/// The life of a grant to a server that warms up, from the moment at which its
-/// router first asked here. That was before the ask arrived, so the grant ends
-/// in time without a common clock.
+/// The lifetime of a grant for a server that is warming up, counted from when
+/// the router first sent its request. That was before the request arrived here,
+/// so the grant expires in time without a common clock.
 std::uint32_t sendWithin(Duration SinceArrival) {
   return static_cast<std::uint32_t>(
       std::chrono::duration_cast<std::chrono::milliseconds>(SinceArrival +
@@ -48,24 +50,27 @@
           .count());
 }
 
-/// The part of a prompt's shared tokens that an engine has to read after all.
-constexpr double SharedReadPart = 0.1;
+/// The estimated fraction of a prompt's shared tokens that an engine still has
+/// to prefill.
+constexpr double SharedPrefillFraction = 0.1;
 
-/// What the request is for an engine, in tokens. Shared parts are kept there or
-/// fetched as a rule.
-double workOf(const AllocationRequest &Ask) {
+/// The estimated work of a request for an engine, in tokens. Most shared parts
+/// are cached at the engine or fetched.
+double workOf(const AllocationRequest &Request) {
   double Shared = 0;
-  for (std::size_t I = 0; I + 1 < Ask.Parts.size(); ++I)
-    Shared += Ask.Parts[I].Tokens;
-  const double Read = Ask.PromptTokens - (1 - SharedReadPart) * Shared;
-  return std::max(Read, 0.0) + OutputWeight * Ask.OutputTokens;
+  for (std::size_t I = 0; I + 1 < Request.Parts.size(); ++I)
+    Shared += Request.Parts[I].Tokens;
+  const double Prefill =
+      Request.PromptTokens - (1 - SharedPrefillFraction) * Shared;
+  return std::max(Prefill, 0.0) + OutputWeight * Request.OutputTokens;
 }
 
 } // namespace
 
-double Allocator::queueKey(const QueuedRequest &Asked) const {
-  return this->Options.SmallestFirst ? workOf(Asked.Request)
-                                     : static_cast<double>(Asked.ArrivalNumber);
+double Allocator::queueKey(const QueuedRequest &Queued) const {
+  return this->Options.SmallestFirst
+             ? workOf(Queued.Request)
+             : static_cast<double>(Queued.ArrivalNumber);
 }
 
 bool Allocator::anyCapacity(std::uint64_t Service, TimePoint Now) const {
@@ -78,37 +83,38 @@
   const GatewayServer *Listed = this->Servers.find(Server);
   if (Listed == nullptr)
     return false;
-  const double Slots = Listed->Slots * SlotPart;
+  const double Slots = Listed->Slots * UsableSlotFraction;
   return this->Servers.running(Server) + 1 <= std::max(Slots, 1.0);
 }
 
 CapacitySummary Allocator::capacityOf(std::uint64_t Service,
                                       TimePoint Now) const {
-  CapacitySummary Room;
+  CapacitySummary Summary;
   for (const auto &[Server, Group] : this->ServiceOf) {
     if (Group != Service)
       continue;
     if (!this->Servers.usableIfGranted(Server, Now))
-      ++Room.Unhealthy;
+      ++Summary.Unhealthy;
     else if (!this->Servers.usable(Server, Now))
-      ++Room.WarmingUp;
+      ++Summary.WarmingUp;
     else if (!this->hasFreeSlot(Server))
-      ++Room.SlotsFull;
+      ++Summary.SlotsFull;
     else if (!this->hasCapacity(Server, 0))
-      ++Room.PrefillFull;
+      ++Summary.PrefillFull;
     else
-      ++Room.Free;
+      ++Summary.Free;
   }
-  return Room;
+  return Summary;
 }
 
-bool Allocator::hasCapacity(std::uint64_t Server, std::uint32_t Unread) const {
+bool Allocator::hasCapacity(std::uint64_t Server,
+                            std::uint32_t PrefillTokens) const {
   const auto Service = this->ServiceOf.find(Server);
   if (Service == this->ServiceOf.end() || !this->hasFreeSlot(Server))
     return false;
-  const std::uint64_t Ahead = this->Servers.pendingPrefillTokens(Server);
-  return Ahead == 0 ||
-         Ahead + Unread / 2 <=
+  const std::uint64_t Pending = this->Servers.pendingPrefillTokens(Server);
+  return Pending == 0 ||
+         Pending + PrefillTokens / 2 <=
              this->limitsOf(Service->second).MaxPendingPrefillTokens;
 }
 
@@ -120,8 +126,8 @@
         continue;
 }
 
-/// Grants to the account that has had least, of those for which there is a
-/// server with room.
+/// Grants a server to the account that has received the least, of those for
+/// which a server has capacity.
 bool Allocator::grantNext(std::uint64_t Service, TimePoint Now, bool Late) {
   std::vector<std::pair<double, AccountKey>> Order;
   const auto First = this->Accounts.lower_bound({Service, 0});
@@ -130,24 +136,24 @@
     if (!Each->second.Queue.empty())
       Order.emplace_back(Each->second.VirtualTime, Each->first);
   std::sort(Order.begin(), Order.end());
-  for (const auto &[Position, Key] : Order) {
-    const bool Behind = this->isUnderserved(Key, Order.back().first);
-    int Looked = 0;
-    for (const auto &[Work, Id] : this->Accounts.at(Key).Queue) {
-      QueuedRequest &Asked = this->QueuedRequests.at(Id);
-      if (Asked.Late != Late)
+  for (const auto &[VirtualTime, Key] : Order) {
+    const bool Underserved = this->isUnderserved(Key, Order.back().first);
+    int Examined = 0;
+    for (const auto &[Load, Id] : this->Accounts.at(Key).Queue) {
+      QueuedRequest &Queued = this->QueuedRequests.at(Id);
+      if (Queued.Late != Late)
         continue;
-      if (++Looked > LookAhead)
+      if (++Examined > MaxExamined)
         break;
-      // Placed a moment ago, and the server that it is meant for is still full.
-      const bool Known =
-          Asked.PlannedTokens > 0 && !Behind &&
-          Now - Asked.PlannedAt < PlacementLife &&
-          !this->hasCapacity(Asked.PlannedServer, Asked.PlannedTokens);
-      if (Known)
+      // Placed recently, and the planned server is still full.
+      const bool PlanStillFull =
+          Queued.PlannedTokens > 0 && !Underserved &&
+          Now - Queued.PlannedAt < PlanLifetime &&
+          !this->hasCapacity(Queued.PlannedServer, Queued.PlannedTokens);
+      if (PlanStillFull)
         continue;
-      if (this->tryGrant(Asked, Now, false) ||
-          (Behind && this->tryGrant(Asked, Now, true)))
+      if (this->tryGrant(Queued, Now, false) ||
+          (Underserved && this->tryGrant(Queued, Now, true)))
         return true;
     }
   }
@@ -155,86 +161,89 @@
 }
 
 bool Allocator::isUnderserved(const AccountKey &Key,
-                              double MostPosition) const {
+                              double MaxVirtualTime) const {
   const double PerSecond = this->limitsOf(Key.first).PrefillTokensPerMs * 1000;
   return this->Options.UnderservedUseAnyServer &&
-         MostPosition - this->Accounts.at(Key).VirtualTime >
-             PerSecond * BehindSeconds;
+         MaxVirtualTime - this->Accounts.at(Key).VirtualTime >
+             PerSecond * UnderservedSeconds;
 }
 
-bool Allocator::tryGrant(QueuedRequest &Asked, TimePoint Now, bool AnyServer) {
-  // Its own tokens must not speak against the server that it is meant for.
-  this->planFor(Asked, 0, 0);
-  PlacementQuery Question;
-  Question.Service = Asked.Request.Service;
-  Question.Zone = Asked.Request.Zone;
-  Question.Parts = &Asked.Request.Parts;
-  Question.PromptTokens = Asked.Request.PromptTokens;
-  Question.OutputTokens = Asked.Request.OutputTokens;
-  const AllocationLimits Limit = this->limitsOf(Asked.Request.Service);
-  Question.PrefillTokensPerSecond = Limit.PrefillTokensPerMs * 1000;
-  Question.Fetch = Limit.Fetch;
-  Question.Weights = this->Options.Weights;
-  Question.ExcludedServers = &Asked.ExcludedServers;
-  Question.Now = Now;
-  Question.SpreadKey = Asked.Request.SpreadKey;
-  if (AnyServer || Question.SpreadKey)
-    Question.HasCapacity = [this](std::uint64_t Server, std::uint32_t Unread) {
-      return this->hasCapacity(Server, Unread);
+bool Allocator::tryGrant(QueuedRequest &Queued, TimePoint Now, bool AnyServer) {
+  // The request's own tokens must not count against its planned server.
+  this->planFor(Queued, 0, 0);
+  PlacementQuery Query;
+  Query.Service = Queued.Request.Service;
+  Query.Zone = Queued.Request.Zone;
+  Query.Parts = &Queued.Request.Parts;
+  Query.PromptTokens = Queued.Request.PromptTokens;
+  Query.OutputTokens = Queued.Request.OutputTokens;
+  const AllocationLimits Limit = this->limitsOf(Queued.Request.Service);
+  Query.PrefillTokensPerSecond = Limit.PrefillTokensPerMs * 1000;
+  Query.Fetch = Limit.Fetch;
+  Query.Weights = this->Options.Weights;
+  Query.ExcludedServers = &Queued.ExcludedServers;
+  Query.Now = Now;
+  Query.SpreadKey = Queued.Request.SpreadKey;
+  if (AnyServer || Query.SpreadKey)
+    Query.HasCapacity = [this](std::uint64_t Server,
+                               std::uint32_t PrefillTokens) {
+      return this->hasCapacity(Server, PrefillTokens);
     };
-  const auto Choice = this->Servers.place(Question);
+  const auto Choice = this->Servers.place(Query);
   if (!Choice)
     return false;
   if (!this->hasCapacity(Choice->Server, Choice->PrefillTokens)) {
-    this->planFor(Asked, Choice->Server, Choice->PrefillTokens);
-    Asked.PlannedAt = Now;
+    this->planFor(Queued, Choice->Server, Choice->PrefillTokens);
+    Queued.PlannedAt = Now;
     return false;
   }
-  this->grant(Asked, *Choice, Now);
+  this->grant(Queued, *Choice, Now);
   return true;
 }
 
-void Allocator::grant(const QueuedRequest &Asked, const ServerChoice &Choice,
+void Allocator::grant(const QueuedRequest &Queued, const ServerChoice &Choice,
                       TimePoint Now) {
-  const AllocationRequest &Ask = Asked.Request;
-  const AttemptLoad Work{Choice.PrefillTokens, Ask.OutputTokens,
+  const AllocationRequest &Request = Queued.Request;
+  const AttemptLoad Load{Choice.PrefillTokens, Request.OutputTokens,
                          this->Servers.startOf(Choice.Server)};
   std::uint32_t SendWithinMs = 0;
   if (this->Servers.isWarmingUp(Choice.Server, Now))
-    SendWithinMs = sendWithin(Now - Asked.ArrivedAt);
-  this->Servers.recordSent(Choice.Server, Work, Ask.Parts, Now);
-  this->ActiveGrants[Ask.Id] = {Choice.Server, Choice.FetchSource, Work, Now,
-                                Ask.Parts,     SendWithinMs};
-  AccountState &Account = this->Accounts[{Ask.Service, Ask.Account}];
-  Account.VirtualTime += costOf(Ask);
-  Account.timeouts(Asked.ArrivedLate).recordServed(this->queueKey(Asked));
+    SendWithinMs = sendWithin(Now - Queued.ArrivedAt);
+  this->Servers.recordSent(Choice.Server, Load, Request.Parts, Now);
+  this->ActiveGrants[Request.Id] = {Choice.Server, Choice.FetchSource,
+                                    Load,          Now,
+                                    Request.Parts, SendWithinMs};
+  AccountState &Account = this->Accounts[{Request.Service, Request.Account}];
+  Account.VirtualTime += costOf(Request);
+  Account.timeouts(Queued.ArrivedLate).recordServed(this->queueKey(Queued));
   this->Replies.emplace_back(AllocationGrant{
-      Ask.Id, Choice.Server, Choice.PrefillTokens, Choice.BacklogTokens,
-      Work.ServerStartedMs, Choice.FetchSource, SendWithinMs});
-  this->removeQueued(CorrelationId(Ask.Id));
+      Request.Id, Choice.Server, Choice.PrefillTokens, Choice.BacklogTokens,
+      Load.ServerStartedMs, Choice.FetchSource, SendWithinMs});
+  this->removeQueued(CorrelationId(Request.Id));
 }
 
-void Allocator::refuse(const AllocationRequest &Ask) {
-  double Queued = 0;
+void Allocator::refuse(const AllocationRequest &Request) {
+  double QueuedTokens = 0;
   for (const auto &[Id, Each] : this->QueuedRequests)
-    if (Each.Request.Service == Ask.Service)
-      Queued += Each.PlannedTokens;
+    if (Each.Request.Service == Request.Service)
+      QueuedTokens += Each.PlannedTokens;
   const std::uint32_t Engines =
-      std::max(this->Servers.serverCount(Ask.Service), 1U);
-  const double Drain =
-      Queued / Engines / this->limitsOf(Ask.Service).PrefillTokensPerMs;
-  const auto After = static_cast<std::uint32_t>(
-      std::clamp<double>(Drain, LeastReturnMs, MostReturnMs));
-  this->Replies.emplace_back(AllocationRefusal{Ask.Id, After, Ask.Service});
+      std::max(this->Servers.serverCount(Request.Service), 1U);
+  const double DrainMs = QueuedTokens / Engines /
+                         this->limitsOf(Request.Service).PrefillTokensPerMs;
+  const auto RetryAfterMs = static_cast<std::uint32_t>(
+      std::clamp<double>(DrainMs, MinRetryAfterMs, MaxRetryAfterMs));
+  this->Replies.emplace_back(
+      AllocationRefusal{Request.Id, RetryAfterMs, Request.Service});
 }
 
-void Allocator::planFor(QueuedRequest &Asked, std::uint64_t Server,
+void Allocator::planFor(QueuedRequest &Queued, std::uint64_t Server,
                         std::uint32_t Tokens) {
-  if (Asked.PlannedTokens > 0)
+  if (Queued.PlannedTokens > 0)
     this->Servers.addQueuedTokens(
-        Asked.PlannedServer, -static_cast<std::int64_t>(Asked.PlannedTokens));
-  Asked.PlannedServer = Server;
-  Asked.PlannedTokens = Tokens;
+        Queued.PlannedServer, -static_cast<std::int64_t>(Queued.PlannedTokens));
+  Queued.PlannedServer = Server;
+  Queued.PlannedTokens = Tokens;
   if (Tokens > 0)
     this->Servers.addQueuedTokens(Server, Tokens);
 }
--- a/src/Placement/AttemptPolicy.cpp
+++ b/src/Placement/AttemptPolicy.cpp
@@ -6,20 +6,20 @@
 
 namespace {
 
-/// Sends of one request, those that were not run included. Each costs the
-/// caller time and a server a refusal; three cover a leaving server and a full
-/// one in a row.
-constexpr std::uint32_t MaxSends = 4;
+/// The maximum number of attempts of one request, including attempts that did
+/// not run it. Each attempt costs time of the caller and a refusal by a server.
+/// Three attempts are enough for a draining server and then a full one.
+constexpr std::uint32_t MaxAttempts = 4;
 
-/// With less time left than this a further send cannot be answered.
-constexpr Duration LeastUsefulTime = std::chrono::milliseconds(20);
+/// With less time left than this, another attempt cannot get a response.
+constexpr Duration MinUsefulTime = std::chrono::milliseconds(20);
 
 } // namespace
 
-bool mayRetry(const RequestProgress &Known, AttemptResult Ended) {
-  if (Known.Attempts >= MaxSends || Known.TimeLeft < LeastUsefulTime)
+bool mayRetry(const RequestProgress &Progress, AttemptResult Result) {
+  if (Progress.Attempts >= MaxAttempts || Progress.TimeLeft < MinUsefulTime)
     return false;
-  switch (Ended) {
+  switch (Result) {
   case AttemptResult::Served:
     return false;
   case AttemptResult::NotSent:
@@ -28,30 +28,30 @@
   case AttemptResult::ErrorResponse:
   case AttemptResult::NoResponse:
   case AttemptResult::Truncated:
-    return Known.Repeatable && Known.Runs < Known.MaxRuns;
+    return Progress.Repeatable && Progress.Runs < Progress.MaxRuns;
   }
   return false;
 }
 
-bool countsAsRetry(AttemptResult Ended) {
-  return Ended != AttemptResult::NotSent;
+bool countsAsRetry(AttemptResult Result) {
+  return Result != AttemptResult::NotSent;
 }
 
-NextStep nextStep(const RequestProgress &Known, AttemptResult Ended,
-                  bool SendAgain) {
-  if (Ended == AttemptResult::Served)
+NextStep nextStep(const RequestProgress &Progress, AttemptResult Result,
+                  bool Retry) {
+  if (Result == AttemptResult::Served)
     return NextStep::Done;
-  if (SendAgain) {
-    PARSLEYWING_INVARIANT(Known.Repeatable || Known.Runs == 0,
+  if (Retry) {
+    PARSLEYWING_INVARIANT(Progress.Repeatable || Progress.Runs == 0,
                           "a request that may run once at most is not sent "
                           "again after it may have run");
     return NextStep::Retry;
   }
-  if (Known.ResponseStarted)
+  if (Progress.ResponseStarted)
     return NextStep::Truncate;
-  if (Ended == AttemptResult::ErrorResponse)
+  if (Result == AttemptResult::ErrorResponse)
     return NextStep::ForwardError;
-  return Known.Runs == 0 ? NextStep::Refuse : NextStep::FailUncertain;
+  return Progress.Runs == 0 ? NextStep::Refuse : NextStep::FailUncertain;
 }
 
 } // namespace parsleywing
--- a/src/Placement/CacheModel.cpp
+++ b/src/Placement/CacheModel.cpp
@@ -5,7 +5,8 @@
 namespace parsleywing {
 
 void CacheModel::insert(const std::vector<PromptPart> &Parts) {
-  // The first part last: it is needed by all behind it and yields last.
+  // In reverse order, so that the first part is evicted last: all later parts
+  // depend on it.
   for (auto Part = Parts.rbegin(); Part != Parts.rend(); ++Part) {
     const auto Found = this->Index.find(Part->Id);
     if (Found != this->Index.end()) {
@@ -75,10 +76,10 @@
   this->UsedTokens = 0;
 }
 
-void CacheModel::evict(LruList::iterator Which) {
-  this->UsedTokens -= Which->Part.Tokens;
-  this->Index.erase(Which->Part.Id);
-  this->Lru.erase(Which);
+void CacheModel::evict(LruList::iterator Position) {
+  this->UsedTokens -= Position->Part.Tokens;
+  this->Index.erase(Position->Part.Id);
+  this->Lru.erase(Position);
 }
 
 } // namespace parsleywing
--- a/src/Placement/CrashRegistry.cpp
+++ b/src/Placement/CrashRegistry.cpp
@@ -6,39 +6,40 @@
 
 namespace {
 
-/// Crashes that nothing else explains, from which on a request is refused.
+/// A request with this many crashes that no other request explains is refused.
 constexpr std::size_t CrashesToRefuse = 3;
 
-/// Crashes from which on a request is refused whatever else explains them: two
-/// requests that crash servers may have been at the same ones.
+/// A request with this many crashes is refused even if another request explains
+/// them: two requests that cause crashes may have been at the same servers.
 constexpr std::size_t CrashesToRefuseAlways = 5;
 
-/// How long a refused request rests before it is tried once more, at first and
-/// behind a try that crashed a fourth server.
-constexpr Duration FirstRest = std::chrono::minutes(10);
-constexpr Duration SecondRest = std::chrono::hours(1);
+/// The time until a refused request may be probed, first and again after a
+/// probe that crashed a fourth server.
+constexpr Duration FirstProbeDelay = std::chrono::minutes(10);
+constexpr Duration SecondProbeDelay = std::chrono::hours(1);
 
-/// Requests that are remembered, which bounds the memory in a flood of crashes.
-constexpr std::size_t MaxRecords = 4096;
+/// The maximum number of recorded requests, which bounds the memory if many
+/// servers crash.
+constexpr std::size_t MaxSuspects = 4096;
 
-/// Crashes that are remembered of one request. It is refused with fewer, so the
-/// others are cleared ones.
-constexpr std::size_t MaxCrashes = 12;
+/// The maximum number of recorded crashes of one request. A request is refused
+/// with fewer, so the rest are cleared crashes.
+constexpr std::size_t MaxCrashesPerSuspect = 12;
 
-/// A request that was not seen for so long is forgotten.
-constexpr Duration RecordLife = std::chrono::hours(24);
+/// A request that was not seen for this time is removed.
+constexpr Duration SuspectLifetime = std::chrono::hours(24);
 
-/// Facts of a request that is not refused are told on for so long after it was
-/// last seen; later it is likely to be over.
-constexpr Duration TellingLife = std::chrono::seconds(30);
+/// How long after a request was last seen its facts are sent to other routers,
+/// unless it is refused. After this time the request has probably ended.
+constexpr Duration FactSendingPeriod = std::chrono::seconds(30);
 
 std::uint32_t secondsBetween(TimePoint From, TimePoint To) {
-  const auto Gone =
+  const auto Elapsed =
       std::chrono::duration_cast<std::chrono::seconds>(To - From).count();
-  return static_cast<std::uint32_t>(std::max<std::int64_t>(Gone, 0));
+  return static_cast<std::uint32_t>(std::max<std::int64_t>(Elapsed, 0));
 }
 
-void dropCleared(std::map<ServerProcess, bool> &Crashes) {
+void dropOneCrash(std::map<ServerProcess, bool> &Crashes) {
   const auto Cleared =
       std::find_if(Crashes.begin(), Crashes.end(),
                    [](const auto &Each) { return Each.second; });
@@ -55,26 +56,26 @@
 
 bool CrashRegistry::record(const CrashFact &Fact, TimePoint Now) {
   const TimePoint Seen = Now - std::chrono::seconds(Fact.AgeSeconds);
-  if (Now - Seen > RecordLife)
+  if (Now - Seen > SuspectLifetime)
     return false;
-  const auto [Place, Fresh] = this->Suspects.try_emplace(Fact.Request);
-  Suspect &Known = Place->second;
-  if (Fresh)
+  const auto [Found, NewEntry] = this->Suspects.try_emplace(Fact.Request);
+  Suspect &Entry = Found->second;
+  if (NewEntry)
     this->ShortHashes.insert(Fact.Request.ShortHash);
-  Known.LastSeen = Fresh ? Seen : std::max(Known.LastSeen, Seen);
-  const auto [Crash, New] =
-      Known.Crashes.try_emplace(Fact.Process, Fact.Cleared);
+  Entry.LastSeen = NewEntry ? Seen : std::max(Entry.LastSeen, Seen);
+  const auto [Crash, NewCrash] =
+      Entry.Crashes.try_emplace(Fact.Process, Fact.Cleared);
   const bool ClearedNow = Fact.Cleared && !Crash->second;
-  const bool Changed = New || ClearedNow;
-  if (New)
-    Known.LastCrashOrProbe = std::max(Known.LastCrashOrProbe, Seen);
-  const bool WasOfWeight = affectsRefusals(Known);
+  const bool Changed = NewCrash || ClearedNow;
+  if (NewCrash)
+    Entry.LastCrashOrProbe = std::max(Entry.LastCrashOrProbe, Seen);
+  const bool AffectedBefore = affectsRefusals(Entry);
   Crash->second = Crash->second || Fact.Cleared;
-  if (Known.Crashes.size() > MaxCrashes)
-    dropCleared(Known.Crashes);
-  if (Changed && (WasOfWeight || affectsRefusals(Known)))
+  if (Entry.Crashes.size() > MaxCrashesPerSuspect)
+    dropOneCrash(Entry.Crashes);
+  if (Changed && (AffectedBefore || affectsRefusals(Entry)))
     this->updateRefusals();
-  if (Fresh)
+  if (NewEntry)
     this->evictExcess();
   return Changed;
 }
@@ -85,7 +86,7 @@
   const auto Found = this->Suspects.find(Request);
   if (Found == this->Suspects.end())
     return Changed;
-  const bool Matters = affectsRefusals(Found->second);
+  const bool AffectsRefusals = affectsRefusals(Found->second);
   for (auto &[Process, Cleared] : Found->second.Crashes) {
     if (Cleared)
       continue;
@@ -95,7 +96,7 @@
   if (Changed.empty())
     return Changed;
   Found->second.LastSeen = Now;
-  if (Matters)
+  if (AffectsRefusals)
     this->updateRefusals();
   return Changed;
 }
@@ -118,9 +119,10 @@
   if (Found == this->Suspects.end() || !Found->second.Refused)
     return false;
   const std::size_t Crashes = Found->second.activeCrashes();
-  const Duration Rest = Crashes <= CrashesToRefuse ? FirstRest : SecondRest;
+  const Duration Delay =
+      Crashes <= CrashesToRefuse ? FirstProbeDelay : SecondProbeDelay;
   return Crashes < CrashesToRefuseAlways &&
-         Now - Found->second.LastCrashOrProbe >= Rest;
+         Now - Found->second.LastCrashOrProbe >= Delay;
 }
 
 void CrashRegistry::recordProbe(const RequestIdentity &Request, TimePoint Now) {
@@ -140,50 +142,54 @@
                     [](const auto &Each) { return Each.second.Refused; }));
 }
 
-bool CrashRegistry::affectsRefusals(const Suspect &Known) {
-  return Known.activeCrashes() >= CrashesToRefuse;
+bool CrashRegistry::affectsRefusals(const Suspect &Entry) {
+  return Entry.activeCrashes() >= CrashesToRefuse;
 }
 
 void CrashRegistry::updateRefusals() {
-  std::vector<Suspect *> Open;
-  for (auto &[Request, Known] : this->Suspects) {
-    const std::size_t Count = Known.activeCrashes();
-    Known.Refused = Count >= CrashesToRefuseAlways;
+  std::vector<Suspect *> Undecided;
+  for (auto &[Request, Entry] : this->Suspects) {
+    const std::size_t Count = Entry.activeCrashes();
+    Entry.Refused = Count >= CrashesToRefuseAlways;
     if (Count >= CrashesToRefuse)
-      Open.push_back(&Known);
+      Undecided.push_back(&Entry);
   }
   std::set<ServerProcess> Explained;
-  const auto Unexplained = [&Explained](const Suspect &Of) {
-    return std::count_if(
-        Of.Crashes.begin(), Of.Crashes.end(), [&Explained](const auto &Each) {
-          return !Each.second && !Explained.contains(Each.first);
-        });
+  const auto Unexplained = [&Explained](const Suspect &Entry) {
+    return std::count_if(Entry.Crashes.begin(), Entry.Crashes.end(),
+                         [&Explained](const auto &Each) {
+                           return !Each.second &&
+                                  !Explained.contains(Each.first);
+                         });
   };
-  while (!Open.empty()) {
-    std::map<const Suspect *, std::ptrdiff_t> Left;
-    std::ptrdiff_t Most = 0;
-    for (const Suspect *Each : Open) {
-      Left[Each] = Unexplained(*Each);
-      Most = std::max(Most, Left[Each]);
+  while (!Undecided.empty()) {
+    std::map<const Suspect *, std::ptrdiff_t> Remaining;
+    std::ptrdiff_t MaxRemaining = 0;
+    for (const Suspect *Each : Undecided) {
+      Remaining[Each] = Unexplained(*Each);
+      MaxRemaining = std::max(MaxRemaining, Remaining[Each]);
     }
-    if (Most < static_cast<std::ptrdiff_t>(CrashesToRefuse))
+    if (MaxRemaining < static_cast<std::ptrdiff_t>(CrashesToRefuse))
       return;
-    // Requests that cannot be told apart are refused together.
-    for (Suspect *Each : Open)
-      if (Left[Each] == Most) {
+    // Requests with the same number of crashes cannot be distinguished and are
+    // refused together.
+    for (Suspect *Each : Undecided)
+      if (Remaining[Each] == MaxRemaining) {
         Each->Refused = true;
         for (const auto &[Process, Cleared] : Each->Crashes)
           if (!Cleared)
             Explained.insert(Process);
       }
-    std::erase_if(Open,
-                  [&](const Suspect *Each) { return Left[Each] == Most; });
+    std::erase_if(Undecided, [&](const Suspect *Each) {
+      return Remaining[Each] == MaxRemaining;
+    });
   }
 }
 
-/// The least suspicious that was seen longest ago goes first.
+/// Removes the request with the fewest crashes; of several, the one that was
+/// seen least recently.
 void CrashRegistry::evictExcess() {
-  if (this->Suspects.size() <= MaxRecords)
+  if (this->Suspects.size() <= MaxSuspects)
     return;
   const auto Least = std::min_element(
       this->Suspects.begin(), this->Suspects.end(),
@@ -194,16 +200,16 @@
   this->erase(Least);
 }
 
-void CrashRegistry::erase(SuspectMap::iterator Each) {
-  this->ShortHashes.erase(this->ShortHashes.find(Each->first.ShortHash));
-  this->Suspects.erase(Each);
+void CrashRegistry::erase(SuspectMap::iterator Position) {
+  this->ShortHashes.erase(this->ShortHashes.find(Position->first.ShortHash));
+  this->Suspects.erase(Position);
 }
 
 void CrashRegistry::removeExpired(TimePoint Now) {
   bool Changed = false;
   for (auto Each = this->Suspects.begin(); Each != this->Suspects.end();) {
     const auto Next = std::next(Each);
-    if (Now - Each->second.LastSeen > RecordLife) {
+    if (Now - Each->second.LastSeen > SuspectLifetime) {
       this->erase(Each);
       Changed = true;
     }
@@ -213,14 +219,14 @@
     this->updateRefusals();
 }
 
-void CrashRegistry::appendFacts(const SuspectMap::value_type &Of, TimePoint Now,
-                                std::vector<CrashFact> &Into) {
-  const auto &[Request, Known] = Of;
-  if (!Known.Refused && Now - Known.LastSeen >= TellingLife)
+void CrashRegistry::appendFacts(const SuspectMap::value_type &Entry,
+                                TimePoint Now, std::vector<CrashFact> &Facts) {
+  const auto &[Request, Suspected] = Entry;
+  if (!Suspected.Refused && Now - Suspected.LastSeen >= FactSendingPeriod)
     return;
-  for (const auto &[Process, Cleared] : Known.Crashes)
-    Into.push_back(
-        {Request, Process, Cleared, secondsBetween(Known.LastSeen, Now)});
+  for (const auto &[Process, Cleared] : Suspected.Crashes)
+    Facts.push_back(
+        {Request, Process, Cleared, secondsBetween(Suspected.LastSeen, Now)});
 }
 
 std::vector<CrashFact> CrashRegistry::allFacts(TimePoint Now) const {
@@ -230,15 +236,16 @@
   return Facts;
 }
 
-std::vector<CrashFact> CrashRegistry::nextFacts(std::size_t Most,
+std::vector<CrashFact> CrashRegistry::nextFacts(std::size_t MaxFacts,
                                                 TimePoint Now) {
   std::vector<CrashFact> Facts;
   auto Each = this->Suspects.upper_bound(this->LastSent);
-  for (std::size_t Looked = 0;
-       Looked < this->Suspects.size() && Facts.size() < Most; ++Looked) {
+  for (std::size_t Examined = 0;
+       Examined < this->Suspects.size() && Facts.size() < MaxFacts;
+       ++Examined) {
     if (Each == this->Suspects.end())
       Each = this->Suspects.begin();
-    if (Facts.size() + Each->second.Crashes.size() > Most)
+    if (Facts.size() + Each->second.Crashes.size() > MaxFacts)
       break;
     appendFacts(*Each, Now, Facts);
     this->LastSent = Each->first;
--- a/src/Placement/RequestIdentity.cpp
+++ b/src/Placement/RequestIdentity.cpp
@@ -9,10 +9,11 @@
 
 namespace {
 
-/// With its length ahead, so that no two contents have the same bytes.
+/// Prefixes the part with its length, so that different contents never result
+/// in the same bytes.
 void add(Poco::SHA2Engine &Digest, std::string_view Part) {
-  const std::string Size = std::to_string(Part.size()) + ":";
-  Digest.update(Size);
+  const std::string Prefix = std::to_string(Part.size()) + ":";
+  Digest.update(Prefix);
   Digest.update(Part.data(), Part.size());
 }
 
--- a/src/Placement/RetryAllowance.cpp
+++ b/src/Placement/RetryAllowance.cpp
@@ -4,9 +4,9 @@
 
 namespace {
 
-/// The part of the bound that is used. The rest covers the difference between
-/// this router's windows and any other place from which one may be counted.
-constexpr double UsedPart = 0.75;
+/// The fraction of the limit that is used. The rest allows for windows that
+/// start at another time than those of this router.
+constexpr double UsedFraction = 0.75;
 
 } // namespace
 
@@ -15,21 +15,22 @@
   this->dropExpired(Now);
 }
 
-bool RetryAllowance::hasRetry(TimePoint Now, std::uint32_t Routers) {
+bool RetryAllowance::hasRetry(TimePoint Now, std::uint32_t RouterCount) {
   this->dropExpired(Now);
-  const double OwnSlack = this->Bounds.Slack / static_cast<double>(Routers);
+  const double SlackShare =
+      this->Bounds.Slack / static_cast<double>(RouterCount);
   const double Allowed =
-      UsedPart *
+      UsedFraction *
       (this->Bounds.Ratio * static_cast<double>(this->Requests.size()) +
-       OwnSlack);
+       SlackShare);
   return static_cast<double>(this->Retries.size()) + 1 <= Allowed;
 }
 
-bool RetryAllowance::tryAcquire(TimePoint Now, std::uint32_t Routers) {
-  const bool Left = this->hasRetry(Now, Routers);
-  if (Left)
+bool RetryAllowance::tryAcquire(TimePoint Now, std::uint32_t RouterCount) {
+  const bool Permitted = this->hasRetry(Now, RouterCount);
+  if (Permitted)
     this->Retries.push_back(Now);
-  return Left;
+  return Permitted;
 }
 
 void RetryAllowance::dropExpired(TimePoint Now) {
--- a/src/Placement/RouterMessages.cpp
+++ b/src/Placement/RouterMessages.cpp
@@ -9,18 +9,18 @@
 
 namespace {
 
-/// Begins each datagram; a change of the form changes it.
-constexpr std::uint32_t FormMark = 0x50574134;
+/// The first bytes of each datagram; must change with the wire format.
+constexpr std::uint32_t FormatMagic = 0x50574134;
 
 template <std::size_t Index = 0>
-bool readMessage(std::size_t Wanted, PeerInputArchive &Ar,
-                 std::vector<RouterMessage> &Into) {
+bool readMessage(std::size_t Target, PeerInputArchive &Ar,
+                 std::vector<RouterMessage> &Messages) {
   if constexpr (Index < std::variant_size_v<RouterMessage>) {
-    if (Wanted != Index)
-      return readMessage<Index + 1>(Wanted, Ar, Into);
+    if (Target != Index)
+      return readMessage<Index + 1>(Target, Ar, Messages);
     std::variant_alternative_t<Index, RouterMessage> Value;
     Ar(Value);
-    Into.emplace_back(std::in_place_index<Index>, std::move(Value));
+    Messages.emplace_back(std::in_place_index<Index>, std::move(Value));
     return true;
   } else {
     return false;
@@ -37,7 +37,7 @@
 std::string encodeMessages(const std::vector<RouterMessage> &Messages) {
   std::string Bytes;
   PeerOutputArchive Ar(Bytes);
-  Ar(FormMark);
+  Ar(FormatMagic);
   for (RouterMessage Each : Messages) {
     Ar(static_cast<std::uint8_t>(Each.index()));
     std::visit([&Ar](auto &Message) { Ar(Message); }, Each);
@@ -49,15 +49,15 @@
   std::vector<RouterMessage> Messages;
   try {
     PeerInputArchive Ar(Bytes);
-    std::uint32_t Mark = 0;
-    Ar(Mark);
-    if (Mark != FormMark)
-      return failure(ErrorCode::Malformed, "not a message of this form");
+    std::uint32_t Magic = 0;
+    Ar(Magic);
+    if (Magic != FormatMagic)
+      return failure(ErrorCode::Malformed, "unknown message format");
     while (Ar.remaining() > 0) {
       std::uint8_t Index = 0;
       Ar(Index);
       if (!readMessage(Index, Ar, Messages))
-        return failure(ErrorCode::Malformed, "an unknown kind of message");
+        return failure(ErrorCode::Malformed, "unknown message type");
     }
   } catch (const std::exception &Problem) {
     return failure(ErrorCode::Malformed, Problem.what());
--- a/src/Placement/RouterOrder.cpp
+++ b/src/Placement/RouterOrder.cpp
@@ -11,8 +11,8 @@
 std::string topRankedRouter(const RouterList &Listed, std::uint64_t Key) {
   std::string Best;
   double BestScore = 0;
-  for (const auto &[Name, Place] : Listed) {
-    const double Score = routerScore(hashName(Name), Key, Place.Cores);
+  for (const auto &[Name, Endpoint] : Listed) {
+    const double Score = routerScore(hashName(Name), Key, Endpoint.Cores);
     if (Best.empty() || Score > BestScore) {
       Best = Name;
       BestScore = Score;
--- a/src/Placement/ServerGroups.cpp
+++ b/src/Placement/ServerGroups.cpp
@@ -8,19 +8,18 @@
 
 namespace {
 
-/// The most servers that one allocator serves on average. A request is bound to
-/// one group by its shared part, and has no way out of one that is full, so
-/// they are as large as an allocator can carry: 35 engines took 0.16 of the 0.5
-/// cores of a large VM, 140 all of them. With 35 in place of 17 the mean worth
-/// of nine days with floods was 0.690 in place of 0.678.
-constexpr std::uint64_t MostInGroup = 40;
+/// The maximum mean size of a group. A request is bound to one group by its
+/// shared part and cannot use others if this group is full. Groups are
+/// therefore as large as one allocator can handle: allocating 35 engines took
+/// 0.16 of the 0.5 cores of a large VM, and 140 engines took all of them.
+constexpr std::uint64_t MaxMeanGroupSize = 40;
 
-/// Groups are powers of two, so that their number stays while a service grows
-/// or shrinks a little.
+/// The number of groups is a power of two, so that it stays the same if the
+/// service grows or shrinks a little.
 std::uint64_t groupsFor(std::uint64_t Servers) {
-  if (Servers <= MostInGroup)
+  if (Servers <= MaxMeanGroupSize)
     return 1;
-  return std::bit_ceil((Servers + MostInGroup - 1) / MostInGroup);
+  return std::bit_ceil((Servers + MaxMeanGroupSize - 1) / MaxMeanGroupSize);
 }
 
 } // namespace
@@ -30,14 +29,14 @@
   for (const auto &[Id, Server] : Servers)
     ++Counts[hashName(Server.Service)];
   for (const auto &[Service, Count] : Counts) {
-    Partition &Made = this->Partitions[Service];
-    Made.Groups = groupsFor(Count);
-    Made.Sizes.resize(Made.Groups);
+    Partition &Entry = this->Partitions[Service];
+    Entry.Groups = groupsFor(Count);
+    Entry.Sizes.resize(Entry.Groups);
   }
   for (const auto &[Id, Server] : Servers) {
-    Partition &Known = this->Partitions[hashName(Server.Service)];
+    Partition &Entry = this->Partitions[hashName(Server.Service)];
     if (Server.acceptsRequests())
-      ++Known.Sizes[hashName(Id) % Known.Groups];
+      ++Entry.Sizes[hashName(Id) % Entry.Groups];
   }
 }
 
@@ -58,21 +57,23 @@
 std::uint64_t
 ServerGroups::groupForRequest(std::uint64_t Service,
                               const std::vector<PromptPart> &Parts,
-                              std::uint64_t Otherwise) const {
+                              std::uint64_t FallbackKey) const {
   const auto Found = this->Partitions.find(Service);
   if (Found == this->Partitions.end() || Found->second.Groups == 1)
     return Service;
   const PromptPart *Shared = sharedPart(Parts);
-  const std::uint64_t Gathered = Shared == nullptr ? Otherwise : Shared->Id;
-  // Weighted rendezvous: the chance of each group follows its size.
+  const std::uint64_t GroupingKey =
+      Shared == nullptr ? FallbackKey : Shared->Id;
+  // Weighted rendezvous hashing: the share of each group is proportional to its
+  // size.
   std::uint64_t Best = 0;
   double BestScore = -1;
-  const Partition &Known = Found->second;
-  for (std::uint64_t Index = 0; Index < Known.Groups; ++Index) {
-    if (Known.Sizes[Index] == 0)
+  const Partition &Entry = Found->second;
+  for (std::uint64_t Index = 0; Index < Entry.Groups; ++Index) {
+    if (Entry.Sizes[Index] == 0)
       continue;
     const double Score = weightedRendezvousScore(
-        Gathered, groupKey(Service, Index), Known.Sizes[Index]);
+        GroupingKey, groupKey(Service, Index), Entry.Sizes[Index]);
     if (Score > BestScore) {
       Best = Index;
       BestScore = Score;
--- a/src/Placement/ServerOwnership.cpp
+++ b/src/Placement/ServerOwnership.cpp
@@ -9,8 +9,8 @@
 namespace parsleywing {
 
 bool ServerOwnership::isFirstFor(std::uint64_t Group) {
-  const auto [Found, Fresh] = this->FirstForGroup.try_emplace(Group);
-  if (Fresh)
+  const auto [Found, New] = this->FirstForGroup.try_emplace(Group);
+  if (New)
     Found->second = topRankedRouter(*this->Routers, Group) == this->RouterName;
   return Found->second;
 }
@@ -24,13 +24,13 @@
   if (this->Routers != View.RouterEndpoints) {
     this->Routers = View.RouterEndpoints;
     this->FirstForGroup.clear();
-    const auto Own = View.RouterEndpoints->find(this->RouterName);
-    const std::int64_t Listed =
-        Own == View.RouterEndpoints->end() ? 0 : Own->second.ListedRevision;
-    if (Listed != std::exchange(this->ListedRevision, Listed))
+    const auto Self = View.RouterEndpoints->find(this->RouterName);
+    const std::int64_t Revision =
+        Self == View.RouterEndpoints->end() ? 0 : Self->second.ListedRevision;
+    if (Revision != std::exchange(this->ListedRevision, Revision))
       this->FirstSince.clear();
   }
-  std::unordered_map<std::uint64_t, TimePoint> Still;
+  std::unordered_map<std::uint64_t, TimePoint> Updated;
   for (const auto &[Id, Server] : *View.Servers) {
     const auto Service = View.Configuration->Services.find(Server.Service);
     if (Service == View.Configuration->Services.end() ||
@@ -38,10 +38,10 @@
         !this->isFirstFor(Groups.groupOfServer(Id, Server.Service)))
       continue;
     const std::uint64_t Hash = hashName(Id);
-    const auto Known = this->FirstSince.find(Hash);
-    Still[Hash] = Known == this->FirstSince.end() ? Now : Known->second;
+    const auto Previous = this->FirstSince.find(Hash);
+    Updated[Hash] = Previous == this->FirstSince.end() ? Now : Previous->second;
   }
-  this->FirstSince = std::move(Still);
+  this->FirstSince = std::move(Updated);
 }
 
 bool ServerOwnership::owns(std::uint64_t Server, TimePoint Now) const {
--- a/src/Placement/ServerTable.cpp
+++ b/src/Placement/ServerTable.cpp
@@ -10,377 +10,395 @@
 
 namespace {
 
-/// What a running request costs the next one, in prompt tokens to read. Breaks
-/// ties towards the server with fewer streams; a token of a stream takes a
-/// thousandth of a step's time beside the others.
-constexpr std::uint64_t RunningCost = 40;
-
-/// What the way to another zone costs, in prompt tokens to read: some
-/// milliseconds for the connection and the bytes, a few hundred tokens' worth.
+/// The cost of each running request in prompt tokens. It breaks ties in favor
+/// of the server with fewer streams: beside other streams, a token of a stream
+/// takes a thousandth of the time of a step.
+constexpr std::uint64_t RunningRequestCost = 40;
+
+/// The cost of a server in another zone in prompt tokens: connecting and
+/// sending take a few milliseconds, in which an engine prefills a few hundred
+/// tokens.
 constexpr std::uint64_t OtherZoneCost = 150;
 
-/// Slots that are taken count by this power: the first half hardly at all, the
-/// last few much.
-constexpr double TakenSlotsPower = 4;
+/// The exponent of the fraction of occupied slots: the first half of the slots
+/// hardly counts, the last few count a lot.
+constexpr double OccupiedSlotsExponent = 4;
 
-/// The time over which an engine's reading is averaged.
-constexpr double ReadingSeconds = 2;
+/// The time constant over which an engine's prefill load is averaged.
+constexpr double PrefillWindowSeconds = 2;
 
-/// The part of an engine's memory that is taken to be free for its cache. The
-/// rest holds running requests.
-constexpr double CachePart = 0.6;
-/// Where an engine's memory is not stated.
-constexpr std::uint64_t UnstatedCacheTokens = 100'000;
+/// The fraction of an engine's KV capacity that is assumed to be available for
+/// cached parts. The rest holds running requests.
+constexpr double CacheFraction = 0.6;
+/// The KV capacity of an engine whose service does not state it.
+constexpr std::uint64_t DefaultKvCapacityTokens = 100'000;
 
-/// How long a failed server is left alone: doubled with each failure in a row.
-constexpr Duration FirstPause = std::chrono::milliseconds(250);
-constexpr Duration LongestPause = std::chrono::seconds(4);
+/// The backoff of a failed server. It doubles with each consecutive failure,
+/// including the first.
+constexpr Duration BaseBackoff = std::chrono::milliseconds(250);
+constexpr Duration MaxBackoff = std::chrono::seconds(4);
 constexpr std::uint32_t MaxDoublings = 5;
-/// Failures in a row before a server that does answer is left alone. A sound
-/// server answers some requests with an error of its own.
-constexpr std::uint32_t FailuresBeforePause = 3;
+/// Consecutive failures until a server that still responds is backed off from.
+/// A healthy server responds to some requests with an error.
+constexpr std::uint32_t FailuresBeforeBackoff = 3;
 
-/// A server that holds requests of this router and has sent nothing for so
-/// long is taken to be unreachable until it is heard again.
-constexpr Duration SilenceLimit = std::chrono::milliseconds(700);
+/// A server that has requests of this router and sends nothing for this time
+/// counts as unreachable until something is received from it.
+constexpr Duration SilenceTimeout = std::chrono::milliseconds(700);
 
-/// What a fetched token weighs beside the time that it takes on a link: it
-/// takes both engines' links, waits behind other transfers, and takes memory at
-/// a second engine.
+/// The weight of a fetched token relative to its transfer time on one link: it
+/// uses the links of both engines, waits for other transfers, and uses memory
+/// at a second engine.
 constexpr double FetchWeight = 5;
 
-/// Finding a source and the first bytes take some milliseconds, 5 and 2 on the
-/// engines so far.
+/// The time to find the source and to receive the first bytes: 5 ms and 2 ms on
+/// the engines known so far.
 constexpr double FetchSetupMs = 5;
 
-/// A token that costs more than this part of reading it again is read: the
-/// estimate of a transfer behind others is not better than that.
-constexpr double MostFetchPart = 0.5;
+/// Above this cost per token, relative to prefilling the token again, nothing
+/// is fetched: the estimate of a transfer that waits for others is not more
+/// accurate than this.
+constexpr double MaxFetchCostPerToken = 0.5;
 
-Duration pauseAfter(std::uint32_t Failures) {
+Duration backoffAfter(std::uint32_t Failures) {
   const std::uint32_t Doublings = std::min(Failures, MaxDoublings);
-  return std::min(FirstPause * (1U << Doublings), LongestPause);
+  return std::min(BaseBackoff * (1U << Doublings), MaxBackoff);
 }
 
-std::uint64_t sharedTokens(const PlacementQuery &Asked) {
+std::uint64_t sharedTokens(const PlacementQuery &Query) {
   std::uint64_t Tokens = 0;
-  for (std::size_t I = 0; I + 1 < Asked.Parts->size(); ++I)
-    Tokens += (*Asked.Parts)[I].Tokens;
+  for (std::size_t I = 0; I + 1 < Query.Parts->size(); ++I)
+    Tokens += (*Query.Parts)[I].Tokens;
   return Tokens;
 }
 
-/// What fetching these tokens costs; nothing where reading them again is
+/// The cost of fetching these tokens; empty if prefilling them again is
 /// cheaper.
-std::optional<std::uint64_t> fetchingCost(const FetchCost &Cost,
-                                          std::uint64_t Tokens) {
+std::optional<std::uint64_t> fetchCostIfCheaper(const FetchCost &Cost,
+                                                std::uint64_t Tokens) {
   if (Tokens == 0 || !Cost.PerToken)
     return std::nullopt;
-  const auto Whole =
+  const auto Total =
       Cost.Fixed +
       static_cast<std::uint64_t>(*Cost.PerToken * static_cast<double>(Tokens));
-  return Whole < Tokens ? std::optional(Whole) : std::nullopt;
+  return Total < Tokens ? std::optional(Total) : std::nullopt;
 }
 
-std::uint32_t narrowed(std::uint64_t Tokens) {
-  constexpr std::uint64_t Most = std::numeric_limits<std::uint32_t>::max();
-  return static_cast<std::uint32_t>(std::min(Tokens, Most));
+std::uint32_t saturatedCast(std::uint64_t Tokens) {
+  constexpr std::uint64_t Max = std::numeric_limits<std::uint32_t>::max();
+  return static_cast<std::uint32_t>(std::min(Tokens, Max));
 }
 
 } // namespace
 
-FetchCost fetchCostOf(const GatewayService &Service, double ReadPerMs) {
+FetchCost fetchCostOf(const GatewayService &Service,
+                      double PrefillTokensPerMs) {
   FetchCost Cost;
   if (Service.KvBytesPerToken <= 0 || Service.LinkBytesPerMs <= 0)
     return Cost;
   const double TokensPerMs = Service.LinkBytesPerMs / Service.KvBytesPerToken;
-  const double PerToken = FetchWeight * ReadPerMs / TokensPerMs;
-  if (PerToken > MostFetchPart)
+  const double PerToken = FetchWeight * PrefillTokensPerMs / TokensPerMs;
+  if (PerToken > MaxFetchCostPerToken)
     return Cost;
   Cost.PerToken = PerToken;
-  Cost.Fixed = static_cast<std::uint32_t>(FetchSetupMs * ReadPerMs);
+  Cost.Fixed = static_cast<std::uint32_t>(FetchSetupMs * PrefillTokensPerMs);
   return Cost;
 }
 
 void ServerTable::setServers(std::shared_ptr<const ServerList> Servers,
-                             const GatewayConfiguration *Stated,
-                             const ServerGroups *Groups, const ViewTime &At) {
+                             const GatewayConfiguration *Configuration,
+                             const ServerGroups *Groups, const ViewTime &Time) {
   this->ActiveServers = std::move(Servers);
   this->ByService.clear();
-  for (auto &[Hash, Known] : this->Entries)
-    Known.Server = nullptr;
+  for (auto &[Hash, Entry] : this->Entries)
+    Entry.Server = nullptr;
   for (const auto &[Id, Server] : *this->ActiveServers) {
     this->recordStart(hashName(Id), Server.StartedMs);
-    ServerEntry &Known = this->Entries[hashName(Id)];
-    Known.Server = &Server;
-    Known.Service = Groups == nullptr
+    ServerEntry &Entry = this->Entries[hashName(Id)];
+    Entry.Server = &Server;
+    Entry.Service = Groups == nullptr
                         ? hashName(Server.Service)
                         : Groups->groupOfServer(Id, Server.Service);
-    this->ByService[Known.Service].emplace_back(hashName(Id), &Known);
-    Known.Zone = hashName(Server.Zone);
-    std::uint64_t Tokens = UnstatedCacheTokens;
+    this->ByService[Entry.Service].emplace_back(hashName(Id), &Entry);
+    Entry.Zone = hashName(Server.Zone);
+    std::uint64_t Tokens = DefaultKvCapacityTokens;
     WarmUpLimiter Limit;
-    if (Stated != nullptr)
-      if (const auto Found = Stated->Services.find(Server.Service);
-          Found != Stated->Services.end()) {
+    if (Configuration != nullptr)
+      if (const auto Found = Configuration->Services.find(Server.Service);
+          Found != Configuration->Services.end()) {
         if (Found->second.KvCapacityTokens > 0)
           Tokens = Found->second.KvCapacityTokens;
         Limit = WarmUpLimiter(Found->second.WarmUp, this->FleetWarmUpBounds);
       }
-    Known.SendLimiter.copyRateFrom(Limit);
-    if (Server.StartedMs >= Known.StartedMs)
-      Known.RestartUnlisted = false;
-    Known.WarmUpEndsAt = Server.WarmUpEndsAt > At.SinceBoot
-                             ? At.Now + (Server.WarmUpEndsAt - At.SinceBoot)
+    Entry.SendLimiter.copyRateFrom(Limit);
+    if (Server.StartedMs >= Entry.StartedMs)
+      Entry.RestartUnlisted = false;
+    Entry.WarmUpEndsAt = Server.WarmUpEndsAt > Time.SinceBoot
+                             ? Time.Now + (Server.WarmUpEndsAt - Time.SinceBoot)
                              : TimePoint{};
-    Known.Cache.setCapacity(
-        static_cast<std::uint64_t>(static_cast<double>(Tokens) * CachePart));
+    Entry.Cache.setCapacity(static_cast<std::uint64_t>(
+        static_cast<double>(Tokens) * CacheFraction));
   }
-  std::erase_if(this->Entries, [](const auto &Known) {
-    return Known.second.Server == nullptr && Known.second.Running == 0;
+  std::erase_if(this->Entries, [](const auto &Entry) {
+    return Entry.second.Server == nullptr && Entry.second.Running == 0;
   });
 }
 
 void ServerTable::recordStart(std::uint64_t Server, std::int64_t StartedMs) {
-  ServerEntry &Known = this->Entries[Server];
-  if (StartedMs <= Known.StartedMs)
+  ServerEntry &Entry = this->Entries[Server];
+  if (StartedMs <= Entry.StartedMs)
     return;
-  // Without this the engine would look full of requests that died with its
-  // earlier process, keep the pauses that this one earned, and be chosen for
-  // prompts that it no longer has.
-  ServerEntry Fresh;
-  Fresh.Server = Known.Server;
-  Fresh.Service = Known.Service;
-  Fresh.Zone = Known.Zone;
-  Fresh.StartedMs = StartedMs;
-  // What waits for it is not lost.
-  Fresh.QueuedTokens = Known.QueuedTokens;
-  Fresh.Cache.setCapacity(Known.Cache.capacity());
-  // It is cold, whatever the entry of its earlier process says, and what was
-  // sent to that in the last second may still arrive.
-  Fresh.SendLimiter = Known.SendLimiter;
-  Fresh.RestartUnlisted = Known.Server != nullptr;
-  Known = std::move(Fresh);
+  // Without this reset, the engine would appear to run requests that ended with
+  // the earlier process, keep the backoff of that process, and be chosen for
+  // prompts that it no longer has cached.
+  ServerEntry New;
+  New.Server = Entry.Server;
+  New.Service = Entry.Service;
+  New.Zone = Entry.Zone;
+  New.StartedMs = StartedMs;
+  // Queued requests are not lost by the restart.
+  New.QueuedTokens = Entry.QueuedTokens;
+  New.Cache.setCapacity(Entry.Cache.capacity());
+  // The new process is cold, whatever the list entry of the earlier process
+  // says. Requests sent to the earlier one within the last second may still
+  // arrive, so the limiter keeps its state.
+  New.SendLimiter = Entry.SendLimiter;
+  New.RestartUnlisted = Entry.Server != nullptr;
+  Entry = std::move(New);
 }
 
 std::int64_t ServerTable::startOf(std::uint64_t Server) const {
-  const ServerEntry *Known = this->findEntry(Server);
-  return Known == nullptr ? 0 : Known->StartedMs;
+  const ServerEntry *Entry = this->findEntry(Server);
+  return Entry == nullptr ? 0 : Entry->StartedMs;
 }
 
-bool ServerTable::isHealthy(const ServerEntry &Known, TimePoint Now) const {
-  if (Known.BackoffUntil > Now)
+bool ServerTable::isHealthy(const ServerEntry &Entry, TimePoint Now) const {
+  if (Entry.BackoffUntil > Now)
     return false;
   if (!this->DetectsSilence)
     return true;
-  const bool Waiting = Known.Running > 0 && Known.LastSent > Known.LastActivity;
-  return !Waiting ||
-         Now - std::max(Known.LastActivity, Known.LastSent) < SilenceLimit;
+  const bool AwaitsResponse =
+      Entry.Running > 0 && Entry.LastSent > Entry.LastActivity;
+  return !AwaitsResponse ||
+         Now - std::max(Entry.LastActivity, Entry.LastSent) < SilenceTimeout;
 }
 
-bool ServerTable::isAvailable(std::uint64_t Server, const ServerEntry &Known,
+bool ServerTable::isAvailable(std::uint64_t Server, const ServerEntry &Entry,
                               TimePoint Now) const {
-  if (!this->isHealthy(Known, Now))
+  if (!this->isHealthy(Entry, Now))
     return false;
-  return !isWarmingUp(Known, Now) ||
-         (Known.SendLimiter.hasToken(Now) && this->OwnsWarmUp &&
+  return !isWarmingUp(Entry, Now) ||
+         (Entry.SendLimiter.hasToken(Now) && this->OwnsWarmUp &&
           this->OwnsWarmUp(Server));
 }
 
 bool ServerTable::isWarmingUp(std::uint64_t Server, TimePoint Now) const {
-  const ServerEntry *Known = this->findEntry(Server);
-  return Known != nullptr && isWarmingUp(*Known, Now);
+  const ServerEntry *Entry = this->findEntry(Server);
+  return Entry != nullptr && isWarmingUp(*Entry, Now);
 }
 
 ServerTable::WarmUpTotals ServerTable::warmUpTotals(TimePoint Now) const {
-  WarmUpTotals Sum;
-  for (const auto &[Hash, Known] : this->Entries) {
-    if (!this->acceptsRequests(Known) || !isWarmingUp(Known, Now))
+  WarmUpTotals Totals;
+  for (const auto &[Hash, Entry] : this->Entries) {
+    if (!this->acceptsRequests(Entry) || !isWarmingUp(Entry, Now))
       continue;
-    ++Sum.Servers;
+    ++Totals.Servers;
     if (this->OwnsWarmUp && this->OwnsWarmUp(Hash))
-      Sum.GrantedPerSecond += Known.SendLimiter.ratePerSecond();
+      Totals.GrantedPerSecond += Entry.SendLimiter.ratePerSecond();
   }
-  return Sum;
+  return Totals;
 }
 
-double ServerTable::recentPrefillAt(const ServerEntry &Known, TimePoint Now) {
-  const std::chrono::duration<double> Gone = Now - Known.RecentPrefillAt;
-  return Known.RecentPrefillTokens * std::exp(-Gone.count() / ReadingSeconds);
+double ServerTable::recentPrefillAt(const ServerEntry &Entry, TimePoint Now) {
+  const std::chrono::duration<double> Elapsed = Now - Entry.RecentPrefillAt;
+  return Entry.RecentPrefillTokens *
+         std::exp(-Elapsed.count() / PrefillWindowSeconds);
 }
 
-double ServerTable::interference(const ServerEntry &Known,
-                                 const PlacementQuery &Asked,
-                                 std::uint64_t Unread) {
-  const double Whole = Asked.PrefillTokensPerSecond * ReadingSeconds;
+double ServerTable::interference(const ServerEntry &Entry,
+                                 const PlacementQuery &Query,
+                                 std::uint64_t PrefillTokens) {
+  const double MaxTokens = Query.PrefillTokensPerSecond * PrefillWindowSeconds;
   const double Busy =
-      Whole > 0 ? std::min(recentPrefillAt(Known, Asked.Now) / Whole, 1.0) : 0;
-  const double Slots = std::max<double>(Known.Server->Slots, 1);
-  const double Taken = std::pow(Known.Running / Slots, TakenSlotsPower);
-  return Asked.Weights.OccupiedSlots * Taken * static_cast<double>(Unread) +
-         Asked.Weights.PrefillInterference * Busy * Asked.OutputTokens;
+      MaxTokens > 0
+          ? std::min(recentPrefillAt(Entry, Query.Now) / MaxTokens, 1.0)
+          : 0;
+  const double Slots = std::max<double>(Entry.Server->Slots, 1);
+  const double Occupancy =
+      std::pow(Entry.Running / Slots, OccupiedSlotsExponent);
+  return Query.Weights.OccupiedSlots * Occupancy *
+             static_cast<double>(PrefillTokens) +
+         Query.Weights.PrefillInterference * Busy * Query.OutputTokens;
 }
 
-std::uint64_t ServerTable::backlogOf(const ServerEntry &Known) {
-  return Known.PendingPrefillTokens + Known.Running * RunningCost;
+std::uint64_t ServerTable::backlogOf(const ServerEntry &Entry) {
+  return Entry.PendingPrefillTokens + Entry.Running * RunningRequestCost;
 }
 
 ServerTable::CacheLocations
-ServerTable::findCached(const PlacementQuery &Asked,
+ServerTable::findCached(const PlacementQuery &Query,
                         const PromptPart &Shared) const {
   CacheLocations Found;
   std::uint64_t HomeScore = 0;
-  for (const auto &[Hash, Place] : this->ByService.at(Asked.Service)) {
-    const ServerEntry &Known = *Place;
-    if (!this->acceptsRequests(Known))
+  for (const auto &[Hash, Listed] : this->ByService.at(Query.Service)) {
+    const ServerEntry &Entry = *Listed;
+    if (!this->acceptsRequests(Entry))
       continue;
     const std::uint64_t Score = rendezvousScore(Hash, Shared.Id);
     if (Score >= HomeScore) {
       Found.HomeServer = Hash;
       HomeScore = Score;
     }
-    if (Known.Cache.contains(Shared.Id))
+    if (Entry.Cache.contains(Shared.Id))
       Found.SharedIsCached = true;
     Found.MaxCachedTokens = std::max(Found.MaxCachedTokens,
-                                     Known.Cache.expectedTokens(*Asked.Parts));
-    const std::uint64_t KeptNow = Known.Cache.residentTokens(*Asked.Parts);
-    if (KeptNow > Found.FetchableTokens && this->isHealthy(Known, Asked.Now)) {
+                                     Entry.Cache.expectedTokens(*Query.Parts));
+    const std::uint64_t ResidentTokens =
+        Entry.Cache.residentTokens(*Query.Parts);
+    if (ResidentTokens > Found.FetchableTokens &&
+        this->isHealthy(Entry, Query.Now)) {
       Found.FetchSource = Hash;
-      Found.FetchableTokens = KeptNow;
+      Found.FetchableTokens = ResidentTokens;
     }
   }
   return Found;
 }
 
-ServerTable::Candidate ServerTable::makeCandidate(std::uint64_t Hash,
-                                                  const ServerEntry &Server,
-                                                  const PlacementQuery &Asked,
-                                                  const CacheLocations &Known) {
-  const auto Weighed = [](std::uint64_t Tokens, double Weight) {
+ServerTable::Candidate
+ServerTable::makeCandidate(std::uint64_t Hash, const ServerEntry &Server,
+                           const PlacementQuery &Query,
+                           const CacheLocations &Locations) {
+  const auto Weighted = [](std::uint64_t Tokens, double Weight) {
     return static_cast<std::uint64_t>(static_cast<double>(Tokens) * Weight);
   };
-  Candidate Made;
-  std::uint64_t Kept =
-      Asked.Parts == nullptr ? 0 : Server.Cache.expectedTokens(*Asked.Parts);
-  const std::uint64_t Fetchable =
-      Known.FetchableTokens > Kept ? Known.FetchableTokens - Kept : 0;
-  if (const auto Fetching = fetchingCost(Asked.Fetch, Fetchable)) {
-    Made.Choice.FetchSource = Known.FetchSource;
-    Kept += Fetchable;
-    Made.Cost += *Fetching;
+  Candidate Result;
+  std::uint64_t CachedTokens =
+      Query.Parts == nullptr ? 0 : Server.Cache.expectedTokens(*Query.Parts);
+  const std::uint64_t Fetchable = Locations.FetchableTokens > CachedTokens
+                                      ? Locations.FetchableTokens - CachedTokens
+                                      : 0;
+  if (const auto FetchCostTokens = fetchCostIfCheaper(Query.Fetch, Fetchable)) {
+    Result.Choice.FetchSource = Locations.FetchSource;
+    CachedTokens += Fetchable;
+    Result.Cost += *FetchCostTokens;
   }
-  // What only an engine keeps that cannot be fetched from, or is still being
-  // read there, is read again.
-  if (Known.MaxCachedTokens > Kept)
-    Made.Cost +=
-        Weighed(Known.MaxCachedTokens - Kept, Asked.Weights.DuplicatePrefill);
-  const std::uint64_t Unread =
-      Asked.PromptTokens - std::min<std::uint64_t>(Asked.PromptTokens, Kept);
+  // Parts that cannot be fetched, or that another engine is still prefilling,
+  // are prefilled again here.
+  if (Locations.MaxCachedTokens > CachedTokens)
+    Result.Cost += Weighted(Locations.MaxCachedTokens - CachedTokens,
+                            Query.Weights.DuplicatePrefill);
+  const std::uint64_t PrefillTokens =
+      Query.PromptTokens -
+      std::min<std::uint64_t>(Query.PromptTokens, CachedTokens);
   const std::uint64_t Backlog = backlogOf(Server);
-  Made.Cost += Backlog + Unread;
-  Made.Cost += static_cast<std::uint64_t>(interference(Server, Asked, Unread));
+  Result.Cost += Backlog + PrefillTokens;
+  Result.Cost +=
+      static_cast<std::uint64_t>(interference(Server, Query, PrefillTokens));
   if (Server.QueuedTokens > 0)
-    Made.Cost += static_cast<std::uint64_t>(Server.QueuedTokens);
-  if (Server.Zone != Asked.Zone)
-    Made.Cost += OtherZoneCost;
-  if (Known.HomeServer != 0 && !Known.SharedIsCached &&
-      Hash != Known.HomeServer)
-    Made.Cost += Weighed(sharedTokens(Asked), Asked.Weights.NonHomeServer);
-  Made.Choice.Server = Hash;
-  Made.Choice.PrefillTokens = narrowed(Unread);
-  Made.Choice.BacklogTokens = narrowed(Backlog);
-  return Made;
-}
-
-std::optional<ServerChoice> ServerTable::place(const PlacementQuery &Asked) {
+    Result.Cost += static_cast<std::uint64_t>(Server.QueuedTokens);
+  if (Server.Zone != Query.Zone)
+    Result.Cost += OtherZoneCost;
+  if (Locations.HomeServer != 0 && !Locations.SharedIsCached &&
+      Hash != Locations.HomeServer)
+    Result.Cost += Weighted(sharedTokens(Query), Query.Weights.NonHomeServer);
+  Result.Choice.Server = Hash;
+  Result.Choice.PrefillTokens = saturatedCast(PrefillTokens);
+  Result.Choice.BacklogTokens = saturatedCast(Backlog);
+  return Result;
+}
+
+std::optional<ServerChoice> ServerTable::place(const PlacementQuery &Query) {
   const PromptPart *Shared =
-      Asked.Parts == nullptr ? nullptr : sharedPart(*Asked.Parts);
-  const auto Offered = this->ByService.find(Asked.Service);
-  if (Offered == this->ByService.end())
+      Query.Parts == nullptr ? nullptr : sharedPart(*Query.Parts);
+  const auto Candidates = this->ByService.find(Query.Service);
+  if (Candidates == this->ByService.end())
     return std::nullopt;
-  CacheLocations Known;
+  CacheLocations Locations;
   if (Shared != nullptr)
-    Known = this->findCached(Asked, *Shared);
+    Locations = this->findCached(Query, *Shared);
   std::optional<Candidate> Best;
-  for (const auto &[Hash, Place] : Offered->second) {
-    if (!this->acceptsRequests(*Place) ||
-        !this->isAvailable(Hash, *Place, Asked.Now))
+  for (const auto &[Hash, Entry] : Candidates->second) {
+    if (!this->acceptsRequests(*Entry) ||
+        !this->isAvailable(Hash, *Entry, Query.Now))
       continue;
-    if (Asked.ExcludedServers != nullptr &&
-        Asked.ExcludedServers->contains(Hash))
+    if (Query.ExcludedServers != nullptr &&
+        Query.ExcludedServers->contains(Hash))
       continue;
-    Candidate Made = makeCandidate(Hash, *Place, Asked, Known);
-    if (Asked.SpreadKey)
-      Made.Cost = rendezvousScore(Hash, *Asked.SpreadKey);
-    if (Asked.HasCapacity &&
-        !Asked.HasCapacity(Hash, Made.Choice.PrefillTokens))
+    Candidate Current = makeCandidate(Hash, *Entry, Query, Locations);
+    if (Query.SpreadKey)
+      Current.Cost = rendezvousScore(Hash, *Query.SpreadKey);
+    if (Query.HasCapacity &&
+        !Query.HasCapacity(Hash, Current.Choice.PrefillTokens))
       continue;
-    if (!Best || Made.Cost < Best->Cost)
-      Best = Made;
+    if (!Best || Current.Cost < Best->Cost)
+      Best = Current;
   }
   if (!Best)
     return std::nullopt;
   return Best->Choice;
 }
 
-void ServerTable::recordSent(std::uint64_t Server, const AttemptLoad &Work,
+void ServerTable::recordSent(std::uint64_t Server, const AttemptLoad &Load,
                              const std::vector<PromptPart> &Parts,
                              TimePoint Now) {
-  this->recordStart(Server, Work.ServerStartedMs);
-  ServerEntry &Known = this->Entries[Server];
-  if (Work.ServerStartedMs != Known.StartedMs)
+  this->recordStart(Server, Load.ServerStartedMs);
+  ServerEntry &Entry = this->Entries[Server];
+  if (Load.ServerStartedMs != Entry.StartedMs)
     return;
-  ++Known.Running;
-  Known.RecentPrefillTokens = recentPrefillAt(Known, Now) + Work.PrefillTokens;
-  Known.RecentPrefillAt = Now;
-  Known.PendingPrefillTokens += Work.PrefillTokens;
-  Known.LastSent = std::max(Known.LastSent, Now);
-  Known.SendLimiter.recordSent(Now);
-  Known.Cache.insert(Parts);
+  ++Entry.Running;
+  Entry.RecentPrefillTokens = recentPrefillAt(Entry, Now) + Load.PrefillTokens;
+  Entry.RecentPrefillAt = Now;
+  Entry.PendingPrefillTokens += Load.PrefillTokens;
+  Entry.LastSent = std::max(Entry.LastSent, Now);
+  Entry.SendLimiter.recordSent(Now);
+  Entry.Cache.insert(Parts);
 }
 
-void ServerTable::recordPrefilled(std::uint64_t Server, const AttemptLoad &Work,
+void ServerTable::recordPrefilled(std::uint64_t Server, const AttemptLoad &Load,
                                   const std::vector<PromptPart> &Parts) {
-  ServerEntry &Known = this->Entries[Server];
-  if (Work.ServerStartedMs != Known.StartedMs)
+  ServerEntry &Entry = this->Entries[Server];
+  if (Load.ServerStartedMs != Entry.StartedMs)
     return;
-  Known.PendingPrefillTokens -=
-      std::min<std::uint64_t>(Known.PendingPrefillTokens, Work.PrefillTokens);
-  Known.Cache.markPrefilled(Parts);
+  Entry.PendingPrefillTokens -=
+      std::min<std::uint64_t>(Entry.PendingPrefillTokens, Load.PrefillTokens);
+  Entry.Cache.markPrefilled(Parts);
 }
 
-void ServerTable::recordEnded(std::uint64_t Server, const AttemptLoad &Work,
+void ServerTable::recordEnded(std::uint64_t Server, const AttemptLoad &Load,
                               const std::vector<PromptPart> &Parts,
                               ServerVerdict Verdict, TimePoint Now) {
-  ServerEntry &Known = this->Entries[Server];
-  if (Work.ServerStartedMs != Known.StartedMs)
+  ServerEntry &Entry = this->Entries[Server];
+  if (Load.ServerStartedMs != Entry.StartedMs)
     return;
-  if (Known.Running > 0)
-    --Known.Running;
-  Known.PendingPrefillTokens -=
-      std::min<std::uint64_t>(Known.PendingPrefillTokens, Work.PrefillTokens);
-  if (Work.PrefillTokens > 0)
-    Known.Cache.evictUnfilled(Parts);
+  if (Entry.Running > 0)
+    --Entry.Running;
+  Entry.PendingPrefillTokens -=
+      std::min<std::uint64_t>(Entry.PendingPrefillTokens, Load.PrefillTokens);
+  if (Load.PrefillTokens > 0)
+    Entry.Cache.evictUnfilled(Parts);
   if (Verdict == ServerVerdict::Healthy) {
-    Known.ConsecutiveFailures = 0;
-    Known.BackoffUntil = TimePoint{};
+    Entry.ConsecutiveFailures = 0;
+    Entry.BackoffUntil = TimePoint{};
     return;
   }
-  ++Known.ConsecutiveFailures;
-  // What was not read is not kept either.
-  const bool Answers =
+  ++Entry.ConsecutiveFailures;
+  // Without a response, the server's cache contents are unknown.
+  const bool Responded =
       Verdict == ServerVerdict::Failed || Verdict == ServerVerdict::Full;
-  if (!Answers)
-    Known.Cache.clear();
-  if (Answers && Known.ConsecutiveFailures < FailuresBeforePause)
+  if (!Responded)
+    Entry.Cache.clear();
+  if (Responded && Entry.ConsecutiveFailures < FailuresBeforeBackoff)
     return;
-  Known.BackoffUntil = Now + pauseAfter(Known.ConsecutiveFailures);
+  Entry.BackoffUntil = Now + backoffAfter(Entry.ConsecutiveFailures);
 }
 
-void ServerTable::recordCached(std::uint64_t Server, const CachedParts &Told) {
-  this->recordStart(Server, Told.ServerStartedMs);
-  ServerEntry &Known = this->Entries[Server];
-  if (Told.ServerStartedMs == 0 || Told.ServerStartedMs == Known.StartedMs)
-    Known.Cache.addReported(Told.Parts);
+void ServerTable::recordCached(std::uint64_t Server,
+                               const CachedParts &Reported) {
+  this->recordStart(Server, Reported.ServerStartedMs);
+  ServerEntry &Entry = this->Entries[Server];
+  if (Reported.ServerStartedMs == 0 ||
+      Reported.ServerStartedMs == Entry.StartedMs)
+    Entry.Cache.addReported(Reported.Parts);
 }
 
 void ServerTable::recordActivity(std::uint64_t Server, TimePoint Now) {
@@ -399,36 +417,36 @@
   return Found == this->Entries.end() ? nullptr : &Found->second;
 }
 
-bool ServerTable::activeSince(std::uint64_t Server, TimePoint Moment) const {
-  const ServerEntry *Known = this->findEntry(Server);
-  return Known != nullptr && Known->LastActivity > Moment;
+bool ServerTable::activeSince(std::uint64_t Server, TimePoint Time) const {
+  const ServerEntry *Entry = this->findEntry(Server);
+  return Entry != nullptr && Entry->LastActivity > Time;
 }
 
 std::uint32_t ServerTable::running(std::uint64_t Server) const {
-  const ServerEntry *Known = this->findEntry(Server);
-  return Known == nullptr ? 0 : Known->Running;
+  const ServerEntry *Entry = this->findEntry(Server);
+  return Entry == nullptr ? 0 : Entry->Running;
 }
 
 std::uint64_t ServerTable::pendingPrefillTokens(std::uint64_t Server) const {
-  const ServerEntry *Known = this->findEntry(Server);
-  return Known == nullptr ? 0 : Known->PendingPrefillTokens;
+  const ServerEntry *Entry = this->findEntry(Server);
+  return Entry == nullptr ? 0 : Entry->PendingPrefillTokens;
 }
 
 bool ServerTable::usable(std::uint64_t Server, TimePoint Now) const {
-  const ServerEntry *Known = this->findEntry(Server);
-  return Known != nullptr && this->acceptsRequests(*Known) &&
-         this->isAvailable(Server, *Known, Now);
+  const ServerEntry *Entry = this->findEntry(Server);
+  return Entry != nullptr && this->acceptsRequests(*Entry) &&
+         this->isAvailable(Server, *Entry, Now);
 }
 
 bool ServerTable::usableIfGranted(std::uint64_t Server, TimePoint Now) const {
-  const ServerEntry *Known = this->findEntry(Server);
-  return Known != nullptr && this->acceptsRequests(*Known) &&
-         this->isHealthy(*Known, Now);
+  const ServerEntry *Entry = this->findEntry(Server);
+  return Entry != nullptr && this->acceptsRequests(*Entry) &&
+         this->isHealthy(*Entry, Now);
 }
 
 const GatewayServer *ServerTable::find(std::uint64_t Server) const {
-  const ServerEntry *Known = this->findEntry(Server);
-  return Known == nullptr ? nullptr : Known->Server;
+  const ServerEntry *Entry = this->findEntry(Server);
+  return Entry == nullptr ? nullptr : Entry->Server;
 }
 
 std::uint32_t ServerTable::serverCount(std::uint64_t Service) const {
@@ -436,8 +454,8 @@
   if (Found == this->ByService.end())
     return 0;
   return static_cast<std::uint32_t>(std::count_if(
-      Found->second.begin(), Found->second.end(), [this](const auto &Known) {
-        return this->acceptsRequests(*Known.second);
+      Found->second.begin(), Found->second.end(), [this](const auto &Entry) {
+        return this->acceptsRequests(*Entry.second);
       }));
 }
 
