--- a/bench/CrashBookBench.cpp
+++ b/bench/CrashRegistryBench.cpp
@@ -11,17 +11,18 @@
   return {Number, 0, static_cast<std::uint32_t>(Number)};
 }
 
-/// Remembered requests with one crash each, and as many refused ones.
-CrashRegistry filled(std::int64_t Suspects, std::int64_t Refused) {
-  CrashRegistry Book;
+/// A registry with `Suspects` requests of one crash each, and `Refused`
+/// requests with enough crashes to be refused.
+CrashRegistry makeRegistry(std::int64_t Suspects, std::int64_t Refused) {
+  CrashRegistry Registry;
   for (std::int64_t I = 0; I < Suspects + Refused; ++I)
     for (std::uint64_t Crash = 0; Crash < (I < Refused ? 3U : 1U); ++Crash)
-      Book.record({request(static_cast<std::uint64_t>(I)),
-                   {static_cast<std::uint64_t>(I) * 3 + Crash, 0},
-                   false,
-                   0},
-                  TimePoint{});
-  return Book;
+      Registry.record({request(static_cast<std::uint64_t>(I)),
+                       {static_cast<std::uint64_t>(I) * 3 + Crash, 0},
+                       false,
+                       0},
+                      TimePoint{});
+  return Registry;
 }
 
 void digest(benchmark::State &State) {
@@ -33,7 +34,7 @@
   }
 }
 
-void sketch(benchmark::State &State) {
+void shortHash(benchmark::State &State) {
   const std::string Body(static_cast<std::size_t>(State.range(0)), 'x');
   for (auto Unused : State) {
     (void)Unused;
@@ -42,37 +43,38 @@
   }
 }
 
-/// What a request costs that is under no suspicion.
-void ask(benchmark::State &State) {
-  const CrashRegistry Book = filled(State.range(0), 16);
-  std::uint32_t Sketch = 0;
+/// The cost for a request without recorded crashes.
+void lookUp(benchmark::State &State) {
+  const CrashRegistry Registry = makeRegistry(State.range(0), 16);
+  std::uint32_t ShortHash = 0;
   for (auto Unused : State) {
     (void)Unused;
-    benchmark::DoNotOptimize(Book.mayContain(++Sketch | 0x80000000U));
+    benchmark::DoNotOptimize(Registry.mayContain(++ShortHash | 0x80000000U));
   }
 }
 
-/// A third crash of one more request.
+/// Records three crashes of one more request, so that it is refused, and clears
+/// them.
 void refuse(benchmark::State &State) {
-  CrashRegistry Book = filled(State.range(0), State.range(1));
+  CrashRegistry Registry = makeRegistry(State.range(0), State.range(1));
   std::uint64_t Server = 1U << 30U;
   const RequestIdentity Culprit = request(1U << 30U);
   for (auto Unused : State) {
     (void)Unused;
     for (int Crash = 0; Crash < 3; ++Crash)
-      Book.record({Culprit, {++Server, 0}, false, 0}, TimePoint{});
-    benchmark::DoNotOptimize(Book.clear(Culprit, TimePoint{}));
+      Registry.record({Culprit, {++Server, 0}, false, 0}, TimePoint{});
+    benchmark::DoNotOptimize(Registry.clear(Culprit, TimePoint{}));
   }
 }
 
-/// One message of news, encoded and read.
-void tell(benchmark::State &State) {
-  CrashRegistry Book = filled(State.range(0), 16);
+/// Encodes and decodes one crash report.
+void encodeAndDecode(benchmark::State &State) {
+  CrashRegistry Registry = makeRegistry(State.range(0), 16);
   std::size_t Bytes = 0;
   for (auto Unused : State) {
     (void)Unused;
     const std::string Datagram =
-        encodeMessages({CrashReport{{}, false, Book.nextFacts(30, {})}});
+        encodeMessages({CrashReport{{}, false, Registry.nextFacts(30, {})}});
     Bytes = Datagram.size();
     benchmark::DoNotOptimize(decodeMessages(Datagram));
   }
@@ -82,12 +84,12 @@
 } // namespace
 
 BENCHMARK(digest)->Arg(400)->Arg(4000)->Arg(30000);
-BENCHMARK(sketch)->Arg(400)->Arg(4000)->Arg(30000);
-BENCHMARK(ask)->Arg(0)->Arg(100)->Arg(4000);
+BENCHMARK(shortHash)->Arg(400)->Arg(4000)->Arg(30000);
+BENCHMARK(lookUp)->Arg(0)->Arg(100)->Arg(4000);
 BENCHMARK(refuse)
     ->Args({100, 0})
     ->Args({100, 10})
     ->Args({4000, 64})
     ->Args({3000, 1000});
-BENCHMARK(tell)->Arg(100)->Arg(4000);
+BENCHMARK(encodeAndDecode)->Arg(100)->Arg(4000);
 BENCHMARK_MAIN();
--- a/src/Placement/RouterMessages.cpp
+++ b/src/Placement/RouterMessages.cpp
@@ -57,7 +57,7 @@
       std::uint8_t Index = 0;
       Ar(Index);
       if (!readMessage(Index, Ar, Messages))
-        return failure(ErrorCode::Malformed, "unknown message type");
+        return failure(ErrorCode::Malformed, "unknown message kind");
     }
   } catch (const std::exception &Problem) {
     return failure(ErrorCode::Malformed, Problem.what());
--- a/test/Placement/AllocatorTest.cpp
+++ b/test/Placement/AllocatorTest.cpp
@@ -11,261 +11,265 @@
 
 const std::uint64_t Service = hashName("engines");
 
-/// An allocator of some engines that read 25 tokens in a millisecond.
+/// An allocator for engines that prefill 25 tokens per millisecond.
 struct Fixture {
   explicit Fixture(int Engines) {
-    auto Made = std::make_shared<ServerList>();
+    auto Servers = std::make_shared<ServerList>();
     for (int I = 0; I < Engines; ++I) {
       GatewayServer Server;
       Server.Id = "e" + std::to_string(I);
       Server.Service = "engines";
       Server.Slots = 16;
-      Made->emplace(Server.Id, Server);
+      Servers->emplace(Server.Id, Server);
     }
-    GatewayService Stated;
-    Stated.Name = "engines";
-    Stated.KvCapacityTokens = 200'000;
-    this->Configuration.Services["engines"] = Stated;
+    GatewayService EngineService;
+    EngineService.Name = "engines";
+    EngineService.KvCapacityTokens = 200'000;
+    this->Configuration.Services["engines"] = EngineService;
     this->Configuration.Limits.TokensPerSecond =
         static_cast<std::uint64_t>(Engines) * 25'000;
-    this->Listed = Made;
-    this->Subject.setServers(Made, &this->Configuration, ServerGroups(*Made));
+    this->Listed = Servers;
+    this->Subject.setServers(Servers, &this->Configuration,
+                             ServerGroups(*Servers));
   }
 
-  CorrelationId ask(std::uint64_t Account, std::uint32_t Tokens,
-                    std::int32_t OnTimeMs = 600,
-                    std::vector<std::uint64_t> Tried = {}) {
-    AllocationRequest Ask;
-    Ask.ExcludedServers = std::move(Tried);
-    Ask.Id = {1, ++this->Last};
-    Ask.Service = Service;
-    Ask.Account = Account;
-    Ask.Parts = {{1'000'000 + this->Last, Tokens}};
-    Ask.PromptTokens = Tokens;
-    Ask.OutputTokens = 10;
-    Ask.ObjectiveLeftMs = OnTimeMs;
-    Ask.MaxWaitMs = OnTimeMs > 0 ? OnTimeMs : 300;
-    this->AccountOf[Ask.Id] = Account;
-    this->Subject.handle(Ask, this->Now);
-    return Ask.Id;
+  CorrelationId request(std::uint64_t Account, std::uint32_t Tokens,
+                        std::int32_t ObjectiveLeftMs = 600,
+                        std::vector<std::uint64_t> ExcludedServers = {}) {
+    AllocationRequest Request;
+    Request.ExcludedServers = std::move(ExcludedServers);
+    Request.Id = {1, ++this->LastNumber};
+    Request.Service = Service;
+    Request.Account = Account;
+    Request.Parts = {{1'000'000 + this->LastNumber, Tokens}};
+    Request.PromptTokens = Tokens;
+    Request.OutputTokens = 10;
+    Request.ObjectiveLeftMs = ObjectiveLeftMs;
+    Request.MaxWaitMs = ObjectiveLeftMs > 0 ? ObjectiveLeftMs : 300;
+    this->AccountOf[Request.Id] = Account;
+    this->Subject.handle(Request, this->Now);
+    return Request.Id;
   }
 
-  /// Takes the answers; grants are remembered as open.
-  void collect() {
+  /// Takes the replies and records the grants as active.
+  void collectReplies() {
     for (const RouterMessage &Each : this->Subject.takeReplies()) {
-      if (const auto *Granted = std::get_if<AllocationGrant>(&Each)) {
-        this->Open.push_back(Granted->Id);
-        ++this->GrantedTo[this->AccountOf[Granted->Id]];
+      if (const auto *Grant = std::get_if<AllocationGrant>(&Each)) {
+        this->ActiveGrants.push_back(Grant->Id);
+        ++this->GrantCounts[this->AccountOf[Grant->Id]];
       }
       if (std::holds_alternative<AllocationRefusal>(Each))
-        ++this->Refused;
+        ++this->RefusedCount;
     }
   }
 
-  void endOldest() {
-    if (this->Open.empty())
+  void endOldestGrant() {
+    if (this->ActiveGrants.empty())
       return;
-    this->Subject.handle(GrantEnded{this->Open.front(), ServerVerdict::Healthy},
-                         this->Now);
-    this->Open.erase(this->Open.begin());
+    this->Subject.handle(
+        GrantEnded{this->ActiveGrants.front(), ServerVerdict::Healthy},
+        this->Now);
+    this->ActiveGrants.erase(this->ActiveGrants.begin());
     this->Subject.tick(this->Now);
-    this->collect();
+    this->collectReplies();
   }
 
   GatewayConfiguration Configuration;
   std::shared_ptr<const ServerList> Listed;
   Allocator Subject;
   TimePoint Now{1s};
-  std::uint64_t Last = 0;
+  std::uint64_t LastNumber = 0;
   std::map<CorrelationId, std::uint64_t> AccountOf;
-  std::vector<CorrelationId> Open;
-  std::map<std::uint64_t, int> GrantedTo;
-  int Refused = 0;
+  std::vector<CorrelationId> ActiveGrants;
+  std::map<std::uint64_t, int> GrantCounts;
+  int RefusedCount = 0;
 };
 
 } // namespace
 
-Test(Allocator, grantsAtOnceWhileThereIsRoom) {
+Test(Allocator, grantsImmediatelyWhileServersHaveCapacity) {
   Fixture F(2);
-  F.ask(1, 1000);
-  F.ask(1, 1000);
-  F.collect();
-  cr_assert_eq(F.Open.size(), 2U);
+  F.request(1, 1000);
+  F.request(1, 1000);
+  F.collectReplies();
+  cr_assert_eq(F.ActiveGrants.size(), 2U);
   cr_assert_eq(F.Subject.queuedRequests(), 0U);
 }
 
-// Symptom: everything is late under load, small accounts first. Sequence: each
-// request goes to an engine at once and waits there behind all that came
-// before. Cause: the queue stood at the engines, in order of arrival.
-Test(Allocator, holdsBackWhatWouldWaitAtTheEngines) {
+// Guards against late responses under load, which hit small accounts first: if
+// each request is sent to an engine immediately, it waits there for all earlier
+// requests, in order of arrival.
+Test(Allocator, queuesRequestsThatWouldWaitAtTheEngines) {
   Fixture F(1);
   for (int I = 0; I < 10; ++I)
-    F.ask(1, 3000);
-  F.collect();
-  cr_assert_leq(F.Open.size(), 3U);
+    F.request(1, 3000);
+  F.collectReplies();
+  cr_assert_leq(F.ActiveGrants.size(), 3U);
   cr_assert_geq(F.Subject.queuedRequests(), 7U);
 }
 
-Test(Allocator, aSmallAccountIsServedBeforeTheRestOfAFlood) {
+Test(Allocator, servesASmallAccountBeforeTheRestOfAFlood) {
   Fixture F(1);
   for (int I = 0; I < 30; ++I)
-    F.ask(1, 3000);
-  F.collect();
-  F.ask(2, 3000);
-  F.ask(2, 3000);
-  F.collect();
+    F.request(1, 3000);
+  F.collectReplies();
+  F.request(2, 3000);
+  F.request(2, 3000);
+  F.collectReplies();
   for (int I = 0; I < 4; ++I)
-    F.endOldest();
-  cr_assert_eq(F.GrantedTo[2], 2, "%d of 2", F.GrantedTo[2]);
+    F.endOldestGrant();
+  cr_assert_eq(F.GrantCounts[2], 2, "%d of 2", F.GrantCounts[2]);
 }
 
-Test(Allocator, accountsThatBothWaitGetTheSame) {
+Test(Allocator, sharesCapacityEquallyBetweenWaitingAccounts) {
   Fixture F(2);
   for (int I = 0; I < 60; ++I) {
-    F.ask(1, 2000, 60'000);
-    F.ask(2, 2000, 60'000);
-    F.ask(2, 2000, 60'000);
+    F.request(1, 2000, 60'000);
+    F.request(2, 2000, 60'000);
+    F.request(2, 2000, 60'000);
   }
-  F.collect();
+  F.collectReplies();
   for (int I = 0; I < 60; ++I)
-    F.endOldest();
-  const int Difference = F.GrantedTo[1] - F.GrantedTo[2];
-  cr_assert(Difference >= -3 && Difference <= 3, "%d and %d", F.GrantedTo[1],
-            F.GrantedTo[2]);
+    F.endOldestGrant();
+  const int Difference = F.GrantCounts[1] - F.GrantCounts[2];
+  cr_assert(Difference >= -3 && Difference <= 3, "%d and %d", F.GrantCounts[1],
+            F.GrantCounts[2]);
 }
 
-Test(Allocator, refusesWhatCannotBeServedInTime) {
+Test(Allocator, refusesRequestsThatCannotBeServedInTime) {
   Fixture F(1);
   for (int I = 0; I < 10; ++I)
-    F.ask(1, 3000);
+    F.request(1, 3000);
   F.Now += 700ms;
   F.Subject.tick(F.Now);
-  F.collect();
-  cr_assert_geq(F.Refused, 7);
+  F.collectReplies();
+  cr_assert_geq(F.RefusedCount, 7);
   cr_assert_eq(F.Subject.queuedRequests(), 0U);
 }
 
-Test(Allocator, answersARepeatedAskWithTheSameServer) {
+Test(Allocator, repliesToARepeatedRequestWithTheSameServer) {
   Fixture F(3);
-  AllocationRequest Ask;
-  Ask.Id = {7, 1};
-  Ask.Service = Service;
-  Ask.Parts = {{5, 100}};
-  Ask.PromptTokens = 100;
-  Ask.ObjectiveLeftMs = 500;
-  Ask.MaxWaitMs = 500;
-  F.Subject.handle(Ask, F.Now);
-  F.Subject.handle(Ask, F.Now);
-  const auto Answers = F.Subject.takeReplies();
-  cr_assert_eq(Answers.size(), 2U);
-  cr_assert_eq(std::get<AllocationGrant>(Answers[0]).Server,
-               std::get<AllocationGrant>(Answers[1]).Server);
+  AllocationRequest Request;
+  Request.Id = {7, 1};
+  Request.Service = Service;
+  Request.Parts = {{5, 100}};
+  Request.PromptTokens = 100;
+  Request.ObjectiveLeftMs = 500;
+  Request.MaxWaitMs = 500;
+  F.Subject.handle(Request, F.Now);
+  F.Subject.handle(Request, F.Now);
+  const auto Replies = F.Subject.takeReplies();
+  cr_assert_eq(Replies.size(), 2U);
+  cr_assert_eq(std::get<AllocationGrant>(Replies[0]).Server,
+               std::get<AllocationGrant>(Replies[1]).Server);
   cr_assert_eq(F.Subject.activeGrants(), 1U);
 }
 
-// Symptom: engines stand idle while requests wait. Sequence: the word of a
-// request's end is lost, or its router dies. Cause: the allocator counted the
-// request as running for ever.
-Test(Allocator, forgetsWhatIsNoLongerTold) {
+// Guards against engines that idle while requests wait: if the report of an end
+// is lost, or the router crashes, the allocator must not count the request as
+// running forever.
+Test(Allocator, dropsGrantsThatAreNoLongerReported) {
   Fixture F(1);
   for (int I = 0; I < 4; ++I)
-    F.ask(1, 3000, 60'000);
-  F.collect();
-  const std::size_t Before = F.Open.size();
+    F.request(1, 3000, 60'000);
+  F.collectReplies();
+  const std::size_t Before = F.ActiveGrants.size();
   F.Now += 2s;
   F.Subject.tick(F.Now);
-  F.collect();
-  cr_assert_gt(F.Open.size(), Before);
+  F.collectReplies();
+  cr_assert_gt(F.ActiveGrants.size(), Before);
 }
 
-Test(Allocator, learnsFromRoutersWhatRunsAlready) {
+Test(Allocator, learnsActiveAttemptsFromRouters) {
   Fixture F(1);
   F.Subject.handle(GrantActive{{9, 1}, hashName("e0"), 20'000, 10}, F.Now);
-  F.ask(1, 3000);
-  F.collect();
-  cr_assert_eq(F.Open.size(), 0U);
+  F.request(1, 3000);
+  F.collectReplies();
+  cr_assert_eq(F.ActiveGrants.size(), 0U);
   F.Subject.handle(GrantActive{{9, 1}, hashName("e0"), 0, 10}, F.Now);
   F.Subject.tick(F.Now);
-  F.collect();
-  cr_assert_eq(F.Open.size(), 1U);
+  F.collectReplies();
+  cr_assert_eq(F.ActiveGrants.size(), 1U);
 }
 
-// Symptom: a restarted engine stands idle for a second and a half while
-// requests wait. Sequence: it dies with requests; their routers go on telling
-// of them until their time is over. Cause: only what is no longer told was
-// forgotten.
-Test(Allocator, aRestartFreesWhatTheEarlierProcessHeld) {
+// Guards against a restarted engine that idles for a second and a half while
+// requests wait: routers report the attempts that ended with the earlier
+// process until these time out, so it is not enough to drop grants that are no
+// longer reported.
+Test(Allocator, releasesGrantsOfTheEarlierProcessOnRestart) {
   Fixture F(1);
   for (int I = 0; I < 4; ++I)
-    F.ask(1, 3000, 60'000);
-  F.collect();
-  const std::size_t Before = F.Open.size();
+    F.request(1, 3000, 60'000);
+  F.collectReplies();
+  const std::size_t Before = F.ActiveGrants.size();
   cr_assert_lt(Before, 4U);
-  // The first word of the restart comes from a router that has sent there.
+  // The allocator learns of the restart from a router that has an attempt
+  // there.
   F.Subject.handle(GrantActive{{9, 1}, hashName("e0"), 0, 10, 500}, F.Now);
   F.Subject.tick(F.Now);
-  F.collect();
-  cr_assert_gt(F.Open.size(), Before);
+  F.collectReplies();
+  cr_assert_gt(F.ActiveGrants.size(), Before);
   const std::uint32_t Running = F.Subject.serverTable().running(hashName("e0"));
-  // Words of sends to the earlier process change nothing.
+  // Reports of attempts at the earlier process change nothing.
   F.Subject.handle(GrantActive{{9, 2}, hashName("e0"), 20'000, 10, 400}, F.Now);
-  F.Subject.handle(GrantEnded{F.Open.front(), ServerVerdict::Silent}, F.Now);
+  F.Subject.handle(GrantEnded{F.ActiveGrants.front(), ServerVerdict::Silent},
+                   F.Now);
   cr_assert_eq(F.Subject.serverTable().running(hashName("e0")), Running);
 }
 
-// A grant is made for the process that the allocator knows, so a router whose
-// list is behind does not make it forget the grant.
-Test(Allocator, aRouterThatHasNotHeardOfARestartKeepsItsGrant) {
+// A grant is for the process that the allocator knows, so a report from a
+// router with an older list must not drop the grant.
+Test(Allocator, keepsTheGrantOfARouterThatDoesNotKnowOfARestart) {
   Fixture F(1);
   F.Subject.handle(GrantActive{{9, 1}, hashName("e0"), 0, 10, 500}, F.Now);
-  const CorrelationId Id = F.ask(1, 1000);
-  F.collect();
-  cr_assert_eq(F.Open.size(), 1U);
+  const CorrelationId Id = F.request(1, 1000);
+  F.collectReplies();
+  cr_assert_eq(F.ActiveGrants.size(), 1U);
   F.Subject.handle(GrantActive{Id, hashName("e0"), 1000, 10, 400}, F.Now);
   cr_assert_eq(F.Subject.serverTable().running(hashName("e0")), 2U);
   F.Subject.handle(GrantEnded{Id, ServerVerdict::Healthy}, F.Now);
   cr_assert_eq(F.Subject.serverTable().running(hashName("e0")), 1U);
 }
 
-// An allocator asks what engines keep when it takes them over, once, and again
-// where it may have lost them to another meanwhile.
-Test(Allocator, anAllocatorThatTakesOverNamesTheCachesThatItDoesNotKnow) {
+// An allocator queries the caches of engines once when it takes them over, and
+// again if another allocator may have used them in the meantime.
+Test(Allocator, reportsUnknownCachesAfterATakeover) {
   Fixture F(3);
-  F.ask(1, 1000);
+  F.request(1, 1000);
   cr_assert(F.Subject.takeUnknownCaches().empty(), "engines that cannot fetch");
   Fixture Fetching(3);
-  GatewayService &Stated = Fetching.Configuration.Services["engines"];
-  Stated.KvBytesPerToken = 18'432;
-  Stated.LinkBytesPerMs = 35e6;
+  GatewayService &EngineService = Fetching.Configuration.Services["engines"];
+  EngineService.KvBytesPerToken = 18'432;
+  EngineService.LinkBytesPerMs = 35e6;
   Fetching.Subject.setServers(Fetching.Listed, &Fetching.Configuration,
                               ServerGroups(*Fetching.Listed));
-  Fetching.ask(1, 1000);
+  Fetching.request(1, 1000);
   cr_assert_eq(Fetching.Subject.takeUnknownCaches().size(), 3U);
   Fetching.Now += 1s;
-  Fetching.ask(1, 1000);
+  Fetching.request(1, 1000);
   cr_assert(Fetching.Subject.takeUnknownCaches().empty());
   Fetching.Now += 5s;
-  Fetching.ask(1, 1000);
+  Fetching.request(1, 1000);
   cr_assert_eq(Fetching.Subject.takeUnknownCaches().size(), 3U);
 }
 
-Test(Allocator, randomRunsLeaveNothingBehind) {
-  const bool Good =
+Test(Allocator, randomRunsLeaveNoState) {
+  const bool Passed =
       rc::check("allocator", [](const std::vector<std::uint8_t> &Steps) {
         Fixture F(3);
         for (const std::uint8_t Step : Steps) {
           F.Now += std::chrono::milliseconds(Step % 50);
           if (Step % 3 == 0)
-            F.ask(Step % 5, 100U * Step);
+            F.request(Step % 5, 100U * Step);
           else if (Step % 3 == 1)
-            F.endOldest();
+            F.endOldestGrant();
           else
             F.Subject.tick(F.Now);
-          F.collect();
+          F.collectReplies();
         }
         F.Now += 5s;
         F.Subject.tick(F.Now);
-        F.collect();
+        F.collectReplies();
         F.Now += 5s;
         F.Subject.tick(F.Now);
         RC_ASSERT(F.Subject.queuedRequests() == 0U);
@@ -276,135 +280,135 @@
               F.Subject.serverTable().pendingPrefillTokens(hashName(Id)) == 0U);
         }
       });
-  cr_assert(Good);
+  cr_assert(Passed);
 }
 
-Test(RouterMessages, travelThereAndBack) {
-  AllocationRequest Ask;
-  Ask.Id = {3, 4};
-  Ask.Parts = {{5, 6}, {7, 8}};
-  Ask.ExcludedServers = {9};
-  Ask.ObjectiveLeftMs = -10;
-  FleetUpdate News;
-  News.ToRevision = 30;
-  News.Items.resize(2);
-  News.Items[1].Kind = FleetUpdateKind::RouterListed;
-  News.Items[1].Name = "r";
-  News.Items[1].Cores = 0.5;
-  const auto Read = decodeMessages(
-      encodeMessages({Ask, GrantEnded{{1, 2}, ServerVerdict::Silent},
-                      FleetStatus{{1, 1}, 5, 6, 7, 8}, News}));
-  cr_assert(Read.has_value());
-  cr_assert_eq(Read->size(), 4U);
-  const auto &Back = std::get<AllocationRequest>((*Read)[0]);
-  cr_assert_eq(Back.Parts.size(), 2U);
-  cr_assert_eq(Back.Parts[1].Tokens, 8U);
-  cr_assert_eq(Back.ObjectiveLeftMs, -10);
-  cr_assert_eq(std::get<GrantEnded>((*Read)[1]).Verdict, ServerVerdict::Silent);
-  cr_assert_eq(std::get<FleetStatus>((*Read)[2]).CompactRevision, 8);
-  const auto &Told = std::get<FleetUpdate>((*Read)[3]);
-  cr_assert_eq(Told.ToRevision, 30);
-  cr_assert_eq(Told.Items.size(), 2U);
-  cr_assert_eq(Told.Items[1].Kind, FleetUpdateKind::RouterListed);
-  cr_assert_eq(Told.Items[1].Name, "r");
-  cr_assert_eq(Told.Items[1].Cores, 0.5);
+Test(RouterMessages, surviveEncodingAndDecoding) {
+  AllocationRequest Request;
+  Request.Id = {3, 4};
+  Request.Parts = {{5, 6}, {7, 8}};
+  Request.ExcludedServers = {9};
+  Request.ObjectiveLeftMs = -10;
+  FleetUpdate Update;
+  Update.ToRevision = 30;
+  Update.Items.resize(2);
+  Update.Items[1].Kind = FleetUpdateKind::RouterListed;
+  Update.Items[1].Name = "r";
+  Update.Items[1].Cores = 0.5;
+  const auto Decoded = decodeMessages(
+      encodeMessages({Request, GrantEnded{{1, 2}, ServerVerdict::Silent},
+                      FleetStatus{{1, 1}, 5, 6, 7, 8}, Update}));
+  cr_assert(Decoded.has_value());
+  cr_assert_eq(Decoded->size(), 4U);
+  const auto &DecodedRequest = std::get<AllocationRequest>((*Decoded)[0]);
+  cr_assert_eq(DecodedRequest.Parts.size(), 2U);
+  cr_assert_eq(DecodedRequest.Parts[1].Tokens, 8U);
+  cr_assert_eq(DecodedRequest.ObjectiveLeftMs, -10);
+  cr_assert_eq(std::get<GrantEnded>((*Decoded)[1]).Verdict,
+               ServerVerdict::Silent);
+  cr_assert_eq(std::get<FleetStatus>((*Decoded)[2]).CompactRevision, 8);
+  const auto &DecodedUpdate = std::get<FleetUpdate>((*Decoded)[3]);
+  cr_assert_eq(DecodedUpdate.ToRevision, 30);
+  cr_assert_eq(DecodedUpdate.Items.size(), 2U);
+  cr_assert_eq(DecodedUpdate.Items[1].Kind, FleetUpdateKind::RouterListed);
+  cr_assert_eq(DecodedUpdate.Items[1].Name, "r");
+  cr_assert_eq(DecodedUpdate.Items[1].Cores, 0.5);
 }
 
-Test(RouterMessages, foreignBytesAreRefused) {
-  cr_assert(rc::check("foreign bytes", [](const std::string &Bytes) {
+Test(RouterMessages, rejectInvalidBytes) {
+  cr_assert(rc::check("invalid bytes", [](const std::string &Bytes) {
     (void)decodeMessages(Bytes);
   }));
   cr_assert_not(decodeMessages("").has_value());
-  std::string Cut = encodeMessages({AllocationRequest{}});
-  Cut.pop_back();
-  cr_assert_not(decodeMessages(Cut).has_value());
+  std::string Truncated = encodeMessages({AllocationRequest{}});
+  Truncated.pop_back();
+  cr_assert_not(decodeMessages(Truncated).has_value());
 }
 
 namespace {
 
-/// How many of a flood were refused on their arrival, and after a wait.
+/// The number of requests refused on arrival, and after a wait in the queue.
 struct FloodRefusals {
-  int AtOnce = 0;
-  int Held = 0;
+  int OnArrival = 0;
+  int AfterWait = 0;
 };
 
-/// A flood of one account at one engine, as its requests end one by one.
-FloodRefusals flood(Fixture &F, Duration Time) {
+/// One account floods one engine while its requests end one by one.
+FloodRefusals runFlood(Fixture &F, Duration Time) {
   constexpr auto Step = 50ms;
-  FloodRefusals Seen;
-  for (Duration Gone{}; Gone < Time; Gone += Step) {
-    int Before = F.Refused;
+  FloodRefusals Refusals;
+  for (Duration Elapsed{}; Elapsed < Time; Elapsed += Step) {
+    int Before = F.RefusedCount;
     for (int I = 0; I < 6; ++I)
-      F.ask(1, 1000);
-    F.collect();
-    Seen.AtOnce += F.Refused - Before;
-    Before = F.Refused;
-    F.endOldest();
+      F.request(1, 1000);
+    F.collectReplies();
+    Refusals.OnArrival += F.RefusedCount - Before;
+    Before = F.RefusedCount;
+    F.endOldestGrant();
     F.Now += Step;
     F.Subject.tick(F.Now);
-    F.collect();
-    Seen.Held += F.Refused - Before;
+    F.collectReplies();
+    Refusals.AfterWait += F.RefusedCount - Before;
   }
-  return Seen;
+  return Refusals;
 }
 
 } // namespace
 
-// Symptom: callers of a flood are each held for their whole objective, half a
-// second, and only then told to come back, with little of their time left; the
-// router that they came to holds a connection for each. Sequence: an account
-// asks for six times what it gets. Cause: a request was refused only once it
-// could not be on time any more, though those before it had waited in vain.
-// Fails without `RefuseVain`: all are held.
-Test(Allocator, whatWouldWaitInVainIsRefusedOnItsArrival) {
+// Guards against requests of a flood that wait for their complete latency
+// objective, half a second, before they are refused. Their callers then have
+// little time left, and the router holds a connection for each. It happens if
+// an account sends six times its share and each request waits although earlier
+// ones timed out. Without `RefuseLikelyTimeouts`, all requests wait.
+Test(Allocator, refusesLikelyTimeoutsOnArrival) {
   Fixture F(1);
-  const FloodRefusals Seen = flood(F, 5s);
-  cr_expect_gt(Seen.AtOnce, Seen.Held, "%d and %d", Seen.AtOnce, Seen.Held);
-  // The engine is kept busy all the same.
-  cr_expect_geq(F.GrantedTo[1], 95);
-  // Others are not refused, nor what is small enough to come before the queue.
-  const int Before = F.Refused;
-  F.ask(2, 1000);
-  F.ask(1, 1);
-  F.collect();
-  cr_expect_eq(F.Refused, Before);
+  const FloodRefusals Refusals = runFlood(F, 5s);
+  cr_expect_gt(Refusals.OnArrival, Refusals.AfterWait, "%d and %d",
+               Refusals.OnArrival, Refusals.AfterWait);
+  // The engine is still busy all the time.
+  cr_expect_geq(F.GrantCounts[1], 95);
+  // Other accounts are not refused, nor requests small enough to go first.
+  const int Before = F.RefusedCount;
+  F.request(2, 1000);
+  F.request(1, 1);
+  F.collectReplies();
+  cr_expect_eq(F.RefusedCount, Before);
 }
 
-// Symptom: a caller that comes back as told is refused again, though the
-// engines have little to do. Cause: what the flood had shown outlived it.
-Test(Allocator, behindAFloodNothingIsRefusedOnArrival) {
+// Guards against a retry that is refused although the engines are nearly idle,
+// because timeouts are still counted after the flood has ended.
+Test(Allocator, refusesNothingOnArrivalAfterAFlood) {
   Fixture F(1);
-  flood(F, 3s);
-  for (int I = 0; I < 100 && !F.Open.empty(); ++I)
-    F.endOldest();
+  runFlood(F, 3s);
+  for (int I = 0; I < 100 && !F.ActiveGrants.empty(); ++I)
+    F.endOldestGrant();
   F.Now += 700ms;
   F.Subject.tick(F.Now);
-  F.collect();
-  const int Before = F.Refused;
-  F.ask(1, 1000);
-  F.collect();
-  cr_expect_eq(F.Refused, Before);
+  F.collectReplies();
+  const int Before = F.RefusedCount;
+  F.request(1, 1000);
+  F.collectReplies();
+  cr_expect_eq(F.RefusedCount, Before);
 }
 
-// Symptom: a stream that stood still is cut off, though there was a second for
-// it. Sequence: its engine crashes while its account floods; the ask for
-// another engine meets a queue in which others wait in vain. Cause: it was
-// refused on its arrival like a request that has not run.
-Test(Allocator, whatWasSentBeforeIsNotRefusedOnItsArrival) {
+// Guards against an interrupted stream that is truncated although a second is
+// left to resume it: its engine crashes while its account floods, and the
+// request for another engine is refused on arrival, like one that has not run.
+Test(Allocator, doesNotRefuseRetriesOnArrival) {
   Fixture F(2);
-  int AtOnce = 0;
+  int OnArrival = 0;
   for (int Round = 0; Round < 60; ++Round) {
     for (int I = 0; I < 12; ++I)
-      F.ask(1, 1000);
-    F.collect();
-    const int Before = F.Refused;
-    F.ask(1, 1000, 1200, {hashName("e0")});
-    F.collect();
-    AtOnce += F.Refused - Before;
-    F.endOldest();
+      F.request(1, 1000);
+    F.collectReplies();
+    const int Before = F.RefusedCount;
+    F.request(1, 1000, 1200, {hashName("e0")});
+    F.collectReplies();
+    OnArrival += F.RefusedCount - Before;
+    F.endOldestGrant();
     F.Now += 50ms;
     F.Subject.tick(F.Now);
-    F.collect();
+    F.collectReplies();
   }
-  cr_expect_eq(AtOnce, 0);
+  cr_expect_eq(OnArrival, 0);
 }
--- a/test/Placement/PolicyTest.cpp
+++ b/test/Placement/PolicyTest.cpp
@@ -8,41 +8,41 @@
 
 namespace {
 
-TimePoint at(Duration Time) { return TimePoint(Time); }
+TimePoint timeAt(Duration Time) { return TimePoint(Time); }
 
 RequestProgress progress(bool Repeatable, std::uint32_t Runs) {
-  RequestProgress Known;
-  Known.Repeatable = Repeatable;
-  Known.MaxRuns = 2;
-  Known.Runs = Runs;
-  Known.Attempts = 1;
-  Known.TimeLeft = 1s;
-  return Known;
+  RequestProgress Progress;
+  Progress.Repeatable = Repeatable;
+  Progress.MaxRuns = 2;
+  Progress.Runs = Runs;
+  Progress.Attempts = 1;
+  Progress.TimeLeft = 1s;
+  return Progress;
 }
 
 } // namespace
 
-// Symptom: a request that may run once runs twice. Sequence: its server breaks
-// off after it was sent, and it is sent to another. Cause: a broken connection
-// was taken for "not run".
-Test(AttemptPolicy, whatMayHaveRunIsNotSentAgainUnlessItMayBeRepeated) {
+// Guards against running a request twice that may run only once: its connection
+// breaks after it was sent, this is mistaken for "not run", and the request is
+// sent to another server.
+Test(AttemptPolicy, retriesARequestThatMayHaveRunOnlyIfRepeatable) {
   cr_assert_not(mayRetry(progress(false, 1), AttemptResult::NoResponse));
   cr_assert_not(mayRetry(progress(false, 1), AttemptResult::ErrorResponse));
   cr_assert(mayRetry(progress(true, 1), AttemptResult::NoResponse));
   cr_assert_not(mayRetry(progress(true, 2), AttemptResult::NoResponse));
 }
 
-Test(AttemptPolicy, whatHasNotRunMayBeSentAgain) {
+Test(AttemptPolicy, retriesARequestThatHasNotRun) {
   cr_assert(mayRetry(progress(false, 0), AttemptResult::NotRun));
   cr_assert(mayRetry(progress(false, 0), AttemptResult::NotSent));
-  RequestProgress Short = progress(false, 0);
-  Short.TimeLeft = 5ms;
-  cr_assert_not(mayRetry(Short, AttemptResult::NotRun));
+  RequestProgress WithoutTime = progress(false, 0);
+  WithoutTime.TimeLeft = 5ms;
+  cr_assert_not(mayRetry(WithoutTime, AttemptResult::NotRun));
 }
 
-// Symptom: a caller is told "not run" of a request that has run, and sends it
-// again. Cause: the last send decided, not all of them.
-Test(AttemptPolicy, notRunIsOnlySaidWhereNoSendMayHaveRun) {
+// Guards against telling a caller that a request has not run, so that the
+// caller repeats it, although an earlier attempt may have run it.
+Test(AttemptPolicy, reportsNotRunOnlyIfNoAttemptMayHaveRun) {
   cr_assert_eq(nextStep(progress(false, 0), AttemptResult::NotRun, false),
                NextStep::Refuse);
   cr_assert_eq(nextStep(progress(true, 1), AttemptResult::NotRun, false),
@@ -51,26 +51,26 @@
                NextStep::FailUncertain);
 }
 
-Test(AttemptPolicy, aBegunAnswerIsCutAndNeverEndedAsWhole) {
-  RequestProgress Known = progress(false, 1);
-  Known.ResponseStarted = true;
-  cr_assert_eq(nextStep(Known, AttemptResult::Truncated, false),
+Test(AttemptPolicy, truncatesAStartedResponse) {
+  RequestProgress Progress = progress(false, 1);
+  Progress.ResponseStarted = true;
+  cr_assert_eq(nextStep(Progress, AttemptResult::Truncated, false),
                NextStep::Truncate);
-  cr_assert_eq(nextStep(Known, AttemptResult::ErrorResponse, false),
+  cr_assert_eq(nextStep(Progress, AttemptResult::ErrorResponse, false),
                NextStep::Truncate);
 }
 
-// Symptom: a service that fails gets twice its load. Sequence: each failure is
-// sent once more by each router. Cause: no bound over all routers together.
-Test(RetryAllowance, repeatsStayWithinTheRatioAndThePartOfTheSlack) {
+// Guards against doubling the load of a failing service, which happens if each
+// router retries each failure without a limit for all routers together.
+Test(RetryAllowance, limitsRetriesToTheRatioAndItsShareOfTheSlack) {
   RetryAllowance Allowance({0.2, 10s, 50});
   for (int I = 0; I < 100; ++I)
-    Allowance.recordRequest(at(1s));
-  int Taken = 0;
-  while (Allowance.tryAcquire(at(2s), 5))
-    ++Taken;
+    Allowance.recordRequest(timeAt(1s));
+  int Acquired = 0;
+  while (Allowance.tryAcquire(timeAt(2s), 5))
+    ++Acquired;
   // Three quarters of 0.2 * 100 + 50 / 5.
-  cr_assert_eq(Taken, 22);
-  cr_assert_not(Allowance.tryAcquire(at(10s), 5));
-  cr_assert(Allowance.tryAcquire(at(13s), 5));
+  cr_assert_eq(Acquired, 22);
+  cr_assert_not(Allowance.tryAcquire(timeAt(10s), 5));
+  cr_assert(Allowance.tryAcquire(timeAt(13s), 5));
 }
--- a/test/Placement/ServerGroupsTest.cpp
+++ b/test/Placement/ServerGroupsTest.cpp
@@ -11,14 +11,14 @@
 namespace {
 
 ServerList engines(int Count) {
-  ServerList Made;
+  ServerList Servers;
   for (int I = 0; I < Count; ++I) {
     GatewayServer Server;
     Server.Id = "engine-" + std::to_string(I);
     Server.Service = "engines";
-    Made.emplace(Server.Id, Server);
+    Servers.emplace(Server.Id, Server);
   }
-  return Made;
+  return Servers;
 }
 
 std::map<std::uint64_t, int> sizes(const ServerGroups &Groups,
@@ -31,7 +31,7 @@
 
 } // namespace
 
-Test(ServerGroups, areAsLargeAsAnAllocatorCanCarry) {
+Test(ServerGroups, areAsLargeAsAnAllocatorCanHandle) {
   cr_expect_eq(sizes(ServerGroups(engines(40)), engines(40)).size(), 1U);
   cr_expect_eq(sizes(ServerGroups(engines(140)), engines(140)).size(), 4U);
   for (const auto &[Group, Count] :
@@ -39,30 +39,31 @@
     cr_expect_leq(Count, 48);
 }
 
-// Symptom: callers are refused while engines stand idle. Sequence: a few
-// accounts send ten times their usual; each request belongs to the group of its
-// shared part. Cause: the parts of a flood fall into few of many small groups:
-// of all work at most 0.07 may find its group full. With groups of 17 in place
-// of 35 it was 0.084. (Run on a scratch copy.)
-Test(ServerGroups, aFloodFindsItsGroupFullMoreRarelyWhereGroupsAreLarge) {
+// Guards against refusing requests while engines are idle. If a few accounts
+// send ten times their usual load, their prompt parts map to a few groups, and
+// each request is bound to the group of its shared part. At most a fraction of
+// 0.07 of the work may find its group full. With groups of 17 engines instead
+// of 35 the fraction is 0.084.
+Test(ServerGroups, areLargeEnoughForAFlood) {
   const ServerList Listed = engines(140);
   const ServerGroups Groups(Listed);
-  const auto Size = sizes(Groups, Listed);
-  double Turned = 0;
+  const auto GroupSizes = sizes(Groups, Listed);
+  double RefusedFraction = 0;
   constexpr int Floods = 40;
   for (int Flood = 0; Flood < Floods; ++Flood) {
     std::mt19937_64 Random(static_cast<std::uint64_t>(Flood));
-    std::map<std::uint64_t, double> Load;
-    // Thirteen accounts with two large subjects each, and the rest in small.
-    for (int Subject = 0; Subject < 26; ++Subject)
-      Load[Groups.groupForRequest(hashName("engines"),
-                                  {{Random(), 100}, {1, 1}}, 0)] += 2.5;
-    for (int Subject = 0; Subject < 350; ++Subject)
-      Load[Groups.groupForRequest(hashName("engines"),
-                                  {{Random(), 100}, {1, 1}}, 0)] += 0.2;
-    // Each engine carries one unit: 135 of 140 are asked for.
-    for (const auto &[Group, Work] : Load)
-      Turned += std::max(Work - Size.at(Group), 0.0) / 135;
+    std::map<std::uint64_t, double> LoadByGroup;
+    // Thirteen accounts with two large shared parts each, and many small ones.
+    for (int Part = 0; Part < 26; ++Part)
+      LoadByGroup[Groups.groupForRequest(hashName("engines"),
+                                         {{Random(), 100}, {1, 1}}, 0)] += 2.5;
+    for (int Part = 0; Part < 350; ++Part)
+      LoadByGroup[Groups.groupForRequest(hashName("engines"),
+                                         {{Random(), 100}, {1, 1}}, 0)] += 0.2;
+    // Each engine handles one unit of work; 135 of 140 units are used.
+    for (const auto &[Group, GroupLoad] : LoadByGroup)
+      RefusedFraction += std::max(GroupLoad - GroupSizes.at(Group), 0.0) / 135;
   }
-  cr_expect_lt(Turned / Floods, 0.07, "%.3f of the work", Turned / Floods);
+  cr_expect_lt(RefusedFraction / Floods, 0.07, "%.3f of the work",
+               RefusedFraction / Floods);
 }
