--- a/test/Soak/FaultsTest.cpp
+++ b/test/Soak/FaultsTest.cpp
@@ -7,21 +7,22 @@
 
 namespace {
 
-/// A number from the environment, for runs by hand.
-std::uint64_t setting(const char *Name, std::uint64_t Default) {
-  const char *Text = std::getenv(Name);
-  return Text == nullptr ? Default : std::strtoull(Text, nullptr, 10);
+/// A number from the environment, for manual runs.
+std::uint64_t environmentNumber(const char *Name, std::uint64_t Default) {
+  const char *Value = std::getenv(Name);
+  return Value == nullptr ? Default : std::strtoull(Value, nullptr, 10);
 }
 
-void soak(std::uint64_t Seed, std::uint64_t Seconds) {
+void runSoak(std::uint64_t Seed, std::uint64_t Seconds) {
   SoakFleet Fleet(Seed);
   Fleet.run(std::chrono::seconds(Seconds));
-  const auto Broken = Fleet.violations();
-  for (const std::string &Each : Broken)
+  const auto Violations = Fleet.violations();
+  for (const std::string &Each : Violations)
     cr_log_warn("seed %lu: %s", static_cast<unsigned long>(Seed), Each.c_str());
-  cr_assert(Broken.empty(), "seed %lu: %zu promises broken, the first: %s",
-            static_cast<unsigned long>(Seed), Broken.size(),
-            Broken.empty() ? "" : Broken[0].c_str());
+  cr_assert(Violations.empty(),
+            "seed %lu: %zu guarantees violated, the first: %s",
+            static_cast<unsigned long>(Seed), Violations.size(),
+            Violations.empty() ? "" : Violations[0].c_str());
   cr_assert_gt(Fleet.served() * 4, Fleet.requested(),
                "seed %lu: %zu of %zu were served%s",
                static_cast<unsigned long>(Seed), Fleet.served(),
@@ -32,25 +33,25 @@
 
 } // namespace
 
-// Guards against requests that end without an answer, answers that are cut or
-// another's, and runs that nobody may have. Callers use their connections again
-// for as long as routers keep them. Routers are killed, frozen and stopped, the
-// store is away, silent, slow and forgetful, ways to servers and to the store
-// are reset, silent in one direction and slow, servers break off, refuse and
-// answer twice, and a key is taken away, in series that overlap. By hand:
+// Guards against requests that end without a response, responses that are
+// truncated or belong to another request, and forbidden runs. Callers reuse
+// their connections as long as routers keep them open. The faults, in series
+// that overlap: routers are killed, frozen and restarted; the store is
+// unreachable, silent, slow or loses its history; links to servers and to the
+// store reset, are silent in one direction or slow; servers truncate responses,
+// refuse requests and respond twice; a key is revoked. Manual run:
 //   SOAK_SEED=7 SOAK_SECONDS=20 SOAK_RUNS=50 build/SoakFaultsTest
-Test(Faults, everyPromiseHoldsWhileTheyGoOn, .timeout = 3600) {
-  const std::uint64_t First = setting("SOAK_SEED", 1);
-  const std::uint64_t Runs = setting("SOAK_RUNS", 1);
-  for (std::uint64_t Seed = First; Seed < First + Runs; ++Seed)
-    soak(Seed, setting("SOAK_SECONDS", 14));
+Test(Faults, allGuaranteesHoldDuringFaults, .timeout = 3600) {
+  const std::uint64_t FirstSeed = environmentNumber("SOAK_SEED", 1);
+  const std::uint64_t RunCount = environmentNumber("SOAK_RUNS", 1);
+  for (std::uint64_t Seed = FirstSeed; Seed < FirstSeed + RunCount; ++Seed)
+    runSoak(Seed, environmentNumber("SOAK_SECONDS", 14));
 }
 
-// Symptom: a quarter of all requests is served, none in the calm at the end.
-// Sequence: by the end of the faults each router has been restarted by them.
-// Cause: a child process ends with the thread that has started it.
-Test(Faults, routersThatFaultsRestartedServeInTheCalmBehindThem,
-     .timeout = 120) {
-  constexpr std::uint64_t SeedThatFailed = 30;
-  soak(SeedThatFailed, 14);
+// Guards against a soak in which only a quarter of all requests is served, and
+// none after the faults: by then the faults have restarted every router, and a
+// child process ends with the thread that started it.
+Test(Faults, restartedRoutersServeAfterTheFaults, .timeout = 120) {
+  constexpr std::uint64_t FailingSeed = 30;
+  runSoak(FailingSeed, 14);
 }
--- a/test/Soak/KeepAliveConnection.cpp
+++ b/test/Soak/KeepAliveConnection.cpp
@@ -12,15 +12,16 @@
 
 namespace {
 
-constexpr long AnswerSeconds = 4;
-/// Longer than a router may stand still or keep a closed connection.
-constexpr int ResetMilliseconds = 2500;
+constexpr long ResponseTimeoutSeconds = 4;
+/// Longer than a router may be frozen or keep a closed connection.
+constexpr int ResetTimeoutMs = 2500;
 
-/// A reset that crosses the router's end is not told by the read of the end:
-/// the system keeps it as the error of the socket.
+/// Whether a reset follows the end of the connection. Reading the end does not
+/// report a reset that crosses it on the network; the system keeps the reset as
+/// the error of the socket.
 bool resetFollows(const Poco::Net::StreamSocket &Socket) {
-  pollfd Watched{Socket.impl()->sockfd(), 0, 0};
-  return ::poll(&Watched, 1, ResetMilliseconds) > 0;
+  pollfd Descriptor{Socket.impl()->sockfd(), 0, 0};
+  return ::poll(&Descriptor, 1, ResetTimeoutMs) > 0;
 }
 
 } // namespace
@@ -31,70 +32,71 @@
   try {
     this->Socket.connect(Poco::Net::SocketAddress(this->Address),
                          Poco::Timespan(1, 0));
-    this->Socket.setReceiveTimeout(Poco::Timespan(AnswerSeconds, 0));
+    this->Socket.setReceiveTimeout(Poco::Timespan(ResponseTimeoutSeconds, 0));
     this->Socket.setNoDelay(true);
   } catch (const Poco::Exception &) {
-    // Nobody listens there at present.
+    // The router is not listening at the moment.
     return false;
   }
   return true;
 }
 
 void KeepAliveConnection::exchange(const std::string &Request,
-                                   CallerResult &Got) {
+                                   CallerResult &Result) {
   using Poco::Net::Socket;
   if (this->Open && this->ChecksFirst &&
       this->Socket.poll(Poco::Timespan(0), Socket::SELECT_READ))
     this->Open = false;
-  Got.SentAt = std::chrono::steady_clock::now();
+  Result.SentAt = std::chrono::steady_clock::now();
   if (!this->Open && !this->connect())
     return;
   this->Open = false;
-  Got.LocalAddress = this->Socket.address().toString();
-  Got.EarlierRequests = this->RequestCount++;
+  Result.LocalAddress = this->Socket.address().toString();
+  Result.EarlierRequests = this->RequestCount++;
   try {
     this->Socket.sendBytes(Request.data(), static_cast<int>(Request.size()),
                            MSG_NOSIGNAL);
-    this->readResponse(Got);
+    this->readResponse(Result);
   } catch (const Poco::TimeoutException &) {
-    Got.End = CallEnd::TimedOut;
-    Got.EndedAt = std::chrono::steady_clock::now();
+    Result.End = CallEnd::TimedOut;
+    Result.EndedAt = std::chrono::steady_clock::now();
   } catch (const Poco::Exception &) {
-    Got.End = CallEnd::Reset;
-    Got.EndedAt = std::chrono::steady_clock::now();
+    Result.End = CallEnd::Reset;
+    Result.EndedAt = std::chrono::steady_clock::now();
   }
 }
 
-void KeepAliveConnection::readResponse(CallerResult &Got) {
-  std::string In;
+void KeepAliveConnection::readResponse(CallerResult &Result) {
+  std::string Input;
   std::array<char, 4096> Buffer{};
   std::optional<BodyDecoder> Body;
-  bool Keeps = false;
+  bool KeepAlive = false;
   while (!Body || !Body->complete()) {
     const int Count = this->Socket.receiveBytes(Buffer.data(), Buffer.size());
     if (Count <= 0) {
-      Got.EndedAt = std::chrono::steady_clock::now();
-      Got.End = resetFollows(this->Socket) ? CallEnd::Reset : CallEnd::Closed;
+      Result.EndedAt = std::chrono::steady_clock::now();
+      Result.End =
+          resetFollows(this->Socket) ? CallEnd::Reset : CallEnd::Closed;
       return;
     }
-    In.append(Buffer.data(), static_cast<std::size_t>(Count));
-    const std::size_t Length = Body ? 0 : headLength(In);
+    Input.append(Buffer.data(), static_cast<std::size_t>(Count));
+    const std::size_t Length = Body ? 0 : headLength(Input);
     if (Length > 0) {
-      const auto Head = parseResponseHead(In.substr(0, Length));
-      Got.End = CallEnd::Closed;
+      const auto Head = parseResponseHead(Input.substr(0, Length));
+      Result.End = CallEnd::Closed;
       if (!Head)
         return;
-      Got.Status = Head->Status;
-      Keeps = isKeepAlive(*Head);
+      Result.Status = Head->Status;
+      KeepAlive = isKeepAlive(*Head);
       Body.emplace(responseBodyLength(*Head, "GET").value());
-      In.erase(0, Length);
+      Input.erase(0, Length);
     }
     if (Body)
-      In.erase(0, Body->feed(In, Got.Body));
+      Input.erase(0, Body->feed(Input, Result.Body));
   }
-  Got.EndedAt = std::chrono::steady_clock::now();
-  Got.End = CallEnd::Complete;
-  this->Open = Keeps;
+  Result.EndedAt = std::chrono::steady_clock::now();
+  Result.End = CallEnd::Complete;
+  this->Open = KeepAlive;
 }
 
 } // namespace parsleywing::test
--- a/test/Soak/SoakChecks.cpp
+++ b/test/Soak/SoakChecks.cpp
@@ -10,18 +10,20 @@
 
 namespace {
 
-constexpr auto RevocationBound = 5s;
-/// The end of the drain limit that a router keeps for its own end.
+constexpr auto MaxRevocationTime = 5s;
+/// The part of the drain limit that a router reserves for its own shutdown.
 constexpr auto DrainReserve = 500ms;
-/// Within this time of a crash all routers in touch know of it.
-constexpr auto ContactTime = 3s;
-/// Crashes behind which a request is refused, and sends that may follow.
+/// The time within which all connected routers know of a crash.
+constexpr auto CrashPropagationTime = 3s;
+/// The number of crashes after which a request is refused, and the runs that
+/// may still follow.
 constexpr std::size_t CrashesBeforeRefusal = 3;
-constexpr std::size_t SendsBehindRefusal = 3;
-/// From the caller's send to what the server notes, on a busy machine.
-constexpr auto Transport = 500ms;
+constexpr std::size_t MaxRunsAfterRefusal = 3;
+/// The maximum time from sending a request to its record at the server, on a
+/// busy machine.
+constexpr auto TransportTime = 500ms;
 
-std::string wholeStream(const std::string &Id) {
+std::string completeStream(const std::string &Id) {
   std::string Text;
   for (int Number = 1; Number <= SoakFleet::StreamEvents; ++Number)
     Text += streamEvent(Number, Id);
@@ -29,227 +31,236 @@
 }
 
 /// Whether a request to the path may run more than once.
-bool mayRepeat(const std::string &Path) {
+bool isRepeatable(const std::string &Path) {
   return Path.starts_with("/safe/") || Path.starts_with("/stream/");
 }
 
-bool anyTouches(const std::vector<Interval> &Spans,
-                SteadyClock::time_point From, SteadyClock::time_point To) {
-  return std::ranges::any_of(Spans, [&](const Interval &Each) {
+bool anyOverlaps(const std::vector<Interval> &Intervals,
+                 SteadyClock::time_point From, SteadyClock::time_point To) {
+  return std::ranges::any_of(Intervals, [&](const Interval &Each) {
     return Each.From <= To && From <= Each.To;
   });
 }
 
 } // namespace
 
-void SoakFleet::checkRequest(const std::string &Id, const CallerResult &Got,
-                             std::vector<std::string> &Into) {
-  const auto &Ran = this->Runs[Id];
-  const std::string What = Id + " " + Got.Path + " status " +
-                           std::to_string(Got.Status) + " runs " +
-                           std::to_string(Ran.size());
-  const bool Repeatable = mayRepeat(Got.Path);
-  if (!Repeatable && Ran.size() > 1)
-    Into.push_back("ran more than once: " + What);
-  if (!Repeatable && Got.Status == 503 && !Ran.empty())
-    Into.push_back("told as not run, but ran: " + What);
+void SoakFleet::checkRequest(const std::string &Id, const CallerResult &Result,
+                             std::vector<std::string> &Violations) {
+  const auto &RequestRuns = this->Runs[Id];
+  const std::string Description = Id + " " + Result.Path + " status " +
+                                  std::to_string(Result.Status) + " runs " +
+                                  std::to_string(RequestRuns.size());
+  const bool Repeatable = isRepeatable(Result.Path);
+  if (!Repeatable && RequestRuns.size() > 1)
+    Violations.push_back("ran more than once: " + Description);
+  if (!Repeatable && Result.Status == 503 && !RequestRuns.empty())
+    Violations.push_back("reported as not run, but ran: " + Description);
   const bool Streamed =
-      Got.Path.starts_with("/stream/") || Got.Path.starts_with("/once/");
-  const std::string Expected = Streamed ? wholeStream(Id) : Id;
-  if (Got.Status == 200 && Got.isComplete() && Got.Body != Expected)
-    Into.push_back("not its own whole answer: " + What + " body " + Got.Body);
-  if (Got.Status == 200 && !Expected.starts_with(Got.Body))
-    Into.push_back("not the beginning of its answer: " + What);
-  for (const ServerRun &Run : Ran) {
-    if (Run.Path != Got.Path)
-      Into.push_back("ran with another path: " + What);
+      Result.Path.starts_with("/stream/") || Result.Path.starts_with("/once/");
+  const std::string Expected = Streamed ? completeStream(Id) : Id;
+  if (Result.Status == 200 && Result.isComplete() && Result.Body != Expected)
+    Violations.push_back("not its own complete response: " + Description +
+                         " body " + Result.Body);
+  if (Result.Status == 200 && !Expected.starts_with(Result.Body))
+    Violations.push_back("not a prefix of its response: " + Description);
+  for (const ServerRun &Run : RequestRuns) {
+    if (Run.Path != Result.Path)
+      Violations.push_back("ran with another path: " + Description);
     if (Run.Account == "two" &&
-        Got.SentAt > this->RevokedAt + RevocationBound &&
-        Run.StartedAt > this->RevokedAt + RevocationBound + Transport)
-      Into.push_back("ran with a key taken away: " + What);
+        Result.SentAt > this->RevokedAt + MaxRevocationTime &&
+        Run.StartedAt > this->RevokedAt + MaxRevocationTime + TransportTime)
+      Violations.push_back("ran with a revoked key: " + Description);
   }
 }
 
-/// The drain whose limit the router came to within the request's time.
-const Interval *SoakFleet::reachedDrainLimit(const CallerResult &Got) const {
-  for (const Interval &Each : this->Routers.at(Got.Router).Drained)
+/// The drain whose limit the router reached while the request was in progress;
+/// null if there is none.
+const Interval *SoakFleet::reachedDrainLimit(const CallerResult &Result) const {
+  for (const Interval &Each : this->Routers.at(Result.Router).Drained)
     if (Each.To >= Each.From + DrainLimit - DrainReserve &&
-        Got.SentAt <= Each.To && Each.To <= Got.EndedAt + Transport)
+        Result.SentAt <= Each.To && Each.To <= Result.EndedAt + TransportTime)
       return &Each;
   return nullptr;
 }
 
-/// An answer that has begun may end short where its last server broke it off or
-/// spoilt it, the way there was in trouble, its time was over, or the router
-/// came to its drain limit while the server was still at work.
-bool SoakFleet::mayBeTruncated(const CallerResult &Got,
-                               const ServerRun &Last) const {
-  const Interval *Drain = this->reachedDrainLimit(Got);
-  return Last.Faulty || Got.EndedAt - Got.SentAt >= Deadline ||
-         anyTouches(this->ServerLinks.at(Last.Server).Faults,
-                    Got.SentAt - Transport, Got.EndedAt) ||
-         (Drain != nullptr && Last.EndedAt + Transport > Drain->To);
+/// A response that has started may be truncated if its last server truncated or
+/// corrupted it, the link to this server had a fault, the deadline was
+/// exceeded, or the router reached its drain limit while the server was still
+/// running the request.
+bool SoakFleet::mayBeTruncated(const CallerResult &Result,
+                               const ServerRun &LastRun) const {
+  const Interval *Drain = this->reachedDrainLimit(Result);
+  return LastRun.Faulty || Result.EndedAt - Result.SentAt >= Deadline ||
+         anyOverlaps(this->ServerLinks.at(LastRun.Server).Faults,
+                     Result.SentAt - TransportTime, Result.EndedAt) ||
+         (Drain != nullptr && LastRun.EndedAt + TransportTime > Drain->To);
 }
 
-/// A request that was sent gets a whole answer, or a reset: then nobody has
-/// read it, and no server has run it. That its router drains, stands still or
-/// closes idle connections changes nothing. Allowed are
-/// - any end where the router was killed;
-/// - no end within the caller's time where the router stood still;
-/// - an answer that is cut where `mayBeCut` says so.
-void SoakFleet::checkEnd(const std::string &Id, const CallerResult &Got,
-                         std::vector<std::string> &Into) {
-  const Router &Asked = this->Routers.at(Got.Router);
-  if (Got.End == CallEnd::NotSent || Got.isComplete() ||
-      anyTouches(Asked.Killed, Got.SentAt, Got.EndedAt))
+/// A request that was sent gets a complete response, or a reset. With a reset,
+/// the router has not read it and no server has run it. This holds also if the
+/// router drains, is frozen or closes idle connections. The exceptions are:
+/// - any end if the router was killed;
+/// - no end before the caller's timeout if the router was frozen;
+/// - a truncated response if `mayBeTruncated` permits it.
+void SoakFleet::checkEnd(const std::string &Id, const CallerResult &Result,
+                         std::vector<std::string> &Violations) {
+  const Router &Target = this->Routers.at(Result.Router);
+  if (Result.End == CallEnd::NotSent || Result.isComplete() ||
+      anyOverlaps(Target.Killed, Result.SentAt, Result.EndedAt))
     return;
-  const auto &Ran = this->Runs[Id];
-  const bool Frozen = anyTouches(Asked.Frozen, Got.SentAt, Got.EndedAt);
-  if (Frozen && Got.End == CallEnd::TimedOut)
+  const auto &RequestRuns = this->Runs[Id];
+  const bool Frozen = anyOverlaps(Target.Frozen, Result.SentAt, Result.EndedAt);
+  if (Frozen && Result.End == CallEnd::TimedOut)
     return;
-  if (Got.Status == 0 && Got.End == CallEnd::Reset && Ran.empty())
+  if (Result.Status == 0 && Result.End == CallEnd::Reset && RequestRuns.empty())
     return;
-  if (Got.Status != 0 && !Ran.empty() && this->mayBeTruncated(Got, Ran.back()))
+  if (Result.Status != 0 && !RequestRuns.empty() &&
+      this->mayBeTruncated(Result, RequestRuns.back()))
     return;
-  const auto Ms = [this](SteadyClock::time_point At) {
+  const auto Ms = [this](SteadyClock::time_point Time) {
     return std::to_string(std::chrono::duration_cast<std::chrono::milliseconds>(
-                              At - this->StartedAt)
+                              Time - this->StartedAt)
                               .count()) +
            " ms";
   };
-  std::string Text =
-      Got.Status != 0 ? "answer cut: " : "ended without an answer: ";
-  Text += Id + " " + Got.Path + " at " + Asked.Name + " from " +
-          Got.LocalAddress + ", request " +
-          std::to_string(Got.EarlierRequests + 1) +
-          " of its connection, sent at " + Ms(Got.SentAt) + ", ended at " +
-          Ms(Got.EndedAt) + ": " + std::string(nameOf(CallEndNames, Got.End)) +
-          ", runs " + std::to_string(Ran.size()) +
-          (Frozen ? ", router stood still meanwhile" : "");
-  for (const Interval &Each : Asked.Drained)
-    if (anyTouches({Each}, Got.SentAt, Got.EndedAt))
+  std::string Text = Result.Status != 0 ? "response truncated: "
+                                        : "ended without a response: ";
+  Text += Id + " " + Result.Path + " at " + Target.Name + " from " +
+          Result.LocalAddress + ", request " +
+          std::to_string(Result.EarlierRequests + 1) +
+          " of its connection, sent at " + Ms(Result.SentAt) + ", ended at " +
+          Ms(Result.EndedAt) + ": " +
+          std::string(nameOf(CallEndNames, Result.End)) + ", runs " +
+          std::to_string(RequestRuns.size()) +
+          (Frozen ? ", router was frozen meanwhile" : "");
+  for (const Interval &Each : Target.Drained)
+    if (anyOverlaps({Each}, Result.SentAt, Result.EndedAt))
       Text += ", SIGTERM at " + Ms(Each.From) + ", exit at " + Ms(Each.To);
-  Into.push_back(Text + this->logOf(Id, Got));
+  Violations.push_back(Text + this->logOf(Id, Result));
 }
 
-/// What the router has logged of the request and of its connection.
+/// The router's log lines about the request and its connection.
 std::string SoakFleet::logOf(const std::string &Id,
-                             const CallerResult &Got) const {
+                             const CallerResult &Result) const {
   std::ifstream Log(
-      this->Folder.path(this->Routers.at(Got.Router).Name + ".log"));
-  std::string Found;
+      this->Folder.path(this->Routers.at(Result.Router).Name + ".log"));
+  std::string Lines;
   for (std::string Line; std::getline(Log, Line);)
     if (Line.find("request=" + Id + " ") != std::string::npos ||
-        Line.find("connection=" + Got.LocalAddress + " ") != std::string::npos)
-      Found += "\n  " + Line;
-  return Found;
+        Line.find("connection=" + Result.LocalAddress + " ") !=
+            std::string::npos)
+      Lines += "\n  " + Line;
+  return Lines;
 }
 
-/// No caller sends behind an answer that announces a close, so a router has
-/// nothing to read behind its own end of a connection.
-/// Nor is a request refused for crashes that another one has caused.
-void SoakFleet::checkLog(const Router &Of,
-                         std::vector<std::string> &Into) const {
-  std::ifstream Log(this->Folder.path(Of.Name + ".log"));
+/// Checks that no router discards input: no caller sends after a response that
+/// announces a close, so there is nothing to read after the router has closed
+/// its side of the connection. Also checks that no request is refused for
+/// crashes that another one has caused.
+void SoakFleet::checkLog(const Router &Target,
+                         std::vector<std::string> &Violations) const {
+  std::ifstream Log(this->Folder.path(Target.Name + ".log"));
   for (std::string Line; std::getline(Log, Line);) {
     if (Line.find(" refused=crashes-servers ") != std::string::npos &&
         Line.find("request=crash") == std::string::npos)
-      Into.push_back("refused though innocent at " + Of.Name + ": " + Line);
+      Violations.push_back("refused for crashes of another request at " +
+                           Target.Name + ": " + Line);
     if (Line.find(" ended: unsent=") != std::string::npos &&
         Line.find(" discarded=0 ") == std::string::npos)
-      Into.push_back("read and dropped at " + Of.Name + ": " + Line);
+      Violations.push_back("discarded input at " + Target.Name + ": " + Line);
   }
 }
 
-/// Whether the router that sent it had run undisturbed for `ContactTime`, and
-/// so had the way to the server.
+/// Whether the router that sent the request had run for `CrashPropagationTime`
+/// without a fault of its own.
 bool SoakFleet::sentWhileConnected(const std::string &Id,
                                    const ServerRun &Run) {
-  const Router &By = this->Routers.at(this->Results[Id].Router);
-  const auto From = Run.StartedAt - ContactTime;
-  return !anyTouches(By.Killed, From, Run.StartedAt) &&
-         !anyTouches(By.Frozen, From, Run.StartedAt) &&
-         !anyTouches(By.Drained, From, Run.StartedAt) &&
-         !anyTouches(By.Started, From, Run.StartedAt);
+  const Router &Sender = this->Routers.at(this->Results[Id].Router);
+  const auto From = Run.StartedAt - CrashPropagationTime;
+  return !anyOverlaps(Sender.Killed, From, Run.StartedAt) &&
+         !anyOverlaps(Sender.Frozen, From, Run.StartedAt) &&
+         !anyOverlaps(Sender.Drained, From, Run.StartedAt) &&
+         !anyOverlaps(Sender.Started, From, Run.StartedAt);
 }
 
-/// A request that has crashed three servers is sent to three more at most, by
-/// routers in touch, later than `ContactTime` behind the third crash.
+/// A request that has crashed three servers may run at most three more times
+/// later than `CrashPropagationTime` after the third crash, sent by connected
+/// routers.
 void SoakFleet::checkCrashing(const std::string &Path,
-                              std::vector<std::string> &Into) {
-  std::vector<std::pair<std::string, ServerRun>> Ran;
+                              std::vector<std::string> &Violations) {
+  std::vector<std::pair<std::string, ServerRun>> RequestRuns;
   for (const auto &[Id, Runs] : this->Runs)
     for (const ServerRun &Each : Runs)
       if (Each.Path == Path)
-        Ran.emplace_back(Id, Each);
-  std::ranges::sort(Ran, {},
+        RequestRuns.emplace_back(Id, Each);
+  std::ranges::sort(RequestRuns, {},
                     [](const auto &Each) { return Each.second.StartedAt; });
-  if (Ran.size() < CrashesBeforeRefusal)
+  if (RequestRuns.size() < CrashesBeforeRefusal)
     return;
-  const auto Third = Ran[CrashesBeforeRefusal - 1].second.StartedAt;
-  std::size_t Late = 0;
+  const auto Third = RequestRuns[CrashesBeforeRefusal - 1].second.StartedAt;
+  std::size_t LateRuns = 0;
   std::string Text;
-  for (const auto &[Id, Run] : Ran) {
-    if (Run.StartedAt <= Third + ContactTime ||
+  for (const auto &[Id, Run] : RequestRuns) {
+    if (Run.StartedAt <= Third + CrashPropagationTime ||
         !this->sentWhileConnected(Id, Run))
       continue;
-    ++Late;
+    ++LateRuns;
     Text += this->logOf(Id, this->Results[Id]);
   }
-  if (Late > SendsBehindRefusal)
-    Into.push_back(Path + " was sent " + std::to_string(Late) +
-                   " times behind its third crash, " +
-                   std::to_string(Ran.size()) + " in all" + Text +
-                   this->crashLog());
+  if (LateRuns > MaxRunsAfterRefusal)
+    Violations.push_back(Path + " was sent " + std::to_string(LateRuns) +
+                         " times after its third crash, " +
+                         std::to_string(RequestRuns.size()) + " in total" +
+                         Text + this->crashLog());
 }
 
-/// What the routers have logged of crashes.
+/// The log lines of all routers about crashes.
 std::string SoakFleet::crashLog() const {
-  std::string Found;
+  std::string Lines;
   for (const Router &Each : this->Routers) {
     std::ifstream Log(this->Folder.path(Each.Name + ".log"));
     for (std::string Line; std::getline(Log, Line);)
       if (Line.find(" crashed: evidence=") != std::string::npos ||
           Line.find(" is refused from now on: ") != std::string::npos)
-        Found += "\n  " + Each.Name + " " + Line;
+        Lines += "\n  " + Each.Name + " " + Line;
   }
-  return Found;
+  return Lines;
 }
 
 std::string SoakFleet::summary() {
   std::map<std::pair<std::int64_t, int>, int> Counts;
   const std::lock_guard<std::mutex> Lock(this->Mutex);
-  for (const auto &[Id, Got] : this->Results) {
+  for (const auto &[Id, Result] : this->Results) {
     const auto Second = std::chrono::duration_cast<std::chrono::seconds>(
-        Got.SentAt - this->StartedAt);
-    ++Counts[{Second.count(), Got.Status}];
+        Result.SentAt - this->StartedAt);
+    ++Counts[{Second.count(), Result.Status}];
   }
   std::string Text;
-  std::int64_t Last = -1;
+  std::int64_t LastSecond = -1;
   for (const auto &[Key, Count] : Counts) {
-    if (Key.first != Last)
+    if (Key.first != LastSecond)
       Text += "\n  second " + std::to_string(Key.first) + ":";
-    Last = Key.first;
+    LastSecond = Key.first;
     Text += " " + std::to_string(Key.second) + " x" + std::to_string(Count);
   }
   return Text;
 }
 
 std::vector<std::string> SoakFleet::violations() {
-  std::vector<std::string> Found;
+  std::vector<std::string> Violations;
   const std::lock_guard<std::mutex> Lock(this->Mutex);
-  for (const auto &[Id, Got] : this->Results) {
-    this->checkRequest(Id, Got, Found);
-    this->checkEnd(Id, Got, Found);
+  for (const auto &[Id, Result] : this->Results) {
+    this->checkRequest(Id, Result, Violations);
+    this->checkEnd(Id, Result, Violations);
   }
   for (const Router &Each : this->Routers)
-    this->checkLog(Each, Found);
+    this->checkLog(Each, Violations);
   for (const char *Path : CrashingPaths)
-    this->checkCrashing(Path, Found);
-  for (const auto &[Id, Ran] : this->Runs)
+    this->checkCrashing(Path, Violations);
+  for (const auto &[Id, RequestRuns] : this->Runs)
     if (!this->Results.contains(Id))
-      Found.push_back("ran, but nobody asked: " + Id);
-  return Found;
+      Violations.push_back("ran without a request: " + Id);
+  return Violations;
 }
 
 } // namespace parsleywing::test
--- a/test/Soak/SoakCrashes.cpp
+++ b/test/Soak/SoakCrashes.cpp
@@ -8,16 +8,18 @@
 
 namespace {
 
-/// From a request to the end of all connections of the server that it crashes.
-const Poco::Timespan MostCrashTime(2, 0);
-/// How long a crashed server is away, at least and more.
-constexpr int LeastAwayMs = 400;
-constexpr unsigned MoreAwayMs = 800;
-/// A crashed server's entry lapses so long after the crash.
-constexpr auto LapseTime = 300ms;
-/// Between two repeats of a request that crashes servers.
-constexpr int LeastRepeatMs = 20;
-constexpr unsigned MoreRepeatMs = 300;
+/// The maximum time from a request until its server crashes and ends all
+/// connections.
+const Poco::Timespan MaxCrashTime(2, 0);
+/// The minimum downtime of a crashed server, and the range of its random part.
+constexpr int MinDowntimeMs = 400;
+constexpr unsigned DowntimeRangeMs = 800;
+/// The time from a crash until the server's entry is removed from the store.
+constexpr auto LeaseExpiryTime = 300ms;
+/// The pause between two repetitions of a request that crashes servers: minimum
+/// and range of its random part.
+constexpr int MinRepeatMs = 20;
+constexpr unsigned RepeatRangeMs = 300;
 
 } // namespace
 
@@ -28,72 +30,72 @@
     this->ServersToCrash.push_back(Run.Server);
   }
   if (!Early)
-    Connection.poll(MostCrashTime, Poco::Net::Socket::SELECT_READ);
+    Connection.poll(MaxCrashTime, Poco::Net::Socket::SELECT_READ);
   return false;
 }
 
-/// A server of its own thread each, so that crashes overlap.
+/// Restarts each crashed server in its own thread, so that crashes can overlap.
 void SoakFleet::crashLoop() {
-  std::vector<std::thread> Away;
-  std::set<std::size_t> Known;
-  std::mutex KnownMutex;
+  std::vector<std::thread> Restarts;
+  std::set<std::size_t> InProgress;
+  std::mutex InProgressMutex;
   while (!this->Stopping) {
-    std::vector<std::size_t> Wanted;
+    std::vector<std::size_t> Crashed;
     {
       const std::lock_guard<std::mutex> Lock(this->Mutex);
-      Wanted.swap(this->ServersToCrash);
+      Crashed.swap(this->ServersToCrash);
     }
-    for (const std::size_t Server : Wanted) {
-      const std::lock_guard<std::mutex> Lock(KnownMutex);
-      if (!Known.insert(Server).second)
+    for (const std::size_t Server : Crashed) {
+      const std::lock_guard<std::mutex> Lock(InProgressMutex);
+      if (!InProgress.insert(Server).second)
         continue;
-      Away.emplace_back([&, Server] {
+      Restarts.emplace_back([&, Server] {
         this->crashAndRestart(Server);
-        const std::lock_guard<std::mutex> Ended(KnownMutex);
-        Known.erase(Server);
+        const std::lock_guard<std::mutex> EndLock(InProgressMutex);
+        InProgress.erase(Server);
       });
     }
     std::this_thread::sleep_for(2ms);
   }
-  for (std::thread &Each : Away)
+  for (std::thread &Each : Restarts)
     Each.join();
 }
 
-/// The server is back under another identity, at the same address.
+/// The server returns with another identity at the same address.
 void SoakFleet::crashAndRestart(std::size_t Server) {
-  ServerLink &Way = this->ServerLinks.at(Server);
-  this->recordDuring(Way.Faults, [&] {
-    Way.Link->setAway(true);
-    std::this_thread::sleep_for(LapseTime);
+  ServerLink &Target = this->ServerLinks.at(Server);
+  this->recordDuring(Target.Faults, [&] {
+    Target.Link->setAway(true);
+    std::this_thread::sleep_for(LeaseExpiryTime);
     this->Store.remove("servers/" + this->identityOf(Server));
-    std::this_thread::sleep_for(
-        std::chrono::milliseconds(LeastAwayMs + this->chance(MoreAwayMs)));
-    Way.Link->setAway(false);
-    ++Way.Starts;
+    std::this_thread::sleep_for(std::chrono::milliseconds(
+        MinDowntimeMs + this->chance(DowntimeRangeMs)));
+    Target.Link->setAway(false);
+    ++Target.Starts;
     this->registerServer(Server);
   });
 }
 
-/// One caller, who repeats one request at any router.
+/// A caller that repeats one request at random routers.
 void SoakFleet::crashingCallerLoop(const std::string &Path) {
   std::mt19937_64 Random(this->Seed * 37 + Path.size());
-  std::vector<KeepAliveConnection> Kept;
+  std::vector<KeepAliveConnection> Connections;
   for (const Router &Each : this->Routers)
-    Kept.emplace_back(Each.CallerAddress, true);
+    Connections.emplace_back(Each.CallerAddress, true);
   while (!this->Stopping) {
     const std::string Id = "crash" + std::to_string(++this->LastRequest);
-    CallerResult Got;
-    Got.Path = Path;
-    Got.Router = Random() % Kept.size();
+    CallerResult Result;
+    Result.Path = Path;
+    Result.Router = Random() % Connections.size();
     std::string Request = "GET " + Path + " HTTP/1.1\r\nHost: h\r\n";
     Request.append("Request-Id: ").append(Id);
     Request += "\r\nDeadline-Ms: 3000\r\nAuthorization: Token k1\r\n\r\n";
-    Kept[Got.Router].exchange(Request, Got);
+    Connections[Result.Router].exchange(Request, Result);
     {
       const std::lock_guard<std::mutex> Lock(this->Mutex);
-      this->Results[Id] = Got;
+      this->Results[Id] = Result;
     }
-    pauseFor(Random, LeastRepeatMs, MoreRepeatMs);
+    pauseFor(Random, MinRepeatMs, RepeatRangeMs);
   }
 }
 
--- a/test/Soak/SoakFaults.cpp
+++ b/test/Soak/SoakFaults.cpp
@@ -7,79 +7,80 @@
 
 using SteadyClock = std::chrono::steady_clock;
 
-/// Notes the stretch of time that something takes.
-void SoakFleet::recordDuring(std::vector<Interval> &Spans,
-                             const std::function<void()> &Do) {
-  const Interval Began{SteadyClock::now()};
-  std::size_t Place = 0;
+/// Runs an action and records the interval that it takes.
+void SoakFleet::recordDuring(std::vector<Interval> &Intervals,
+                             const std::function<void()> &Action) {
+  const Interval NewInterval{SteadyClock::now()};
+  std::size_t Index = 0;
   {
     const std::lock_guard<std::mutex> Lock(this->Mutex);
-    Place = Spans.size();
-    Spans.push_back(Began);
+    Index = Intervals.size();
+    Intervals.push_back(NewInterval);
   }
-  Do();
+  Action();
   const std::lock_guard<std::mutex> Lock(this->Mutex);
-  Spans[Place].To = SteadyClock::now();
+  Intervals[Index].To = SteadyClock::now();
 }
 
-void SoakFleet::injectRouterFault(Router &Chosen, std::mt19937_64 &Random) {
+void SoakFleet::injectRouterFault(Router &Target, std::mt19937_64 &Random) {
   switch (Random() % 4) {
   case 0:
-    this->killAndRestart(Chosen, Random);
+    this->killAndRestart(Target, Random);
     return;
   case 1:
-    this->freeze(Chosen, Random);
+    this->freeze(Target, Random);
     return;
   default:
-    this->restartGracefully(Chosen, Random);
+    this->restartGracefully(Target, Random);
     return;
   }
 }
 
-void SoakFleet::killAndRestart(Router &Chosen, std::mt19937_64 &Random) {
-  this->recordDuring(Chosen.Killed, [&] { Chosen.Process->kill(); });
+void SoakFleet::killAndRestart(Router &Target, std::mt19937_64 &Random) {
+  this->recordDuring(Target.Killed, [&] { Target.Process->kill(); });
   pauseFor(Random, 50, 500);
-  this->startRouter(Chosen);
+  this->startRouter(Target);
 }
 
-void SoakFleet::freeze(Router &Chosen, std::mt19937_64 &Random) {
-  this->recordDuring(Chosen.Frozen, [&] {
-    Chosen.Process->signal(SIGSTOP);
+void SoakFleet::freeze(Router &Target, std::mt19937_64 &Random) {
+  this->recordDuring(Target.Frozen, [&] {
+    Target.Process->signal(SIGSTOP);
     pauseFor(Random, 200, 1500);
-    Chosen.Process->signal(SIGCONT);
+    Target.Process->signal(SIGCONT);
   });
 }
 
-/// Other signals come while the router still drains.
-void SoakFleet::restartGracefully(Router &Chosen, std::mt19937_64 &Random) {
+/// May kill or freeze the router, or send another SIGTERM, while it still
+/// drains.
+void SoakFleet::restartGracefully(Router &Target, std::mt19937_64 &Random) {
   bool Killed = false;
-  this->recordDuring(Chosen.Drained, [&] {
-    Chosen.Process->signal(SIGTERM);
+  this->recordDuring(Target.Drained, [&] {
+    Target.Process->signal(SIGTERM);
     switch (Random() % 6) {
     case 0:
       pauseFor(Random, 0, 3000);
       Killed = true;
-      this->killAndRestart(Chosen, Random);
+      this->killAndRestart(Target, Random);
       return;
     case 1:
       pauseFor(Random, 0, 2000);
-      this->freeze(Chosen, Random);
+      this->freeze(Target, Random);
       break;
     case 2:
       pauseFor(Random, 0, 3000);
-      Chosen.Process->signal(SIGTERM);
+      Target.Process->signal(SIGTERM);
       break;
     default:
       break;
     }
-    Chosen.Process->wait();
+    Target.Process->wait();
   });
   if (!Killed)
-    this->startRouter(Chosen);
+    this->startRouter(Target);
 }
 
-/// The store is in trouble for a third of the time: a router that starts
-/// meanwhile has no configuration and refuses all.
+/// The store has faults for a third of the time, since a router that starts
+/// during a fault has no configuration and refuses all requests.
 void SoakFleet::injectStoreFault(std::mt19937_64 &Random) {
   pauseFor(Random, 0, 2000);
   switch (Random() % 5) {
@@ -103,24 +104,24 @@
   this->Store.setFault(StoreFault::None);
 }
 
-/// A way to a server or from a router to the store resets, holds or delays
-/// what goes over it.
+/// The link to a server, or from a router to the store, resets connections, or
+/// holds or delays their data.
 void SoakFleet::injectLinkFault(std::mt19937_64 &Random) {
-  const std::array<WayTrouble, 4> Troubles{
-      WayTrouble::Cut, WayTrouble::SilentTo, WayTrouble::SilentFrom,
-      WayTrouble::Delayed};
-  const auto Trouble = [&](TroubledWay &Way) {
-    Way.setTrouble(Troubles.at(Random() % Troubles.size()));
+  const std::array<WayTrouble, 4> Faults{WayTrouble::Cut, WayTrouble::SilentTo,
+                                         WayTrouble::SilentFrom,
+                                         WayTrouble::Delayed};
+  const auto InjectFault = [&](TroubledWay &Link) {
+    Link.setTrouble(Faults.at(Random() % Faults.size()));
     pauseFor(Random, 300, 2500);
-    Way.setTrouble(WayTrouble::None);
+    Link.setTrouble(WayTrouble::None);
   };
   if (Random() % 3 == 0) {
-    Trouble(*this->Routers.at(Random() % this->Routers.size()).StoreLink);
+    InjectFault(*this->Routers.at(Random() % this->Routers.size()).StoreLink);
     return;
   }
-  ServerLink &Chosen =
+  ServerLink &Target =
       this->ServerLinks.at(Random() % this->ServerLinks.size());
-  this->recordDuring(Chosen.Faults, [&] { Trouble(*Chosen.Link); });
+  this->recordDuring(Target.Faults, [&] { InjectFault(*Target.Link); });
 }
 
 } // namespace parsleywing::test
--- a/test/Soak/SoakFleet.cpp
+++ b/test/Soak/SoakFleet.cpp
@@ -16,8 +16,8 @@
 constexpr int RouterCount = 3;
 constexpr int EngineCount = 3;
 constexpr int PlainCount = 2;
-/// Before a caller that was refused, or found nobody, asks again.
-constexpr auto RefusedPause = 50ms;
+/// The pause of a caller after a refusal or a failed connection.
+constexpr auto RetryPause = 50ms;
 
 std::string chunk(const std::string &Text) {
   std::array<char, 16> Size{};
@@ -30,9 +30,10 @@
   return Request.substr(First + 1, Request.find(' ', First + 1) - First - 1);
 }
 
-/// Callers that may be served at once. Every second seed has fewer than there
-/// are connections of callers, so that routers close idle ones for others.
-std::string callersLimit(std::uint64_t Seed) {
+/// The setting for the maximum number of caller connections. Odd seeds permit
+/// fewer than the callers use, so that routers close idle connections in favor
+/// of new ones.
+std::string maxCallersSetting(std::uint64_t Seed) {
   return Seed % 2 == 0 ? "" : "max-callers = " + std::to_string(6 + Seed % 4);
 }
 
@@ -42,17 +43,18 @@
   return "id: " + std::to_string(Number) + "\ndata: " + Id + "\n\n";
 }
 
-void pauseFor(std::mt19937_64 &Random, int Least, unsigned More) {
+void pauseFor(std::mt19937_64 &Random, int MinMs, unsigned RangeMs) {
   std::this_thread::sleep_for(
-      std::chrono::milliseconds(Least + static_cast<int>(Random() % More)));
+      std::chrono::milliseconds(MinMs + static_cast<int>(Random() % RangeMs)));
 }
 
-SoakFleet::SoakFleet(std::uint64_t Chosen)
-    : Seed(Chosen), ServerRandom(Chosen) {
+SoakFleet::SoakFleet(std::uint64_t InitialSeed)
+    : Seed(InitialSeed), ServerRandom(InitialSeed) {
   for (int I = 0; I < EngineCount + PlainCount; ++I) {
     this->Servers.push_back(std::make_unique<ScriptedServer>(
-        [this, I](Poco::Net::StreamSocket &S, const std::string &Request) {
-          return this->serve(static_cast<std::size_t>(I), S, Request);
+        [this, I](Poco::Net::StreamSocket &Connection,
+                  const std::string &Request) {
+          return this->serve(static_cast<std::size_t>(I), Connection, Request);
         }));
     this->ServerLinks.push_back(
         {std::make_unique<TroubledWay>(this->Servers.back()->address()), {}});
@@ -60,18 +62,18 @@
   }
   this->writeConfiguration();
   for (int I = 0; I < RouterCount; ++I) {
-    Router Made;
-    Made.Name = "r" + std::to_string(I);
-    Made.CallerAddress = freeLoopbackAddress();
-    Made.StoreLink = std::make_unique<TroubledWay>(this->Store.address());
-    Made.Settings = this->Folder.write(
-        Made.Name + ".ini",
-        "[gateway]\nname = " + Made.Name + "\nzone = a\ncallers = " +
-            Made.CallerAddress + "\npeers = " + freeLoopbackAddress() +
+    Router NewRouter;
+    NewRouter.Name = "r" + std::to_string(I);
+    NewRouter.CallerAddress = freeLoopbackAddress();
+    NewRouter.StoreLink = std::make_unique<TroubledWay>(this->Store.address());
+    NewRouter.Settings = this->Folder.write(
+        NewRouter.Name + ".ini",
+        "[gateway]\nname = " + NewRouter.Name + "\nzone = a\ncallers = " +
+            NewRouter.CallerAddress + "\npeers = " + freeLoopbackAddress() +
             "\ndrain-limit-s = " + std::to_string(DrainLimit.count()) + "\n" +
-            callersLimit(this->Seed) + "\n[store]\naddress = " +
-            Made.StoreLink->address() + "\n[log]\ntarget = stdout\n");
-    this->Routers.push_back(std::move(Made));
+            maxCallersSetting(this->Seed) + "\n[store]\naddress = " +
+            NewRouter.StoreLink->address() + "\n[log]\ntarget = stdout\n");
+    this->Routers.push_back(std::move(NewRouter));
   }
   for (Router &Each : this->Routers)
     this->startRouter(Each);
@@ -101,12 +103,12 @@
   }
 }
 
-void SoakFleet::startRouter(Router &Each) {
-  this->recordDuring(Each.Started, [] {});
-  Each.Process = std::make_unique<ChildProcess>(
+void SoakFleet::startRouter(Router &Target) {
+  this->recordDuring(Target.Started, [] {});
+  Target.Process = std::make_unique<ChildProcess>(
       "parsleywing",
-      std::vector<std::string>{"gateway", "--settings", Each.Settings},
-      this->Folder.path(Each.Name + ".log"));
+      std::vector<std::string>{"gateway", "--settings", Target.Settings},
+      this->Folder.path(Target.Name + ".log"));
 }
 
 void SoakFleet::writeConfiguration() {
@@ -134,156 +136,162 @@
           "]}]}");
 }
 
-int SoakFleet::chance(int Below) {
+int SoakFleet::chance(int Bound) {
   const std::lock_guard<std::mutex> Lock(this->Mutex);
-  return static_cast<int>(this->ServerRandom() % static_cast<unsigned>(Below));
+  return static_cast<int>(this->ServerRandom() % static_cast<unsigned>(Bound));
 }
 
-/// A server: most requests are served, some refused, broken off or spoilt.
-bool SoakFleet::serve(std::size_t Server, Poco::Net::StreamSocket &S,
+/// The behavior of a server: it serves most requests, and refuses some or
+/// truncates or corrupts their responses.
+bool SoakFleet::serve(std::size_t Server, Poco::Net::StreamSocket &Connection,
                       const std::string &Request) {
-  const int Luck = this->FaultsStopped ? 99 : this->chance(100);
-  if (Luck < 3 && !pathOf(Request).ends_with("/crash")) {
-    sendText(S, "HTTP/1.1 503 Full\r\nNot-Executed: 1\r\n"
-                "Content-Length: 0\r\n\r\n");
+  const int Roll = this->FaultsStopped ? 99 : this->chance(100);
+  if (Roll < 3 && !pathOf(Request).ends_with("/crash")) {
+    sendText(Connection, "HTTP/1.1 503 Full\r\nNot-Executed: 1\r\n"
+                         "Content-Length: 0\r\n\r\n");
     return true;
   }
   ServerRun Run{pathOf(Request), fieldOf(Request, "Tenant-Id"), Server,
                 SteadyClock::now()};
   const std::string Id = fieldOf(Request, "Request-Id");
-  std::size_t Place = 0;
+  std::size_t Index = 0;
   {
     const std::lock_guard<std::mutex> Lock(this->Mutex);
-    Place = this->Runs[Id].size();
+    Index = this->Runs[Id].size();
     this->Runs[Id].push_back(Run);
   }
-  bool Keeps = false;
+  bool KeepAlive = false;
   try {
-    Keeps = this->serveRun(Luck, S, Request, Run);
+    KeepAlive = this->serveRun(Roll, Connection, Request, Run);
   } catch (const Poco::Exception &) {
     // The router has closed its connection.
   }
   Run.EndedAt = SteadyClock::now();
   const std::lock_guard<std::mutex> Lock(this->Mutex);
-  this->Runs[Id][Place] = Run;
-  return Keeps;
+  this->Runs[Id][Index] = Run;
+  return KeepAlive;
 }
 
-bool SoakFleet::serveRun(int Luck, Poco::Net::StreamSocket &S,
+bool SoakFleet::serveRun(int Roll, Poco::Net::StreamSocket &Connection,
                          const std::string &Request, ServerRun &Run) {
   const std::string Id = fieldOf(Request, "Request-Id");
-  Run.Faulty = Luck < 10;
+  Run.Faulty = Roll < 10;
   if (Run.Path.ends_with("/crash"))
-    return this->crash(S, Run, Luck % 2 == 0);
-  if (Luck < 6)
+    return this->crash(Connection, Run, Roll % 2 == 0);
+  if (Roll < 6)
     return false;
-  if (Luck < 8) {
-    sendText(S, "HTTP/1.1 500 Bad\r\nRequest-Id: " + Id +
-                    "\r\nResponse-Seal: s\r\nContent-Length: 0\r\n\r\n");
+  if (Roll < 8) {
+    sendText(Connection,
+             "HTTP/1.1 500 Bad\r\nRequest-Id: " + Id +
+                 "\r\nResponse-Seal: s\r\nContent-Length: 0\r\n\r\n");
     return true;
   }
-  if (Luck < 10)
-    sendText(S, "HTTP/1.1 200 OK\r\nRequest-Id: other\r\nResponse-Seal: s\r\n"
-                "Content-Length: 5\r\n\r\nwrong");
+  if (Roll < 10)
+    sendText(Connection,
+             "HTTP/1.1 200 OK\r\nRequest-Id: other\r\nResponse-Seal: s\r\n"
+             "Content-Length: 5\r\n\r\nwrong");
   if (Run.Path.starts_with("/stream/") || Run.Path.starts_with("/once/"))
-    return this->serveStream(S, Request, Run);
+    return this->serveStream(Connection, Request, Run);
   std::this_thread::sleep_for(std::chrono::milliseconds(this->chance(20)));
-  sendText(S, "HTTP/1.1 200 OK\r\nRequest-Id: " + Id +
-                  "\r\nResponse-Seal: s\r\nContent-Length: " +
-                  std::to_string(Id.size()) + "\r\n\r\n" + Id);
+  sendText(Connection, "HTTP/1.1 200 OK\r\nRequest-Id: " + Id +
+                           "\r\nResponse-Seal: s\r\nContent-Length: " +
+                           std::to_string(Id.size()) + "\r\n\r\n" + Id);
   return true;
 }
 
-bool SoakFleet::serveStream(Poco::Net::StreamSocket &S,
+bool SoakFleet::serveStream(Poco::Net::StreamSocket &Connection,
                             const std::string &Request, ServerRun &Run) {
   const std::string Id = fieldOf(Request, "Request-Id");
-  const std::string Last = fieldOf(Request, "Last-Event-Id");
-  const int From = Last.empty() ? 1 : std::stoi(Last) + 1;
-  const int BreakAt = !this->FaultsStopped && this->chance(100) < 8
-                          ? this->chance(StreamEvents)
-                          : -1;
-  sendText(S, "HTTP/1.1 200 OK\r\nRequest-Id: " + Id +
-                  "\r\nResponse-Seal: s\r\nContent-Type: text/event-stream\r\n"
-                  "Transfer-Encoding: chunked\r\n\r\n");
-  for (int Number = From; Number <= StreamEvents; ++Number) {
-    if (Number == BreakAt) {
+  const std::string LastId = fieldOf(Request, "Last-Event-Id");
+  const int FirstNumber = LastId.empty() ? 1 : std::stoi(LastId) + 1;
+  const int TruncateAt = !this->FaultsStopped && this->chance(100) < 8
+                             ? this->chance(StreamEvents)
+                             : -1;
+  sendText(Connection,
+           "HTTP/1.1 200 OK\r\nRequest-Id: " + Id +
+               "\r\nResponse-Seal: s\r\nContent-Type: text/event-stream\r\n"
+               "Transfer-Encoding: chunked\r\n\r\n");
+  for (int Number = FirstNumber; Number <= StreamEvents; ++Number) {
+    if (Number == TruncateAt) {
       Run.Faulty = true;
-      sendText(S, chunk(streamEvent(Number, Id).substr(0, 4)));
+      sendText(Connection, chunk(streamEvent(Number, Id).substr(0, 4)));
       return false;
     }
-    sendText(S, chunk(streamEvent(Number, Id)));
+    sendText(Connection, chunk(streamEvent(Number, Id)));
     std::this_thread::sleep_for(5ms);
   }
-  sendText(S, "0\r\n\r\n");
+  sendText(Connection, "0\r\n\r\n");
   return true;
 }
 
 void SoakFleet::callOnce(std::mt19937_64 &Random,
-                         std::vector<KeepAliveConnection> &Kept) {
+                         std::vector<KeepAliveConnection> &Connections) {
   const std::array<std::string, 4> Paths{"/safe/", "/unsafe/", "/stream/",
                                          "/once/"};
   const std::string Id = "q" + std::to_string(++this->LastRequest);
   const std::string Key = Random() % 3 == 0 ? "k2" : "k1";
-  CallerResult Got;
-  // The same request comes again, now from one caller and now from another.
-  Got.Path = Paths.at(Random() % Paths.size()) + std::to_string(Random() % 200);
-  const std::string Part = std::to_string(Random() % 8);
-  Got.Router = Random() % Kept.size();
+  CallerResult Result;
+  // Several callers send the same request at different times.
+  Result.Path =
+      Paths.at(Random() % Paths.size()) + std::to_string(Random() % 200);
+  const std::string SharedPart = std::to_string(Random() % 8);
+  Result.Router = Random() % Connections.size();
   ++this->Requested;
-  Kept[Got.Router].exchange(
-      "GET " + Got.Path + " HTTP/1.1\r\nHost: h\r\nRequest-Id: " + Id +
+  Connections[Result.Router].exchange(
+      "GET " + Result.Path + " HTTP/1.1\r\nHost: h\r\nRequest-Id: " + Id +
           "\r\nDeadline-Ms: " +
           std::to_string(std::chrono::milliseconds(Deadline).count()) +
           "\r\nAuthorization: Token " + Key +
-          "\r\nToken-Count: 700,60\r\nPrefix-Hash: " + Part + ":500," + Id +
-          ":200\r\n\r\n",
-      Got);
-  if (Got.isComplete() && Got.Status == 200)
+          "\r\nToken-Count: 700,60\r\nPrefix-Hash: " + SharedPart + ":500," +
+          Id + ":200\r\n\r\n",
+      Result);
+  if (Result.isComplete() && Result.Status == 200)
     ++this->Served;
-  if (Got.End == CallEnd::NotSent || Got.Status == 503)
-    std::this_thread::sleep_for(RefusedPause);
+  if (Result.End == CallEnd::NotSent || Result.Status == 503)
+    std::this_thread::sleep_for(RetryPause);
   const std::lock_guard<std::mutex> Lock(this->Mutex);
-  this->Results[Id] = Got;
+  this->Results[Id] = Result;
 }
 
-/// Callers differ in how long they wait between requests, and in whether they
-/// look at a connection before they use it again.
+/// Callers differ in the pause between requests, and in whether they check a
+/// connection before they reuse it.
 void SoakFleet::callerLoop(std::size_t Number) {
-  constexpr std::array<unsigned, 4> LongestPauses{1, 30, 300, 1500};
-  const unsigned LongestPause = LongestPauses.at(Number % LongestPauses.size());
-  const bool Looks = Number % 3 == 0;
+  constexpr std::array<unsigned, 4> MaxPauses{1, 30, 300, 1500};
+  const unsigned MaxPause = MaxPauses.at(Number % MaxPauses.size());
+  const bool Checks = Number % 3 == 0;
   std::mt19937_64 Random(this->Seed * 31 + Number);
-  std::vector<KeepAliveConnection> Kept;
+  std::vector<KeepAliveConnection> Connections;
   for (const Router &Each : this->Routers)
-    Kept.emplace_back(Each.CallerAddress, Looks);
+    Connections.emplace_back(Each.CallerAddress, Checks);
   while (!this->Stopping) {
-    this->callOnce(Random, Kept);
-    pauseFor(Random, 0, LongestPause);
+    this->callOnce(Random, Connections);
+    pauseFor(Random, 0, MaxPause);
   }
   this->CallersDone.count_down();
 }
 
-void SoakFleet::faultLoop(std::uint64_t Start, const Fault &One) {
-  std::mt19937_64 Random(Start);
+void SoakFleet::faultLoop(std::uint64_t SeriesSeed, const Fault &Inject) {
+  std::mt19937_64 Random(SeriesSeed);
   while (!this->Stopping && !this->FaultsStopped) {
-    One(Random);
+    Inject(Random);
     std::this_thread::sleep_for(std::chrono::milliseconds(Random() % 500));
   }
   this->FaultsDone.count_down();
-  // A process that this thread has started is killed with its end.
+  // A child process is killed when the thread that started it ends.
   this->CallersDone.wait();
 }
 
 void SoakFleet::run(std::chrono::milliseconds Time) {
   this->StartedAt = SteadyClock::now();
-  std::vector<std::thread> Workers;
+  std::vector<std::thread> Threads;
   for (std::size_t Number = 0; Number < CallerThreads; ++Number)
-    Workers.emplace_back([this, Number] { this->callerLoop(Number); });
-  Workers.emplace_back([this] { this->crashLoop(); });
+    Threads.emplace_back([this, Number] { this->callerLoop(Number); });
+  Threads.emplace_back([this] { this->crashLoop(); });
   for (const char *Path : CrashingPaths)
-    Workers.emplace_back([this, Path] { this->crashingCallerLoop(Path); });
-  // Series of their own, so that faults overlap; a router belongs to one.
-  const std::array<Fault, FaultSeriesCount> Series{
+    Threads.emplace_back([this, Path] { this->crashingCallerLoop(Path); });
+  // Several series run in parallel, so that faults overlap. Each router belongs
+  // to one series.
+  const std::array<Fault, FaultSeriesCount> FaultSeries{
       [this](std::mt19937_64 &Random) { this->injectStoreFault(Random); },
       [this](std::mt19937_64 &Random) { this->injectLinkFault(Random); },
       [this](std::mt19937_64 &Random) {
@@ -292,12 +300,12 @@
       [this](std::mt19937_64 &Random) {
         this->injectRouterFault(this->Routers[1 + Random() % 2], Random);
       }};
-  for (std::size_t Number = 0; Number < Series.size(); ++Number)
-    Workers.emplace_back([this, Number, &Series] {
-      this->faultLoop(this->Seed + Number, Series.at(Number));
+  for (std::size_t Number = 0; Number < FaultSeries.size(); ++Number)
+    Threads.emplace_back([this, Number, &FaultSeries] {
+      this->faultLoop(this->Seed + Number, FaultSeries.at(Number));
     });
   std::this_thread::sleep_for(Time / 2);
-  // In the middle of the faults one account loses its key.
+  // The key of one account is revoked in the middle of the run.
   {
     const std::lock_guard<std::mutex> Lock(this->Mutex);
     this->RevokedAt = SteadyClock::now();
@@ -308,7 +316,7 @@
   this->FaultsDone.wait();
   std::this_thread::sleep_for(3s);
   this->Stopping = true;
-  for (std::thread &Each : Workers)
+  for (std::thread &Each : Threads)
     Each.join();
 }
 
