--- a/src/Gateway/CachedPartsReader.cpp
+++ b/src/Gateway/CachedPartsReader.cpp
@@ -9,16 +9,18 @@
 
 namespace {
 
-/// An engine tells within a step, some 30 ms, and the way. What comes later
-/// than this is overtaken by what the allocator has sent there meanwhile.
-constexpr Duration AnswerLimit = std::chrono::milliseconds(500);
+/// An engine responds within one step, some 30 ms, plus the network delay. A
+/// later response is outdated by what the allocator has sent to the engine
+/// meanwhile.
+constexpr Duration ResponseTimeout = std::chrono::milliseconds(500);
 
-/// An answer that is longer is not read: 100,000 parts.
-constexpr std::size_t MaxAnswerBytes = 4U << 20U;
+/// Max size of a response, some 100,000 parts.
+constexpr std::size_t MaxResponseBytes = 4U << 20U;
 
-/// The pause between two engines, so that callers are served between.
-constexpr Duration Pause = std::chrono::milliseconds(5);
+/// The pause between two queries, so that callers are served in between.
+constexpr Duration QueryPause = std::chrono::milliseconds(5);
 
+/// Max idle time of a pooled connection that is used for a query.
 constexpr Duration MaxIdle = std::chrono::seconds(4);
 
 } // namespace
@@ -26,11 +28,12 @@
 CachedPartsReader::CachedPartsReader(EventLoop &L, const WireFormat &F,
                                      UpstreamPool &P, Metrics &M)
     : Loop(L), Format(F), Pool(P),
-      Queries(M.counter({"kept_parts_asked_total",
-                         "Engines that were asked what they keep.", ""})),
+      Queries(M.counter(
+          {"kept_parts_asked_total",
+           "Queries to engines for the prompt parts in their cache.", ""})),
       FailedQueries(
           M.counter({"kept_parts_failures_total",
-                     "Such questions without a usable answer.", ""})) {}
+                     "Cache queries without a usable response.", ""})) {}
 
 void CachedPartsReader::query(const GatewayServer &Server) {
   if (!this->PendingIds.insert(Server.Id).second)
@@ -61,57 +64,56 @@
     this->Status = Head.Status;
   };
   Listener.PayloadReceived = [this](std::string_view Bytes) {
-    if (this->Body.size() + Bytes.size() <= MaxAnswerBytes)
+    if (this->Body.size() + Bytes.size() <= MaxResponseBytes)
       this->Body.append(Bytes);
     else
       this->Status = 0;
   };
-  Listener.Ended = [this](UpstreamEnd How) { this->onResponseEnd(How); };
-  const HttpHead Question =
+  Listener.Ended = [this](UpstreamEnd End) { this->onResponseEnd(End); };
+  const HttpHead Request =
       this->Format.BuildCachedPartsRequest(Server.Address.toString());
-  this->Timer = this->Loop.after(AnswerLimit, [this] {
+  this->Timer = this->Loop.after(ResponseTimeout, [this] {
     this->Timer = 0;
     std::exchange(this->Connection, nullptr)->close();
     this->finishQuery("silent");
   });
-  this->Connection->send(writeRequestHead(Question), Question.Method, "",
+  this->Connection->send(writeRequestHead(Request), Request.Method, "",
                          std::move(Listener));
 }
 
-void CachedPartsReader::onResponseEnd(UpstreamEnd How) {
-  const auto Ended = std::exchange(this->Connection, nullptr);
-  if (How != UpstreamEnd::Complete) {
+void CachedPartsReader::onResponseEnd(UpstreamEnd End) {
+  const auto EndedConnection = std::exchange(this->Connection, nullptr);
+  if (End != UpstreamEnd::Complete) {
     this->finishQuery("broken");
     return;
   }
   const GatewayServer &Server = this->Pending.front();
-  this->Pool.release(Server.Id, Ended);
+  this->Pool.release(Server.Id, EndedConnection);
   if (this->Status != HttpOk) {
     this->finishQuery("refused");
     return;
   }
-  const auto Read = this->Format.ParseCachedParts(this->Body);
-  if (!Read) {
+  const auto Parts = this->Format.ParseCachedParts(this->Body);
+  if (!Parts) {
     this->finishQuery("unreadable");
     return;
   }
-  this->OnParts(Server, *Read);
+  this->OnParts(Server, *Parts);
   this->finishQuery(nullptr);
 }
 
-/// `Problem` is null where the engine has told.
-void CachedPartsReader::finishQuery(const char *Problem) {
+void CachedPartsReader::finishQuery(const char *ErrorText) {
   this->Loop.cancel(this->Timer);
   this->Timer = 0;
   const GatewayServer Server = std::move(this->Pending.front());
   this->Pending.pop_front();
   this->PendingIds.erase(Server.Id);
-  if (Problem != nullptr) {
+  if (ErrorText != nullptr) {
     this->FailedQueries.add();
     log(LogPart::Backend, LogLevel::Info,
-        "server=" + Server.Id + " does not tell what it keeps: " + Problem);
+        "server=" + Server.Id + " does not tell what it keeps: " + ErrorText);
   }
-  this->Loop.after(Pause, [this] {
+  this->Loop.after(QueryPause, [this] {
     if (this->Connection == nullptr)
       this->queryNext();
   });
--- a/src/Gateway/CachedPartsReader.h
+++ b/src/Gateway/CachedPartsReader.h
@@ -11,40 +11,44 @@
 
 namespace parsleywing {
 
-/// Asks engines which parts of prompts they keep, for an allocator that does
-/// not know. One engine after the other: an answer of some 30 KB takes a small
-/// VM milliseconds to read, and holds the engine up for a moment. What an
-/// engine does not tell is learnt from what is sent there, as before.
+/// Queries engines for the prompt parts in their cache, for an allocator that
+/// does not know them. Queries one engine at a time, since a response of some
+/// 30 KB takes a small VM milliseconds to read and briefly blocks the engine.
+/// If a query fails, the cache's contents are inferred from the requests sent
+/// to the engine.
 ///
-/// Belongs to the loop's thread.
+/// Used on the loop's thread.
 class CachedPartsReader {
 public:
-  using Sink = std::function<void(const GatewayServer &, const CachedParts &)>;
+  using PartsCallback =
+      std::function<void(const GatewayServer &, const CachedParts &)>;
 
   CachedPartsReader(EventLoop &L, const WireFormat &F, UpstreamPool &P,
                     Metrics &M);
   CachedPartsReader(const CachedPartsReader &) = delete;
   CachedPartsReader &operator=(const CachedPartsReader &) = delete;
 
-  void start(Sink Told) { this->OnParts = std::move(Told); }
+  /// Sets the receiver of the responses. Call before `query`.
+  void start(PartsCallback C) { this->OnParts = std::move(C); }
 
-  /// Nothing happens where the server is asked already.
+  /// Queues a query. Does nothing if one for this server is already pending.
   void query(const GatewayServer &Server);
 
 private:
   void queryNext();
-  void onResponseEnd(UpstreamEnd How);
-  void finishQuery(const char *Problem);
+  void onResponseEnd(UpstreamEnd End);
+  /// `ErrorText` is null if the query succeeded.
+  void finishQuery(const char *ErrorText);
 
   EventLoop &Loop;
   const WireFormat &Format;
   UpstreamPool &Pool;
   Counter &Queries;
   Counter &FailedQueries;
-  Sink OnParts;
+  PartsCallback OnParts;
   std::deque<GatewayServer> Pending;
   std::set<std::string> PendingIds;
-  /// The present call; null where there is none.
+  /// The connection of the current query; null if none is running.
   std::shared_ptr<UpstreamConnection> Connection;
   TimerId Timer = 0;
   int Status = 0;
--- a/src/Gateway/CallerSession.cpp
+++ b/src/Gateway/CallerSession.cpp
@@ -7,20 +7,20 @@
 
 namespace {
 
-/// A body that makes no progress for so long is given up. Callers of the
-/// platform send whole bodies within milliseconds; the bound frees the memory
-/// of those that stopped.
+/// Max time without progress while a body is read. The platform's callers send
+/// complete bodies within milliseconds; the timeout frees the memory of
+/// requests whose caller has stopped sending.
 constexpr Duration BodyTimeout = std::chrono::seconds(10);
 
-/// A connection that is to be closed, and on which a request may still come, is
-/// looked at again after so long.
+/// How often a connection that should be closed, but may still receive a
+/// request, is checked again.
 constexpr Duration RecheckInterval = std::chrono::milliseconds(500);
 
-/// Bytes that are kept of what a caller sends ahead of its answer. While more
-/// wait with the system, its leaving is noticed only by a reset.
-constexpr std::size_t MaxAhead = 256U << 10U;
+/// Max buffered bytes of pipelined requests. Beyond that, reading pauses, and a
+/// disconnecting caller is noticed only if it resets the connection.
+constexpr std::size_t MaxPipelinedBytes = 256U << 10U;
 
-std::string chunkOf(std::string_view Bytes) {
+std::string encodeChunk(std::string_view Bytes) {
   constexpr std::string_view Digits = "0123456789abcdef";
   std::string Size;
   for (std::size_t Left = Bytes.size(); Left > 0; Left /= Digits.size())
@@ -38,8 +38,8 @@
 }
 
 CallerSession::CallerSession(EventLoop &L, std::shared_ptr<ByteChannel> C,
-                             GatewayLimits Bounds, Handler H, CloseCallback E)
-    : Loop(L), Channel(std::move(C)), Limits(Bounds), OnRequest(std::move(H)),
+                             GatewayLimits G, Handler H, CloseCallback E)
+    : Loop(L), Channel(std::move(C)), Limits(G), OnRequest(std::move(H)),
       OnClosed(std::move(E)) {}
 
 CallerSession::~CallerSession() {
@@ -49,27 +49,27 @@
 }
 
 void CallerSession::start() {
-  ChannelListener Listener;
-  Listener.Received = [this](std::string_view Bytes) {
+  ChannelListener ChannelEvents;
+  ChannelEvents.Received = [this](std::string_view Bytes) {
     const auto Alive = this->shared_from_this();
     this->onReceived(Bytes);
   };
-  Listener.Ended = [this](ChannelEnd) {
+  ChannelEvents.Ended = [this](ChannelEnd) {
     const auto Alive = this->shared_from_this();
     this->onEnded();
   };
-  Listener.Drained = [this] {
+  ChannelEvents.Drained = [this] {
     const auto Alive = this->shared_from_this();
-    if (const auto Tell = this->Listener.SendBufferDrained)
-      Tell();
+    if (const auto Callback = this->Listener.SendBufferDrained)
+      Callback();
   };
-  this->Channel->setListener(std::move(Listener));
+  this->Channel->setListener(std::move(ChannelEvents));
   this->armTimer(this->Limits.IdleTimeout, true);
 }
 
 void CallerSession::onReceived(std::string_view Bytes) {
-  // A request whose caller has gone already must not reach a server: one that
-  // was read late, on a busy VM, has often been given up.
+  // A request whose caller has already disconnected must not reach a server. On
+  // a busy VM, callers often give up before their request has been read.
   if (this->CurrentState == State::Closed || this->Channel->peerClosed())
     return;
   this->Input.append(Bytes);
@@ -78,9 +78,10 @@
   this->limitPipelining();
 }
 
-/// A caller that sends more is slowed down: the rest waits with the system.
+/// Slows down a caller that sends more: the rest stays in the kernel's buffer.
 void CallerSession::limitPipelining() {
-  if (this->CurrentState == State::Serving && this->Input.size() > MaxAhead)
+  if (this->CurrentState == State::Serving &&
+      this->Input.size() > MaxPipelinedBytes)
     this->Channel->pauseReading();
   else
     this->Channel->resumeReading();
@@ -89,12 +90,12 @@
 void CallerSession::onEnded() {
   if (this->CurrentState == State::Closed)
     return;
-  const auto Tell = this->CurrentState == State::Serving
-                        ? this->Listener.Disconnected
-                        : std::function<void()>();
+  const auto Callback = this->CurrentState == State::Serving
+                            ? this->Listener.Disconnected
+                            : std::function<void()>();
   this->close();
-  if (Tell)
-    Tell();
+  if (Callback)
+    Callback();
 }
 
 void CallerSession::processInput() {
@@ -112,14 +113,15 @@
   if (this->Input.empty())
     return false;
   const std::size_t Length = headLength(this->Input);
-  const std::size_t Known = Length == 0 ? this->Input.size() : Length;
-  if (Known > this->Limits.MaxHeaderBytes) {
+  const std::size_t HeadBytes = Length == 0 ? this->Input.size() : Length;
+  if (HeadBytes > this->Limits.MaxHeaderBytes) {
     this->sendErrorAndClose(HttpHeaderFieldsTooLarge,
                             "Request Header Fields Too Large");
     return false;
   }
   if (Length == 0) {
-    // Armed once a head: a byte now and then must not hold the connection.
+    // Armed once per head, so that a caller that sends single bytes cannot hold
+    // the connection open.
     if (!this->HeadStarted)
       this->armTimer(this->Limits.HeaderTimeout, false);
     this->HeadStarted = true;
@@ -132,24 +134,24 @@
     this->sendErrorAndClose(HttpBadRequest, "Bad Request");
     return false;
   }
-  const auto Plan = requestBodyLength(*Head);
-  if (!Plan) {
+  const auto BodySize = requestBodyLength(*Head);
+  if (!BodySize) {
     this->sendErrorAndClose(HttpBadRequest, "Bad Request");
     return false;
   }
-  if (Plan->ContentLength > this->Limits.MaxBodyBytes) {
+  if (BodySize->ContentLength > this->Limits.MaxBodyBytes) {
     this->sendErrorAndClose(HttpContentTooLarge, "Content Too Large");
     return false;
   }
   this->Request = {};
-  this->Request.HasBody = Plan->Framing != BodyFraming::None;
+  this->Request.HasBody = BodySize->Framing != BodyFraming::None;
   this->Request.ReceivedAt = this->Loop.clock().now();
   this->KeepAlive = isKeepAlive(*Head);
   this->Chunked = !Head->IsHttp10;
   if (Head->hasToken("Expect", "100-continue") && this->Input.empty())
     this->Channel->write("HTTP/1.1 100 Continue\r\n\r\n");
   this->Request.Head = std::move(*Head);
-  this->Decoder = BodyDecoder(*Plan);
+  this->Decoder = BodyDecoder(*BodySize);
   this->CurrentState = State::ReadingBody;
   this->armTimer(BodyTimeout, false);
   return true;
@@ -210,8 +212,8 @@
   if (this->CurrentState != State::Serving)
     return;
   Head.remove("Content-Length");
-  // A caller of the older version takes the end of the connection for the end
-  // of the answer.
+  // For an HTTP/1.0 caller the end of the connection is the end of the
+  // response, so a truncated response must end with a reset.
   if (this->Chunked) {
     Head.add("Transfer-Encoding", "chunked");
   } else {
@@ -225,7 +227,7 @@
   if (this->CurrentState != State::Serving || Bytes.empty())
     return;
   if (this->Chunked)
-    this->Channel->write(chunkOf(Bytes));
+    this->Channel->write(encodeChunk(Bytes));
   else
     this->Channel->write(Bytes);
 }
@@ -255,15 +257,15 @@
   }
   this->CurrentState = State::ReadingHead;
   this->LastResponseAt = this->Loop.clock().now();
-  // An answer whose head left before the close was wanted has not announced it:
-  // the caller's next request may be on its way.
+  // If the response head was sent before the close was requested, it has not
+  // announced the close, and the caller's next request may be on its way.
   this->armTimer(this->CloseAfterResponse ? RecheckInterval
                                           : this->Limits.IdleTimeout,
                  true);
   if (this->Input.empty())
     return;
-  // What came ahead is served from the loop: a caller that sends many requests
-  // at once would else deepen the stack with each answer.
+  // Pipelined input is processed from the event loop: otherwise the stack would
+  // grow with each of many pipelined requests.
   this->Loop.after(Duration::zero(), [Self = this->weak_from_this()] {
     if (const auto Alive = Self.lock()) {
       Alive->processInput();
@@ -272,9 +274,9 @@
   });
 }
 
-/// The caller may send its next request at any moment, and a loop that was late
-/// has not read what has come: idle is only what holds no bytes in the system
-/// either. A request that comes behind the look stays unread, and the reset
+/// A lagging loop may not have read the caller's next request yet, so the
+/// connection is idle only if the kernel holds no bytes for it either. A
+/// request that arrives after this check stays unread, and the resulting reset
 /// tells its caller that it has not run.
 void CallerSession::closeWhenIdle() {
   this->CloseAfterResponse = true;
@@ -288,8 +290,8 @@
 
 void CallerSession::stop() {
   this->closeWhenIdle();
-  if (const auto Tell = this->Listener.Stopping)
-    Tell();
+  if (const auto Callback = this->Listener.Stopping)
+    Callback();
 }
 
 void CallerSession::close() {
@@ -299,8 +301,8 @@
   this->Listener = {};
   if (this->Channel->isOpen() && !this->Channel->finishing())
     this->Channel->close();
-  if (const auto Tell = std::exchange(this->OnClosed, {}))
-    Tell(this);
+  if (const auto Callback = std::exchange(this->OnClosed, {}))
+    Callback(this);
 }
 
 void CallerSession::armTimer(Duration Limit, bool Idle) {
--- a/src/Gateway/CallerSession.h
+++ b/src/Gateway/CallerSession.h
@@ -12,82 +12,87 @@
 
 namespace parsleywing {
 
-/// A whole request as a caller sent it.
+/// A complete request as received from a caller.
 struct IncomingRequest {
   HttpHead Head;
   std::string Body;
   bool HasBody = false;
-  /// When its head had come.
+  /// When the request head was complete.
   TimePoint ReceivedAt{};
 };
 
-/// What a session tells the request that it serves.
+/// Callbacks from a session to the request that it serves.
 struct CallerListener {
-  /// The caller closed the connection: nobody waits for the answer any more.
+  /// The caller closed the connection and no longer waits for the response.
   std::function<void()> Disconnected;
-  /// All of the answer so far has been taken by the system.
+  /// The kernel has accepted all response bytes written so far.
   std::function<void()> SendBufferDrained;
-  /// The router stops: the final answer is due now.
+  /// The router is shutting down: the request must send its final response
+  /// now.
   std::function<void()> Stopping;
 };
 
-/// One connection of a caller: requests one after the other, each read whole,
-/// then answered once. Requests that are malformed, too large or too slow are
-/// answered here.
+/// One HTTP connection of a caller. Serves one request at a time: reads it
+/// completely, hands it to the handler, and sends exactly one response.
+/// Requests that are malformed, too large or too slow are rejected here.
 class CallerSession : public std::enable_shared_from_this<CallerSession> {
 public:
-  /// Takes each whole request; it answers with the functions below.
+  /// Receives each complete request and responds with the functions below.
   using Handler = std::function<void(const std::shared_ptr<CallerSession> &,
                                      IncomingRequest)>;
-  /// Told once, when the connection is closed.
+  /// Called once, when the connection is closed.
   using CloseCallback = std::function<void(CallerSession *)>;
 
-  CallerSession(EventLoop &L, std::shared_ptr<ByteChannel> C,
-                GatewayLimits Bounds, Handler H, CloseCallback E);
+  CallerSession(EventLoop &L, std::shared_ptr<ByteChannel> C, GatewayLimits G,
+                Handler H, CloseCallback E);
   ~CallerSession();
   CallerSession(const CallerSession &) = delete;
   CallerSession &operator=(const CallerSession &) = delete;
 
   void start();
 
-  /// The request in hand wants to hear of the caller.
-  void setListener(CallerListener Wanted) {
-    this->Listener = std::move(Wanted);
+  /// Sets the callbacks of the request that is being served.
+  void setListener(CallerListener NewListener) {
+    this->Listener = std::move(NewListener);
   }
 
-  /// Answers the request in hand with a whole message. The length is set here.
+  /// Sends a complete response. Sets Content-Length.
   void sendResponse(HttpHead Head, std::string_view Body);
 
-  /// Begins an answer whose length is not known.
+  /// Starts a response of unknown length: chunked for HTTP/1.1, delimited by
+  /// the end of the connection for HTTP/1.0.
   void startResponse(HttpHead Head);
   void sendChunk(std::string_view Bytes);
   void finishResponse();
 
-  /// Breaks the answer off so that it cannot look whole.
+  /// Resets the connection, so that the caller cannot take the truncated
+  /// response for a complete one.
   void abortResponse();
 
-  /// Bytes of the answer that the caller has not taken.
+  /// Response bytes that the kernel has not accepted yet.
   std::size_t unsent() const { return this->Channel->unsent(); }
 
-  /// After the present answer, or the next one where the head of the present
-  /// one has left, the connection is closed, and the answer says so.
+  /// Closes the connection after the current response, announced by
+  /// `Connection: close`. If the head of the current response has already been
+  /// sent, this applies to the next response.
   void closeAfterResponse() { this->CloseAfterResponse = true; }
 
-  /// The same, but an idle connection is closed as soon as nothing waits on it.
+  /// Like `closeAfterResponse`, but closes an idle connection as soon as no
+  /// bytes are pending in either direction.
   void closeWhenIdle();
 
-  /// The router stops: a request in hand gets its final answer, and the
-  /// connection ends behind it.
+  /// The router is shutting down: ends the current request with its final
+  /// response and closes the connection after it.
   void stop();
 
-  /// Whether it has been idle for so long since an answer, which has left
-  /// whole. One that has sent nothing yet is not idle: its request may be on
-  /// the way.
-  bool idleFor(Duration Time) const {
+  /// Whether the connection has been idle for at least `MinIdle` since its last
+  /// response, which has been sent completely. A new connection without a
+  /// request is not idle: its first request may be on the way.
+  bool idleFor(Duration MinIdle) const {
     return this->CurrentState == State::ReadingHead && this->Input.empty() &&
            this->LastResponseAt && this->unsent() == 0 &&
            !this->CloseAfterResponse &&
-           this->Loop.clock().now() - *this->LastResponseAt >= Time;
+           this->Loop.clock().now() - *this->LastResponseAt >= MinIdle;
   }
   bool isServing() const { return this->CurrentState == State::Serving; }
 
@@ -98,6 +103,7 @@
   void limitPipelining();
   void onEnded();
   void processInput();
+  /// Both return whether the remaining input may hold more to parse.
   bool parseHead();
   bool parseBody();
   void dispatchRequest();
@@ -126,7 +132,7 @@
   std::optional<TimePoint> LastResponseAt;
 };
 
-/// The head of an answer that the router itself gives.
+/// The head of a response that the router generates itself.
 HttpHead localReplyHead(int Status, const std::string &Reason);
 
 } // namespace parsleywing
--- a/src/Gateway/GatewayContext.h
+++ b/src/Gateway/GatewayContext.h
@@ -17,35 +17,37 @@
 
 namespace parsleywing {
 
-/// Settings of the traffic of one router.
+/// Settings of one router's request traffic.
 struct GatewaySettings {
   std::string Name;
   std::string Zone;
-  /// Numeric IP and port on which callers are served.
+  /// Numeric IP and port of the listener for callers.
   std::string CallerAddress;
-  /// Where the balancer asks whether this router is ready.
+  /// Listener for the load balancer's readiness checks.
   std::string ReadyAddress;
-  /// Where metrics and the dump of state are served.
+  /// Listener for metrics and the state dump.
   std::string OperatorAddress;
-  /// Datagrams of other routers; empty for none.
+  /// Receives datagrams from other routers; empty to receive none.
   std::string PeerAddress;
-  /// Cores that this router has. Those with more do more for the others.
+  /// CPU cores of this router. Routers with more cores do a larger part of the
+  /// work that routers share.
   double Cores = 1;
   RetryBounds Retries;
-  /// What the fleet may send to a server that warms up.
+  /// Bounds on what the fleet may send to a server that is warming up.
   WarmUpBounds WarmUps;
-  /// A key that was taken away must not work for longer than this.
+  /// A revoked key must stop working within this time.
   Duration RevocationBound = std::chrono::seconds(5);
-  /// A configuration is in force so long after it was accepted.
+  /// An accepted configuration must be active within this time.
   Duration ConfigurationBound = std::chrono::seconds(2);
-  /// A server that leaves gets no requests so long after it said so.
+  /// A server that announces its removal must receive no more requests after
+  /// this time.
   Duration RemovalBound = std::chrono::seconds(2);
-  /// The servers of an evacuated zone get no requests so long after it was
-  /// asked for.
+  /// The servers of an evacuated availability zone must receive no more
+  /// requests this long after the evacuation was requested.
   Duration EvacuationBound = std::chrono::seconds(5);
-  /// From the stop signal to the end of the process.
+  /// Time from the stop signal to the end of the process.
   Duration DrainTimeout = std::chrono::seconds(8);
-  /// Connections of callers that are open at once.
+  /// Max simultaneously open caller connections.
   std::uint32_t MaxCallerConnections = 1500;
   LogLevel MinLogLevel = LogLevel::Info;
   std::string LogTarget = "stdout";
@@ -56,16 +58,16 @@
   }
 };
 
-/// How requests ended, for the metrics.
+/// Metrics of requests and connections.
 struct GatewayCounters {
-  explicit GatewayCounters(Metrics &Into);
+  explicit GatewayCounters(Metrics &Registry);
 
   Counter &Requests;
   Counter &Served;
   Counter &Refused;
-  /// How often each reason refused a request.
-  Counter &refusedBy(RefusalReason Why) const {
-    return *this->RefusedByReason.at(Why);
+  /// Requests refused for this reason.
+  Counter &refusedBy(RefusalReason Reason) const {
+    return *this->RefusedByReason.at(Reason);
   }
   Counter &Failed;
   Counter &FailedByServer;
@@ -73,11 +75,12 @@
   Counter &Truncated;
   Counter &CallersDisconnected;
   Counter &CallersOverLimit;
-  /// Connections of callers that ended with bytes of an answer not sent.
+  /// Caller connections that ended with unsent response bytes.
   Counter &ClosedWithUnsent;
-  /// Those that ended with bytes of their caller not read.
+  /// Caller connections that ended with unread input.
   Counter &ClosedWithUnread;
-  /// Those on which bytes came behind the end that the router had given them.
+  /// Caller connections that received bytes after the router had finished
+  /// them.
   Counter &ClosedWithDiscarded;
   Counter &Attempts;
   Counter &Retries;
@@ -93,8 +96,8 @@
 
 class GatewayRequest;
 
-/// What the requests of one router share. All of it belongs to the thread of
-/// the loop.
+/// State shared by the requests of one router. Used only on the event loop's
+/// thread.
 struct GatewayContext {
   EventLoop &Loop;
   const WireFormat &Format;
@@ -104,20 +107,25 @@
   AllocationAgent &Agent;
   GatewayCounters &Counters;
   CrashDetector &Crashes;
-  /// Counts suspended time, as the ages of proofs must.
+  /// Includes time in which the VM was suspended, which the age of a proof must
+  /// include.
   Clock BootClock = Clock::sinceBoot();
   std::shared_ptr<const FleetView> View = std::make_shared<FleetView>();
-  /// Requests that have not ended.
+  /// Requests that have not ended yet.
   std::set<GatewayRequest *> ActiveRequests{};
   std::map<std::string, RetryAllowance> RetryAllowances{};
-  /// The longest time that callers of a route have given, by the route's name:
-  /// what one has left less than this has passed since its first attempt.
+  /// The longest timeout that callers have sent, by route name. A request with
+  /// a shorter timeout is taken for a caller's retry: the difference has passed
+  /// since the caller's first attempt.
   std::map<std::string, Duration> MaxTimeoutByRoute{};
-  /// A stop signal came: connections are closed behind their answers.
+  /// A stop signal was received: connections are closed after their
+  /// responses.
   bool Draining = false;
-  /// More callers are connected than are served; the newest is refused.
+  /// More caller connections are open than are served; the request that just
+  /// arrived is refused.
   bool CallerLimitExceeded = false;
-  /// New requests are refused: too little of the drain is left for them.
+  /// New requests are refused, since too little time of the drain is left to
+  /// serve them.
   bool RefusingNewRequests = false;
 
   RetryAllowance &retryAllowance(const std::string &Service) {
@@ -125,7 +133,7 @@
         .first->second;
   }
 
-  /// How old the proof is that the configuration is the newest one.
+  /// Age of the proof that the configuration is the newest one.
   Duration proofAge() const {
     return this->BootClock.now() - this->View->ProvenAt;
   }
--- a/src/Gateway/GatewayFront.cpp
+++ b/src/Gateway/GatewayFront.cpp
@@ -19,70 +19,73 @@
 
 namespace {
 
-/// Connections that the system keeps until they are accepted: a burst of new
-/// callers within the loop's lag.
+/// Listen backlog: holds a burst of new callers for as long as the loop may
+/// lag.
 constexpr int AcceptBacklog = 512;
-/// With timers this late a router says that it is not ready, and with less than
-/// the other that it is again.
-constexpr Duration BusyLag = std::chrono::milliseconds(50);
-constexpr Duration CalmLag = std::chrono::milliseconds(10);
-
-constexpr int MaxAcceptedPerTurn = 32;
-constexpr std::size_t IdleClosedAtOnce = 64;
-/// Idle for so long, a connection is not likely to carry a request just now.
-constexpr Duration IdleBeforeClose = std::chrono::milliseconds(500);
-/// Callers beyond the most that are served which are refused at once.
-constexpr std::size_t RefusedAtOnce = 256;
+/// Above the first loop lag the router reports not ready, below the second it
+/// reports ready again.
+constexpr Duration NotReadyLag = std::chrono::milliseconds(50);
+constexpr Duration ReadyLag = std::chrono::milliseconds(10);
+
+constexpr int MaxAcceptsPerIteration = 32;
+constexpr std::size_t MaxIdleClosedAtOnce = 64;
+/// A connection that has been idle for this long is unlikely to carry a request
+/// soon, so it may be closed in favour of new callers.
+constexpr Duration MinIdleBeforeClose = std::chrono::milliseconds(500);
+/// Connections above the caller limit that are accepted in order to refuse
+/// their requests.
+constexpr std::size_t MaxRefusedConnections = 256;
 constexpr Duration AcceptPause = std::chrono::milliseconds(10);
 
-/// The balancer notices within two seconds that a router is not ready. Idle
-/// connections are kept so long and a little longer, since callers go on using
-/// those that they have.
-constexpr Duration IdleDrain = std::chrono::milliseconds(2400);
-
-/// From here on new requests are refused. What was sent to this router earlier
-/// is still answered.
-constexpr Duration AcceptingDrain = std::chrono::milliseconds(2700);
-
-/// The rest of the drain limit that is left for the end of the process.
-constexpr Duration DrainReserve = std::chrono::milliseconds(500);
-/// The part of the drain before that in which requests in hand get their final
-/// answers.
-constexpr Duration FinalAnswers = std::chrono::milliseconds(150);
-constexpr Duration DrainCheck = std::chrono::milliseconds(50);
+/// Time from the start of the drain until idle connections are closed. The load
+/// balancer notices within two seconds that a router is not ready; idle
+/// connections stay open slightly longer, since callers keep using them.
+constexpr Duration IdleCloseDelay = std::chrono::milliseconds(2400);
+
+/// Time from the start of the drain until new requests are refused. Earlier
+/// requests are still served.
+constexpr Duration RefusalDelay = std::chrono::milliseconds(2700);
+
+/// The part of the drain timeout that is reserved for ending the process.
+constexpr Duration ShutdownReserve = std::chrono::milliseconds(500);
+/// The part of the drain before `ShutdownReserve` in which active requests get
+/// their final responses.
+constexpr Duration FinalResponseTime = std::chrono::milliseconds(150);
+constexpr Duration DrainCheckInterval = std::chrono::milliseconds(50);
 constexpr Duration HousekeepingInterval = std::chrono::seconds(1);
 
-/// A router whose proof of the configuration is older than this part of the
-/// bound on revocation is not ready: soon it may serve nobody with a key,
-/// while others can.
-constexpr double ReadyProofPart = 0.6;
+/// A router whose configuration proof is older than this fraction of the
+/// revocation bound reports not ready: it may soon have to refuse all requests
+/// with keys, while other routers can still serve them.
+constexpr double MaxReadyProofFraction = 0.6;
 
-/// Tells this process from earlier ones of its router's name.
-std::uint64_t processNumber() {
+/// Distinguishes this process from earlier processes of the same router name.
+std::uint64_t randomProcessNumber() {
   std::random_device Device;
   return (std::uint64_t{Device()} << 32U) | Device();
 }
 
-/// The next connection that waits; null where there is none. Fails where the
-/// system has none to give, as without a descriptor. The library's own call
-/// would throw for both, and asking it beforehand costs four calls of the
-/// system.
+/// Accepts the next pending connection; null if there is none. Fails if the
+/// kernel cannot provide one, for instance without free descriptors. Poco's
+/// accept would throw in both cases, and polling the socket first with Poco
+/// costs four system calls.
 Result<std::optional<Poco::Net::StreamSocket>>
-acceptNow(const Poco::Net::ServerSocket &Listening) {
+acceptNext(const Poco::Net::ServerSocket &Listening) {
   const int Accepted = ::accept4(Listening.impl()->sockfd(), nullptr, nullptr,
                                  SOCK_CLOEXEC | SOCK_NONBLOCK);
   if (Accepted >= 0)
     return Poco::Net::StreamSocket(new Poco::Net::StreamSocketImpl(Accepted));
-  // Its caller may have left meanwhile; then the next turn finds the others.
-  const bool Usual = errno == EAGAIN || errno == EWOULDBLOCK ||
-                     errno == EINTR || errno == ECONNABORTED;
-  if (Usual)
+  // If the caller has disconnected meanwhile, the next iteration accepts the
+  // other connections.
+  const bool Harmless = errno == EAGAIN || errno == EWOULDBLOCK ||
+                        errno == EINTR || errno == ECONNABORTED;
+  if (Harmless)
     return std::nullopt;
   return failure(ErrorCode::Unreachable,
                  "accept failed: " + std::string(std::strerror(errno)));
 }
 
-/// Limits for requests of the balancer and operators.
+/// Limits for requests of the load balancer and of operators.
 GatewayLimits operatorLimits() {
   GatewayLimits Limits;
   Limits.MaxBodyBytes = 4096;
@@ -97,43 +100,45 @@
                                        {Settings.Name, Settings.PeerAddress,
                                         Settings.Cores, Settings.Zone},
                                        M),
-      Fleet(Loop, Routers, processNumber(),
+      Fleet(Loop, Routers, randomProcessNumber(),
             RelayTimes::of(Settings.fleetBounds())),
-      Agent(Loop, Routers, processNumber(), Settings.WarmUps, M),
+      Agent(Loop, Routers, randomProcessNumber(), Settings.WarmUps, M),
       PartsReader(Loop, F, Pool, M),
-      Crashes(Loop, Routers, processNumber(), M), Context{Loop,     F,
-                                                          Settings, Servers,
-                                                          Pool,     Agent,
-                                                          Counters, Crashes} {
+      Crashes(Loop, Routers, randomProcessNumber(), M),
+      Context{Loop, F, Settings, Servers, Pool, Agent, Counters, Crashes} {
   this->Servers.setWarmUpBounds(this->Settings.WarmUps);
   this->addGauges();
 }
 
 GatewayFront::~GatewayFront() {
-  // Sessions tell their end to the maps; emptied first, they find nothing.
-  const auto Gone = std::exchange(this->CallerSessions, {});
-  const auto GoneOthers = std::exchange(this->AdminSessions, {});
+  // A session that closes erases itself from its map, which must not change
+  // while it is being destroyed.
+  const auto OldCallerSessions = std::exchange(this->CallerSessions, {});
+  const auto OldAdminSessions = std::exchange(this->AdminSessions, {});
 }
 
 void GatewayFront::addGauges() {
   this->MetricsRegistry.callback(
       MetricKind::Gauge,
-      {"loop_lag_seconds", "How late the last timer was served.", ""}, [this] {
+      {"loop_lag_seconds",
+       "How late timers run, averaged over recent loop iterations.", ""},
+      [this] {
         return std::chrono::duration<double>(this->Loop.lag()).count();
       });
   this->MetricsRegistry.callback(
       MetricKind::Gauge,
       {"configuration_proof_age_seconds",
-       "Time since the configuration was proved to be the newest one.", ""},
+       "Time since the configuration was confirmed to be the newest one.", ""},
       [this] {
         return std::chrono::duration<double>(this->Context.proofAge()).count();
       });
   this->MetricsRegistry.callback(
       MetricKind::Gauge,
-      {"configuration_version", "Version in force; 0 where none is known.", ""},
+      {"configuration_version",
+       "Active configuration version; 0 if none is known.", ""},
       [this] {
-        const auto &Known = this->Context.View->Configuration;
-        return Known == nullptr ? 0.0 : static_cast<double>(Known->Version);
+        const auto &Active = this->Context.View->Configuration;
+        return Active == nullptr ? 0.0 : static_cast<double>(Active->Version);
       });
   const auto WarmUps = [this] {
     return this->Agent.allocator().serverTable().warmUpTotals(
@@ -141,27 +146,28 @@
   };
   this->MetricsRegistry.callback(
       MetricKind::Gauge,
-      {"warming_servers", "Servers that warm up behind their start.", ""},
+      {"warming_servers", "Servers that are warming up after a start.", ""},
       [WarmUps] { return static_cast<double>(WarmUps().Servers); });
   this->MetricsRegistry.callback(
       MetricKind::Gauge,
       {"warm_up_grants_allowed_per_second",
-       "What those of them bear together that this router alone grants.", ""},
+       "Total request rate of the warming servers whose grants this router "
+       "issues.",
+       ""},
       [WarmUps] { return WarmUps().GrantedPerSecond; });
   this->MetricsRegistry.callback(
       MetricKind::Gauge,
-      {"evacuated_zones", "Availability zones that are to be left.", ""},
-      [this] {
+      {"evacuated_zones", "Availability zones under evacuation.", ""}, [this] {
         const auto &Zones = this->Context.View->EvacuatedZones;
         return Zones == nullptr ? 0.0 : static_cast<double>(Zones->size());
       });
   this->MetricsRegistry.callback(
-      MetricKind::Gauge,
-      {"caller_connections", "Open connections of callers.", ""},
+      MetricKind::Gauge, {"caller_connections", "Open caller connections.", ""},
       [this] { return static_cast<double>(this->CallerChannels.size()); });
   this->MetricsRegistry.callback(
       MetricKind::Gauge,
-      {"idle_server_connections", "Kept connections to servers.", ""},
+      {"idle_server_connections", "Idle connections to servers in the pool.",
+       ""},
       [this] { return static_cast<double>(this->Pool.idleCount()); });
 }
 
@@ -201,8 +207,8 @@
   return Opened;
 }
 
-Result<void> GatewayFront::listenOn(const std::string &Address, Handler Handle,
-                                    bool FromCallers) {
+Result<void> GatewayFront::listenOn(const std::string &Address,
+                                    Handler OnRequest, bool FromCallers) {
   try {
     Poco::Net::ServerSocket Listening;
     Listening.bind(Poco::Net::SocketAddress(Address), true);
@@ -210,9 +216,9 @@
     Listening.setBlocking(false);
     this->Listeners.push_back(Listening);
     this->Loop.add(Listening, Poco::Net::PollSet::POLL_READ,
-                   [this, Listening, Handle = std::move(Handle),
+                   [this, Listening, OnRequest = std::move(OnRequest),
                     FromCallers](int) mutable {
-                     this->acceptPending(Listening, Handle, FromCallers);
+                     this->acceptPending(Listening, OnRequest, FromCallers);
                    });
   } catch (const Poco::Exception &Problem) {
     return failure(ErrorCode::Unreachable, "cannot listen on " + Address +
@@ -222,17 +228,18 @@
 }
 
 void GatewayFront::acceptPending(Poco::Net::ServerSocket &Listening,
-                                 const Handler &Handle, bool FromCallers) {
-  // Several at a time: with one a round, a queue of new callers would outgrow
-  // the rounds of a busy loop, and the system would drop their first packets.
-  for (int Count = 0; Count < MaxAcceptedPerTurn; ++Count) {
+                                 const Handler &OnRequest, bool FromCallers) {
+  // Accepts several connections per loop iteration: with one, the backlog would
+  // overflow on a busy loop, and the kernel would drop the callers' SYN
+  // packets.
+  for (int Count = 0; Count < MaxAcceptsPerIteration; ++Count) {
     const std::size_t Open =
         FromCallers ? this->CallerChannels.size() : this->AdminSessions.size();
-    if (Open >= this->Settings.MaxCallerConnections + RefusedAtOnce) {
+    if (Open >= this->Settings.MaxCallerConnections + MaxRefusedConnections) {
       this->pauseAccepting(Listening);
       return;
     }
-    auto Accepted = acceptNow(Listening);
+    auto Accepted = acceptNext(Listening);
     if (!Accepted) {
       log(LogPart::Caller, LogLevel::Warn, Accepted.error().Message);
       this->pauseAccepting(Listening);
@@ -240,13 +247,14 @@
     }
     if (!*Accepted)
       return;
-    this->serveConnection(**Accepted, Handle, FromCallers);
+    this->serveConnection(**Accepted, OnRequest, FromCallers);
   }
 }
 
-/// Those that wait are not accepted for a moment, in place of being closed
-/// unread; what is being refused makes room within that time. Without the pause
-/// a listener that cannot accept would wake the loop again at once.
+/// Leaves pending connections in the backlog for a short time instead of
+/// closing them unread; connections that are being refused are finished within
+/// that time. Without the pause, a listener that cannot accept would keep
+/// waking the loop.
 void GatewayFront::pauseAccepting(const Poco::Net::ServerSocket &Listening) {
   this->Loop.update(Listening, Poco::Net::PollSet::POLL_ERROR);
   this->Loop.after(AcceptPause, [this, Listening] {
@@ -255,7 +263,7 @@
 }
 
 void GatewayFront::serveConnection(Poco::Net::StreamSocket &Accepted,
-                                   const Handler &Handle, bool FromCallers) {
+                                   const Handler &OnRequest, bool FromCallers) {
   Sessions &Open = FromCallers ? this->CallerSessions : this->AdminSessions;
   if (Open.size() >= this->Settings.MaxCallerConnections)
     closeIdleSessions(Open);
@@ -265,18 +273,18 @@
   if (FromCallers) {
     this->CallerChannels.insert(Channel);
     Channel->setReleaseCallback(
-        [this, Of = Channel.get()](const ChannelLoss &Loss) {
-          this->CallerChannels.erase(Of->shared_from_this());
+        [this, Released = Channel.get()](const ChannelLoss &Loss) {
+          this->CallerChannels.erase(Released->shared_from_this());
           this->recordLoss(Loss);
         });
   }
-  const auto &Known = this->Context.View->Configuration;
+  const auto &Active = this->Context.View->Configuration;
   GatewayLimits Limits = FromCallers ? GatewayLimits{} : operatorLimits();
-  if (FromCallers && Known != nullptr)
-    Limits = Known->Limits;
+  if (FromCallers && Active != nullptr)
+    Limits = Active->Limits;
   auto Session = std::make_shared<CallerSession>(
-      this->Loop, std::move(Channel), Limits, Handle,
-      [&Open](CallerSession *Gone) { Open.erase(Gone); });
+      this->Loop, std::move(Channel), Limits, OnRequest,
+      [&Open](CallerSession *Closed) { Open.erase(Closed); });
   Open.emplace(Session.get(), Session);
   Session->start();
 }
@@ -299,14 +307,14 @@
   });
 }
 
-/// Makes room for new callers: an idle connection costs its caller one round
-/// trip, a refused one its request.
-void GatewayFront::closeIdleSessions(const Sessions &Among) {
+/// Makes room for new callers: losing an idle connection costs its caller one
+/// round trip, a refusal costs a caller its request.
+void GatewayFront::closeIdleSessions(const Sessions &Candidates) {
   std::vector<std::shared_ptr<CallerSession>> Idle;
-  for (const auto &[Key, Session] : Among) {
-    if (Session->idleFor(IdleBeforeClose))
+  for (const auto &[Key, Session] : Candidates) {
+    if (Session->idleFor(MinIdleBeforeClose))
       Idle.push_back(Session);
-    if (Idle.size() >= IdleClosedAtOnce)
+    if (Idle.size() >= MaxIdleClosedAtOnce)
       break;
   }
   for (const auto &Each : Idle)
@@ -334,7 +342,7 @@
          !View.Servers->empty() &&
          this->Context.proofAge() <
              std::chrono::duration_cast<Duration>(
-                 this->Settings.RevocationBound * ReadyProofPart);
+                 this->Settings.RevocationBound * MaxReadyProofFraction);
 }
 
 void GatewayFront::serveReadiness(
@@ -357,105 +365,108 @@
 }
 
 std::string GatewayFront::dumpState() const {
-  Poco::JSON::Object Whole;
+  Poco::JSON::Object Root;
   const FleetView &View = *this->Context.View;
-  Whole.set("router", this->Settings.Name);
-  Whole.set("ready", this->ready());
-  Whole.set("draining", this->Context.Draining);
-  Whole.set("routers", View.RouterCount);
-  Whole.set("configuration",
-            View.Configuration == nullptr ? 0 : View.Configuration->Version);
-  Whole.set("proofAgeMs", std::chrono::duration_cast<std::chrono::milliseconds>(
-                              this->Context.proofAge())
-                              .count());
+  Root.set("router", this->Settings.Name);
+  Root.set("ready", this->ready());
+  Root.set("draining", this->Context.Draining);
+  Root.set("routers", View.RouterCount);
+  Root.set("configuration",
+           View.Configuration == nullptr ? 0 : View.Configuration->Version);
+  Root.set("proofAgeMs", std::chrono::duration_cast<std::chrono::milliseconds>(
+                             this->Context.proofAge())
+                             .count());
   Poco::JSON::Array::Ptr Zones = new Poco::JSON::Array;
   if (View.EvacuatedZones != nullptr)
-    for (const auto &[Zone, At] : *View.EvacuatedZones)
+    for (const auto &[Zone, Revision] : *View.EvacuatedZones)
       Zones->add(Zone);
-  Whole.set("evacuatedZones", Zones);
-  Poco::JSON::Object::Ptr Listed = new Poco::JSON::Object;
+  Root.set("evacuatedZones", Zones);
+  Poco::JSON::Object::Ptr ServerEntries = new Poco::JSON::Object;
   for (const auto &[Id, Server] : this->Servers.servers()) {
-    Poco::JSON::Object::Ptr One = new Poco::JSON::Object;
-    One->set("service", Server.Service);
-    One->set("address", Server.Address.toString());
-    One->set("zone", Server.Zone);
-    One->set("draining", Server.Draining);
-    One->set("evacuated", Server.Evacuated);
-    One->set("warmingUp",
-             this->Servers.isWarmingUp(hashName(Id), this->Loop.clock().now()));
-    One->set("running", this->Servers.running(hashName(Id)));
-    Listed->set(Id, One);
+    Poco::JSON::Object::Ptr Entry = new Poco::JSON::Object;
+    Entry->set("service", Server.Service);
+    Entry->set("address", Server.Address.toString());
+    Entry->set("zone", Server.Zone);
+    Entry->set("draining", Server.Draining);
+    Entry->set("evacuated", Server.Evacuated);
+    Entry->set("warmingUp", this->Servers.isWarmingUp(
+                                hashName(Id), this->Loop.clock().now()));
+    Entry->set("running", this->Servers.running(hashName(Id)));
+    ServerEntries->set(Id, Entry);
   }
-  Whole.set("servers", Listed);
+  Root.set("servers", ServerEntries);
   Poco::JSON::Array::Ptr Suspects = new Poco::JSON::Array;
   this->Crashes.registry().visit([&Suspects](const RequestIdentity &Request,
                                              std::size_t Count, bool Refused) {
-    Poco::JSON::Object::Ptr One = new Poco::JSON::Object;
-    One->set("content", textOf(Request));
-    One->set("crashes", Count);
-    One->set("refused", Refused);
-    Suspects->add(One);
+    Poco::JSON::Object::Ptr Entry = new Poco::JSON::Object;
+    Entry->set("content", textOf(Request));
+    Entry->set("crashes", Count);
+    Entry->set("refused", Refused);
+    Suspects->add(Entry);
   });
-  Whole.set("crashSuspects", Suspects);
+  Root.set("crashSuspects", Suspects);
   std::ostringstream Text;
-  Whole.stringify(Text, 1);
+  Root.stringify(Text, 1);
   return Text.str();
 }
 
 void GatewayFront::drain() {
-  this->Loop.post(
-      [this, Asked = this->Loop.clock().now()] { this->startDrain(Asked); });
+  this->Loop.post([this, RequestedAt = this->Loop.clock().now()] {
+    this->startDrain(RequestedAt);
+  });
 }
 
-/// The limit runs from the signal: a loop that stands still as it comes has
-/// that much less time.
-void GatewayFront::startDrain(TimePoint Asked) {
+/// The drain timeout runs from the signal: a loop that is blocked when it
+/// arrives has less time for the drain.
+void GatewayFront::startDrain(TimePoint RequestedAt) {
   if (this->Context.Draining)
     return;
   log(LogPart::Caller, LogLevel::Info,
       "drain begins with " + std::to_string(this->CallerChannels.size()) +
-          " connections of callers");
+          " caller connections");
   this->Context.Draining = true;
   this->Routers.leave();
-  this->DrainStartedAt = Asked;
+  this->DrainStartedAt = RequestedAt;
   for (const auto &[Key, Session] : this->CallerSessions)
     Session->closeAfterResponse();
-  this->Loop.after(IdleDrain, [this] {
+  this->Loop.after(IdleCloseDelay, [this] {
     const auto Open = this->CallerSessions;
     for (const auto &[Key, Session] : Open)
       Session->closeWhenIdle();
   });
-  this->Loop.after(AcceptingDrain,
+  this->Loop.after(RefusalDelay,
                    [this] { this->Context.RefusingNewRequests = true; });
   this->checkDrain();
 }
 
 void GatewayFront::checkDrain() {
-  const Duration Gone = this->Loop.clock().now() - this->DrainStartedAt;
-  const Duration Left = this->Settings.DrainTimeout - DrainReserve - Gone;
-  const bool Idle = Gone > AcceptingDrain && this->CallerChannels.empty();
-  if (Left < FinalAnswers)
+  const Duration Elapsed = this->Loop.clock().now() - this->DrainStartedAt;
+  const Duration Remaining =
+      this->Settings.DrainTimeout - ShutdownReserve - Elapsed;
+  const bool Finished = Elapsed > RefusalDelay && this->CallerChannels.empty();
+  if (Remaining < FinalResponseTime)
     this->stopSessions();
-  if (Idle || Left < Duration::zero()) {
+  if (Finished || Remaining < Duration::zero()) {
     log(LogPart::Caller, LogLevel::Info,
         "drain ends with " + std::to_string(this->CallerChannels.size()) +
-            " connections of callers");
+            " caller connections");
     this->abortUnsentChannels();
     this->Loop.stop();
     return;
   }
-  this->Loop.after(DrainCheck, [this] { this->checkDrain(); });
+  this->Loop.after(DrainCheckInterval, [this] { this->checkDrain(); });
 }
 
-/// The end of the process would cut what is in hand without a word.
+/// Active requests get their final responses; the end of the process would
+/// close their connections without any.
 void GatewayFront::stopSessions() {
   const auto Open = this->CallerSessions;
   for (const auto &[Key, Session] : Open)
     Session->stop();
 }
 
-/// The system would end these in order, and what has come of them could be
-/// taken for the whole.
+/// At the end of the process the kernel would close these connections normally,
+/// and their callers could take a truncated response for a complete one.
 void GatewayFront::abortUnsentChannels() {
   const auto Open = this->CallerChannels;
   for (const auto &Channel : Open)
@@ -465,11 +476,12 @@
 
 void GatewayFront::housekeeping() {
   this->Pool.closeExpired();
-  // Short of processor time for a whole second; the balancer's next callers go
-  // elsewhere. Ready again only once there is time to spare, so that the flood
-  // does not come back with the first quiet moment.
+  // A router that is short of CPU time reports not ready for at least a second,
+  // so that the load balancer sends new callers to other routers. It becomes
+  // ready again only below a lower lag, so that a flood does not return as soon
+  // as the load drops.
   const Duration Lag = this->Loop.lag();
-  this->Overloaded = Lag > (this->Overloaded ? CalmLag : BusyLag);
+  this->Overloaded = Lag > (this->Overloaded ? ReadyLag : NotReadyLag);
   if (this->ready() != this->WasReady) {
     this->WasReady = !this->WasReady;
     log(LogPart::Program, LogLevel::Info,
--- a/src/Gateway/GatewayFront.h
+++ b/src/Gateway/GatewayFront.h
@@ -19,10 +19,10 @@
 
 namespace parsleywing {
 
-/// Serves callers, the balancer's question and operators on one loop. All of
-/// it belongs to the thread that calls `run`; `takeView` and `drain` are safe
-/// from any thread. What it hears of the fleet stands in
-/// `GatewayFrontFleet.cpp`.
+/// Serves callers, the load balancer's readiness checks and operators on one
+/// event loop. Used on the thread that calls `run`; `updateView` and `drain`
+/// are thread-safe. `GatewayFrontFleet.cpp` handles updates of the fleet's
+/// state.
 class GatewayFront {
 public:
   GatewayFront(GatewaySettings S, const WireFormat &F, Metrics &M);
@@ -30,64 +30,67 @@
   GatewayFront(const GatewayFront &) = delete;
   GatewayFront &operator=(const GatewayFront &) = delete;
 
-  /// Opens the listening addresses. Fails with `Unreachable` where one is
-  /// taken.
+  /// Opens the listening sockets. Fails with `Unreachable` if an address is in
+  /// use.
   Result<void> open();
 
-  /// Serves until a drain has ended.
+  /// Serves until a drain has finished.
   void run() { this->Loop.run(); }
 
-  /// Ends `run` at once, without a drain. Safe from any thread.
+  /// Ends `run` immediately, without a drain. Thread-safe.
   void stop() { this->Loop.stop(); }
 
+  /// Applies a new view of the fleet on the loop's thread. Thread-safe.
   void updateView(std::shared_ptr<const FleetView> View);
 
-  /// Begins to stop: not ready from now on, connections are closed behind
-  /// their answers, and the loop ends when none is left or at the drain limit.
+  /// Starts a drain: reports not ready, closes connections after their
+  /// responses, and ends the loop when no connection is left or the drain times
+  /// out. Thread-safe.
   void drain();
 
-  /// Hears of the fleet from a relay. Before `run`.
-  void subscribeToRelay(FleetExchange::MessageCallback Told) {
-    this->Fleet.start(std::move(Told));
+  /// Starts receiving fleet updates from a relay. Call before `run`.
+  void subscribeToRelay(FleetExchange::MessageCallback OnMessage) {
+    this->Fleet.start(std::move(OnMessage));
   }
   RelayRole relayRole() const { return this->Fleet.role(); }
-  /// Safe from any thread.
+  /// Uses another relay for a while. Thread-safe.
   void switchRelay() {
     this->Loop.post([this] { this->Fleet.switchRelay(); });
   }
 
-  /// Whether the balancer may send callers here.
+  /// Whether the load balancer may send callers to this router.
   bool ready() const;
 
 private:
   using Handler = CallerSession::Handler;
   using Sessions = std::map<CallerSession *, std::shared_ptr<CallerSession>>;
 
-  Result<void> listenOn(const std::string &Address, Handler Handle,
-                        bool Callers);
-  void acceptPending(Poco::Net::ServerSocket &Listening, const Handler &Handle,
-                     bool Callers);
-  void serveConnection(Poco::Net::StreamSocket &Accepted, const Handler &Handle,
-                       bool Callers);
-  /// Counts and logs what a caller's connection lost as it ended.
+  Result<void> listenOn(const std::string &Address, Handler OnRequest,
+                        bool FromCallers);
+  void acceptPending(Poco::Net::ServerSocket &Listening,
+                     const Handler &OnRequest, bool FromCallers);
+  void serveConnection(Poco::Net::StreamSocket &Accepted,
+                       const Handler &OnRequest, bool FromCallers);
+  /// Counts and logs the bytes that a caller connection lost when it ended.
   void recordLoss(const ChannelLoss &Loss);
   void pauseAccepting(const Poco::Net::ServerSocket &Listening);
-  static void closeIdleSessions(const Sessions &Among);
+  static void closeIdleSessions(const Sessions &Candidates);
   void serveCaller(const std::shared_ptr<CallerSession> &Session,
                    IncomingRequest Request);
   void serveReadiness(const std::shared_ptr<CallerSession> &Session) const;
   void serveOperator(const std::shared_ptr<CallerSession> &Session,
                      const IncomingRequest &Request);
   std::string dumpState() const;
-  void startDrain(TimePoint Asked);
+  void startDrain(TimePoint RequestedAt);
   void checkDrain();
   void stopSessions();
   void abortUnsentChannels();
   void housekeeping();
   void startCachedPartsQueries();
-  /// Ends what is in hand of requests that are refused by now.
+  /// Ends active requests that crash detection refuses by now.
   void endRefusedRequests();
-  void closeStaleConnections(const ServerList &New);
+  /// Closes idle connections to servers that have restarted or moved.
+  void closeStaleConnections(const ServerList &NewServers);
   void applyView(const std::shared_ptr<const FleetView> &View);
   void onRouterMessage(const RouterMessage &Message,
                        const Poco::Net::SocketAddress &From);
@@ -108,9 +111,10 @@
   std::vector<Poco::Net::ServerSocket> Listeners;
   Sessions CallerSessions;
   Sessions AdminSessions;
-  /// Open connections of callers, with those that only send their last answer.
+  /// Open caller connections, including those whose session has ended and that
+  /// are still sending the last response.
   std::set<std::shared_ptr<ByteChannel>> CallerChannels;
-  /// What the feed has told last, until the loop takes it.
+  /// The newest view, until the loop applies it.
   std::atomic<std::shared_ptr<const FleetView>> PendingView;
   TimePoint DrainStartedAt{};
   bool WasReady = false;
--- a/src/Gateway/GatewayFrontFleet.cpp
+++ b/src/Gateway/GatewayFrontFleet.cpp
@@ -8,11 +8,11 @@
 
 void GatewayFront::startCachedPartsQueries() {
   this->PartsReader.start(
-      [this](const GatewayServer &Server, const CachedParts &Told) {
+      [this](const GatewayServer &Server, const CachedParts &Cached) {
         log(LogPart::Backend, LogLevel::Info,
-            "server=" + Server.Id + " keeps " +
-                std::to_string(Told.Parts.size()) + " parts");
-        this->Agent.recordCached(hashName(Server.Id), Told);
+            "server=" + Server.Id + " caches " +
+                std::to_string(Cached.Parts.size()) + " prompt parts");
+        this->Agent.recordCached(hashName(Server.Id), Cached);
       });
   this->Agent.onUnknownCache([this](std::uint64_t Server) {
     if (const GatewayServer *Listed = this->Servers.find(Server))
@@ -20,20 +20,21 @@
   });
 }
 
-/// Another end may follow from each, so all are kept while the last is told.
+/// Ending one request may end others and change `ActiveRequests`, so all are
+/// kept alive until the loop is done.
 void GatewayFront::endRefusedRequests() {
-  std::vector<std::shared_ptr<GatewayRequest>> Open;
+  std::vector<std::shared_ptr<GatewayRequest>> Active;
   for (GatewayRequest *Each : this->Context.ActiveRequests)
-    Open.push_back(Each->shared_from_this());
-  for (const auto &Each : Open)
+    Active.push_back(Each->shared_from_this());
+  for (const auto &Each : Active)
     Each->endIfRefused();
 }
 
-/// A kept connection to a process that is gone, or to an address that its
-/// server has left, would lose the next request: one that may run once could
-/// then neither be sent again nor be called not run.
-void GatewayFront::closeStaleConnections(const ServerList &New) {
-  for (const auto &[Id, Server] : New) {
+/// An idle connection to a process that has ended, or to an address that its
+/// server has left, would lose the next request. A request that may run only
+/// once could then neither be retried nor be reported as not run.
+void GatewayFront::closeStaleConnections(const ServerList &NewServers) {
+  for (const auto &[Id, Server] : NewServers) {
     const GatewayServer *Known = this->Servers.find(hashName(Id));
     if (Known == nullptr)
       continue;
@@ -50,8 +51,9 @@
   }
 }
 
-/// Only the newest view waits for the loop: one that stood still would else
-/// work through all that came meanwhile, and hold the lists of each.
+/// Only the newest view is queued for the loop: otherwise a loop that was
+/// blocked would have to apply every view since, and keep the lists of each in
+/// memory.
 void GatewayFront::updateView(std::shared_ptr<const FleetView> View) {
   if (this->PendingView.exchange(std::move(View)) != nullptr)
     return;
@@ -63,7 +65,7 @@
 
 void GatewayFront::applyView(const std::shared_ptr<const FleetView> &View) {
   const FleetView &Before = *this->Context.View;
-  // What engines state stands in the configuration.
+  // The server table also reads the service parameters in the configuration.
   if (View->Servers != nullptr &&
       (View->Servers != Before.Servers ||
        View->Configuration != Before.Configuration)) {
@@ -86,14 +88,14 @@
 
 void GatewayFront::onRouterMessage(const RouterMessage &Message,
                                    const Poco::Net::SocketAddress &From) {
-  if (const auto *Asked = std::get_if<FleetStatusRequest>(&Message))
-    this->Fleet.onStatusRequest(*Asked, From);
-  else if (const auto *Told = std::get_if<FleetStatus>(&Message))
-    this->Fleet.onStatus(*Told, From);
-  else if (const auto *News = std::get_if<FleetUpdate>(&Message))
-    this->Fleet.onUpdate(*News);
-  else if (const auto *Crashed = std::get_if<CrashReport>(&Message))
-    this->Crashes.onReport(*Crashed, From);
+  if (const auto *Request = std::get_if<FleetStatusRequest>(&Message))
+    this->Fleet.onStatusRequest(*Request, From);
+  else if (const auto *Status = std::get_if<FleetStatus>(&Message))
+    this->Fleet.onStatus(*Status, From);
+  else if (const auto *Update = std::get_if<FleetUpdate>(&Message))
+    this->Fleet.onUpdate(*Update);
+  else if (const auto *Report = std::get_if<CrashReport>(&Message))
+    this->Crashes.onReport(*Report, From);
   else
     this->Agent.onMessage(Message, From);
 }
--- a/src/Gateway/GatewayRequest.cpp
+++ b/src/Gateway/GatewayRequest.cpp
@@ -10,14 +10,14 @@
 
 namespace {
 
-/// The bounds on revocation and on a configuration are used up to this part:
-/// the rest covers the clocks' rates and the time from the check to the send.
+/// Safety margins below the revocation and configuration bounds. They cover
+/// clock drift and the time from the check until the request is sent.
 constexpr Duration RevocationMargin = std::chrono::milliseconds(400);
 
-constexpr double ConfigurationPart = 0.75;
+constexpr double UsableConfigurationFraction = 0.75;
 
-/// With its timers this late a router cannot serve what it takes on time: a
-/// fifth of the shortest objective (400 ms for a first piece).
+/// Above this loop lag a router cannot serve new requests within their latency
+/// objective. A fifth of the shortest objective (400 ms to the first chunk).
 constexpr Duration OverloadLag = std::chrono::milliseconds(80);
 
 } // namespace
@@ -29,20 +29,20 @@
 
 void GatewayRequest::start() {
   this->Context.Counters.Requests.add();
-  CallerListener Wanted;
-  Wanted.Disconnected = [Self = this->shared_from_this()] {
+  CallerListener Listener;
+  Listener.Disconnected = [Self = this->shared_from_this()] {
     Self->onCallerDisconnected();
   };
-  Wanted.SendBufferDrained = [Self = this->shared_from_this()] {
+  Listener.SendBufferDrained = [Self = this->shared_from_this()] {
     if (Self->UpstreamPaused && Self->Upstream != nullptr) {
       Self->UpstreamPaused = false;
       Self->Upstream->resumeReading();
     }
   };
-  Wanted.Stopping = [Self = this->shared_from_this()] {
+  Listener.Stopping = [Self = this->shared_from_this()] {
     Self->giveUp(RefusalReason::Stopping);
   };
-  this->Session->setListener(std::move(Wanted));
+  this->Session->setListener(std::move(Listener));
   this->Context.ActiveRequests.insert(this);
   if (!this->admit())
     return;
@@ -64,19 +64,20 @@
 }
 
 bool GatewayRequest::admit() {
-  auto Read = this->Context.Format.ParseCallerRequest(this->Incoming.Head);
-  if (!Read) {
+  auto Fields = this->Context.Format.ParseCallerRequest(this->Incoming.Head);
+  if (!Fields) {
     this->sendLocalReply(HttpBadRequest, "Bad Request");
     return false;
   }
-  this->CallerFields = std::move(*Read);
+  this->CallerFields = std::move(*Fields);
   this->Configuration = this->Context.View->Configuration;
   if (this->Configuration == nullptr) {
     this->refuse(RefusalReason::NoConfiguration);
     return false;
   }
-  // An answer costs some 0.2 ms and a refusal a tenth: refusing part of a flood
-  // leaves time for the rest, where serving all would make all late.
+  // Serving a request costs some 0.2 ms of CPU time, a refusal a tenth of it.
+  // Refusing part of a flood leaves time to serve the rest in time; serving all
+  // of it would make all requests late.
   if (this->Context.Loop.lag() > OverloadLag) {
     this->refuse(RefusalReason::RouterOverloaded);
     return false;
@@ -93,11 +94,11 @@
   const std::string_view TargetPath = Target.substr(0, Target.find('?'));
   this->Route =
       this->Configuration->findRoute(this->CallerFields.Host, TargetPath);
-  const Duration Certain = std::chrono::duration_cast<Duration>(
-      this->Context.Settings.ConfigurationBound * ConfigurationPart);
+  const Duration MaxProofAge = std::chrono::duration_cast<Duration>(
+      this->Context.Settings.ConfigurationBound * UsableConfigurationFraction);
   if (this->Route == nullptr) {
-    // An old configuration may lack a route that exists by now.
-    if (this->Context.proofAge() > Certain)
+    // An outdated configuration may lack a route that exists by now.
+    if (this->Context.proofAge() > MaxProofAge)
       this->refuse(RefusalReason::RouteMayBeNew);
     else
       this->sendLocalReply(HttpNotFound, "Not Found");
@@ -115,7 +116,7 @@
 bool GatewayRequest::authorize() {
   if (this->Route->Public || !this->Configuration->HasAccounts)
     return true;
-  // A key that was taken away must not work at a router that cannot hear of it.
+  // A router that may have missed a revocation must not accept any key.
   if (this->Context.proofAge() >
       this->Context.Settings.RevocationBound - RevocationMargin) {
     this->Session->closeWhenIdle();
@@ -128,29 +129,30 @@
     this->Account = Found->second;
     return true;
   }
-  const Duration Certain = std::chrono::duration_cast<Duration>(
-      this->Context.Settings.ConfigurationBound * ConfigurationPart);
-  if (this->Context.proofAge() > Certain)
+  const Duration MaxProofAge = std::chrono::duration_cast<Duration>(
+      this->Context.Settings.ConfigurationBound * UsableConfigurationFraction);
+  if (this->Context.proofAge() > MaxProofAge)
     this->refuse(RefusalReason::KeyMayBeNew);
   else
     this->sendLocalReply(HttpUnauthorized, "Unauthorized");
   return false;
 }
 
-/// A request's share of a split route follows from its identity, so that no
-/// state is needed.
+/// Weighted choice between the targets of a route by the hash of the request
+/// ID, which needs no state.
 void GatewayRequest::chooseService() {
-  std::uint64_t Whole = 0;
+  std::uint64_t TotalWeight = 0;
   for (const RouteTarget &Target : this->Route->Targets)
-    Whole += Target.Weight;
-  std::uint64_t Place =
-      Whole == 0 ? 0 : hashName(this->CallerFields.RequestId) % Whole;
+    TotalWeight += Target.Weight;
+  std::uint64_t Point =
+      TotalWeight == 0 ? 0
+                       : hashName(this->CallerFields.RequestId) % TotalWeight;
   for (const RouteTarget &Target : this->Route->Targets) {
-    if (Place < Target.Weight) {
+    if (Point < Target.Weight) {
       this->Service = Target.Service;
       return;
     }
-    Place -= Target.Weight;
+    Point -= Target.Weight;
   }
 }
 
@@ -168,14 +170,14 @@
          Found->second.KvCapacityTokens > 0;
 }
 
-/// What of the caller's time had passed before it sent this attempt: one that
-/// was refused comes back with less than it began with.
+/// Estimated from the caller's timeout: a caller that retries after a refusal
+/// sends what is left of its first timeout.
 Duration GatewayRequest::elapsedBeforeArrival() const {
   if (!this->CallerFields.Timeout)
     return Duration::zero();
-  Duration &Longest = this->Context.MaxTimeoutByRoute[this->Route->Name];
-  Longest = std::max(Longest, *this->CallerFields.Timeout);
-  return Longest - *this->CallerFields.Timeout;
+  Duration &MaxTimeout = this->Context.MaxTimeoutByRoute[this->Route->Name];
+  MaxTimeout = std::max(MaxTimeout, *this->CallerFields.Timeout);
+  return MaxTimeout - *this->CallerFields.Timeout;
 }
 
 RequestContent GatewayRequest::content() const {
@@ -190,12 +192,12 @@
 }
 
 bool GatewayRequest::mayBeSuspect() {
-  const CrashRegistry &Book = this->Context.Crashes.registry();
-  if (Book.size() == 0)
+  const CrashRegistry &Registry = this->Context.Crashes.registry();
+  if (Registry.size() == 0)
     return false;
-  if (!this->Sketch)
-    this->Sketch = shortHashOf(this->content());
-  return Book.mayContain(*this->Sketch);
+  if (!this->ShortHash)
+    this->ShortHash = shortHashOf(this->content());
+  return Registry.mayContain(*this->ShortHash);
 }
 
 bool GatewayRequest::crashesServers() {
@@ -203,7 +205,8 @@
          this->Context.Crashes.checkRefused(this->identity());
 }
 
-/// Its server is freed of it before it crashes too, where it can be.
+/// Closes the server connection, to stop the request before it crashes this
+/// server as well.
 void GatewayRequest::endIfRefused() {
   if (this->Ended || this->Route == nullptr || !this->crashesServers())
     return;
@@ -222,23 +225,24 @@
   this->giveUp(RefusalReason::DeadlineExceeded);
 }
 
-void GatewayRequest::giveUp(RefusalReason Why) {
+void GatewayRequest::giveUp(RefusalReason Reason) {
   if (this->Ended)
     return;
   this->cancelAllocation();
   const bool Sent = this->Upstream != nullptr && this->Upstream->mayHaveSent();
   if (this->Upstream != nullptr) {
     this->closeUpstream();
-    // A router that stops says nothing of its servers.
-    const bool Blamed = !this->HeadReceived && Why != RefusalReason::Stopping;
-    if (Sent && Blamed)
+    // A shutdown of the router must not count against the server.
+    const bool ServerFailed =
+        !this->HeadReceived && Reason != RefusalReason::Stopping;
+    if (Sent && ServerFailed)
       this->reportSuspectedCrash(CrashDetector::AttemptEnd::Silent);
-    this->recordAttemptEnd(Blamed ? ServerVerdict::Silent
-                                  : ServerVerdict::Healthy);
+    this->recordAttemptEnd(ServerFailed ? ServerVerdict::Silent
+                                        : ServerVerdict::Healthy);
   }
-  logLazily(LogPart::Caller, [this, Sent, Why] {
+  logLazily(LogPart::Caller, [this, Sent, Reason] {
     return "request=" + this->CallerFields.RequestId +
-           " given up: " + std::string(nameOf(RefusalReasonNames, Why)) +
+           " given up: " + std::string(nameOf(RefusalReasonNames, Reason)) +
            " server=" + (Sent ? this->ServerId : "-") +
            " answer-begun=" + (this->Progress.ResponseStarted ? "yes" : "no") +
            " after=" + secondsText(this->elapsed());
@@ -250,7 +254,7 @@
   if (Sent || this->mayHaveRun())
     this->sendLocalReply(HttpGatewayTimeout, "Gateway Timeout");
   else
-    this->refuse(Why);
+    this->refuse(Reason);
 }
 
 void GatewayRequest::onCallerDisconnected() {
@@ -258,7 +262,7 @@
     return;
   this->cancelAllocation();
   if (this->Upstream != nullptr) {
-    // Closing the connection stops the server's work.
+    // Closing the connection makes the server stop processing the request.
     this->closeUpstream();
     this->recordAttemptEnd(ServerVerdict::Healthy);
   }
@@ -271,12 +275,12 @@
   this->PendingAllocation.reset();
 }
 
-void GatewayRequest::finish(const char *Outcome, Counter &Counted) {
+void GatewayRequest::finish(const char *Outcome, Counter &OutcomeCounter) {
   if (this->Ended)
     return;
   this->Ended = true;
   this->Context.ActiveRequests.erase(this);
-  Counted.add();
+  OutcomeCounter.add();
   this->Context.Loop.cancel(this->DeadlineTimer);
   this->Context.Loop.cancel(this->ProgressTimer);
   this->Context.Counters.RequestDuration.observe(this->elapsed());
@@ -307,7 +311,7 @@
   });
 }
 
-/// Why the request was refused, and what that rested on.
+/// The reason of a refusal, and the facts behind it.
 std::string GatewayRequest::refusalText() const {
   if (!this->Refusal)
     return {};
--- a/src/Gateway/GatewayRequest.h
+++ b/src/Gateway/GatewayRequest.h
@@ -13,10 +13,11 @@
 
 namespace parsleywing {
 
-/// One request of a caller from its arrival to its one final answer: route,
-/// key, server, sends, and what the answer is. Kept alive by its session's and
-/// its connection's callbacks until it has ended. In three files: admission and
-/// end, sends (`GatewayRequestSend.cpp`), answers (`GatewayRequestAnswer.cpp`).
+/// One caller request from its arrival to its single final response: routing,
+/// authorization, choice of a server, attempts, and the response. Kept alive by
+/// the callbacks of its session and its server connection until it has ended.
+/// Implemented in three files: admission and end (`GatewayRequest.cpp`),
+/// attempts (`GatewayRequestSend.cpp`), responses (`GatewayRequestAnswer.cpp`).
 class GatewayRequest : public std::enable_shared_from_this<GatewayRequest> {
 public:
   GatewayRequest(GatewayContext &C, std::shared_ptr<CallerSession> S,
@@ -24,53 +25,63 @@
 
   void start();
 
-  /// Ends the request where it has become one that crashes servers.
+  /// Ends the request if crash detection has meanwhile decided to refuse it.
   void endIfRefused();
 
 private:
-  /// Finds route and account. False where the request was answered instead.
+  /// Finds the route and the account. False if a response was sent instead.
   bool admit();
   bool authorize();
   void chooseService();
 
   void startAttempt();
-  /// Whether servers that had this request in hand have crashed too often.
+  /// Whether the request must not be sent because too many servers have crashed
+  /// while processing it.
   bool crashesServers();
-  /// Where the request is under suspicion: see `CrashWatch::spreadOf`.
+  /// Set if the request is suspected of crashing servers; see
+  /// `CrashDetector::spreadOf`.
   std::optional<std::uint32_t> spreadKey();
-  /// No further server will have it: refused where it has not run.
-  void endUnserved(RefusalReason Why, Duration ReturnAfter = Duration::zero());
-  /// Asks the allocator of an engine service.
+  /// Ends the request without another attempt: truncates a started response,
+  /// fails a request that may have run, refuses any other.
+  void endUnserved(RefusalReason Reason,
+                   Duration RetryAfter = Duration::zero());
+  /// Requests a server from the service's allocator.
   void requestAllocation();
   void onAllocated(const AllocationOutcome &Outcome);
-  void recordServerStart(const AllocationGrant &Granted);
-  /// A grant is not used.
-  void releaseGrant(const AllocationGrant &Granted, ServerVerdict Verdict);
+  void recordServerStart(const AllocationGrant &Grant);
+  /// Releases a grant that is not used.
+  void releaseGrant(const AllocationGrant &Grant, ServerVerdict Verdict);
   bool isGrantExpired() const;
+  /// Whether the request may still be sent once its connection is established;
+  /// empty if there is no send deadline.
   std::function<bool()> sendCondition() const;
+  /// Chooses a server without the allocator.
   void placeLocally();
-  void sendAttempt(const ServerChoice &Choice);
+  void sendAttempt(const ServerChoice &NewChoice);
+  /// Whether an allocator assigns the servers of the request's service.
   bool usesAllocator() const;
+  /// Time since the caller's first attempt at this request, up to the arrival
+  /// of the current one.
   Duration elapsedBeforeArrival() const;
   std::shared_ptr<UpstreamConnection> connectionTo(const GatewayServer &Server);
   std::string encodeRequest(const GatewayServer &Server);
   UpstreamListener makeListener();
 
-  void onResponseHead(const HttpHead &Head, const ServerResponseFields &Read);
+  void onResponseHead(const HttpHead &Head, const ServerResponseFields &Fields);
   void startStream(const HttpHead &Head);
   void onResponsePayload(std::string_view Payload);
   void forwardEvents(std::string_view Payload);
-  void onUpstreamEnd(UpstreamEnd How);
+  void onUpstreamEnd(UpstreamEnd End);
   void onProgressTimeout();
   void onDeadline();
-  /// The last answer, whatever has been reached: a stream is cut, a request
-  /// that has not left is refused for the reason.
-  void giveUp(RefusalReason Why);
+  /// Ends the request now, in any state: truncates a started response, answers
+  /// 504 if the request may have run, and refuses it for `Reason` otherwise.
+  void giveUp(RefusalReason Reason);
   void onCallerDisconnected();
 
-  /// Ends the present send and decides what comes next.
-  void endAttempt(AttemptResult Outcome, ServerVerdict Verdict);
-  void reportSuspectedCrash(CrashDetector::AttemptEnd How);
+  /// Ends the current attempt and executes the next step.
+  void endAttempt(AttemptResult Result, ServerVerdict Verdict);
+  void reportSuspectedCrash(CrashDetector::AttemptEnd End);
   void closeUpstream();
   void recordAttemptEnd(ServerVerdict Verdict);
   void cancelAllocation();
@@ -79,10 +90,10 @@
 
   void forwardResponse();
   void sendLocalReply(int Status, const char *Reason);
-  void refuse(RefusalReason Why, Duration ReturnAfter = Duration::zero());
-  std::string retryAfterText(Duration AtLeast) const;
+  void refuse(RefusalReason Reason, Duration RetryAfter = Duration::zero());
+  std::string retryAfterText(Duration MinDelay) const;
   void finishServed();
-  void finish(const char *Outcome, Counter &Counted);
+  void finish(const char *Outcome, Counter &OutcomeCounter);
 
   void armProgressTimer(Duration Limit);
   void recordFirstChunk();
@@ -92,10 +103,10 @@
   bool mayHaveRun() const { return this->Progress.Runs > 0; }
   void logEnd(const char *Outcome) const;
   RequestContent content() const;
-  /// The same for each attempt of the caller at this request. Reads the body
-  /// at the first call.
+  /// The same for all of the caller's retries of this request. The first call
+  /// hashes the body.
   const RequestIdentity &identity();
-  /// Whether it may have been in hand at a server that crashed.
+  /// Whether a server may have crashed while processing this request.
   bool mayBeSuspect();
   std::string brokenAttemptText();
   std::string refusalText() const;
@@ -105,11 +116,11 @@
   IncomingRequest Incoming;
   CallerRequestFields CallerFields;
   std::optional<RequestIdentity> Identity;
-  std::optional<std::uint32_t> Sketch;
-  /// Refused as a rule, it is sent once to find out whether it still crashes
-  /// servers.
+  std::optional<std::uint32_t> ShortHash;
+  /// The request would be refused, but is sent once to find out whether it
+  /// still crashes servers.
   bool IsProbe = false;
-  /// Kept with the configuration that it stands in.
+  /// Keeps the object alive that `Route` points into.
   std::shared_ptr<const GatewayConfiguration> Configuration;
   const GatewayRoute *Route = nullptr;
   std::string Account;
@@ -119,23 +130,25 @@
   TimerId ProgressTimer = 0;
   RequestProgress Progress;
   std::set<std::uint64_t> TriedServers;
-  /// An ask that its allocator has not answered.
+  /// Allocation request without a reply so far.
   std::optional<CorrelationId> PendingAllocation;
   CorrelationId AttemptId;
-  /// The allocator that decided last, and how long that took in all.
+  /// The allocator that replied last, and the total time of all allocation
+  /// requests.
   std::string AllocatorName;
   Duration AllocationTime{};
   std::uint64_t ServiceHash = 0;
 
-  // The present send.
-  /// Its server warms up: nothing of it may leave later than this, on the clock
-  /// that counts suspended time.
+  // The current attempt.
+  /// If its server is warming up: the latest time to send the request, on
+  /// `BootClock`.
   std::optional<TimePoint> SendDeadline;
   std::shared_ptr<UpstreamConnection> Upstream;
   ServerChoice Choice;
-  /// What it is for its server; its prompt is unread until the first piece.
-  AttemptLoad Work;
-  bool PromptRead = false;
+  /// The load on its server; the prompt counts as prefilled from the first
+  /// chunk on.
+  AttemptLoad Load;
+  bool PromptPrefilled = false;
   TimePoint SentAt{};
   TimePoint LastReceivedAt{};
   std::string ServerId;
@@ -145,7 +158,7 @@
   ServerResponseFields ResponseFields;
   std::string ResponseBody;
 
-  // The answer's stream, over all sends.
+  // The response stream, across all attempts.
   bool Streaming = false;
   EventSplitter Splitter;
   std::optional<std::uint64_t> LastEventId;
@@ -154,7 +167,7 @@
   std::string ServerPath;
   int FinalStatus = 0;
   std::optional<RefusalReason> Refusal;
-  /// The ask that its allocator refused.
+  /// The allocation request that was refused.
   std::optional<CorrelationId> RefusedAllocation;
   std::optional<Duration> TimeToFirstChunk;
 };
--- a/src/Gateway/GatewayRequestAnswer.cpp
+++ b/src/Gateway/GatewayRequestAnswer.cpp
@@ -10,16 +10,17 @@
 
 namespace {
 
-/// Bytes that a caller may leave untaken before its server is slowed down.
-constexpr std::size_t SlowCallerBytes = 64U << 10U;
+/// Unsent response bytes above which the router stops reading from the server.
+constexpr std::size_t MaxUnsentBytes = 64U << 10U;
 
-/// When a refused caller is to come back. Callers wait at most a third of the
-/// time that they have left, and try again once.
-constexpr Duration ReturnAfter = std::chrono::milliseconds(300);
+/// Min value of Retry-After. Callers wait for at most a third of their
+/// remaining time and retry once.
+constexpr Duration MinRetryAfter = std::chrono::milliseconds(300);
 
-constexpr Duration ReturnSpread = std::chrono::milliseconds(200);
+/// Range of the random part of Retry-After.
+constexpr Duration RetryAfterJitter = std::chrono::milliseconds(200);
 
-/// Answers by which a router promises that the request has not run.
+/// Statuses by which a router promises that the request has not run.
 bool promisesNotRun(int Status) {
   return Status == HttpTooManyRequests || Status == HttpServiceUnavailable ||
          Status == HttpRequestTimeout || Status == HttpMisdirectedRequest;
@@ -28,11 +29,11 @@
 } // namespace
 
 void GatewayRequest::recordFirstChunk() {
-  if (!this->PromptRead) {
-    this->PromptRead = true;
-    this->Context.Servers.recordPrefilled(this->Choice.Server, this->Work,
+  if (!this->PromptPrefilled) {
+    this->PromptPrefilled = true;
+    this->Context.Servers.recordPrefilled(this->Choice.Server, this->Load,
                                           this->CallerFields.PromptParts);
-    this->Work.PrefillTokens = 0;
+    this->Load.PrefillTokens = 0;
     if (this->usesAllocator())
       this->Context.Agent.onAttemptStarted(this->AttemptId);
   }
@@ -43,15 +44,15 @@
 }
 
 void GatewayRequest::onResponseHead(const HttpHead &Head,
-                                    const ServerResponseFields &Read) {
+                                    const ServerResponseFields &Fields) {
   const TimePoint Now = this->Context.Loop.clock().now();
   this->LastReceivedAt = Now;
   this->HeadReceived = true;
   this->Context.Servers.recordActivity(this->Choice.Server, Now);
   this->ResponseHead = Head;
-  this->ResponseFields = Read;
+  this->ResponseFields = Fields;
   const bool Success = Head.Status >= HttpOk && Head.Status < HttpSuccessEnd;
-  if (Success && !Read.HasReceipt) {
+  if (Success && !Fields.HasReceipt) {
     this->closeUpstream();
     this->endAttempt(this->Progress.ResponseStarted ? AttemptResult::Truncated
                                                     : AttemptResult::NoResponse,
@@ -62,7 +63,8 @@
     this->startStream(Head);
 }
 
-/// The answer keeps the head of its first server.
+/// The caller gets the response head of the first server, even if another
+/// server continues the stream.
 void GatewayRequest::startStream(const HttpHead &Head) {
   this->Streaming = true;
   if (this->Progress.ResponseStarted)
@@ -89,13 +91,13 @@
 }
 
 void GatewayRequest::forwardEvents(std::string_view Payload) {
-  std::string Whole;
+  std::string CompleteEvents;
   for (StreamEvent &Event : this->Splitter.add(Payload)) {
     if (Event.Id && this->LastEventId && *Event.Id <= *this->LastEventId)
       continue;
     if (Event.Id && this->LastEventId && *Event.Id != *this->LastEventId + 1) {
-      // A piece is missing; what is behind it must not follow.
-      this->Session->sendChunk(Whole);
+      // An event is missing, so the following ones must not be forwarded.
+      this->Session->sendChunk(CompleteEvents);
       this->closeUpstream();
       this->endAttempt(AttemptResult::Truncated, ServerVerdict::Failed);
       return;
@@ -103,10 +105,10 @@
     if (Event.Id)
       this->LastEventId = Event.Id;
     this->Context.Counters.StreamEvents.add();
-    Whole += Event.Text;
+    CompleteEvents += Event.Text;
   }
-  this->Session->sendChunk(Whole);
-  if (this->Session->unsent() > SlowCallerBytes && !this->UpstreamPaused) {
+  this->Session->sendChunk(CompleteEvents);
+  if (this->Session->unsent() > MaxUnsentBytes && !this->UpstreamPaused) {
     this->UpstreamPaused = true;
     this->Upstream->pauseReading();
   }
@@ -122,34 +124,35 @@
   return AttemptResult::Served;
 }
 
-void GatewayRequest::onUpstreamEnd(UpstreamEnd How) {
+void GatewayRequest::onUpstreamEnd(UpstreamEnd End) {
   if (this->Ended)
     return;
   const auto Connection = std::exchange(this->Upstream, nullptr);
-  if (How == UpstreamEnd::Complete) {
+  if (End == UpstreamEnd::Complete) {
     this->recordFirstChunk();
     this->Context.Pool.release(this->ServerId, Connection);
-    const AttemptResult Outcome = this->responseResult();
+    const AttemptResult Result = this->responseResult();
     ServerVerdict Verdict = ServerVerdict::Healthy;
-    if (Outcome == AttemptResult::NotRun)
+    if (Result == AttemptResult::NotRun)
       Verdict = this->ResponseFields.WrongServer ? ServerVerdict::Unreachable
                                                  : ServerVerdict::Full;
-    else if (Outcome != AttemptResult::Served)
+    else if (Result != AttemptResult::Served)
       Verdict = ServerVerdict::Failed;
-    this->endAttempt(Outcome, Verdict);
+    this->endAttempt(Result, Verdict);
     return;
   }
-  if (How == UpstreamEnd::NotSent) {
+  if (End == UpstreamEnd::NotSent) {
     this->endAttempt(AttemptResult::NotSent, ServerVerdict::Unreachable);
     return;
   }
   this->IsProbe = false;
-  // The server's statement stands, even if the text behind it did not come.
+  // The head states that the request has not run, which holds even if the body
+  // is incomplete.
   if (this->HeadReceived && this->responseResult() == AttemptResult::NotRun) {
     this->endAttempt(AttemptResult::NotRun, ServerVerdict::Full);
     return;
   }
-  if (How == UpstreamEnd::Broken)
+  if (End == UpstreamEnd::Broken)
     this->reportSuspectedCrash(CrashDetector::AttemptEnd::Broken);
   this->endAttempt(this->Progress.ResponseStarted ? AttemptResult::Truncated
                                                   : AttemptResult::NoResponse,
@@ -163,8 +166,9 @@
     this->finishServed();
     return;
   }
-  // These statuses promise that the request has not run; from a server they do
-  // so only with its statement, and then they do not come here.
+  // To a caller these statuses promise that the request has not run. A server's
+  // status alone is no such promise, and a response with the explicit statement
+  // does not get here.
   if (promisesNotRun(Status)) {
     this->sendLocalReply(HttpBadGateway, "Bad Gateway");
     return;
@@ -179,7 +183,8 @@
     this->finish("failed-by-server", this->Context.Counters.FailedByServer);
 }
 
-/// A request that crashes servers gets no whole answer.
+/// A request that crashes servers never gets a complete response, so this one
+/// is no longer suspected.
 void GatewayRequest::finishServed() {
   if (this->mayBeSuspect())
     this->Context.Crashes.onCompleted(this->identity());
@@ -197,25 +202,26 @@
     this->finish("failed", this->Context.Counters.Failed);
 }
 
-/// Spread by the request's identity: callers refused together would else come
-/// back together.
-std::string GatewayRequest::retryAfterText(Duration AtLeast) const {
-  const Duration Spread{static_cast<Duration::rep>(
+/// Adds jitter derived from the request ID, so that callers that are refused at
+/// the same time do not retry at the same time.
+std::string GatewayRequest::retryAfterText(Duration MinDelay) const {
+  const Duration Jitter{static_cast<Duration::rep>(
       hashName(this->CallerFields.RequestId) %
-      static_cast<std::uint64_t>(ReturnSpread.count()))};
-  return secondsText(std::max(ReturnAfter, AtLeast) + Spread);
+      static_cast<std::uint64_t>(RetryAfterJitter.count()))};
+  return secondsText(std::max(MinRetryAfter, MinDelay) + Jitter);
 }
 
-void GatewayRequest::refuse(RefusalReason Why, Duration ReturnAfterAtLeast) {
+void GatewayRequest::refuse(RefusalReason Reason, Duration RetryAfter) {
   this->FinalStatus = HttpServiceUnavailable;
   HttpHead Head = localReplyHead(HttpServiceUnavailable, "Service Unavailable");
   this->Context.Format.MarkLocalReply(Head, this->CallerFields.RequestId);
-  // Nothing that the caller could wait for changes what its request does.
-  if (Why != RefusalReason::CrashesServers)
-    Head.add("Retry-After", this->retryAfterText(ReturnAfterAtLeast));
+  // A request that crashes servers is refused again however long its caller
+  // waits.
+  if (Reason != RefusalReason::CrashesServers)
+    Head.add("Retry-After", this->retryAfterText(RetryAfter));
   this->Session->sendResponse(std::move(Head), {});
-  this->Refusal = Why;
-  this->Context.Counters.refusedBy(Why).add();
+  this->Refusal = Reason;
+  this->Context.Counters.refusedBy(Reason).add();
   this->finish("refused", this->Context.Counters.Refused);
 }
 
--- a/src/Gateway/GatewayRequestSend.cpp
+++ b/src/Gateway/GatewayRequestSend.cpp
@@ -11,39 +11,40 @@
 
 namespace {
 
-/// A connection takes one round trip, 3 ms between zones. A server whose
-/// connections take longer than this is not reachable.
-constexpr Duration ConnectLimit = std::chrono::milliseconds(400);
-
-/// A request that may run once at most goes over a kept connection only where
-/// that was used lately, and well within the time for which the server says
-/// that it keeps it: if the way is lost meanwhile, nobody knows whether the
-/// request ran. With 4 s in place of 0.5 s a fifth fewer connections are opened
-/// (2,900 to 2,300 of 11,000 requests, five days, three seeds each), and of the
-/// 15,600 lookups that may run once no more failed (331 and 329).
-constexpr Duration UnsafeMaxIdle = std::chrono::seconds(4);
-
-constexpr Duration RepeatableMaxIdle = std::chrono::seconds(30);
-
-/// The least time that a server gets to begin its answer before the request is
-/// sent to another one.
-constexpr Duration LeastFirstPieceLimit = std::chrono::milliseconds(500);
-
-/// A stream without a byte for so long goes on at another server. Half of the
-/// shortest gap after which callers give a stream up (2 s), so that the other
-/// server has the other half.
-constexpr Duration StreamSilence = std::chrono::milliseconds(1000);
-
-/// A request that is late already waits for room for this part of its time at
-/// most: it earns less than one that is on time, and the longer it is held
-/// without being served, the more its caller has lost.
+/// Connecting takes one round trip, 3 ms between availability zones. A server
+/// that takes longer than this to connect to counts as unreachable.
+constexpr Duration ConnectTimeout = std::chrono::milliseconds(400);
+
+/// Max idle time of a pooled connection for a request that may run only once.
+/// It must have been used recently, and be well within the server's idle
+/// timeout: if the connection has broken unnoticed, it is unknown whether the
+/// request ran. A much shorter limit opens more connections, but no fewer
+/// requests fail.
+constexpr Duration MaxIdleUnrepeatable = std::chrono::seconds(4);
+
+/// The same for a request that may be repeated.
+constexpr Duration MaxIdleRepeatable = std::chrono::seconds(30);
+
+/// Min time that a server has to start its response before the request is sent
+/// to another server.
+constexpr Duration MinFirstChunkTimeout = std::chrono::milliseconds(500);
+
+/// After this time without a byte, a stream is resumed at another server. Half
+/// of the shortest gap after which callers abandon a stream (2 s), which leaves
+/// the other half to the other server.
+constexpr Duration StreamSilenceTimeout = std::chrono::milliseconds(1000);
+
+/// A request that has missed its latency objective waits for free capacity for
+/// at most its remaining time divided by this. It is worth less than a request
+/// that is in time, and the longer it waits without being served, the more time
+/// its caller loses.
 constexpr int LateWaitDivisor = 4;
 
-constexpr Duration LongestLateWait = std::chrono::milliseconds(500);
+constexpr Duration MaxLateWait = std::chrono::milliseconds(500);
 
-/// How long a broken stream waits for another server: callers give one up after
-/// a gap of two seconds.
-constexpr Duration ResumeWait = std::chrono::milliseconds(1200);
+/// How long a broken stream waits for another server. Callers abandon a stream
+/// after a gap of two seconds.
+constexpr Duration MaxResumeWait = std::chrono::milliseconds(1200);
 
 } // namespace
 
@@ -57,35 +58,35 @@
 }
 
 void GatewayRequest::requestAllocation() {
-  const auto Milliseconds = [](Duration Time) {
+  const auto ToMilliseconds = [](Duration Time) {
     return static_cast<std::int32_t>(
         std::chrono::duration_cast<std::chrono::milliseconds>(Time).count());
   };
-  AllocationRequest Ask;
-  Ask.Id = this->Context.Agent.newId();
-  Ask.Service = this->ServiceHash;
-  Ask.Account = hashName(this->Account);
-  Ask.Zone = hashName(this->Context.Settings.Zone);
-  Ask.Parts = this->CallerFields.PromptParts;
-  Ask.PromptTokens = this->CallerFields.PromptTokens;
-  Ask.OutputTokens = this->CallerFields.MaxOutputTokens;
-  Ask.ExcludedServers.assign(this->TriedServers.begin(),
-                             this->TriedServers.end());
-  Ask.SpreadKey = this->spreadKey();
-  const Duration OnTimeFor = this->Route->LatencyObjective -
-                             this->elapsedBeforeArrival() - this->elapsed();
-  Duration WaitFor = OnTimeFor;
-  if (OnTimeFor <= Duration::zero())
-    WaitFor = std::min(this->timeLeft() / LateWaitDivisor, LongestLateWait);
-  // A stream that was begun is not given up for others that have not.
+  AllocationRequest Request;
+  Request.Id = this->Context.Agent.newId();
+  Request.Service = this->ServiceHash;
+  Request.Account = hashName(this->Account);
+  Request.Zone = hashName(this->Context.Settings.Zone);
+  Request.Parts = this->CallerFields.PromptParts;
+  Request.PromptTokens = this->CallerFields.PromptTokens;
+  Request.OutputTokens = this->CallerFields.MaxOutputTokens;
+  Request.ExcludedServers.assign(this->TriedServers.begin(),
+                                 this->TriedServers.end());
+  Request.SpreadKey = this->spreadKey();
+  const Duration ObjectiveLeft = this->Route->LatencyObjective -
+                                 this->elapsedBeforeArrival() - this->elapsed();
+  Duration MaxWait = ObjectiveLeft;
+  if (ObjectiveLeft <= Duration::zero())
+    MaxWait = std::min(this->timeLeft() / LateWaitDivisor, MaxLateWait);
+  // A stream that has started takes precedence over requests that have not.
   if (this->Progress.ResponseStarted)
-    WaitFor = std::min(this->timeLeft(), ResumeWait);
-  Ask.ObjectiveLeftMs =
-      Milliseconds(this->Progress.ResponseStarted ? WaitFor : OnTimeFor);
-  Ask.MaxWaitMs = Milliseconds(WaitFor);
-  this->PendingAllocation = Ask.Id;
+    MaxWait = std::min(this->timeLeft(), MaxResumeWait);
+  Request.ObjectiveLeftMs =
+      ToMilliseconds(this->Progress.ResponseStarted ? MaxWait : ObjectiveLeft);
+  Request.MaxWaitMs = ToMilliseconds(MaxWait);
+  this->PendingAllocation = Request.Id;
   this->Context.Agent.request(
-      std::move(Ask),
+      std::move(Request),
       [Self = this->shared_from_this()](const AllocationOutcome &Outcome) {
         Self->onAllocated(Outcome);
       });
@@ -103,50 +104,49 @@
                       std::chrono::milliseconds(Refused->RetryAfterMs));
     return;
   }
-  const auto &Granted = std::get<AllocationGrant>(Outcome.Reply);
+  const auto &Grant = std::get<AllocationGrant>(Outcome.Reply);
   const TimePoint Now = this->Context.Loop.clock().now();
-  this->recordServerStart(Granted);
+  this->recordServerStart(Grant);
   this->SendDeadline = Outcome.SendDeadline;
-  // A frozen router, or one whose datagrams were held up, would else send all
-  // that it was granted meanwhile within one second.
+  // Otherwise a router that was frozen, or whose datagrams were delayed, would
+  // send all requests that it was granted meanwhile within one second.
   if (this->isGrantExpired()) {
     this->Context.Agent.recordLateGrant();
-    this->releaseGrant(Granted, ServerVerdict::Healthy);
+    this->releaseGrant(Grant, ServerVerdict::Healthy);
     this->startAttempt();
     return;
   }
-  // What this router has seen of a server counts for more than the allocator's
-  // choice.
+  // This router's own observations of a server override the allocator's choice.
   const bool Usable =
       this->SendDeadline
-          ? this->Context.Servers.usableIfGranted(Granted.Server, Now)
-          : this->Context.Servers.usable(Granted.Server, Now);
+          ? this->Context.Servers.usableIfGranted(Grant.Server, Now)
+          : this->Context.Servers.usable(Grant.Server, Now);
   if (!Usable) {
-    this->releaseGrant(Granted, ServerVerdict::Unreachable);
+    this->releaseGrant(Grant, ServerVerdict::Unreachable);
     this->placeLocally();
     return;
   }
-  this->AttemptId = Granted.Id;
-  this->sendAttempt({Granted.Server, Granted.PrefillTokens,
-                     Granted.BacklogTokens, Granted.FetchSource});
+  this->AttemptId = Grant.Id;
+  this->sendAttempt({Grant.Server, Grant.PrefillTokens, Grant.BacklogTokens,
+                     Grant.FetchSource});
 }
 
-/// The allocator may have heard of a restart before this router's list says it.
-void GatewayRequest::recordServerStart(const AllocationGrant &Granted) {
-  if (Granted.ServerStartedMs <= this->Context.Servers.startOf(Granted.Server))
+/// The allocator may learn of a restart before this router's server list shows
+/// it.
+void GatewayRequest::recordServerStart(const AllocationGrant &Grant) {
+  if (Grant.ServerStartedMs <= this->Context.Servers.startOf(Grant.Server))
     return;
-  this->Context.Servers.recordStart(Granted.Server, Granted.ServerStartedMs);
-  if (const GatewayServer *Listed = this->Context.Servers.find(Granted.Server))
+  this->Context.Servers.recordStart(Grant.Server, Grant.ServerStartedMs);
+  if (const GatewayServer *Listed = this->Context.Servers.find(Grant.Server))
     this->Context.Pool.closeIdle(Listed->Id);
 }
 
-void GatewayRequest::releaseGrant(const AllocationGrant &Granted,
+void GatewayRequest::releaseGrant(const AllocationGrant &Grant,
                                   ServerVerdict Verdict) {
   this->Context.Agent.onAttemptSent(
-      Granted.Id, this->ServiceHash, Granted.Server,
-      {Granted.PrefillTokens, 0,
-       this->Context.Servers.startOf(Granted.Server)});
-  this->Context.Agent.onAttemptEnded(Granted.Id, Verdict);
+      Grant.Id, this->ServiceHash, Grant.Server,
+      {Grant.PrefillTokens, 0, this->Context.Servers.startOf(Grant.Server)});
+  this->Context.Agent.onAttemptEnded(Grant.Id, Verdict);
 }
 
 bool GatewayRequest::isGrantExpired() const {
@@ -162,16 +162,16 @@
 
 void GatewayRequest::placeLocally() {
   this->SendDeadline.reset();
-  PlacementQuery Asked;
-  Asked.Service = this->ServiceHash;
-  Asked.Zone = hashName(this->Context.Settings.Zone);
-  Asked.Parts = &this->CallerFields.PromptParts;
-  Asked.PromptTokens = this->CallerFields.PromptTokens;
-  Asked.OutputTokens = this->CallerFields.MaxOutputTokens;
-  Asked.ExcludedServers = &this->TriedServers;
-  Asked.SpreadKey = this->spreadKey();
-  Asked.Now = this->Context.Loop.clock().now();
-  const auto Found = this->Context.Servers.place(Asked);
+  PlacementQuery Query;
+  Query.Service = this->ServiceHash;
+  Query.Zone = hashName(this->Context.Settings.Zone);
+  Query.Parts = &this->CallerFields.PromptParts;
+  Query.PromptTokens = this->CallerFields.PromptTokens;
+  Query.OutputTokens = this->CallerFields.MaxOutputTokens;
+  Query.ExcludedServers = &this->TriedServers;
+  Query.SpreadKey = this->spreadKey();
+  Query.Now = this->Context.Loop.clock().now();
+  const auto Found = this->Context.Servers.place(Query);
   if (!Found) {
     this->endUnserved(RefusalReason::NoUsableServer);
     return;
@@ -180,39 +180,40 @@
   this->sendAttempt(*Found);
 }
 
-void GatewayRequest::endUnserved(RefusalReason Why, Duration ReturnAfter) {
+void GatewayRequest::endUnserved(RefusalReason Reason, Duration RetryAfter) {
   if (this->Progress.ResponseStarted)
     this->executeStep(NextStep::Truncate);
   else if (this->mayHaveRun())
     this->executeStep(NextStep::FailUncertain);
   else
-    this->refuse(Why, ReturnAfter);
+    this->refuse(Reason, RetryAfter);
 }
 
-void GatewayRequest::sendAttempt(const ServerChoice &Wanted) {
-  const GatewayServer *Listed = this->Context.Servers.find(Wanted.Server);
+void GatewayRequest::sendAttempt(const ServerChoice &NewChoice) {
+  const GatewayServer *Listed = this->Context.Servers.find(NewChoice.Server);
   PARSLEYWING_INVARIANT(Listed != nullptr,
-                        "a request is sent to a server of the list");
+                        "a request is sent to a listed server");
   const GatewayServer Server = *Listed;
-  this->Choice = Wanted;
+  this->Choice = NewChoice;
   this->ServerId = Server.Id;
-  this->TriedServers.insert(Wanted.Server);
+  this->TriedServers.insert(NewChoice.Server);
   ++this->Progress.Attempts;
   this->Context.Counters.Attempts.add();
   this->SentAt = this->Context.Loop.clock().now();
   this->LastReceivedAt = this->SentAt;
   this->HeadReceived = false;
-  this->PromptRead = false;
+  this->PromptPrefilled = false;
   this->ResponseBody.clear();
   this->Splitter.clear();
   this->ServerPath += (this->ServerPath.empty() ? "" : ",") + Server.Id;
-  this->Work = {Wanted.PrefillTokens, this->CallerFields.MaxOutputTokens,
-                this->Context.Servers.startOf(Wanted.Server)};
-  this->Context.Servers.recordSent(
-      Wanted.Server, this->Work, this->CallerFields.PromptParts, this->SentAt);
+  this->Load = {NewChoice.PrefillTokens, this->CallerFields.MaxOutputTokens,
+                this->Context.Servers.startOf(NewChoice.Server)};
+  this->Context.Servers.recordSent(NewChoice.Server, this->Load,
+                                   this->CallerFields.PromptParts,
+                                   this->SentAt);
   if (this->usesAllocator())
     this->Context.Agent.onAttemptSent(this->AttemptId, this->ServiceHash,
-                                      Wanted.Server, this->Work);
+                                      NewChoice.Server, this->Load);
   this->Upstream = this->connectionTo(Server);
   if (this->Upstream == nullptr) {
     this->endAttempt(AttemptResult::NotSent, ServerVerdict::Unreachable);
@@ -222,12 +223,12 @@
                        this->CallerFields.RequestId, this->makeListener(),
                        this->sendCondition());
   this->armProgressTimer(this->ReusedConnection ? this->firstChunkTimeout()
-                                                : ConnectLimit);
+                                                : ConnectTimeout);
 }
 
-/// The send is over at the server; what is kept of it is settled.
+/// Updates the server table and the allocator.
 void GatewayRequest::recordAttemptEnd(ServerVerdict Verdict) {
-  this->Context.Servers.recordEnded(this->Choice.Server, this->Work,
+  this->Context.Servers.recordEnded(this->Choice.Server, this->Load,
                                     this->CallerFields.PromptParts, Verdict,
                                     this->Context.Loop.clock().now());
   if (this->usesAllocator())
@@ -237,7 +238,7 @@
 std::shared_ptr<UpstreamConnection>
 GatewayRequest::connectionTo(const GatewayServer &Server) {
   const Duration MaxIdle =
-      this->Progress.Repeatable ? RepeatableMaxIdle : UnsafeMaxIdle;
+      this->Progress.Repeatable ? MaxIdleRepeatable : MaxIdleUnrepeatable;
   auto Idle = this->Context.Pool.acquire(Server.Id, MaxIdle);
   this->ReusedConnection = Idle != nullptr;
   if (this->ReusedConnection)
@@ -248,52 +249,53 @@
 }
 
 std::string GatewayRequest::encodeRequest(const GatewayServer &Server) {
-  ServerRequestFields Added;
-  Added.TimeLeft = std::max(this->timeLeft(), Duration::zero());
-  Added.ServerId = Server.Id;
-  Added.Account = this->Account;
-  Added.LastEventId =
+  ServerRequestFields Fields;
+  Fields.TimeLeft = std::max(this->timeLeft(), Duration::zero());
+  Fields.ServerId = Server.Id;
+  Fields.Account = this->Account;
+  Fields.LastEventId =
       this->LastEventId ? this->LastEventId : this->CallerFields.LastEventId;
   if (const GatewayServer *Source =
           this->Context.Servers.find(this->Choice.FetchSource))
-    Added.CacheSourceAddress = Source->Address.toString();
-  Added.BodyBytes = this->Incoming.Body.size();
-  Added.HasBody = this->Incoming.HasBody;
+    Fields.CacheSourceAddress = Source->Address.toString();
+  Fields.BodyBytes = this->Incoming.Body.size();
+  Fields.HasBody = this->Incoming.HasBody;
   return writeRequestHead(this->Context.Format.BuildServerRequest(
-             this->Incoming.Head, Added)) +
+             this->Incoming.Head, Fields)) +
          this->Incoming.Body;
 }
 
 UpstreamListener GatewayRequest::makeListener() {
-  UpstreamListener Made;
-  Made.HeadReceived =
+  UpstreamListener Listener;
+  Listener.HeadReceived =
       [Self = this->shared_from_this()](const HttpHead &Head,
-                                        const ServerResponseFields &Read) {
-        Self->onResponseHead(Head, Read);
+                                        const ServerResponseFields &Fields) {
+        Self->onResponseHead(Head, Fields);
       };
-  Made.PayloadReceived =
+  Listener.PayloadReceived =
       [Self = this->shared_from_this()](std::string_view Bytes) {
         Self->onResponsePayload(Bytes);
       };
-  Made.Ended = [Self = this->shared_from_this()](UpstreamEnd How) {
-    Self->onUpstreamEnd(How);
+  Listener.Ended = [Self = this->shared_from_this()](UpstreamEnd End) {
+    Self->onUpstreamEnd(End);
   };
-  return Made;
+  return Listener;
 }
 
-/// Nothing where the server does not warm up. A new connection's time is part
-/// of what a grant may slip by; more of it, behind a freeze, is not.
+/// A grant to a warming server allows extra time to establish a connection, but
+/// not for a longer delay, for instance after a freeze.
 std::function<bool()> GatewayRequest::sendCondition() const {
   if (!this->SendDeadline)
     return {};
-  const TimePoint Until =
+  const TimePoint LatestSend =
       *this->SendDeadline + (MaxWarmUpSendDelay - WarmUpGrantLifetime);
-  return
-      [&Time = this->Context.BootClock, Until] { return Time.now() <= Until; };
+  return [&BootClock = this->Context.BootClock, LatestSend] {
+    return BootClock.now() <= LatestSend;
+  };
 }
 
 Duration GatewayRequest::firstChunkTimeout() const {
-  return std::max(this->Route->LatencyObjective * 2, LeastFirstPieceLimit);
+  return std::max(this->Route->LatencyObjective * 2, MinFirstChunkTimeout);
 }
 
 void GatewayRequest::armProgressTimer(Duration Limit) {
@@ -302,8 +304,9 @@
       Limit, [Self = this->shared_from_this()] { Self->onProgressTimeout(); });
 }
 
-/// Nothing came for a while. A server that may not be asked again is waited
-/// for: the answer may still come, and it would be the only one.
+/// Runs after a time without data from the server. If the request may not be
+/// retried, the router keeps waiting, since the response may still arrive and
+/// would be the only one.
 void GatewayRequest::onProgressTimeout() {
   this->ProgressTimer = 0;
   if (this->Ended || this->Upstream == nullptr)
@@ -315,44 +318,45 @@
     return;
   }
   const Duration Limit =
-      this->HeadReceived ? StreamSilence : this->firstChunkTimeout();
-  const Duration Silent = Now - this->LastReceivedAt;
-  if (Silent < Limit) {
-    this->armProgressTimer(Limit - Silent);
+      this->HeadReceived ? StreamSilenceTimeout : this->firstChunkTimeout();
+  const Duration Silence = Now - this->LastReceivedAt;
+  if (Silence < Limit) {
+    this->armProgressTimer(Limit - Silence);
     return;
   }
-  // A process that started since the send knows nothing of the request, also
-  // where others hear from it: without this look the caller would be held to
-  // its deadline for an answer that nobody makes.
-  const bool Restarted = this->Work.ServerStartedMs <
+  // A server process that started after the request was sent does not know it,
+  // even if it responds to other requests. Without this check the caller would
+  // wait until its deadline for a response that never comes.
+  const bool Restarted = this->Load.ServerStartedMs <
                          this->Context.Servers.startOf(this->Choice.Server);
-  const bool ServerHeard =
+  const bool ServerActive =
       !Restarted && this->Context.Servers.activeSince(this->Choice.Server,
                                                       this->LastReceivedAt);
-  RequestProgress After = this->Progress;
-  ++After.Runs;
-  const AttemptResult Outcome = this->Progress.ResponseStarted
-                                    ? AttemptResult::Truncated
-                                    : AttemptResult::NoResponse;
-  After.TimeLeft = this->timeLeft();
-  // Without a repeat left the answer that may still come is the only one.
-  const bool MayRepeat = this->Context.retryAllowance(this->Service)
+  RequestProgress ProgressAfter = this->Progress;
+  ++ProgressAfter.Runs;
+  const AttemptResult Result = this->Progress.ResponseStarted
+                                   ? AttemptResult::Truncated
+                                   : AttemptResult::NoResponse;
+  ProgressAfter.TimeLeft = this->timeLeft();
+  // If no retry is left, the response that may still arrive is the only one.
+  const bool RetryLeft = this->Context.retryAllowance(this->Service)
                              .hasRetry(Now, this->Context.View->RouterCount);
-  const bool Waits = !mayRetry(After, Outcome) || !MayRepeat;
-  if (ServerHeard || (Waits && !Restarted)) {
+  const bool CannotRetry = !mayRetry(ProgressAfter, Result) || !RetryLeft;
+  if (ServerActive || (CannotRetry && !Restarted)) {
     this->armProgressTimer(Limit);
     return;
   }
   this->closeUpstream();
   this->reportSuspectedCrash(CrashDetector::AttemptEnd::Silent);
-  this->endAttempt(Outcome, ServerVerdict::Silent);
+  this->endAttempt(Result, ServerVerdict::Silent);
 }
 
-/// Nothing whole came of the send: the server may have crashed with it.
-void GatewayRequest::reportSuspectedCrash(CrashDetector::AttemptEnd How) {
+/// The attempt ended without a complete response: the server may have crashed
+/// while processing the request.
+void GatewayRequest::reportSuspectedCrash(CrashDetector::AttemptEnd End) {
   this->Context.Crashes.onAttemptLost(
       this->identity(), this->Context.Servers.find(this->Choice.Server),
-      this->Work.ServerStartedMs, How);
+      this->Load.ServerStartedMs, End);
 }
 
 void GatewayRequest::closeUpstream() {
@@ -360,42 +364,42 @@
     Connection->close();
 }
 
-void GatewayRequest::endAttempt(AttemptResult Outcome, ServerVerdict Verdict) {
+void GatewayRequest::endAttempt(AttemptResult Result, ServerVerdict Verdict) {
   this->Context.Loop.cancel(this->ProgressTimer);
   this->ProgressTimer = 0;
   this->UpstreamPaused = false;
   const TimePoint Now = this->Context.Loop.clock().now();
   this->recordAttemptEnd(Verdict);
   const bool MayHaveRun =
-      Outcome != AttemptResult::NotSent && Outcome != AttemptResult::NotRun;
+      Result != AttemptResult::NotSent && Result != AttemptResult::NotRun;
   if (MayHaveRun)
     ++this->Progress.Runs;
   this->Progress.TimeLeft = this->timeLeft();
-  bool Again = mayRetry(this->Progress, Outcome);
-  if (Again && countsAsRetry(Outcome))
-    Again = this->Context.retryAllowance(this->Service)
-                .tryAcquire(Now, this->Context.View->RouterCount);
-  const NextStep Step = nextStep(this->Progress, Outcome, Again);
-  const bool Broke = Outcome == AttemptResult::NoResponse ||
-                     Outcome == AttemptResult::Truncated;
+  bool RetryAllowed = mayRetry(this->Progress, Result);
+  if (RetryAllowed && countsAsRetry(Result))
+    RetryAllowed = this->Context.retryAllowance(this->Service)
+                       .tryAcquire(Now, this->Context.View->RouterCount);
+  const NextStep Step = nextStep(this->Progress, Result, RetryAllowed);
+  const bool Broken =
+      Result == AttemptResult::NoResponse || Result == AttemptResult::Truncated;
   if (Step != NextStep::Done)
     logLazily(LogPart::Caller, [&, this] {
       return "request=" + this->CallerFields.RequestId +
              " server=" + this->ServerId +
-             " send=" + std::string(nameOf(AttemptResultNames, Outcome)) +
+             " send=" + std::string(nameOf(AttemptResultNames, Result)) +
              " verdict=" + std::string(nameOf(ServerVerdictNames, Verdict)) +
              " status=" +
              std::to_string(this->HeadReceived ? this->ResponseHead.Status
                                                : 0) +
              " after=" + secondsText(Now - this->SentAt) +
              " next=" + std::string(nameOf(NextStepNames, Step)) +
-             (Broke ? this->brokenAttemptText() : "");
+             (Broken ? this->brokenAttemptText() : "");
     });
   this->executeStep(Step);
 }
 
-/// What tells a server that crashed from a connection that broke, and one
-/// request that crashes servers from others that were there.
+/// Log fields that help to distinguish a server crash from a broken connection,
+/// and a request that crashes servers from others on the same server.
 std::string GatewayRequest::brokenAttemptText() {
   const GatewayServer *Listed = this->Context.Servers.find(this->Choice.Server);
   return " content=" + textOf(this->identity()) +
@@ -410,9 +414,10 @@
     this->Context.Counters.Retries.add();
     if (this->Progress.ResponseStarted)
       this->Context.Counters.Resumed.add();
-    // A request that has just crashed its third server must not leave again.
+    // The request is not sent again before the check: it may just have crashed
+    // its third server, after which it is refused.
     this->Context.Crashes.afterCheck(
-        {this->Choice.Server, this->Work.ServerStartedMs},
+        {this->Choice.Server, this->Load.ServerStartedMs},
         [Self = this->shared_from_this()] {
           if (!Self->Ended)
             Self->startAttempt();
--- a/src/Gateway/GatewaySettingsReader.cpp
+++ b/src/Gateway/GatewaySettingsReader.cpp
@@ -13,24 +13,26 @@
 constexpr std::uint32_t MaxMilliseconds = 600'000;
 constexpr std::uint32_t MaxConnections = 100'000;
 
-constexpr std::uint32_t UnstatedDescriptors = 4096;
-constexpr std::uint32_t UnstatedMemoryMb = 256;
+/// Defaults of `descriptors` and `memory-mb`.
+constexpr std::uint32_t DefaultDescriptors = 4096;
+constexpr std::uint32_t DefaultMemoryMb = 256;
 constexpr std::uint32_t MaxMemoryMb = 1'000'000;
 
-/// Connections of callers that fit: each request in hand has one to its server
-/// too, and a caller with its request, answer and buffers takes some 20 KB (63
-/// MB at 3,600 descriptors, from a day with a flood).
-std::uint32_t callersFor(std::uint32_t Descriptors, std::uint32_t MemoryMb) {
+/// The default of `max-callers` for these resources. An active request has a
+/// second connection to its server, and a caller with its request, response and
+/// buffers takes some 20 KB (63 MB at 3,600 descriptors during a flood).
+std::uint32_t defaultMaxCallers(std::uint32_t Descriptors,
+                                std::uint32_t MemoryMb) {
   constexpr std::uint32_t DescriptorsPerCaller = 2;
   constexpr std::uint32_t CallersPerMb = 24;
   return std::max(1U, std::min(Descriptors / DescriptorsPerCaller,
                                MemoryMb * CallersPerMb));
 }
 
-/// Each section that a file may have, read by its own function.
-class Reading {
+/// Parses a settings file, each section with its own function.
+class SettingsParser {
 public:
-  explicit Reading(const IniFile &F) : File(F) {}
+  explicit SettingsParser(const IniFile &F) : File(F) {}
 
   Result<GatewayFileSettings> run() {
     for (const IniSection &Section : this->File.Sections)
@@ -41,7 +43,7 @@
         return failure(ErrorCode::InvalidInput, this->File.Path +
                                                     ":1: section [" + Name +
                                                     "] is required");
-    return this->Into;
+    return this->Settings;
   }
 
 private:
@@ -75,10 +77,10 @@
 
   static Duration milliseconds(SectionReader &Reader, const std::string &Key,
                                Duration Default) {
-    const auto Whole =
+    const auto DefaultMs =
         std::chrono::duration_cast<std::chrono::milliseconds>(Default).count();
-    return std::chrono::milliseconds(
-        Reader.count(Key, static_cast<std::uint32_t>(Whole), MaxMilliseconds));
+    return std::chrono::milliseconds(Reader.count(
+        Key, static_cast<std::uint32_t>(DefaultMs), MaxMilliseconds));
   }
 
   static double positive(SectionReader &Reader, const std::string &Key,
@@ -95,16 +97,16 @@
     return Value;
   }
 
-  /// Seconds, fractions allowed.
+  /// A number of seconds, which may have a fraction.
   static Duration seconds(SectionReader &Reader, const std::string &Key,
                           Duration Default) {
-    const std::chrono::duration<double> Whole(Default);
-    return std::chrono::duration_cast<Duration>(
-        std::chrono::duration<double>(positive(Reader, Key, Whole.count())));
+    const std::chrono::duration<double> DefaultSeconds(Default);
+    return std::chrono::duration_cast<Duration>(std::chrono::duration<double>(
+        positive(Reader, Key, DefaultSeconds.count())));
   }
 
   void gateway(SectionReader &Reader) {
-    GatewaySettings &G = this->Into.Gateway;
+    GatewaySettings &G = this->Settings.Gateway;
     G.Name = Reader.requiredText("name");
     if (!isName(G.Name))
       Reader.failAt("name", std::string("must be ") + NameRule);
@@ -117,20 +119,19 @@
     if (G.Cores <= 0)
       Reader.failAt("cores", "must be above zero");
     const auto Descriptors =
-        Reader.count("descriptors", UnstatedDescriptors, MaxConnections);
-    const auto Memory =
-        Reader.count("memory-mb", UnstatedMemoryMb, MaxMemoryMb);
+        Reader.count("descriptors", DefaultDescriptors, MaxConnections);
+    const auto Memory = Reader.count("memory-mb", DefaultMemoryMb, MaxMemoryMb);
     G.MaxCallerConnections = Reader.count(
-        "max-callers", callersFor(Descriptors, Memory), MaxConnections);
+        "max-callers", defaultMaxCallers(Descriptors, Memory), MaxConnections);
     G.DrainTimeout = seconds(Reader, "drain-limit-s", G.DrainTimeout);
   }
 
   void store(SectionReader &Reader) {
-    this->Into.StoreAddress = address(Reader, "address", true);
+    this->Settings.StoreAddress = address(Reader, "address", true);
   }
 
   void bounds(SectionReader &Reader) {
-    GatewaySettings &G = this->Into.Gateway;
+    GatewaySettings &G = this->Settings.Gateway;
     G.RevocationBound =
         milliseconds(Reader, "revocation-ms", G.RevocationBound);
     G.ConfigurationBound =
@@ -147,19 +148,19 @@
   }
 
   void logging(SectionReader &Reader) {
-    GatewaySettings &G = this->Into.Gateway;
+    GatewaySettings &G = this->Settings.Gateway;
     G.MinLogLevel = Reader.choice("level", LogLevelNames, G.MinLogLevel);
     G.LogTarget = Reader.text("target", G.LogTarget);
   }
 
   const IniFile &File;
-  GatewayFileSettings Into;
+  GatewayFileSettings Settings;
 };
 
 } // namespace
 
 Result<GatewayFileSettings> readGatewaySettings(const IniFile &File) {
-  return Reading(File).run();
+  return SettingsParser(File).run();
 }
 
 Result<GatewayFileSettings> readGatewaySettings(const std::string &Path) {
--- a/src/Gateway/GatewaySettingsReader.h
+++ b/src/Gateway/GatewaySettingsReader.h
@@ -6,15 +6,15 @@
 
 namespace parsleywing {
 
-/// The settings of `parsleywing gateway`, with what the store needs.
+/// The settings file of `parsleywing gateway`.
 struct GatewayFileSettings {
   GatewaySettings Gateway;
   /// Numeric IP and port of the platform's store.
   std::string StoreAddress;
 };
 
-/// Reads and checks a settings file. The first problem is returned as one
-/// sentence with the file, line, section and key.
+/// Reads and checks a settings file. The error message describes the first
+/// problem in one sentence, with file, line, section and key.
 Result<GatewayFileSettings> readGatewaySettings(const std::string &Path);
 Result<GatewayFileSettings> readGatewaySettings(const IniFile &File);
 
--- a/src/Gateway/RefusalReason.h
+++ b/src/Gateway/RefusalReason.h
@@ -5,21 +5,21 @@
 
 namespace parsleywing {
 
-/// Why a router refuses a request that has not run. The log line of the request
-/// says it, and each reason has a counter.
+/// Why a router refuses a request that has not run. Part of the request's log
+/// line; each reason has a counter.
 enum class RefusalReason {
-  NoConfiguration,  ///< None is known yet.
-  RouterOverloaded, ///< The router's loop is late.
-  TooManyCallers,   ///< More are connected than are served.
-  Stopping,         ///< The drain is nearly over.
-  RouteMayBeNew,    ///< Unknown route, and the configuration may be old.
-  KeyMayBeNew,      ///< Unknown key, and the configuration may be old.
-  KeysMayBeRevoked, ///< The proof of the configuration is too old for keys.
-  NoCapacityInTime, ///< The allocator had no server in time.
-  NoUsableServer,   ///< No server of the service is listed and sound.
-  NoServerRanIt,    ///< Those that were tried did not run it.
-  DeadlineExceeded, ///< The caller's time ended before a server was found.
-  CrashesServers,   ///< Servers that had it in hand have crashed.
+  NoConfiguration,  ///< No configuration is known yet.
+  RouterOverloaded, ///< The event loop's lag is too high.
+  TooManyCallers,   ///< The caller connection limit is exceeded.
+  Stopping,         ///< The drain is close to its end.
+  RouteMayBeNew,    ///< Unknown route; the configuration may be outdated.
+  KeyMayBeNew,      ///< Unknown key; the configuration may be outdated.
+  KeysMayBeRevoked, ///< The configuration's proof is too old to accept keys.
+  NoCapacityInTime, ///< The allocator found no free capacity in time.
+  NoUsableServer,   ///< No server of the service is listed and healthy.
+  NoServerRanIt,    ///< None of the servers that were tried ran the request.
+  DeadlineExceeded, ///< The deadline passed before a server was found.
+  CrashesServers,   ///< Servers have crashed while processing the request.
 };
 
 inline constexpr EnumNames<RefusalReason, 12> RefusalReasonNames{{
--- a/src/Gateway/UpstreamConnection.cpp
+++ b/src/Gateway/UpstreamConnection.cpp
@@ -6,14 +6,16 @@
 
 namespace {
 
-/// The longest head that a server may send.
+/// Max size of a response head.
 constexpr std::size_t MaxHeadBytes = 32U << 10U;
+/// Lower statuses are interim responses.
 constexpr int FirstFinalStatus = 200;
 
-/// Where a server does not say how long it keeps an idle connection.
-constexpr Duration UnstatedIdleLimit = std::chrono::seconds(3);
-/// A request must not cross the server's close: it would not be known whether
-/// it ran.
+/// Assumed for a server that does not state its idle timeout.
+constexpr Duration DefaultIdleTimeout = std::chrono::seconds(3);
+/// Safety margin below the server's idle timeout. If the server closes the
+/// connection while a request is on its way, it is unknown whether the request
+/// ran.
 constexpr Duration IdleMargin = std::chrono::milliseconds(600);
 
 } // namespace
@@ -24,23 +26,24 @@
   auto Channel = ByteChannel::connect(Loop, Address);
   if (Channel == nullptr)
     return nullptr;
-  auto Made = std::make_shared<UpstreamConnection>(Loop, Format, Channel);
+  auto Connection = std::make_shared<UpstreamConnection>(Loop, Format, Channel);
   ChannelListener Listener;
-  // Raw pointers: the destructor closes the channel, which tells nothing more.
-  Listener.Connected = [Self = Made.get()] {
+  // Raw pointers are safe: the destructor closes the channel, which then makes
+  // no more callbacks.
+  Listener.Connected = [Self = Connection.get()] {
     const auto Alive = Self->shared_from_this();
     Self->onConnected();
   };
-  Listener.Received = [Self = Made.get()](std::string_view Bytes) {
+  Listener.Received = [Self = Connection.get()](std::string_view Bytes) {
     const auto Alive = Self->shared_from_this();
     Self->onReceived(Bytes);
   };
-  Listener.Ended = [Self = Made.get()](ChannelEnd How) {
+  Listener.Ended = [Self = Connection.get()](ChannelEnd End) {
     const auto Alive = Self->shared_from_this();
-    Self->onEnded(How);
+    Self->onEnded(End);
   };
   Channel->setListener(std::move(Listener));
-  return Made;
+  return Connection;
 }
 
 UpstreamConnection::UpstreamConnection(EventLoop &L, const WireFormat &F,
@@ -50,13 +53,14 @@
 UpstreamConnection::~UpstreamConnection() { this->Channel->close(); }
 
 void UpstreamConnection::send(const std::string &Bytes,
-                              const std::string &AskedMethod,
-                              const std::string &Id, UpstreamListener Told,
+                              const std::string &SentMethod,
+                              const std::string &SentId,
+                              UpstreamListener NewListener,
                               std::function<bool()> MaySend) {
-  this->Listener = std::move(Told);
+  this->Listener = std::move(NewListener);
   this->SendAllowed = std::move(MaySend);
-  this->Method = AskedMethod;
-  this->RequestId = Id;
+  this->Method = SentMethod;
+  this->RequestId = SentId;
   this->CurrentState = State::ReadingHead;
   this->Reusable = false;
   this->Channel->write(Bytes);
@@ -80,7 +84,7 @@
 
 void UpstreamConnection::onReceived(std::string_view Bytes) {
   if (this->CurrentState == State::Idle) {
-    // Bytes that belong to no request.
+    // The server sent bytes without a request.
     this->close();
     if (this->IdleClosed)
       this->IdleClosed();
@@ -115,32 +119,32 @@
 }
 
 void UpstreamConnection::handleHead(const HttpHead &Head) {
-  const auto Plan = responseBodyLength(Head, this->Method);
-  if (!Plan) {
+  const auto BodySize = responseBodyLength(Head, this->Method);
+  if (!BodySize) {
     this->failExchange(UpstreamEnd::Malformed);
     return;
   }
-  const ServerResponseFields Read = this->Format.ParseServerResponse(Head);
-  this->Decoder = BodyDecoder(*Plan);
-  const bool Stray =
-      !Read.RequestId.empty() && Read.RequestId != this->RequestId;
-  if (Stray) {
+  const ServerResponseFields Fields = this->Format.ParseServerResponse(Head);
+  this->Decoder = BodyDecoder(*BodySize);
+  const bool IsOtherResponse =
+      !Fields.RequestId.empty() && Fields.RequestId != this->RequestId;
+  if (IsOtherResponse) {
     this->CurrentState = State::SkippingBody;
     return;
   }
   this->KeepAlive = isKeepAlive(Head) && !this->Decoder.isCloseDelimited();
-  const Duration Idle = Read.IdleTimeout.value_or(UnstatedIdleLimit);
-  this->ReusableUntil = this->Loop.clock().now() + Idle - IdleMargin;
+  const Duration IdleTimeout = Fields.IdleTimeout.value_or(DefaultIdleTimeout);
+  this->ReusableUntil = this->Loop.clock().now() + IdleTimeout - IdleMargin;
   this->CurrentState = State::ReadingBody;
-  this->Listener.HeadReceived(Head, Read);
+  this->Listener.HeadReceived(Head, Fields);
 }
 
 bool UpstreamConnection::parseBody() {
   std::string Payload;
   const std::size_t Used = this->Decoder.feed(this->Input, Payload);
   this->Input.erase(0, Used);
-  const bool Stray = this->CurrentState == State::SkippingBody;
-  if (!Stray && !Payload.empty())
+  const bool Skipping = this->CurrentState == State::SkippingBody;
+  if (!Skipping && !Payload.empty())
     this->Listener.PayloadReceived(Payload);
   if (!this->Channel->isOpen())
     return false;
@@ -150,7 +154,7 @@
   }
   if (!this->Decoder.complete())
     return false;
-  if (Stray) {
+  if (Skipping) {
     this->CurrentState = State::ReadingHead;
     return !this->Input.empty();
   }
@@ -159,8 +163,8 @@
 }
 
 void UpstreamConnection::completeExchange() {
-  // A request that has not gone out whole leaves the server waiting for its
-  // rest, and whatever came next would be taken for it.
+  // If the request has not been sent completely, the server still waits for its
+  // rest and would take the next request for it.
   this->Reusable =
       this->KeepAlive && this->Input.empty() && this->Channel->unsent() == 0;
   this->Input.clear();
@@ -169,12 +173,12 @@
   this->IdleSince = this->Loop.clock().now();
   if (!this->Reusable)
     this->Channel->close();
-  // An idle connection must not keep the request that it has carried.
-  const auto Told = std::exchange(this->Listener, {});
-  Told.Ended(UpstreamEnd::Complete);
+  // An idle connection must not keep the finished request alive.
+  const auto OldListener = std::exchange(this->Listener, {});
+  OldListener.Ended(UpstreamEnd::Complete);
 }
 
-void UpstreamConnection::onEnded(ChannelEnd How) {
+void UpstreamConnection::onEnded(ChannelEnd End) {
   if (this->CurrentState == State::Idle) {
     this->Reusable = false;
     if (this->IdleClosed)
@@ -183,10 +187,10 @@
   }
   if (this->CurrentState == State::Closed)
     return;
-  const bool Whole = this->CurrentState == State::ReadingBody &&
-                     this->Decoder.isCloseDelimited() &&
-                     How == ChannelEnd::Finished;
-  if (Whole) {
+  const bool IsComplete = this->CurrentState == State::ReadingBody &&
+                          this->Decoder.isCloseDelimited() &&
+                          End == ChannelEnd::Finished;
+  if (IsComplete) {
     this->completeExchange();
     return;
   }
@@ -194,10 +198,10 @@
                                          : UpstreamEnd::NotSent);
 }
 
-void UpstreamConnection::failExchange(UpstreamEnd How) {
+void UpstreamConnection::failExchange(UpstreamEnd End) {
   this->close();
-  const auto Told = this->Listener.Ended;
-  Told(How);
+  const auto Callback = this->Listener.Ended;
+  Callback(End);
 }
 
 } // namespace parsleywing
--- a/src/Gateway/UpstreamConnection.h
+++ b/src/Gateway/UpstreamConnection.h
@@ -12,10 +12,10 @@
 
 /// How the exchange of one request with a server ended.
 enum class UpstreamEnd {
-  Complete,  ///< The whole answer came.
-  NotSent,   ///< No connection came about: nothing of the request has left.
+  Complete,  ///< The complete response was received.
+  NotSent,   ///< No connection was established; nothing was sent.
   Broken,    ///< The connection ended early; the request may have run.
-  Malformed, ///< The server sent something that is no answer to it.
+  Malformed, ///< The server sent an invalid response.
 };
 
 inline constexpr EnumNames<UpstreamEnd, 4> UpstreamEndNames{{
@@ -25,7 +25,7 @@
     {UpstreamEnd::Malformed, "spoilt"},
 }};
 
-/// What an exchange tells its request. `Ended` is the last call.
+/// Callbacks of one exchange. `Ended` is the last call.
 struct UpstreamListener {
   std::function<void(const HttpHead &, const ServerResponseFields &)>
       HeadReceived;
@@ -33,13 +33,13 @@
   std::function<void(UpstreamEnd)> Ended;
 };
 
-/// One connection to a server: one request at a time, each with the one answer
-/// that bears its identity. Answers to other requests, which a faulty server
-/// sends late, are read over and dropped.
+/// One HTTP connection to a server, which carries one request at a time. A
+/// response is matched to its request by the request ID: responses to other
+/// requests, which a faulty server sends late, are skipped.
 class UpstreamConnection
     : public std::enable_shared_from_this<UpstreamConnection> {
 public:
-  /// Connects. Null where the system refuses at once.
+  /// Starts to connect. Null if the connection attempt fails immediately.
   static std::shared_ptr<UpstreamConnection>
   connect(EventLoop &Loop, const WireFormat &Format,
           const Poco::Net::SocketAddress &Address);
@@ -50,41 +50,45 @@
   UpstreamConnection(const UpstreamConnection &) = delete;
   UpstreamConnection &operator=(const UpstreamConnection &) = delete;
 
-  /// Sends a request. `Method` and `RequestId` tell its answer. Where the
-  /// connection comes about only when `MaySend` says no, nothing is sent.
-  void send(const std::string &Bytes, const std::string &Method,
-            const std::string &RequestId, UpstreamListener Wanted,
+  /// Sends a request. `SentMethod` and `SentId` are needed to interpret its
+  /// response. If `MaySend` is false when the connection is established, the
+  /// exchange ends with `NotSent`.
+  void send(const std::string &Bytes, const std::string &SentMethod,
+            const std::string &SentId, UpstreamListener NewListener,
             std::function<bool()> MaySend = {});
 
-  /// Whether any byte of the present request may have left.
+  /// Whether any byte of the current request may have been sent.
   bool mayHaveSent() const;
 
-  /// Slows the server down to what the caller takes.
+  /// Applies backpressure to the server while the caller reads slowly.
   void pauseReading() { this->Channel->pauseReading(); }
   void resumeReading() { this->Channel->resumeReading(); }
 
-  /// Ends the exchange and the connection; nothing more is told.
+  /// Ends the exchange and the connection without further callbacks.
   void close();
 
-  /// Can carry another request: the answer was whole, nothing came behind it.
+  /// Whether the connection can carry another request: the response was
+  /// complete, and no bytes followed it.
   bool reusable() const { return this->Reusable && this->Channel->isOpen(); }
 
-  /// The same, with a look at what the server has sent since the last read. A
-  /// loop that is late has not heard of a server's close: a request sent behind
-  /// it is lost, and nobody knows whether it ran. Costs a call of the system.
+  /// Like `reusable`, but also checks for input from the server since the last
+  /// read. A lagging loop may not have read the server's close yet; a request
+  /// sent after it would be lost, and it would be unknown whether it ran. Costs
+  /// a system call.
   bool verifyReusable() const {
     return this->reusable() && this->Channel->inputIdle();
   }
 
-  /// Called where an idle connection turns out to be of no more use.
-  void onIdleClosed(std::function<void()> Gone) {
-    this->IdleClosed = std::move(Gone);
+  /// Sets the callback for an idle connection that becomes unusable.
+  void onIdleClosed(std::function<void()> Callback) {
+    this->IdleClosed = std::move(Callback);
   }
 
-  /// Until when the server keeps it; set with each answer.
+  /// When the server's idle timeout expires, with a safety margin; set by each
+  /// response.
   TimePoint ReusableUntil{};
   TimePoint IdleSince{};
-  /// It has carried a request before.
+  /// Whether it has carried a request before.
   bool Used = false;
 
 private:
@@ -92,13 +96,13 @@
 
   void onConnected();
   void onReceived(std::string_view Bytes);
-  void onEnded(ChannelEnd How);
-  /// Whether there may be more to take out of the buffer.
+  void onEnded(ChannelEnd End);
+  /// Both return whether the remaining input may hold more to parse.
   bool parseHead();
   bool parseBody();
   void handleHead(const HttpHead &Head);
   void completeExchange();
-  void failExchange(UpstreamEnd How);
+  void failExchange(UpstreamEnd End);
 
   EventLoop &Loop;
   const WireFormat &Format;
--- a/src/Gateway/UpstreamPool.cpp
+++ b/src/Gateway/UpstreamPool.cpp
@@ -6,9 +6,9 @@
 
 namespace {
 
-/// Idle connections kept for one server; more would hold places that other
-/// routers need at a server that takes a few hundred in all.
-constexpr std::size_t MaxIdleForServer = 16;
+/// Max idle connections per server. A server accepts only a few hundred
+/// connections in total, and other routers need them too.
+constexpr std::size_t MaxIdlePerServer = 16;
 
 } // namespace
 
@@ -28,7 +28,7 @@
   while (!Connections.empty()) {
     auto Last = Connections.back();
     const bool Usable = Last->reusable() && Last->ReusableUntil > Now;
-    // Those below have been idle for even longer.
+    // The connections before the last one have been idle for longer.
     if (Usable && Now - Last->IdleSince > MaxIdle)
       return nullptr;
     Connections.pop_back();
@@ -44,15 +44,15 @@
   if (!Connection->reusable())
     return;
   ConnectionList &Connections = this->IdleByServer[ServerId];
-  if (Connections.size() >= MaxIdleForServer) {
+  if (Connections.size() >= MaxIdlePerServer) {
     Connections.front()->close();
     Connections.erase(Connections.begin());
   }
-  Connection->onIdleClosed([this, ServerId, Ended = std::weak_ptr(Connection)] {
-    const auto Gone = Ended.lock();
+  Connection->onIdleClosed([this, ServerId, Weak = std::weak_ptr(Connection)] {
+    const auto Closed = Weak.lock();
     const auto Found = this->IdleByServer.find(ServerId);
     if (Found != this->IdleByServer.end())
-      std::erase(Found->second, Gone);
+      std::erase(Found->second, Closed);
   });
   Connections.push_back(std::move(Connection));
 }
--- a/src/Gateway/UpstreamPool.h
+++ b/src/Gateway/UpstreamPool.h
@@ -10,10 +10,9 @@
 
 namespace parsleywing {
 
-/// Keeps idle connections to servers for the next request. A new connection
-/// costs a round trip, time of the server and its price; a kept one may have
-/// been closed by the server unnoticed, which is why each use states how long
-/// it may have been idle.
+/// Pool of idle connections to servers. A new connection costs a round trip and
+/// server time, and is charged for. The server may have closed a pooled one
+/// unnoticed, which is why each use limits its idle time.
 class UpstreamPool {
 public:
   explicit UpstreamPool(EventLoop &L) : Loop(L) {}
@@ -21,18 +20,19 @@
   UpstreamPool(const UpstreamPool &) = delete;
   UpstreamPool &operator=(const UpstreamPool &) = delete;
 
-  /// The connection that was used last, if it has not been idle for longer
-  /// than `MaxIdle` nor than the server keeps it. Null otherwise.
+  /// Takes the most recently used connection, unless it has been idle for
+  /// longer than `MaxIdle` or the server's idle timeout. Null otherwise.
   std::shared_ptr<UpstreamConnection> acquire(const std::string &ServerId,
                                               Duration MaxIdle);
 
+  /// Returns a connection to the pool, if it is reusable.
   void release(const std::string &ServerId,
                std::shared_ptr<UpstreamConnection> Connection);
 
   /// Closes the idle connections to a server.
   void closeIdle(const std::string &ServerId);
 
-  /// Closes what has been idle for too long. Called now and then.
+  /// Closes connections whose idle timeout has expired. Called periodically.
   void closeExpired();
 
   std::size_t idleCount() const;
--- a/src/Gateway/WireFormat.h
+++ b/src/Gateway/WireFormat.h
@@ -12,74 +12,76 @@
 
 namespace parsleywing {
 
-/// What the head of a caller's request says.
+/// Header fields of a caller's request.
 struct CallerRequestFields {
-  /// Names this attempt of the caller; each of its retries has another.
+  /// Differs between the caller's retries of one request.
   std::string RequestId;
   std::string Host;
-  /// How long the caller waits, from when it sent the request.
+  /// How long the caller waits for the response, counted from when it sent the
+  /// request.
   std::optional<Duration> Timeout;
   std::string AccountKey;
   std::uint32_t PromptTokens = 0;
   std::uint32_t MaxOutputTokens = 0;
-  /// The caller's guess of the output, where it gives one.
+  /// The caller's estimate of the output tokens; 0 if it gives none.
   std::uint32_t ExpectedOutputTokens = 0;
-  /// In the order of the prompt; the last belongs to the request alone.
+  /// In prompt order; the last part is not shared with other requests.
   std::vector<PromptPart> PromptParts;
-  /// The caller has the stream's events up to this one.
+  /// The last event of the stream that the caller has received.
   std::optional<std::uint64_t> LastEventId;
 };
 
-/// What the router adds to a request that it sends to a server.
+/// Header fields that the router adds to a request to a server.
 struct ServerRequestFields {
   Duration TimeLeft{};
-  /// The server for which it is meant: another one at the address refuses.
+  /// The intended server; another one at the same address refuses the request.
   std::string ServerId;
   /// The client account; empty on public routes.
   std::string Account;
   std::optional<std::uint64_t> LastEventId;
-  /// The address of a server that keeps more of the prompt: the server fetches
-  /// that in place of reading it. Empty for none.
+  /// Address of a server that has cached more of the prompt. The server fetches
+  /// the cached part from there instead of prefilling it. Empty for none.
   std::string CacheSourceAddress;
   std::size_t BodyBytes = 0;
   bool HasBody = false;
 };
 
-/// What a server says of its load.
+/// Load as reported by a server.
 struct ServerLoad {
   std::uint64_t Running = 0;
   std::uint64_t Waiting = 0;
   std::uint64_t Slots = 0;
 };
 
-/// What the head of a server's answer says.
+/// Header fields of a server's response.
 struct ServerResponseFields {
   std::string RequestId;
-  /// It carries the receipt without which a success does not count.
+  /// Whether it carries the receipt that a successful response must have.
   bool HasReceipt = false;
-  /// The server states that it did not run the request.
+  /// The server states that it has not run the request.
   bool NotRun = false;
-  /// Another server has this address.
+  /// The request reached another server than the intended one.
   bool WrongServer = false;
   std::optional<ServerLoad> Load;
-  /// How long the server keeps an idle connection, where it says so.
+  /// The server's idle timeout for connections, if stated.
   std::optional<Duration> IdleTimeout;
 };
 
-/// How requests and answers are written on the wire. The gateway knows only
-/// these functions; the names of fields stand with their implementation.
+/// Translates between HTTP heads and the fields that the gateway needs. The
+/// gateway uses only these functions; their implementation defines the names of
+/// the header fields.
 struct WireFormat {
   Result<CallerRequestFields> (*ParseCallerRequest)(const HttpHead &Head);
-  HttpHead (*BuildServerRequest)(const HttpHead &Caller,
-                                 const ServerRequestFields &Added);
+  HttpHead (*BuildServerRequest)(const HttpHead &CallerRequest,
+                                 const ServerRequestFields &Fields);
   ServerResponseFields (*ParseServerResponse)(const HttpHead &Head);
-  /// Leaves of a server's answer what the caller is to see.
-  HttpHead (*BuildCallerResponse)(const HttpHead &Server);
-  /// Asks an engine which parts of prompts it keeps, and reads its answer.
+  /// Removes the header fields that the caller must not see.
+  HttpHead (*BuildCallerResponse)(const HttpHead &ServerResponse);
+  /// The query for the prompt parts in an engine's cache, and its response.
   HttpHead (*BuildCachedPartsRequest)(const std::string &Host);
   Result<CachedParts> (*ParseCachedParts)(const std::string &Body);
-  /// Adds the caller's identity of the request to an answer of the router.
-  void (*MarkLocalReply)(HttpHead &Answer, const std::string &RequestId);
+  /// Adds the request ID to a response that the router generates itself.
+  void (*MarkLocalReply)(HttpHead &Reply, const std::string &RequestId);
 };
 
 } // namespace parsleywing
