--- a/lab/Play.h
+++ b/lab/Play.h
@@ -10,69 +10,72 @@
 
 namespace parsleywing::lab {
 
-/// The product's allocator, as the choices say.
+/// The product's allocator with these options.
 struct AllocatorPolicy {
-  AllocatorOptions Choices;
+  AllocatorOptions Options;
 };
-/// Each request goes at once to the engine with the fewest requests.
+/// Sends each request immediately to the engine with the fewest requests.
 struct LeastLoadedPolicy {};
-/// The same among two engines drawn at random.
+/// Power of two choices: the less loaded of two random engines.
 struct TwoChoicesPolicy {};
-/// Each request goes at once to the engine that its shared part hashes to.
+/// Sends each request immediately to the engine that its shared part hashes to.
 struct HomePolicy {};
 
 using Policy = std::variant<AllocatorPolicy, LeastLoadedPolicy,
                             TwoChoicesPolicy, HomePolicy>;
 
-/// How calls ended, as their callers saw it.
+/// The outcomes of calls, as seen by their callers.
 struct Outcomes {
   std::uint32_t Calls = 0;
   std::uint32_t OnTime = 0;
   std::uint32_t Late = 0;
   std::uint32_t Refused = 0;
-  /// The caller's time was over first.
+  /// The caller's time limit passed before the response was complete.
   std::uint32_t CallerDisconnected = 0;
-  /// Payoff of the served and of all calls: 0.3 and 0.7 times the size against
-  /// the mean of the class, four at most, a late one 0.3 of it. All classes
-  /// count alike.
+  /// Payoff of the served calls, and of all calls if all were on time. The
+  /// payoff of a call is 0.3 plus 0.7 times its prompt size relative to the
+  /// mean of its class, which counts as four at most. A late response earns 0.3
+  /// of it. All classes have the same weight.
   double EarnedPayoff = 0;
   double PossiblePayoff = 0;
 
+  /// The share of the possible payoff that was earned.
   double worth() const {
     return this->PossiblePayoff > 0 ? this->EarnedPayoff / this->PossiblePayoff
                                     : 1;
   }
 };
 
-/// What a play showed.
+/// The result of a simulation.
 struct SimulationResult {
   Outcomes Total;
   std::map<std::string, Outcomes> ByClass;
   std::map<std::uint32_t, Outcomes> ByAccount;
-  /// The largest tenth of each class.
+  /// The tenth of the calls with the largest prompts, by class.
   std::map<std::string, Outcomes> LargestByClass;
   EngineCounts Engines;
-  /// Times to the first token of the served calls, sorted.
+  /// Times to the first token of the served calls, ascending.
   std::vector<Milliseconds> FirstTokens;
-  /// From each refused attempt to its refusal, sorted.
+  /// Times from the start of each refused attempt to its refusal, ascending.
   std::vector<Milliseconds> RefusalTimes;
-  /// Part of the engines' time in which they had work.
+  /// Fraction of the engines' time in which they had work.
   double Utilisation = 0;
 
-  /// The mean worth of the accounts' worst tenth, one at least.
+  /// The mean worth of the tenth of the accounts with the lowest worth, at
+  /// least one account.
   double worstAccountsWorth() const;
-  Milliseconds firstTokenQuantile(double Part) const;
-  Milliseconds refusalTimeQuantile(double Part) const;
+  Milliseconds firstTokenQuantile(double Fraction) const;
+  Milliseconds refusalTimeQuantile(double Fraction) const;
 };
 
-/// Plays the load of a seed against modelled engines.
-SimulationResult simulate(const Scenario &Played, std::uint64_t Seed,
-                          const Policy &By);
+/// Simulates a policy with the load that the scenario and the seed generate.
+SimulationResult simulate(const Scenario &Setup, std::uint64_t Seed,
+                          const Policy &SelectedPolicy);
 
-/// An upper bound on the worth of any policy: all calls known beforehand,
-/// shared parts read for nothing, engines that never wait, and the calls with
-/// the most payoff for their engine time served first.
-double worthUpperBound(const Scenario &Played, std::uint64_t Seed);
+/// An upper bound on the worth of any policy: all calls are known in advance,
+/// shared parts cost nothing, engines never wait, and the calls with the
+/// highest payoff per engine time are served first.
+double worthUpperBound(const Scenario &Setup, std::uint64_t Seed);
 
 } // namespace parsleywing::lab
 
