--- a/bench/CapacityStoreBench.cpp
+++ b/bench/CapacityStoreBench.cpp
@@ -1,8 +1,8 @@
-// What a configuration relay pays for its two reads of lists every 2 s at the
-// size that the design is for: the leases of 380 routers, and a list of VMs
-// with 12,380 entries. Processor time is that of the calling thread alone; the
-// stand-in of the store runs in this process.
-// Run: `build/CapacityStoreBench`; some 10 s.
+// Measures the cost of a configuration relay's two list reads every 2 s at the
+// size for which the system is designed: the leases of 380 routers, and a list
+// of VMs with 12,380 entries. CPU time is that of the calling thread only; the
+// stand-in for the store runs in the same process.
+// Run: `build/CapacityStoreBench`; takes about 10 s.
 
 #include "Platform/StoreClient.h"
 #include "standin/StoreStandIn.h"
@@ -17,8 +17,9 @@
 constexpr int Reads = 10;
 
 std::shared_ptr<StoreBudget> unlimitedBudget() {
-  constexpr double Plenty = 1e6;
-  return std::make_shared<StoreBudget>(Plenty, Plenty, Clock::steady().now());
+  constexpr double Unlimited = 1e6;
+  return std::make_shared<StoreBudget>(Unlimited, Unlimited,
+                                       Clock::steady().now());
 }
 
 void readList(benchmark::State &State) {
@@ -31,14 +32,14 @@
   std::size_t Entries = 0;
   std::size_t Bytes = 0;
   while (State.KeepRunning()) {
-    const auto Listed = Client.getPrefix("vms/");
-    if (!Listed) {
-      State.SkipWithError(Listed.error().Message.c_str());
+    const auto Range = Client.getPrefix("vms/");
+    if (!Range) {
+      State.SkipWithError(Range.error().Message.c_str());
       break;
     }
-    Entries = Listed->Entries.size();
+    Entries = Range->Entries.size();
     Bytes = 0;
-    for (const StoreEntry &Entry : Listed->Entries)
+    for (const StoreEntry &Entry : Range->Entries)
       Bytes += Entry.Key.size() + Entry.Value.size();
   }
   State.counters["entries"] = static_cast<double>(Entries);
--- a/bench/ConfigurationBench.cpp
+++ b/bench/ConfigurationBench.cpp
@@ -52,13 +52,13 @@
 
 } // namespace
 
-static void parseWhole(benchmark::State &State) {
+static void parseCompleteText(benchmark::State &State) {
   const std::string File = fileOf(1);
   while (State.KeepRunning())
     benchmark::DoNotOptimize(ConfigurationText(File));
   State.counters["bytes"] = static_cast<double>(File.size());
 }
-BENCHMARK(parseWhole)->Unit(benchmark::kMillisecond);
+BENCHMARK(parseCompleteText)->Unit(benchmark::kMillisecond);
 
 static void memoryOfText(benchmark::State &State) {
   while (State.KeepRunning()) {
@@ -108,7 +108,7 @@
 }
 BENCHMARK(applyOneChange)->Unit(benchmark::kMillisecond)->Iterations(40);
 
-static void readWhole(benchmark::State &State) {
+static void readCompleteText(benchmark::State &State) {
   Fixture F;
   auto Store = F.open();
   (void)Store.apply(fileOf(1), "operator");
@@ -120,10 +120,10 @@
       benchmark::Counter(static_cast<double>(F.Store.allCalls() - Before) /
                          static_cast<double>(State.iterations()));
 }
-BENCHMARK(readWhole)->Unit(benchmark::kMillisecond)->Iterations(5);
+BENCHMARK(readCompleteText)->Unit(benchmark::kMillisecond)->Iterations(5);
 
-/// A router takes one changed section in force, as a step from another router.
-static void keeperTakesAStep(benchmark::State &State) {
+/// A router activates one changed section, received from another router.
+static void keeperAppliesStep(benchmark::State &State) {
   ConfigurationKeeper Keeper({});
   TimePoint Now{1s};
   View V;
@@ -152,10 +152,10 @@
   if (Keeper.generation() != Generation)
     State.SkipWithError("not in force");
 }
-BENCHMARK(keeperTakesAStep)->Unit(benchmark::kMicrosecond)->Iterations(500);
+BENCHMARK(keeperAppliesStep)->Unit(benchmark::kMicrosecond)->Iterations(500);
 
-/// A relay takes one changed section in force, from the store's parts.
-static void relayTakesAChange(benchmark::State &State) {
+/// A relay activates one changed section, read from the parts in the store.
+static void relayAppliesChange(benchmark::State &State) {
   ConfigurationKeeper Keeper({});
   TimePoint Now{1s};
   View V;
@@ -179,48 +179,50 @@
       Manifest.Parts.push_back(hashBytes(Part));
     return Manifest;
   };
-  const auto Drive = [&](const ConfigurationManifest &Manifest,
-                         const std::map<std::string, std::string> &ByHash) {
-    for (const auto &Action : Keeper.handle(Now, ManifestRead{Manifest}))
-      if (const auto *Wanted = std::get_if<ReadParts>(&Action)) {
-        PartsRead Read{Wanted->Generation, {}};
-        for (const TextHash &Part : Wanted->Parts)
-          Read.Texts.push_back(ByHash.at(toString(Part)));
-        Keeper.handle(Now, Read);
-      }
-  };
+  const auto Process =
+      [&](const ConfigurationManifest &Manifest,
+          const std::map<std::string, std::string> &PartByHash) {
+        for (const auto &Action : Keeper.handle(Now, ManifestRead{Manifest}))
+          if (const auto *Request = std::get_if<ReadParts>(&Action)) {
+            PartsRead Event{Request->Generation, {}};
+            for (const TextHash &Part : Request->Parts)
+              Event.Texts.push_back(PartByHash.at(toString(Part)));
+            Keeper.handle(Now, Event);
+          }
+      };
   std::uint64_t Change = 0;
   while (State.KeepRunning()) {
     State.PauseTiming();
     const ConfigurationText Text(fileOf(Change++));
     const auto Parts = Text.parts(256U << 10U);
     const auto Manifest = ManifestOf(Text, Parts);
-    const auto ByHash = PartsByHash(Parts);
+    const auto PartByHash = PartsByHash(Parts);
     State.ResumeTiming();
-    Drive(Manifest, ByHash);
+    Process(Manifest, PartByHash);
   }
   if (Keeper.generation() != Generation)
     State.SkipWithError("not in force");
 }
-BENCHMARK(relayTakesAChange)->Unit(benchmark::kMillisecond)->Iterations(30);
+BENCHMARK(relayAppliesChange)->Unit(benchmark::kMillisecond)->Iterations(30);
 
-/// Claims in flight at once decide the size of the batches.
+/// The number of concurrent claims determines the batch size.
 static void claimRunRecords(benchmark::State &State) {
   Fixture F;
-  RunRecordSettings R;
-  R.WriterId = "bench";
-  R.ClaimTimeout = 10s;
-  RunRecordWriter Writer(R, {F.Store.address(), 5s, 500ms}, F.Budget,
+  RunRecordSettings Settings;
+  Settings.WriterId = "bench";
+  Settings.ClaimTimeout = 10s;
+  RunRecordWriter Writer(Settings, {F.Store.address(), 5s, 500ms}, F.Budget,
                          Clock::steady());
   const auto InFlight = static_cast<std::size_t>(State.range(0));
   std::uint64_t Next = 0;
   while (State.KeepRunning()) {
-    std::atomic<std::size_t> Left{InFlight};
+    std::atomic<std::size_t> Pending{InFlight};
     for (std::size_t Index = 0; Index < InFlight; ++Index) {
       const std::string Key = std::to_string(++Next);
-      Writer.claim(AccountId{1}, Key, Key, [&Left](RunVerdict) { --Left; });
+      Writer.claim(AccountId{1}, Key, Key,
+                   [&Pending](RunVerdict) { --Pending; });
     }
-    while (Left > 0)
+    while (Pending > 0)
       std::this_thread::yield();
   }
   const double Writes =
--- a/bench/ProgramLoaderBench.cpp
+++ b/bench/ProgramLoaderBench.cpp
@@ -1,6 +1,6 @@
-// What a change of one client account costs a router at the target's size,
-// 24,000 accounts and 12,000 servers: read whole, made on a copy, and made on
-// declarations that nobody holds any more.
+// Measures the cost of a change of one client account for a router at the
+// target size of 24,000 accounts and 12,000 servers: with complete parsing, on
+// a copy, and in place on declarations that are no longer referenced.
 
 #include "Caller/AccountKeys.h"
 #include "Program/DeclarationsUpdater.h"
@@ -21,7 +21,7 @@
          "\nshare = " + std::to_string(Share) + "\nservices = a, b\n";
 }
 
-std::string wholeText() {
+std::string completeText() {
   std::string Lists[2];
   std::string Text;
   for (int Number = 0; Number < ServerCount; ++Number) {
@@ -37,19 +37,19 @@
          "\n[service b]\nservers = " + Lists[1] + "\n";
 }
 
-/// Changes one account each time. The text stays as it was: only a whole read
-/// looks at it.
+/// Changes one account in each update. The text stays the same, since only
+/// complete parsing reads it.
 class Changes {
 public:
-  Changes() : Text(std::make_shared<const std::string>(wholeText())) {}
+  Changes() : Text(std::make_shared<const std::string>(completeText())) {}
 
-  DeclarationsPtr next(bool FollowsTheLast) {
+  DeclarationsPtr next(bool FollowsLast) {
     const int Number = static_cast<int>(++this->Generation % AccountCount);
-    const PutInForce Put{this->Generation,
-                         this->Text,
-                         {{}, accountSection(Number, 2 + Number % 7)}};
-    auto Made = this->Updater.update(Put, FollowsTheLast);
-    return Made ? *Made : nullptr;
+    const PutInForce Change{this->Generation,
+                            this->Text,
+                            {{}, accountSection(Number, 2 + Number % 7)}};
+    auto Updated = this->Updater.update(Change, FollowsLast);
+    return Updated ? *Updated : nullptr;
   }
 
   DeclarationsUpdater Updater;
@@ -59,24 +59,24 @@
   std::uint64_t Generation = 0;
 };
 
-void readWhole(benchmark::State &State) {
+void parseComplete(benchmark::State &State) {
   Changes Each;
-  DeclarationsPtr Held;
+  DeclarationsPtr Current;
   for (auto Unused : State) {
     (void)Unused;
-    Held = Each.next(false);
+    Current = Each.next(false);
   }
 }
 
-/// `Holders` generations stay held, as by requests that run for long.
+/// Keeps references to several generations, as long-running requests do.
 void changeOne(benchmark::State &State) {
   Changes Each;
-  std::vector<DeclarationsPtr> Held(
+  std::vector<DeclarationsPtr> References(
       static_cast<std::size_t>(State.range(0)) + 1, Each.next(false));
-  std::size_t Turn = 0;
+  std::size_t Index = 0;
   for (auto Unused : State) {
     (void)Unused;
-    Held[Turn++ % Held.size()] = Each.next(true);
+    References[Index++ % References.size()] = Each.next(true);
   }
   State.counters["in_place"] =
       static_cast<double>(Each.Updater.inPlaceUpdates()) /
@@ -93,7 +93,7 @@
   }
 }
 
-BENCHMARK(readWhole)->Unit(benchmark::kMillisecond);
+BENCHMARK(parseComplete)->Unit(benchmark::kMillisecond);
 BENCHMARK(changeOne)->Arg(0)->Arg(3)->Unit(benchmark::kMillisecond);
 BENCHMARK(indexKeys)->Unit(benchmark::kMillisecond);
 
--- a/src/Platform/ConfigurationStore.cpp
+++ b/src/Platform/ConfigurationStore.cpp
@@ -20,12 +20,12 @@
 
 constexpr std::string_view CollectorIdle = "idle";
 constexpr std::string_view CollectorBusy = "collecting";
-/// Keeps a transaction below the service's limits: 128 steps and 1.5 MB.
-constexpr std::size_t StepsPerTransaction = 100;
-constexpr std::size_t BytesPerTransaction = 1U << 20U;
-constexpr std::size_t LargestValue = 1U << 20U;
-constexpr Duration FirstWait = std::chrono::milliseconds(50);
-constexpr Duration LongestWait = std::chrono::seconds(2);
+/// Keeps transactions below the service's limits of 128 operations and 1.5 MB.
+constexpr std::size_t MaxOperationsPerTransaction = 100;
+constexpr std::size_t MaxBytesPerTransaction = 1U << 20U;
+constexpr std::size_t MaxValueBytes = 1U << 20U;
+constexpr Duration InitialRetryDelay = std::chrono::milliseconds(50);
+constexpr Duration MaxRetryDelay = std::chrono::seconds(2);
 constexpr std::size_t GenerationDigits = 20;
 
 std::string encodeManifest(const ConfigurationManifest &Manifest) {
@@ -72,7 +72,7 @@
     return Manifest;
   } catch (const Poco::Exception &Problem) {
     return failure(ErrorCode::Malformed,
-                   "the manifest cannot be read: " + Problem.displayText());
+                   "the manifest is malformed: " + Problem.displayText());
   }
 }
 
@@ -81,18 +81,19 @@
   std::vector<std::string> Parts;
   ConfigurationManifest NewManifest;
   ConfigurationManifest BaseManifest;
-  /// The manifest's revision that the swap compares; zero where there is none.
+  /// Revision of the manifest that the swap compares; zero if there is none.
   Revision BaseRevision = 0;
   Revision CollectorRevision = 0;
-  /// The generation that the operator began from, where one was named.
+  /// The generation that the operator's file is based on, if given.
   std::optional<std::uint64_t> ExpectedGeneration;
-  /// What is in force instead, where the swap was lost.
+  /// The active change, if the swap failed because of it.
   ConfigurationChange CurrentChange;
   bool HasBase = false;
   bool Uploaded = false;
-  /// A swap was sent and its reply is missing.
+  /// A swap was sent and its response is missing.
   bool OutcomeUnknown = false;
-  Error LastError{ErrorCode::Unreachable, "the store was not asked in time"};
+  Error LastError{ErrorCode::Unreachable,
+                  "the store was not called before the timeout"};
 };
 
 ConfigurationStore::ConfigurationStore(ConfigurationStoreSettings C,
@@ -111,22 +112,22 @@
 }
 
 Result<ConfigurationManifest> ConfigurationStore::readManifest() {
-  const auto Read = this->Store.get(this->manifestKey());
-  if (!Read)
-    return tl::unexpected(Read.error());
-  if (Read->Entries.empty())
+  const auto Range = this->Store.get(this->manifestKey());
+  if (!Range)
+    return tl::unexpected(Range.error());
+  if (Range->Entries.empty())
     return ConfigurationManifest{};
-  return decodeManifest(Read->Entries.front().Value);
+  return decodeManifest(Range->Entries.front().Value);
 }
 
 Result<std::vector<std::string>>
 ConfigurationStore::readParts(const std::vector<TextHash> &Parts) {
-  // Parts are mostly far smaller than the largest; few enough at once keep an
-  // answer at a few megabytes.
-  constexpr std::size_t PartsAtOnce = 16;
+  // Most parts are much smaller than the maximum. Reading few at once keeps a
+  // response at a few megabytes.
+  constexpr std::size_t PartsPerRead = 16;
   std::vector<std::string> Texts;
-  for (std::size_t Begin = 0; Begin < Parts.size(); Begin += PartsAtOnce) {
-    const std::size_t End = std::min(Parts.size(), Begin + PartsAtOnce);
+  for (std::size_t Begin = 0; Begin < Parts.size(); Begin += PartsPerRead) {
+    const std::size_t End = std::min(Parts.size(), Begin + PartsPerRead);
     StoreTransaction Reads;
     for (std::size_t Index = Begin; Index < End; ++Index)
       Reads.Then.push_back(readKey(this->partKey(Parts[Index])));
@@ -134,14 +135,17 @@
     if (!Outcome)
       return tl::unexpected(Outcome.error());
     if (Outcome->Reads.size() != End - Begin)
-      return failure(ErrorCode::Malformed, "the store left out some reads");
+      return failure(ErrorCode::Malformed,
+                     "the store's response lacks some reads");
     for (std::size_t Index = Begin; Index < End; ++Index) {
-      const auto &Found = Outcome->Reads[Index - Begin].Entries;
-      if (Found.empty())
-        return failure(ErrorCode::NotFound, "a part has been removed");
-      if (hashBytes(Found.front().Value) != Parts[Index])
-        return failure(ErrorCode::Malformed, "a part differs from its hash");
-      Texts.push_back(Found.front().Value);
+      const auto &Entries = Outcome->Reads[Index - Begin].Entries;
+      if (Entries.empty())
+        return failure(ErrorCode::NotFound,
+                       "a part of the configuration has been removed");
+      if (hashBytes(Entries.front().Value) != Parts[Index])
+        return failure(ErrorCode::Malformed,
+                       "a part of the configuration does not match its hash");
+      Texts.push_back(Entries.front().Value);
     }
   }
   return Texts;
@@ -149,35 +153,35 @@
 
 Result<StoredConfiguration> ConfigurationStore::read() {
   const TimePoint Deadline = this->Time.now() + this->Settings.Timeout;
-  Backoff Waits(FirstWait, LongestWait, this->Random());
+  Backoff RetryBackoff(InitialRetryDelay, MaxRetryDelay, this->Random());
   while (true) {
-    Error Last;
+    Error LastError;
     const auto Manifest = this->readManifest();
     if (Manifest) {
       const auto Parts = this->readParts(Manifest->Parts);
       if (Parts) {
-        StoredConfiguration Found{*Manifest, {}};
+        StoredConfiguration Configuration{*Manifest, {}};
         for (const std::string &Part : *Parts)
-          Found.Text += Part;
-        return Found;
+          Configuration.Text += Part;
+        return Configuration;
       }
-      Last = Parts.error();
+      LastError = Parts.error();
     } else {
-      Last = Manifest.error();
+      LastError = Manifest.error();
     }
-    const Duration Wait = Waits.nextDelay();
+    const Duration Wait = RetryBackoff.nextDelay();
     if (this->Time.now() + Wait >= Deadline)
-      return tl::unexpected(Last);
+      return tl::unexpected(LastError);
     std::this_thread::sleep_for(Wait);
   }
 }
 
 Result<std::vector<ConfigurationChange>> ConfigurationStore::history() {
-  const auto Read = this->Store.getPrefix(this->Settings.Prefix + "history/");
-  if (!Read)
-    return tl::unexpected(Read.error());
+  const auto Range = this->Store.getPrefix(this->Settings.Prefix + "history/");
+  if (!Range)
+    return tl::unexpected(Range.error());
   std::vector<ConfigurationChange> Changes;
-  for (const StoreEntry &Entry : Read->Entries)
+  for (const StoreEntry &Entry : Range->Entries)
     if (const auto Manifest = decodeManifest(Entry.Value))
       Changes.push_back(changeOf(*Manifest));
   return Changes;
@@ -186,116 +190,121 @@
 ApplyOutcome ConfigurationStore::apply(const std::string &File,
                                        const std::string &Operator,
                                        std::optional<std::uint64_t> Base) {
-  ApplyState Try;
-  Try.ExpectedGeneration = Base;
-  Try.Text = ConfigurationText(File);
-  Try.Parts = Try.Text.parts(this->Settings.MaxPartBytes);
-  for (const std::string &Part : Try.Parts) {
-    if (Part.size() > LargestValue)
-      return ApplyFailed{{ErrorCode::InvalidInput,
-                          "a section is larger than one value may be"}};
-    Try.NewManifest.Parts.push_back(hashBytes(Part));
+  ApplyState State;
+  State.ExpectedGeneration = Base;
+  State.Text = ConfigurationText(File);
+  State.Parts = State.Text.parts(this->Settings.MaxPartBytes);
+  for (const std::string &Part : State.Parts) {
+    if (Part.size() > MaxValueBytes)
+      return ApplyFailed{
+          {ErrorCode::InvalidInput,
+           "a section is larger than the store's maximum value"}};
+    State.NewManifest.Parts.push_back(hashBytes(Part));
   }
-  Try.NewManifest.ApplyId = toString(TextHash{this->Random(), this->Random()});
-  Try.NewManifest.Operator = Operator;
-  Try.NewManifest.Time = Poco::DateTimeFormatter::format(
+  State.NewManifest.ApplyId =
+      toString(TextHash{this->Random(), this->Random()});
+  State.NewManifest.Operator = Operator;
+  State.NewManifest.Time = Poco::DateTimeFormatter::format(
       Poco::Timestamp(), Poco::DateTimeFormat::ISO8601_FORMAT);
-  Try.NewManifest.Hash = Try.Text.hash();
+  State.NewManifest.Hash = State.Text.hash();
 
   const TimePoint Deadline = this->Time.now() + this->Settings.Timeout;
-  Backoff Waits(FirstWait, LongestWait, this->Random());
+  Backoff RetryBackoff(InitialRetryDelay, MaxRetryDelay, this->Random());
   while (true) {
-    if (auto Outcome = this->tryApply(Try))
+    if (auto Outcome = this->tryApply(State))
       return *Outcome;
-    const Duration Wait = Waits.nextDelay();
+    const Duration Wait = RetryBackoff.nextDelay();
     if (this->Time.now() + Wait >= Deadline)
       break;
     std::this_thread::sleep_for(Wait);
   }
-  if (Try.OutcomeUnknown)
-    return ApplyUnknown{Try.NewManifest.ApplyId};
-  return ApplyFailed{Try.LastError};
+  if (State.OutcomeUnknown)
+    return ApplyUnknown{State.NewManifest.ApplyId};
+  return ApplyFailed{State.LastError};
 }
 
-std::optional<ApplyOutcome> ConfigurationStore::tryApply(ApplyState &Try) {
+std::optional<ApplyOutcome> ConfigurationStore::tryApply(ApplyState &State) {
   Result<void> Step;
-  if (!Try.HasBase)
-    Step = this->readBaseManifest(Try);
-  if (Step && Try.ExpectedGeneration.value_or(Try.BaseManifest.Generation) !=
-                  Try.BaseManifest.Generation)
-    return this->makeConflict(Try);
-  if (Step && !Try.Uploaded)
-    Step = this->fenceCollector(Try);
-  if (Step && !Try.Uploaded)
-    Step = this->uploadMissingParts(Try);
+  if (!State.HasBase)
+    Step = this->readBaseManifest(State);
+  if (Step &&
+      State.ExpectedGeneration.value_or(State.BaseManifest.Generation) !=
+          State.BaseManifest.Generation)
+    return this->makeConflict(State);
+  if (Step && !State.Uploaded)
+    Step = this->fenceCollector(State);
+  if (Step && !State.Uploaded)
+    Step = this->uploadMissingParts(State);
   if (!Step) {
-    Try.LastError = Step.error();
+    State.LastError = Step.error();
     return std::nullopt;
   }
-  Try.Uploaded = true;
-  return this->swapManifest(Try);
+  State.Uploaded = true;
+  return this->swapManifest(State);
 }
 
-Result<void> ConfigurationStore::readBaseManifest(ApplyState &Try) {
-  const auto Read = this->Store.get(this->manifestKey());
-  if (!Read)
-    return tl::unexpected(Read.error());
-  if (!Read->Entries.empty()) {
-    const auto Manifest = decodeManifest(Read->Entries.front().Value);
+Result<void> ConfigurationStore::readBaseManifest(ApplyState &State) {
+  const auto Range = this->Store.get(this->manifestKey());
+  if (!Range)
+    return tl::unexpected(Range.error());
+  if (!Range->Entries.empty()) {
+    const auto Manifest = decodeManifest(Range->Entries.front().Value);
     if (!Manifest)
       return tl::unexpected(Manifest.error());
-    Try.BaseManifest = *Manifest;
-    Try.BaseRevision = Read->Entries.front().ModRevision;
+    State.BaseManifest = *Manifest;
+    State.BaseRevision = Range->Entries.front().ModRevision;
   }
-  Try.CurrentChange = changeOf(Try.BaseManifest);
-  Try.NewManifest.Generation = Try.BaseManifest.Generation + 1;
-  Try.HasBase = true;
+  State.CurrentChange = changeOf(State.BaseManifest);
+  State.NewManifest.Generation = State.BaseManifest.Generation + 1;
+  State.HasBase = true;
   return {};
 }
 
-/// Parts are removed only under a mark "collecting", and each removal compares
-/// the mark's revision. An apply begins by turning such a mark off, so that no
-/// removal still under way takes effect, and its swap compares the revision, so
-/// that it fails where a removal began after the parts were looked for.
-Result<void> ConfigurationStore::fenceCollector(ApplyState &Try) {
-  const auto Read = this->Store.get(this->collectorKey());
-  if (!Read)
-    return tl::unexpected(Read.error());
-  Try.CollectorRevision =
-      Read->Entries.empty() ? 0 : Read->Entries.front().ModRevision;
-  if (Read->Entries.empty() || Read->Entries.front().Value == CollectorIdle)
+/// Parts are removed only while the collector key says "collecting", and each
+/// removal compares the revision of that key. An apply first resets the key to
+/// "idle", so that removals still in transit have no effect. Its swap compares
+/// the revision of the key, and so fails if a removal started after the apply
+/// checked which parts exist.
+Result<void> ConfigurationStore::fenceCollector(ApplyState &State) {
+  const auto Range = this->Store.get(this->collectorKey());
+  if (!Range)
+    return tl::unexpected(Range.error());
+  State.CollectorRevision =
+      Range->Entries.empty() ? 0 : Range->Entries.front().ModRevision;
+  if (Range->Entries.empty() || Range->Entries.front().Value == CollectorIdle)
     return {};
-  const auto Closed = this->Store.commit(
-      {{keyModRevisionIs(this->collectorKey(), Try.CollectorRevision)},
+  const auto Reset = this->Store.commit(
+      {{keyModRevisionIs(this->collectorKey(), State.CollectorRevision)},
        {putKey(this->collectorKey(), std::string(CollectorIdle))},
        {}});
-  if (!Closed)
-    return tl::unexpected(Closed.error());
-  if (!Closed->Succeeded)
+  if (!Reset)
+    return tl::unexpected(Reset.error());
+  if (!Reset->Succeeded)
     return failure(ErrorCode::Conflict, "old parts are being removed");
-  Try.CollectorRevision = Closed->CommitRevision;
+  State.CollectorRevision = Reset->CommitRevision;
   return {};
 }
 
-Result<void> ConfigurationStore::uploadMissingParts(const ApplyState &Try) {
-  const auto Present =
+Result<void> ConfigurationStore::uploadMissingParts(const ApplyState &State) {
+  const auto StoredParts =
       this->Store.getPrefix(this->Settings.Prefix + "parts/", true);
-  if (!Present)
-    return tl::unexpected(Present.error());
-  std::set<std::string> Keys;
-  for (const StoreEntry &Entry : Present->Entries)
-    Keys.insert(Entry.Key);
+  if (!StoredParts)
+    return tl::unexpected(StoredParts.error());
+  std::set<std::string> StoredKeys;
+  for (const StoreEntry &Entry : StoredParts->Entries)
+    StoredKeys.insert(Entry.Key);
   std::vector<const std::string *> Batch;
   std::size_t Bytes = 0;
-  for (std::size_t Index = 0; Index < Try.Parts.size(); ++Index) {
-    const std::string &Part = Try.Parts[Index];
-    if (!Keys.insert(this->partKey(Try.NewManifest.Parts[Index])).second)
+  for (std::size_t Index = 0; Index < State.Parts.size(); ++Index) {
+    const std::string &Part = State.Parts[Index];
+    if (!StoredKeys.insert(this->partKey(State.NewManifest.Parts[Index]))
+             .second)
       continue;
-    const bool Full = Bytes + Part.size() > BytesPerTransaction ||
-                      Batch.size() >= StepsPerTransaction;
+    const bool Full = Bytes + Part.size() > MaxBytesPerTransaction ||
+                      Batch.size() >= MaxOperationsPerTransaction;
     if (Full && !Batch.empty()) {
-      if (Result<void> Sent = this->uploadBatch(Batch); !Sent)
-        return Sent;
+      if (Result<void> Uploaded = this->uploadBatch(Batch); !Uploaded)
+        return Uploaded;
       Batch.clear();
       Bytes = 0;
     }
@@ -316,129 +325,136 @@
   return {};
 }
 
-std::optional<ApplyOutcome> ConfigurationStore::swapManifest(ApplyState &Try) {
-  const std::string Text = encodeManifest(Try.NewManifest);
+std::optional<ApplyOutcome>
+ConfigurationStore::swapManifest(ApplyState &State) {
+  const std::string Text = encodeManifest(State.NewManifest);
   const auto Outcome = this->Store.commit(
-      {{keyModRevisionIs(this->manifestKey(), Try.BaseRevision),
-        keyModRevisionIs(this->collectorKey(), Try.CollectorRevision)},
+      {{keyModRevisionIs(this->manifestKey(), State.BaseRevision),
+        keyModRevisionIs(this->collectorKey(), State.CollectorRevision)},
        {putKey(this->manifestKey(), Text),
-        putKey(this->historyKey(Try.NewManifest.Generation), Text)},
+        putKey(this->historyKey(State.NewManifest.Generation), Text)},
        {readKey(this->manifestKey())}});
   if (!Outcome) {
-    // The same swap may be sent again: only one of the two can find the
+    // Sending the same swap again is safe: only one of the two can find the
     // manifest at the revision that both compare.
-    Try.OutcomeUnknown =
-        Try.OutcomeUnknown || mayHaveTakenEffect(Outcome.error().Code);
-    Try.LastError = Outcome.error();
+    State.OutcomeUnknown =
+        State.OutcomeUnknown || mayHaveTakenEffect(Outcome.error().Code);
+    State.LastError = Outcome.error();
     return std::nullopt;
   }
   if (Outcome->Succeeded) {
-    this->collectGarbage(Try.NewManifest.Generation, Outcome->CommitRevision);
-    return ApplyAccepted{Try.NewManifest.Generation};
+    this->collectGarbage(State.NewManifest.Generation, Outcome->CommitRevision);
+    return ApplyAccepted{State.NewManifest.Generation};
   }
-  return this->resolveFailedSwap(Try, *Outcome);
+  return this->resolveFailedSwap(State, *Outcome);
 }
 
 std::optional<ApplyOutcome>
-ConfigurationStore::resolveFailedSwap(ApplyState &Try,
+ConfigurationStore::resolveFailedSwap(ApplyState &State,
                                       const TransactionOutcome &Outcome) {
   if (Outcome.Reads.empty()) {
-    Try.LastError = {ErrorCode::Malformed, "the store left out a read"};
+    State.LastError = {ErrorCode::Malformed,
+                       "the store's response lacks a read"};
     return std::nullopt;
   }
-  const auto &Found = Outcome.Reads.front().Entries;
-  const Revision Now = Found.empty() ? 0 : Found.front().ModRevision;
-  if (Now == Try.BaseRevision) {
-    // Only the mark of the collector changed: look for the parts again.
-    Try.Uploaded = false;
-    Try.LastError = {ErrorCode::Conflict, "old parts were being removed"};
+  const auto &Entries = Outcome.Reads.front().Entries;
+  const Revision CurrentRevision =
+      Entries.empty() ? 0 : Entries.front().ModRevision;
+  if (CurrentRevision == State.BaseRevision) {
+    // Only the collector key changed: check again which parts exist.
+    State.Uploaded = false;
+    State.LastError = {ErrorCode::Conflict, "old parts were being removed"};
     return std::nullopt;
   }
-  const auto Current = Found.empty() ? Result<ConfigurationManifest>()
-                                     : decodeManifest(Found.front().Value);
-  if (Current && Current->ApplyId == Try.NewManifest.ApplyId)
-    return ApplyAccepted{Try.NewManifest.Generation};
+  const auto Current = Entries.empty() ? Result<ConfigurationManifest>()
+                                       : decodeManifest(Entries.front().Value);
+  if (Current && Current->ApplyId == State.NewManifest.ApplyId)
+    return ApplyAccepted{State.NewManifest.Generation};
   if (Current)
-    Try.CurrentChange = changeOf(*Current);
-  if (!Try.OutcomeUnknown)
-    return this->makeConflict(Try);
-  // Another change may have followed an own one whose reply was lost.
-  const auto Own =
-      this->Store.get(this->historyKey(Try.NewManifest.Generation));
-  if (!Own) {
-    Try.LastError = Own.error();
+    State.CurrentChange = changeOf(*Current);
+  if (!State.OutcomeUnknown)
+    return this->makeConflict(State);
+  // This apply's swap may have taken effect without a response, and another
+  // change may have followed it.
+  const auto HistoryRange =
+      this->Store.get(this->historyKey(State.NewManifest.Generation));
+  if (!HistoryRange) {
+    State.LastError = HistoryRange.error();
     return std::nullopt;
   }
-  if (Own->Entries.empty())
-    return ApplyUnknown{Try.NewManifest.ApplyId};
-  const auto Recorded = decodeManifest(Own->Entries.front().Value);
-  if (Recorded && Recorded->ApplyId == Try.NewManifest.ApplyId)
-    return ApplyAccepted{Try.NewManifest.Generation};
-  return this->makeConflict(Try);
+  if (HistoryRange->Entries.empty())
+    return ApplyUnknown{State.NewManifest.ApplyId};
+  const auto HistoryManifest =
+      decodeManifest(HistoryRange->Entries.front().Value);
+  if (HistoryManifest && HistoryManifest->ApplyId == State.NewManifest.ApplyId)
+    return ApplyAccepted{State.NewManifest.Generation};
+  return this->makeConflict(State);
 }
 
-ApplyOutcome ConfigurationStore::makeConflict(const ApplyState &Try) {
-  const std::uint64_t From =
-      Try.ExpectedGeneration.value_or(Try.BaseManifest.Generation);
-  ApplyConflict Lost;
-  Lost.Current = Try.CurrentChange;
+ApplyOutcome ConfigurationStore::makeConflict(const ApplyState &State) {
+  const std::uint64_t BaseGeneration =
+      State.ExpectedGeneration.value_or(State.BaseManifest.Generation);
+  ApplyConflict Conflict;
+  Conflict.Current = State.CurrentChange;
   if (const auto Changes = this->history())
     for (const ConfigurationChange &Change : *Changes)
-      if (Change.Generation > From)
-        Lost.ChangesSinceBase.push_back(Change);
-  return Lost;
+      if (Change.Generation > BaseGeneration)
+        Conflict.ChangesSinceBase.push_back(Change);
+  return Conflict;
 }
 
-/// Best effort: what is not removed now is removed at a later turn.
+/// Best effort: what is not removed now is removed by a later collection.
 void ConfigurationStore::collectGarbage(std::uint64_t Generation,
-                                        Revision Manifest) {
+                                        Revision ManifestRevision) {
   if (Generation % this->Settings.GenerationsPerCollection != 0)
     return;
-  const auto Begun = this->Store.commit(
-      {{keyModRevisionIs(this->manifestKey(), Manifest)},
+  const auto Started = this->Store.commit(
+      {{keyModRevisionIs(this->manifestKey(), ManifestRevision)},
        {putKey(this->collectorKey(), std::string(CollectorBusy))},
        {}});
-  if (!Begun || !Begun->Succeeded)
+  if (!Started || !Started->Succeeded)
     return;
-  this->removeExpired(Generation, Begun->CommitRevision);
+  this->removeExpired(Generation, Started->CommitRevision);
   (void)this->Store.commit(
-      {{keyModRevisionIs(this->collectorKey(), Begun->CommitRevision)},
+      {{keyModRevisionIs(this->collectorKey(), Started->CommitRevision)},
        {putKey(this->collectorKey(), std::string(CollectorIdle))},
        {}});
 }
 
 void ConfigurationStore::removeExpired(std::uint64_t Generation,
-                                       Revision Fence) {
+                                       Revision CollectorRevision) {
   const auto History =
       this->Store.getPrefix(this->Settings.Prefix + "history/");
-  const auto Present =
+  const auto StoredParts =
       this->Store.getPrefix(this->Settings.Prefix + "parts/", true);
-  if (!History || !Present)
+  if (!History || !StoredParts)
     return;
-  std::set<std::string> Needed;
-  std::vector<std::string> Old;
+  std::set<std::string> NeededKeys;
+  std::vector<std::string> ExpiredKeys;
   for (const StoreEntry &Entry : History->Entries) {
     const auto Manifest = decodeManifest(Entry.Value);
     if (!Manifest)
       return;
     if (Manifest->Generation + this->Settings.RetainedHistoryEntries <=
         Generation)
-      Old.push_back(Entry.Key);
+      ExpiredKeys.push_back(Entry.Key);
     if (Manifest->Generation + this->Settings.RetainedPartGenerations >
         Generation)
       for (const TextHash &Part : Manifest->Parts)
-        Needed.insert(this->partKey(Part));
+        NeededKeys.insert(this->partKey(Part));
   }
-  for (const StoreEntry &Entry : Present->Entries)
-    if (Needed.count(Entry.Key) == 0)
-      Old.push_back(Entry.Key);
-  for (std::size_t Begin = 0; Begin < Old.size();
-       Begin += StepsPerTransaction) {
-    const std::size_t End = std::min(Old.size(), Begin + StepsPerTransaction);
+  for (const StoreEntry &Entry : StoredParts->Entries)
+    if (NeededKeys.count(Entry.Key) == 0)
+      ExpiredKeys.push_back(Entry.Key);
+  for (std::size_t Begin = 0; Begin < ExpiredKeys.size();
+       Begin += MaxOperationsPerTransaction) {
+    const std::size_t End =
+        std::min(ExpiredKeys.size(), Begin + MaxOperationsPerTransaction);
     StoreTransaction Removal;
-    Removal.Conditions.push_back(keyModRevisionIs(this->collectorKey(), Fence));
+    Removal.Conditions.push_back(
+        keyModRevisionIs(this->collectorKey(), CollectorRevision));
     for (std::size_t Index = Begin; Index < End; ++Index)
-      Removal.Then.push_back(deleteKey(Old[Index]));
+      Removal.Then.push_back(deleteKey(ExpiredKeys[Index]));
     const auto Outcome = this->Store.commit(Removal);
     if (!Outcome || !Outcome->Succeeded)
       return;
--- a/src/Platform/ConfigurationStore.h
+++ b/src/Platform/ConfigurationStore.h
@@ -117,8 +117,8 @@
   std::optional<ApplyOutcome>
   resolveFailedSwap(ApplyState &State, const TransactionOutcome &Outcome);
   ApplyOutcome makeConflict(const ApplyState &State);
-  void collectGarbage(std::uint64_t Generation, Revision Manifest);
-  void removeExpired(std::uint64_t Generation, Revision Fence);
+  void collectGarbage(std::uint64_t Generation, Revision ManifestRevision);
+  void removeExpired(std::uint64_t Generation, Revision CollectorRevision);
 
   std::string partKey(const TextHash &Part) const;
   std::string historyKey(std::uint64_t Generation) const;
--- a/src/Platform/FencedLease.cpp
+++ b/src/Platform/FencedLease.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-constexpr Duration Step = std::chrono::milliseconds(50);
+constexpr Duration WorkerPollInterval = std::chrono::milliseconds(50);
 constexpr std::uint64_t LeaseIdMask = 0x7FFFFFFFFFFFFFFF;
 
 } // namespace
@@ -54,8 +54,8 @@
 }
 
 std::optional<FencingNumber> FencedLease::confirmedFencingNumber() {
-  const auto Use = this->confirmedPermit();
-  return Use ? std::optional(Use->Number) : std::nullopt;
+  const auto Permit = this->confirmedPermit();
+  return Permit ? std::optional(Permit->Number) : std::nullopt;
 }
 
 std::optional<LeasePermit> FencedLease::confirmedPermit() {
@@ -73,17 +73,17 @@
 
 void FencedLease::run() {
   while (true) {
-    std::vector<LeaseAction> Now;
+    std::vector<LeaseAction> Actions;
     {
       std::unique_lock<std::mutex> Lock(this->Mutex);
-      this->Wakeup.wait_for(Lock, Step, [this] {
+      this->Wakeup.wait_for(Lock, WorkerPollInterval, [this] {
         return this->Stopping || !this->PendingActions.empty();
       });
-      std::swap(Now, this->PendingActions);
-      if (this->Stopping && Now.empty())
+      std::swap(Actions, this->PendingActions);
+      if (this->Stopping && Actions.empty())
         return;
     }
-    for (const LeaseAction &Action : Now)
+    for (const LeaseAction &Action : Actions)
       this->perform(Action);
     this->handleEvent(LeaseTick{});
   }
@@ -98,9 +98,9 @@
       Action);
 }
 
-/// A reply lost on the way leaves a lease that nobody renews: it is revoked if
-/// possible, and else lapses. It is never taken for held, since its number and
-/// the start of its life are not known for certain.
+/// If a response is lost, the store may hold a lease whose fencing number and
+/// start of the TTL are not known for certain. Such a lease never counts as
+/// held; it is revoked if possible, and otherwise expires.
 LeaseEvent FencedLease::acquire() {
   const TimePoint SentAt = this->Time.now();
   this->Lease = static_cast<LeaseId>((this->Random() & LeaseIdMask) | 1U);
@@ -120,10 +120,10 @@
 
 LeaseEvent FencedLease::renew() {
   const TimePoint SentAt = this->Time.now();
-  const auto Kept = this->Store.keepLeaseAlive(this->Lease);
-  if (Kept)
+  const auto Renewed = this->Store.keepLeaseAlive(this->Lease);
+  if (Renewed)
     return LeaseRenewed{SentAt};
-  if (Kept.error().Code == ErrorCode::NotFound)
+  if (Renewed.error().Code == ErrorCode::NotFound)
     return LeaseExpired{};
   return LeaseRenewalFailed{};
 }
--- a/src/Platform/FencedLeaseState.cpp
+++ b/src/Platform/FencedLeaseState.cpp
@@ -8,10 +8,10 @@
 
 FencedLeaseState::FencedLeaseState(FencedLeaseTiming T) : Timing(T) {
   PARSLEYWING_INVARIANT(this->Timing.SafetyMargin < this->Timing.Ttl,
-                        "a lease can be used for some time");
+                        "the safety margin is shorter than the lease's TTL");
   PARSLEYWING_INVARIANT(this->Timing.RenewInterval <
                             this->Timing.Ttl - this->Timing.SafetyMargin,
-                        "a lease is renewed before its use must end");
+                        "a lease is renewed before its safety margin begins");
 }
 
 std::vector<LeaseAction> FencedLeaseState::handle(TimePoint Now,
@@ -30,10 +30,10 @@
 }
 
 std::optional<LeasePermit> FencedLeaseState::permit(TimePoint Now) const {
-  const auto Usable = this->fencingNumber(Now);
-  if (!Usable)
+  const auto Number = this->fencingNumber(Now);
+  if (!Number)
     return std::nullopt;
-  return LeasePermit{*Usable, this->ValidUntil};
+  return LeasePermit{*Number, this->ValidUntil};
 }
 
 void FencedLeaseState::on(TimePoint Now, const LeaseWanted &, Actions &Out) {
@@ -45,7 +45,8 @@
   if (!this->Wanted)
     return;
   this->Wanted = false;
-  // What is under way is given up as soon as its outcome is known.
+  // A call in progress is handled when its outcome arrives; the lease is
+  // released then.
   if (this->CallInProgress)
     return;
   if (this->Number)
@@ -61,10 +62,11 @@
 void FencedLeaseState::on(TimePoint Now, const LeaseAcquired &Event,
                           Actions &Out) {
   this->CallInProgress = false;
-  // A store that was set back would give numbers again that servers have seen.
-  const bool Rises = Event.Number > this->HighestNumber;
+  // A store restored from a backup would issue numbers that servers have
+  // already seen.
+  const bool IsHigher = Event.Number > this->HighestNumber;
   this->HighestNumber = std::max(this->HighestNumber, Event.Number);
-  if (!this->Wanted || !Rises) {
+  if (!this->Wanted || !IsHigher) {
     Out.emplace_back(ReleaseLease{});
     this->NextCallAt = Now + this->Timing.RetryInterval;
     return;
@@ -92,8 +94,8 @@
   }
   if (!this->Number)
     return;
-  // Whether the lease lapsed and came back in between cannot be told from
-  // here: what ran past its end is lost and sought anew.
+  // Whether the lease expired and was acquired by another holder in between is
+  // unknown here, so a lease past its validity is lost and acquired again.
   if (Now >= this->ValidUntil) {
     Out.emplace_back(ReleaseLease{});
     this->markLost(Now);
--- a/src/Platform/PlatformThread.cpp
+++ b/src/Platform/PlatformThread.cpp
@@ -8,19 +8,20 @@
 
 namespace {
 
-constexpr Duration Step = std::chrono::milliseconds(100);
-constexpr Duration FirstWait = std::chrono::milliseconds(200);
-constexpr Duration LongestWait = std::chrono::seconds(8);
+constexpr Duration RequestPollInterval = std::chrono::milliseconds(100);
+constexpr Duration InitialRetryDelay = std::chrono::milliseconds(200);
+constexpr Duration MaxRetryDelay = std::chrono::seconds(8);
 constexpr std::uint64_t LeaseIdMask = 0x7FFFFFFFFFFFFFFF;
 
-/// The seed of this router alone. Two routers that draw from one seed want the
-/// same lease, and the second takes its grant for one whose reply was lost:
-/// both registrations then live under one lease, and that of a router that
-/// froze or died is listed for as long as the other lives.
-std::uint64_t ownSeed(std::uint64_t Chosen, const std::string &Name) {
-  if (Chosen == 0)
-    return internal::seedOrRandom(Chosen);
-  return rendezvousScore(hashName(Name), Chosen);
+/// Returns a seed that differs between routers. Two routers with the same seed
+/// would request the same lease ID, and the second would treat its grant as one
+/// whose response was lost. Both registrations would then share one lease, and
+/// that of a router that froze or died would stay listed while the other router
+/// is alive.
+std::uint64_t routerSeed(std::uint64_t Seed, const std::string &Name) {
+  if (Seed == 0)
+    return internal::seedOrRandom(Seed);
+  return rendezvousScore(hashName(Name), Seed);
 }
 
 } // namespace
@@ -34,9 +35,9 @@
       Budget(B), Registration(std::move(R)), Time(T),
       PostEvent(std::move(Post)), Store(S, B, T),
       Configuration(C, StoreClient(S, B, T), T),
-      LeaseBackoff(FirstWait, LongestWait,
-                   ownSeed(Settings.Seed, this->Registration.Name)),
-      Random(ownSeed(Settings.Seed, this->Registration.Name)),
+      LeaseBackoff(InitialRetryDelay, MaxRetryDelay,
+                   routerSeed(Settings.Seed, this->Registration.Name)),
+      Random(routerSeed(Settings.Seed, this->Registration.Name)),
       NextLeaseCallAt(T.now()), NextListAt(T.now()),
       Worker([this] { this->run(); }) {}
 
@@ -53,7 +54,7 @@
 void PlatformThread::run() {
   this->on(ReadLists{});
   while (!this->Stopping) {
-    const auto Request = this->Requests.take(Step);
+    const auto Request = this->Requests.take(RequestPollInterval);
     if (Request && !this->Stopping)
       std::visit([this](const auto &Each) { this->on(Each); }, **Request);
     this->maintainLease();
@@ -69,13 +70,13 @@
   if (this->Watch)
     return;
   const std::string Key = this->Configuration.manifestKey();
-  StoreWatch::Options Chosen;
-  Chosen.Prefix = Key;
-  Chosen.Seed = this->Random();
+  StoreWatch::Options Options;
+  Options.Prefix = Key;
+  Options.Seed = this->Random();
   this->Watch = std::make_unique<StoreWatch>(
-      this->ClientSettings, this->Budget, this->Time, Chosen,
+      this->ClientSettings, this->Budget, this->Time, Options,
       [this, Key](const std::vector<StoreChange> &Changes) {
-        // A watch that begins may have missed something.
+        // A watch that starts may have missed changes.
         if (Changes.empty())
           this->submit(ReadManifest{});
         for (const StoreChange &Change : Changes)
@@ -95,10 +96,10 @@
     this->PostEvent(StoreFailed{});
 }
 
-void PlatformThread::on(const ReadParts &Wanted) {
-  auto Texts = this->Configuration.readParts(Wanted.Parts);
+void PlatformThread::on(const ReadParts &Request) {
+  auto Texts = this->Configuration.readParts(Request.Parts);
   if (Texts)
-    this->PostEvent(PartsRead{Wanted.Generation, std::move(*Texts)});
+    this->PostEvent(PartsRead{Request.Generation, std::move(*Texts)});
   else
     this->PostEvent(StoreFailed{});
 }
@@ -107,30 +108,30 @@
   this->NextListAt = this->Time.now() + this->Settings.ListInterval;
   const auto Routers = this->Store.getPrefix(this->Settings.RouterPrefix);
   if (Routers) {
-    RoutersListed Listed;
+    RoutersListed Event;
     for (const StoreEntry &Entry : Routers->Entries)
       if (auto Router = decodeRegistration(Entry.Value))
-        Listed.Routers.push_back(std::move(*Router));
-    this->PostEvent(std::move(Listed));
+        Event.Routers.push_back(std::move(*Router));
+    this->PostEvent(std::move(Event));
   }
   const auto Vms = this->Store.getPrefix(this->Settings.VmPrefix);
   if (!Vms)
     return;
-  VmsListed Listed;
+  VmsListed Event;
   for (const StoreEntry &Entry : Vms->Entries)
     if (const auto State = valueOf(VmStateNames, Entry.Value))
-      Listed.Vms.push_back(
+      Event.Vms.push_back(
           {Entry.Key.substr(this->Settings.VmPrefix.size()), *State});
-  this->PostEvent(std::move(Listed));
+  this->PostEvent(std::move(Event));
 }
 
-void PlatformThread::setLeaseHeld(bool Now) {
-  if (this->LeaseHeld == Now)
+void PlatformThread::setLeaseHeld(bool Held) {
+  if (this->LeaseHeld == Held)
     return;
-  this->LeaseHeld = Now;
-  log(LogPart::Platform, Now ? LogLevel::Info : LogLevel::Warn,
-      Now ? "The router's lease is held." : "The router's lease is lost.");
-  this->PostEvent(RouterLeaseChanged{Now});
+  this->LeaseHeld = Held;
+  log(LogPart::Platform, Held ? LogLevel::Info : LogLevel::Warn,
+      Held ? "The router's lease is held." : "The router's lease is lost.");
+  this->PostEvent(RouterLeaseChanged{Held});
 }
 
 void PlatformThread::maintainLease() {
@@ -140,26 +141,26 @@
   if (Now < this->NextLeaseCallAt)
     return;
   if (this->Lease == 0) {
-    const bool Begun = this->acquireLease();
-    if (Begun)
+    const bool Acquired = this->acquireLease();
+    if (Acquired)
       this->LeaseBackoff.reset();
-    this->NextLeaseCallAt = Now + (Begun ? this->Settings.KeepAliveInterval
-                                         : this->LeaseBackoff.nextDelay());
+    this->NextLeaseCallAt = Now + (Acquired ? this->Settings.KeepAliveInterval
+                                            : this->LeaseBackoff.nextDelay());
     return;
   }
-  const auto Kept = this->Store.keepLeaseAlive(this->Lease);
-  if (Kept) {
+  const auto Renewed = this->Store.keepLeaseAlive(this->Lease);
+  if (Renewed) {
     this->LastRenewalAt = Now;
     this->LeaseBackoff.reset();
     this->NextLeaseCallAt = Now + this->Settings.KeepAliveInterval;
     this->setLeaseHeld(true);
     return;
   }
-  if (Kept.error().Code == ErrorCode::NotFound) {
+  if (Renewed.error().Code == ErrorCode::NotFound) {
     this->Lease = 0;
     this->setLeaseHeld(false);
-    // The store answers again: to wait as for one that does not would leave
-    // the router unlisted for up to 8 s more.
+    // The store is reachable again. Keeping the delay of an unreachable store
+    // would leave the router unlisted for up to 8 s more.
     this->LeaseBackoff.reset();
     this->NextLeaseCallAt = Now;
     return;
@@ -167,8 +168,8 @@
   this->NextLeaseCallAt = Now + this->LeaseBackoff.nextDelay();
 }
 
-/// A grant whose reply was lost is found again under its own identity, so that
-/// a router never has more than one lease.
+/// A grant whose response was lost is recovered by its ID, so that a router
+/// never has more than one lease.
 bool PlatformThread::acquireLease() {
   const TimePoint Now = this->Time.now();
   if (this->PendingLease == 0)
@@ -190,34 +191,36 @@
   return true;
 }
 
-/// A process that was frozen while another took its name must not write over
-/// the other's registration: its own lease takes the key along when it ends,
-/// and the live router would be in no list from then on. Seen as an `apply`
-/// that waits for all routers and does not wait for that one.
+/// A process that was frozen while a later process took its name must not
+/// overwrite the later registration. The key would be attached to the frozen
+/// process's lease and disappear with it, and the live router would no longer
+/// be listed; an `apply` that waits for all routers would not wait for it.
 Result<void> PlatformThread::registerRouter() {
   const std::string Key = this->Settings.RouterPrefix + this->Registration.Name;
-  const auto Before = this->Store.get(Key);
-  if (!Before)
-    return tl::unexpected<Error>(Before.error());
-  Revision Stands = 0;
-  if (!Before->Entries.empty()) {
-    Stands = Before->Entries[0].ModRevision;
-    const auto Holder = decodeRegistration(Before->Entries[0].Value);
+  const auto Existing = this->Store.get(Key);
+  if (!Existing)
+    return tl::unexpected<Error>(Existing.error());
+  Revision ExistingRevision = 0;
+  if (!Existing->Entries.empty()) {
+    ExistingRevision = Existing->Entries[0].ModRevision;
+    const auto Holder = decodeRegistration(Existing->Entries[0].Value);
     if (Holder &&
         Holder->IncarnationNumber > this->Registration.IncarnationNumber) {
       this->PostEvent(RoutersListed{{*Holder}});
-      return failure(ErrorCode::Conflict, "a later process has the name");
+      return failure(ErrorCode::Conflict,
+                     "a later process has registered this router's name");
     }
   }
   const auto Written =
-      this->Store.commit({{keyModRevisionIs(Key, Stands)},
+      this->Store.commit({{keyModRevisionIs(Key, ExistingRevision)},
                           {putKey(Key, encodeRegistration(this->Registration),
                                   this->PendingLease)},
                           {}});
   if (!Written)
     return tl::unexpected<Error>(Written.error());
   if (!Written->Succeeded)
-    return failure(ErrorCode::Conflict, "the registration changed meanwhile");
+    return failure(ErrorCode::Conflict,
+                   "the registration was changed by another process");
   return {};
 }
 
--- a/src/Platform/PlatformThread.h
+++ b/src/Platform/PlatformThread.h
@@ -103,7 +103,7 @@
   void maintainLease();
   bool acquireLease();
   Result<void> registerRouter();
-  void setLeaseHeld(bool Now);
+  void setLeaseHeld(bool Held);
 
   PlatformSettings Settings;
   ConfigurationStoreSettings ConfigurationSettings;
--- a/src/Platform/RunRecordWriter.cpp
+++ b/src/Platform/RunRecordWriter.cpp
@@ -10,14 +10,14 @@
 
 namespace {
 
-constexpr Duration FirstWait = std::chrono::milliseconds(20);
-constexpr Duration LongestWait = std::chrono::seconds(1);
-constexpr Duration IdleWait = std::chrono::milliseconds(100);
-constexpr std::size_t SettlementBatch = 50;
-/// The longest time that the end of the process waits for the store to take
-/// what is to be said of records.
-constexpr Duration SettleAtEndLimit = std::chrono::seconds(2);
-constexpr std::size_t LargestBatch = 120;
+constexpr Duration InitialRetryDelay = std::chrono::milliseconds(20);
+constexpr Duration MaxRetryDelay = std::chrono::seconds(1);
+constexpr Duration IdlePollInterval = std::chrono::milliseconds(100);
+constexpr std::size_t MaxUpdateBatchSize = 50;
+/// Time that a shutdown waits for the store to accept the pending updates of
+/// records.
+constexpr Duration ShutdownFlushTimeout = std::chrono::seconds(2);
+constexpr std::size_t MaxClaimBatchSize = 120;
 constexpr std::uint64_t LeaseIdMask = 0x7FFFFFFFFFFFFFFF;
 
 std::string runningValue(const std::string &Identity) {
@@ -28,14 +28,16 @@
   return "done " + Identity;
 }
 
-/// Each call on the store gets this part of a claim's patience. All calls share
-/// one thread and one connection: one that hangs for as long as the claims
-/// behind it may wait, as the settlement of an earlier record can, has them all
-/// refused, though the store is there. So two may hang in a row.
-constexpr int CallsInPatience = 4;
+/// The timeout of each call is the claim timeout divided by this number. All
+/// calls share one thread and one connection. A call that hangs for a whole
+/// claim timeout, such as the update of an earlier record, would make all
+/// claims queued after it Unavailable although the store is reachable. With
+/// this limit even two calls in a row may hang.
+constexpr int CallsPerClaimTimeout = 4;
 
-StoreSettings withinPatience(StoreSettings Store, Duration Patience) {
-  Store.CallTimeout = std::min(Store.CallTimeout, Patience / CallsInPatience);
+StoreSettings limitCallTimeout(StoreSettings Store, Duration ClaimTimeout) {
+  Store.CallTimeout =
+      std::min(Store.CallTimeout, ClaimTimeout / CallsPerClaimTimeout);
   return Store;
 }
 
@@ -44,7 +46,7 @@
          Entry.Value == doneValue(Identity);
 }
 
-/// Whether a call that failed so may still have taken effect.
+/// Returns whether a call that failed with this error may have taken effect.
 bool mayHaveTakenEffect(ErrorCode Code) {
   return Code == ErrorCode::TimedOut || Code == ErrorCode::Interrupted ||
          Code == ErrorCode::Malformed;
@@ -55,13 +57,13 @@
 RunRecordWriter::RunRecordWriter(RunRecordSettings R, StoreSettings S,
                                  std::shared_ptr<StoreBudget> B, Clock C)
     : Settings(std::move(R)), Budget(B), Time(C),
-      Store(withinPatience(std::move(S), Settings.ClaimTimeout), std::move(B),
+      Store(limitCallTimeout(std::move(S), Settings.ClaimTimeout), std::move(B),
             std::move(C)),
-      RetryBackoff(FirstWait, LongestWait,
+      RetryBackoff(InitialRetryDelay, MaxRetryDelay,
                    internal::seedOrRandom(Settings.Seed)),
       Random(internal::seedOrRandom(Settings.Seed)) {
   PARSLEYWING_INVARIANT(this->Settings.MaxBatchSize >= 1 &&
-                            this->Settings.MaxBatchSize <= LargestBatch,
+                            this->Settings.MaxBatchSize <= MaxClaimBatchSize,
                         "a batch of claims fits one transaction");
   this->Worker = std::thread([this] { this->run(); });
 }
@@ -86,19 +88,19 @@
 }
 
 void RunRecordWriter::claim(AccountId Account, const std::string &Key,
-                            const std::string &Identity, Callback Tell) {
-  Claim New{this->recordKey(Account, Key), Identity, std::move(Tell),
-            this->Time.now() + this->Settings.ClaimTimeout};
+                            const std::string &Identity, Callback OnVerdict) {
+  Claim NewClaim{this->recordKey(Account, Key), Identity, std::move(OnVerdict),
+                 this->Time.now() + this->Settings.ClaimTimeout};
   {
     std::lock_guard<std::mutex> Lock(this->Mutex);
     if (!this->Stopping &&
         this->PendingClaims.size() < this->Settings.MaxPending) {
-      this->PendingClaims.push_back(std::move(New));
+      this->PendingClaims.push_back(std::move(NewClaim));
       this->WorkAvailable.notify_all();
       return;
     }
   }
-  this->finish(New, RunVerdict::Unavailable);
+  this->finish(NewClaim, RunVerdict::Unavailable);
 }
 
 void RunRecordWriter::complete(AccountId Account, const std::string &Key,
@@ -141,16 +143,17 @@
   this->flushUpdatesAtShutdown();
 }
 
-/// A record that is not released here stands for its whole life: a request that
-/// was told "not run" could not be repeated.
+/// A record that is not released here stays until its lease expires, and a
+/// request that was reported as not run could not be retried.
 void RunRecordWriter::flushUpdatesAtShutdown() {
-  const TimePoint Limit = this->Time.now() + SettleAtEndLimit;
-  while (this->pendingUpdateCount() > 0 && this->Time.now() < Limit)
+  const TimePoint Deadline = this->Time.now() + ShutdownFlushTimeout;
+  while (this->pendingUpdateCount() > 0 && this->Time.now() < Deadline)
     if (!this->flushUpdates())
       std::this_thread::sleep_for(this->RetryBackoff.nextDelay());
-  if (const std::size_t Left = this->pendingUpdateCount())
+  if (const std::size_t Remaining = this->pendingUpdateCount())
     log(LogPart::Platform, LogLevel::Warn,
-        "Ended with " + std::to_string(Left) + " run records not settled.");
+        "Stopped with " + std::to_string(Remaining) +
+            " run record updates unwritten.");
 }
 
 std::size_t RunRecordWriter::pendingUpdateCount() const {
@@ -158,67 +161,68 @@
   return this->PendingUpdates.size();
 }
 
-/// Waits for a first claim, then for the gathering time or the next call that
-/// the budget allows, whichever is later: the fewer calls, the larger batches.
+/// Waits for a first claim, then for the batch delay or until the budget allows
+/// the next call, whichever is later. The fewer calls the budget allows, the
+/// larger the batches.
 std::vector<RunRecordWriter::Claim> RunRecordWriter::collectBatch() {
   std::unique_lock<std::mutex> Lock(this->Mutex);
-  this->WorkAvailable.wait_for(Lock, IdleWait, [this] {
+  this->WorkAvailable.wait_for(Lock, IdlePollInterval, [this] {
     return this->Stopping || !this->PendingClaims.empty() ||
            !this->PendingUpdates.empty();
   });
   if (this->PendingClaims.empty())
     return {};
-  const Duration Gather =
+  const Duration Delay =
       std::max(this->Settings.BatchDelay,
                this->Budget->timeUntilAvailable(this->Time.now()));
-  this->WorkAvailable.wait_for(Lock, Gather, [this] {
+  this->WorkAvailable.wait_for(Lock, Delay, [this] {
     return this->Stopping ||
            this->PendingClaims.size() >= this->Settings.MaxBatchSize;
   });
   std::vector<Claim> Batch;
   std::set<std::string> Keys;
-  std::deque<Claim> Later;
+  std::deque<Claim> Deferred;
   while (!this->PendingClaims.empty() &&
          Batch.size() < this->Settings.MaxBatchSize) {
     Claim Next = std::move(this->PendingClaims.front());
     this->PendingClaims.pop_front();
-    // The service refuses a transaction that writes one key twice.
+    // The service rejects a transaction that writes one key twice.
     if (Keys.insert(Next.Key).second)
       Batch.push_back(std::move(Next));
     else
-      Later.push_back(std::move(Next));
+      Deferred.push_back(std::move(Next));
   }
-  for (auto Place = Later.rbegin(); Place != Later.rend(); ++Place)
-    this->PendingClaims.push_front(std::move(*Place));
+  for (auto It = Deferred.rbegin(); It != Deferred.rend(); ++It)
+    this->PendingClaims.push_front(std::move(*It));
   return Batch;
 }
 
-void RunRecordWriter::finish(Claim &Done, RunVerdict Verdict) {
+void RunRecordWriter::finish(Claim &Finished, RunVerdict Verdict) {
   {
     std::lock_guard<std::mutex> Lock(this->Mutex);
     ++this->VerdictCounts[Verdict];
   }
-  Done.OnVerdict(Verdict);
+  Finished.OnVerdict(Verdict);
 }
 
 void RunRecordWriter::dropExpired(std::vector<Claim> &Batch) {
   const TimePoint Now = this->Time.now();
-  bool Ending = false;
+  bool IsStopping = false;
   {
     std::lock_guard<std::mutex> Lock(this->Mutex);
-    Ending = this->Stopping;
+    IsStopping = this->Stopping;
   }
-  std::vector<Claim> Kept;
+  std::vector<Claim> Remaining;
   for (Claim &Each : Batch) {
-    if (!Ending && Now < Each.Deadline) {
-      Kept.push_back(std::move(Each));
+    if (!IsStopping && Now < Each.Deadline) {
+      Remaining.push_back(std::move(Each));
       continue;
     }
     if (Each.OutcomeUnknown)
       this->queueUpdate(RecordUpdateKind::Release, Each.Key, Each.Identity);
     this->finish(Each, RunVerdict::Unavailable);
   }
-  Batch = std::move(Kept);
+  Batch = std::move(Remaining);
 }
 
 void RunRecordWriter::waitForBackoff() {
@@ -241,17 +245,17 @@
 }
 
 void RunRecordWriter::commitClaims(std::vector<Claim> &Batch) {
-  StoreTransaction Wanted;
-  Wanted.Conditions.push_back(
+  StoreTransaction Transaction;
+  Transaction.Conditions.push_back(
       keyModRevisionIs(this->guardKey(), this->GuardRevision));
-  Wanted.Else.push_back(readKey(this->guardKey()));
+  Transaction.Else.push_back(readKey(this->guardKey()));
   for (const Claim &Each : Batch) {
-    Wanted.Conditions.push_back(keyAbsent(Each.Key));
-    Wanted.Then.push_back(
+    Transaction.Conditions.push_back(keyAbsent(Each.Key));
+    Transaction.Then.push_back(
         putKey(Each.Key, runningValue(Each.Identity), this->Lease));
-    Wanted.Else.push_back(readKey(Each.Key));
+    Transaction.Else.push_back(readKey(Each.Key));
   }
-  const Result<TransactionOutcome> Outcome = this->Store.commit(Wanted);
+  const Result<TransactionOutcome> Outcome = this->Store.commit(Transaction);
   {
     std::lock_guard<std::mutex> Lock(this->Mutex);
     ++this->TransactionCount;
@@ -264,8 +268,8 @@
   if (Outcome.error().Code == ErrorCode::NotFound)
     this->Lease = 0;
   if (mayHaveTakenEffect(Outcome.error().Code)) {
-    // The write may have taken effect, or may do so later. A new guard comes
-    // before the next look, so that the look is final.
+    // The write may have taken effect, or may do so later. The guard key is
+    // written again before the next read, so that the read is final.
     this->GuardRevision = 0;
     for (Claim &Each : Batch)
       Each.OutcomeUnknown = true;
@@ -287,21 +291,22 @@
     this->waitForBackoff();
     return;
   }
-  const auto &Seen = Outcome.Reads.front().Entries;
-  if (Seen.empty() || Seen.front().ModRevision != this->GuardRevision)
+  const auto &GuardEntries = Outcome.Reads.front().Entries;
+  if (GuardEntries.empty() ||
+      GuardEntries.front().ModRevision != this->GuardRevision)
     this->GuardRevision = 0;
-  std::vector<Claim> Left;
+  std::vector<Claim> Unresolved;
   for (std::size_t Index = 0; Index < Batch.size(); ++Index) {
     Claim &Each = Batch[Index];
-    const auto &Found = Outcome.Reads[Index + 1].Entries;
-    if (Found.empty())
-      Left.push_back(std::move(Each));
-    else if (isOwn(Found.front(), Each.Identity))
+    const auto &RecordEntries = Outcome.Reads[Index + 1].Entries;
+    if (RecordEntries.empty())
+      Unresolved.push_back(std::move(Each));
+    else if (isOwn(RecordEntries.front(), Each.Identity))
       this->finish(Each, RunVerdict::Claimed);
     else
       this->finish(Each, RunVerdict::TakenByOther);
   }
-  Batch = std::move(Left);
+  Batch = std::move(Unresolved);
 }
 
 bool RunRecordWriter::ensureReady() {
@@ -325,10 +330,10 @@
   return true;
 }
 
-/// A grant whose reply was lost is looked for under its own identity, so that
-/// an outage does not leave behind a lease for each try.
+/// A grant whose response was lost is recovered by its ID, so that an outage
+/// does not leave a lease behind for each attempt.
 bool RunRecordWriter::acquireLease() {
-  const std::chrono::seconds Life =
+  const std::chrono::seconds Ttl =
       this->Settings.MinRecordLifetime + this->Settings.LeaseRotationInterval;
   if (this->PendingLease == 0) {
     this->PendingLease =
@@ -337,7 +342,7 @@
     this->Lease = this->PendingLease;
   }
   if (this->Lease != this->PendingLease) {
-    const auto Granted = this->Store.grantLease(Life, this->PendingLease);
+    const auto Granted = this->Store.grantLease(Ttl, this->PendingLease);
     if (!Granted) {
       if (Granted.error().Code == ErrorCode::Refused)
         this->PendingLease = 0;
@@ -352,12 +357,12 @@
 
 bool RunRecordWriter::flushUpdates() {
   std::vector<RecordUpdate> Batch;
-  bool Ending = false;
+  bool IsStopping = false;
   {
     std::lock_guard<std::mutex> Lock(this->Mutex);
-    Ending = this->Stopping;
+    IsStopping = this->Stopping;
     std::set<std::string> Keys;
-    while (!this->PendingUpdates.empty() && Batch.size() < SettlementBatch &&
+    while (!this->PendingUpdates.empty() && Batch.size() < MaxUpdateBatchSize &&
            Keys.insert(this->PendingUpdates.front().Key).second) {
       Batch.push_back(std::move(this->PendingUpdates.front()));
       this->PendingUpdates.pop_front();
@@ -369,28 +374,28 @@
     return true;
   {
     std::lock_guard<std::mutex> Lock(this->Mutex);
-    for (auto Place = Batch.rbegin(); Place != Batch.rend(); ++Place)
-      this->PendingUpdates.push_front(std::move(*Place));
-    if (Ending || !this->PendingClaims.empty())
+    for (auto It = Batch.rbegin(); It != Batch.rend(); ++It)
+      this->PendingUpdates.push_front(std::move(*It));
+    if (IsStopping || !this->PendingClaims.empty())
       return false;
   }
   this->waitForBackoff();
   return false;
 }
 
-/// Each step holds only where the record is still of this claim, so it may be
-/// sent again, and it may arrive late.
+/// Each update only applies while the record still belongs to its claim, so it
+/// is safe to send it again and it may arrive late.
 bool RunRecordWriter::commitUpdates(const std::vector<RecordUpdate> &Batch) {
-  StoreTransaction Wanted;
+  StoreTransaction Transaction;
   for (const RecordUpdate &Each : Batch) {
-    Wanted.Conditions.push_back(
+    Transaction.Conditions.push_back(
         keyValueIs(Each.Key, runningValue(Each.Identity)));
-    Wanted.Then.push_back(
+    Transaction.Then.push_back(
         Each.Kind == RecordUpdateKind::Complete
             ? putKey(Each.Key, doneValue(Each.Identity), this->Lease)
             : deleteKey(Each.Key));
   }
-  const Result<TransactionOutcome> Outcome = this->Store.commit(Wanted);
+  const Result<TransactionOutcome> Outcome = this->Store.commit(Transaction);
   if (!Outcome) {
     if (Outcome.error().Code == ErrorCode::NotFound)
       this->Lease = 0;
@@ -401,8 +406,8 @@
     return true;
   const auto Middle =
       Batch.begin() + static_cast<std::ptrdiff_t>(Batch.size() / 2);
-  const bool First = this->commitUpdates({Batch.begin(), Middle});
-  return this->commitUpdates({Middle, Batch.end()}) && First;
+  const bool FirstHalfDone = this->commitUpdates({Batch.begin(), Middle});
+  return this->commitUpdates({Middle, Batch.end()}) && FirstHalfDone;
 }
 
 Poco::JSON::Object::Ptr RunRecordWriter::dump() const {
@@ -414,9 +419,9 @@
   Dump->set("transactions", this->TransactionCount);
   Dump->set("inDoubt", this->UnknownOutcomeCount);
   for (const auto &[Verdict, Name] : RunVerdictNames) {
-    const auto Place = this->VerdictCounts.find(Verdict);
+    const auto It = this->VerdictCounts.find(Verdict);
     Dump->set(std::string(Name),
-              Place == this->VerdictCounts.end() ? 0 : Place->second);
+              It == this->VerdictCounts.end() ? 0 : It->second);
   }
   return Dump;
 }
--- a/src/Platform/RunRecordWriter.h
+++ b/src/Platform/RunRecordWriter.h
@@ -125,7 +125,7 @@
   void resolveClaims(std::vector<Claim> &Batch,
                      const TransactionOutcome &Outcome);
   void dropExpired(std::vector<Claim> &Batch);
-  void finish(Claim &Done, RunVerdict Verdict);
+  void finish(Claim &Finished, RunVerdict Verdict);
   bool ensureReady();
   bool acquireLease();
   void waitForBackoff();
--- a/src/Platform/StoreBudget.cpp
+++ b/src/Platform/StoreBudget.cpp
@@ -7,21 +7,22 @@
 namespace parsleywing {
 
 namespace {
-constexpr double Second = 1e6;
+constexpr double MicrosecondsPerSecond = 1e6;
 } // namespace
 
 double StoreBudget::tokensAt(TimePoint Now) const {
   if (Now <= this->RefilledAt)
     return this->Tokens;
-  const auto Passed = static_cast<double>((Now - this->RefilledAt).count());
-  return std::min(this->Burst,
-                  this->Tokens + Passed / Second * this->PerSecond);
+  const auto Elapsed = static_cast<double>((Now - this->RefilledAt).count());
+  return std::min(this->Burst, this->Tokens + Elapsed / MicrosecondsPerSecond *
+                                                  this->PerSecond);
 }
 
 Duration StoreBudget::timeToNextToken(double Available) const {
   if (Available >= 1)
     return Duration::zero();
-  const double Missing = (1 - Available) / this->PerSecond * Second;
+  const double Missing =
+      (1 - Available) / this->PerSecond * MicrosecondsPerSecond;
   return Duration(static_cast<Duration::rep>(std::ceil(Missing)) + 1);
 }
 
--- a/src/Platform/StoreClient.cpp
+++ b/src/Platform/StoreClient.cpp
@@ -14,25 +14,27 @@
 
 constexpr int FirstServerError = 500;
 
-/// A server error may be told after the write was proposed, so it leaves the
-/// outcome open; only an error of the request itself rules out an effect.
-Result<std::string> judgeStatus(int Status, std::string Answer) {
+/// The service may report a server error after the write was proposed, so the
+/// outcome is unknown. Only an error of the request itself means that it had no
+/// effect.
+Result<std::string> checkStatus(int Status, std::string Body) {
   if (Status == HTTPResponse::HTTP_OK)
-    return Answer;
-  const std::string Told = "the store answered " + std::to_string(Status);
+    return Body;
+  const std::string Message =
+      "the store responded with status " + std::to_string(Status);
   if (Status == HTTPResponse::HTTP_NOT_FOUND)
-    return failure(ErrorCode::NotFound, Told);
+    return failure(ErrorCode::NotFound, Message);
   if (Status >= FirstServerError)
-    return failure(ErrorCode::Interrupted, Told);
-  return failure(ErrorCode::Refused, Told);
+    return failure(ErrorCode::Interrupted, Message);
+  return failure(ErrorCode::Refused, Message);
 }
 
 template <typename Value, typename Decode>
-Result<Value> decodeWith(const Result<Object::Ptr> &Answer, Decode Decoder) {
-  if (!Answer)
-    return tl::unexpected(Answer.error());
+Result<Value> decodeWith(const Result<Object::Ptr> &Response, Decode Decoder) {
+  if (!Response)
+    return tl::unexpected(Response.error());
   try {
-    return Decoder(**Answer);
+    return Decoder(**Response);
   } catch (const Poco::Exception &Problem) {
     return failure(ErrorCode::Malformed, Problem.displayText());
   }
@@ -54,7 +56,7 @@
       return {};
     if (Now + Wait >= Deadline)
       return failure(ErrorCode::LimitExceeded,
-                     "the budget of calls on the store is spent");
+                     "the rate limit of calls to the store is exceeded");
     std::this_thread::sleep_for(Wait);
   }
 }
@@ -64,17 +66,18 @@
   const TimePoint Deadline = this->Time.now() + this->Settings.CallTimeout;
   if (const Result<void> Ready = this->waitForBudget(Kind, Deadline); !Ready)
     return tl::unexpected(Ready.error());
-  const Duration Left = Deadline - this->Time.now();
-  const Result<StoreResponse> Told =
-      this->Connection.call({"POST", Path, Body}, Left);
-  if (!Told)
-    return tl::unexpected(Told.error());
-  const Result<std::string> Answer = judgeStatus(Told->Status, Told->Body);
-  if (!Answer) {
+  const Duration Remaining = Deadline - this->Time.now();
+  const Result<StoreResponse> Response =
+      this->Connection.call({"POST", Path, Body}, Remaining);
+  if (!Response)
+    return tl::unexpected(Response.error());
+  const Result<std::string> ResponseBody =
+      checkStatus(Response->Status, Response->Body);
+  if (!ResponseBody) {
     this->Connection.close();
-    return tl::unexpected(Answer.error());
+    return tl::unexpected(ResponseBody.error());
   }
-  return internal::parseMessage(*Answer);
+  return internal::parseMessage(*ResponseBody);
 }
 
 Result<StoreRange> StoreClient::get(const std::string &Key) {
@@ -106,8 +109,8 @@
     Message.set("lease", std::to_string(Lease));
   return decodeWith<Revision>(
       this->call(StoreCall::Put, "/v3/kv/put", internal::stringify(Message)),
-      [](const Object &Answer) {
-        return internal::decodeRange(Answer).ReadRevision;
+      [](const Object &Response) {
+        return internal::decodeRange(Response).ReadRevision;
       });
 }
 
@@ -119,42 +122,44 @@
       internal::decodeTransactionOutcome);
 }
 
-Result<LeaseId> StoreClient::grantLease(std::chrono::seconds Life,
-                                        LeaseId Wanted) {
+Result<LeaseId> StoreClient::grantLease(std::chrono::seconds Ttl,
+                                        LeaseId RequestedId) {
   Object Message;
-  Message.set("TTL", std::to_string(Life.count()));
-  if (Wanted != 0)
-    Message.set("ID", std::to_string(Wanted));
-  return decodeWith<LeaseId>(
-      this->call(StoreCall::LeaseGrant, "/v3/lease/grant",
-                 internal::stringify(Message)),
-      [](const Object &Answer) { return internal::int64Field(Answer, "ID"); });
+  Message.set("TTL", std::to_string(Ttl.count()));
+  if (RequestedId != 0)
+    Message.set("ID", std::to_string(RequestedId));
+  return decodeWith<LeaseId>(this->call(StoreCall::LeaseGrant,
+                                        "/v3/lease/grant",
+                                        internal::stringify(Message)),
+                             [](const Object &Response) {
+                               return internal::int64Field(Response, "ID");
+                             });
 }
 
 Result<std::chrono::seconds> StoreClient::keepLeaseAlive(LeaseId Lease) {
   Object Message;
   Message.set("ID", std::to_string(Lease));
-  const auto Left = decodeWith<std::int64_t>(
+  const auto Remaining = decodeWith<std::int64_t>(
       this->call(StoreCall::LeaseKeepAlive, "/v3/lease/keepalive",
                  internal::stringify(Message)),
-      [](const Object &Answer) {
-        const Object::Ptr Inner = Answer.getObject("result");
+      [](const Object &Response) {
+        const Object::Ptr Inner = Response.getObject("result");
         return Inner ? internal::int64Field(*Inner, "TTL") : std::int64_t{0};
       });
-  if (!Left)
-    return tl::unexpected(Left.error());
-  if (*Left <= 0)
-    return failure(ErrorCode::NotFound, "the lease has lapsed");
-  return std::chrono::seconds(*Left);
+  if (!Remaining)
+    return tl::unexpected(Remaining.error());
+  if (*Remaining <= 0)
+    return failure(ErrorCode::NotFound, "the lease has expired");
+  return std::chrono::seconds(*Remaining);
 }
 
 Result<void> StoreClient::revokeLease(LeaseId Lease) {
   Object Message;
   Message.set("ID", std::to_string(Lease));
-  const auto Answer = this->call(StoreCall::LeaseRevoke, "/v3/lease/revoke",
-                                 internal::stringify(Message));
-  if (!Answer)
-    return tl::unexpected(Answer.error());
+  const auto Response = this->call(StoreCall::LeaseRevoke, "/v3/lease/revoke",
+                                   internal::stringify(Message));
+  if (!Response)
+    return tl::unexpected(Response.error());
   return {};
 }
 
--- a/src/Platform/StoreCodec.cpp
+++ b/src/Platform/StoreCodec.cpp
@@ -35,7 +35,7 @@
 
 namespace {
 
-std::string textOf(const Object &Message, const std::string &Name) {
+std::string base64Field(const Object &Message, const std::string &Name) {
   return Message.has(Name) ? fromBase64(Message.getValue<std::string>(Name))
                            : std::string();
 }
@@ -61,15 +61,15 @@
   return Message;
 }
 
-Object::Ptr encodeStep(const StoreOperation &Step) {
+Object::Ptr encodeOperation(const StoreOperation &Operation) {
   Object::Ptr Inner = new Object;
-  Inner->set("key", toBase64(Step.Key));
+  Inner->set("key", toBase64(Operation.Key));
   Object::Ptr Message = new Object;
-  switch (Step.Kind) {
+  switch (Operation.Kind) {
   case StoreOperationKind::Put:
-    Inner->set("value", toBase64(Step.Value));
-    if (Step.Lease != 0)
-      Inner->set("lease", std::to_string(Step.Lease));
+    Inner->set("value", toBase64(Operation.Value));
+    if (Operation.Lease != 0)
+      Inner->set("lease", std::to_string(Operation.Lease));
     Message->set("request_put", Inner);
     break;
   case StoreOperationKind::Delete:
@@ -82,11 +82,11 @@
   return Message;
 }
 
-Array::Ptr encodeSteps(const std::vector<StoreOperation> &Steps) {
-  Array::Ptr All = new Array;
-  for (const StoreOperation &Step : Steps)
-    All->add(encodeStep(Step));
-  return All;
+Array::Ptr encodeOperations(const std::vector<StoreOperation> &Operations) {
+  Array::Ptr List = new Array;
+  for (const StoreOperation &Operation : Operations)
+    List->add(encodeOperation(Operation));
+  return List;
 }
 
 Revision revisionOf(const Object &Message) {
@@ -102,15 +102,15 @@
     Conditions->add(encodeCompare(Compare));
   Object Message;
   Message.set("compare", Conditions);
-  Message.set("success", encodeSteps(Transaction.Then));
-  Message.set("failure", encodeSteps(Transaction.Else));
+  Message.set("success", encodeOperations(Transaction.Then));
+  Message.set("failure", encodeOperations(Transaction.Else));
   return stringify(Message);
 }
 
 StoreEntry decodeEntry(const Object &Message) {
   StoreEntry Entry;
-  Entry.Key = textOf(Message, "key");
-  Entry.Value = textOf(Message, "value");
+  Entry.Key = base64Field(Message, "key");
+  Entry.Value = base64Field(Message, "value");
   Entry.CreateRevision = int64Field(Message, "create_revision");
   Entry.ModRevision = int64Field(Message, "mod_revision");
   Entry.Version = int64Field(Message, "version");
@@ -149,7 +149,7 @@
     return Parser.parse(Text).extract<Object::Ptr>();
   } catch (const Poco::Exception &Problem) {
     return failure(ErrorCode::Malformed,
-                   "the store's answer is no JSON object: " +
+                   "the store's response is not a JSON object: " +
                        Problem.displayText());
   }
 }
--- a/src/Platform/StoreConnection.cpp
+++ b/src/Platform/StoreConnection.cpp
@@ -15,47 +15,50 @@
 
 namespace {
 
-constexpr std::size_t MaxAnswerBytes = 64U << 20U;
-constexpr std::size_t ReadStep = 64U << 10U;
+constexpr std::size_t MaxResponseBytes = 64U << 20U;
+constexpr std::size_t ReadBufferBytes = 64U << 10U;
 
 Poco::Timespan timespan(Duration Time) { return Poco::Timespan(Time.count()); }
 
-/// Reads to the end of the answer or the deadline. The deadline counts for the
-/// whole: a service that sends a byte now and then would hold the caller for
-/// ever under a limit for each read alone.
-Result<std::string> readAnswer(std::istream &In, HTTPClientSession &Session,
-                               const Clock &Time, TimePoint Deadline) {
-  std::string Answer;
-  std::string Step(ReadStep, '\0');
+/// Reads to the end of the response or until the deadline. The deadline covers
+/// the complete response: with a limit per read alone, a service that sends a
+/// byte now and then would block the caller forever.
+Result<std::string> readBody(std::istream &In, HTTPClientSession &Session,
+                             const Clock &Time, TimePoint Deadline) {
+  std::string Body;
+  std::string Buffer(ReadBufferBytes, '\0');
   while (In.good()) {
-    const Duration Left = Deadline - Time.now();
-    if (Left <= Duration::zero())
-      return failure(ErrorCode::TimedOut, "the store's answer did not end");
-    Session.socket().setReceiveTimeout(timespan(Left));
-    In.read(Step.data(), static_cast<std::streamsize>(Step.size()));
-    Answer.append(Step.data(), static_cast<std::size_t>(In.gcount()));
-    if (Answer.size() > MaxAnswerBytes)
-      return failure(ErrorCode::Malformed, "the store's answer is too large");
+    const Duration Remaining = Deadline - Time.now();
+    if (Remaining <= Duration::zero())
+      return failure(ErrorCode::TimedOut,
+                     "the store's response did not end in time");
+    Session.socket().setReceiveTimeout(timespan(Remaining));
+    In.read(Buffer.data(), static_cast<std::streamsize>(Buffer.size()));
+    Body.append(Buffer.data(), static_cast<std::size_t>(In.gcount()));
+    if (Body.size() > MaxResponseBytes)
+      return failure(ErrorCode::Malformed, "the store's response is too large");
   }
   if (In.bad())
-    return failure(ErrorCode::Interrupted, "the store's answer broke off");
-  return Answer;
+    return failure(ErrorCode::Interrupted,
+                   "the store's response was truncated");
+  return Body;
 }
 
 } // namespace
 
-/// The library's session, which also tells whether it can carry a further call.
+/// The library's HTTP session, extended by a check whether it can be reused.
 class StoreConnection::HttpSession : public HTTPClientSession {
 public:
   using HTTPClientSession::HTTPClientSession;
 
-  /// Whether the store has sent or ended something while nothing was asked:
-  /// the next call would find the end, or take what came for its answer.
+  /// Returns whether the store has sent data or closed the connection while no
+  /// request was pending. The next call would fail, or would mistake the data
+  /// for its response.
   bool hasUnsolicitedInput() {
-    constexpr int Either =
+    constexpr int ReadOrError =
         Poco::Net::Socket::SELECT_READ | Poco::Net::Socket::SELECT_ERROR;
     return this->buffered() > 0 ||
-           this->socket().poll(Poco::Timespan(0), Either);
+           this->socket().poll(Poco::Timespan(0), ReadOrError);
   }
 };
 
@@ -68,9 +71,9 @@
 
 void StoreConnection::close() { this->Session.reset(); }
 
-/// Something between the two ends may lose track of an idle connection, and a
-/// call on it then waits for its whole deadline. A fresh connection costs one
-/// round trip and proves the way.
+/// A middlebox may forget an idle connection, and a call over it would then
+/// block until its deadline. A new connection costs one round trip and proves
+/// that the store is reachable.
 Result<void> StoreConnection::connect(Duration Limit) {
   const TimePoint Now = this->Time.now();
   if (this->Session && Now - this->LastUsedAt <= this->MaxIdleTime &&
@@ -78,44 +81,45 @@
     return {};
   this->Session.reset();
   try {
-    const Poco::Net::SocketAddress Numeric(this->Address);
+    const Poco::Net::SocketAddress Endpoint(this->Address);
     Poco::Net::StreamSocket Socket;
-    Socket.connect(Numeric, timespan(Limit));
+    Socket.connect(Endpoint, timespan(Limit));
     Socket.setNoDelay(true);
-    auto Fresh = std::make_unique<HttpSession>(Socket);
-    Fresh->setKeepAlive(true);
-    Fresh->setKeepAliveTimeout(Poco::Timespan(Poco::Timespan::HOURS));
-    this->Session = std::move(Fresh);
+    auto NewSession = std::make_unique<HttpSession>(Socket);
+    NewSession->setKeepAlive(true);
+    NewSession->setKeepAliveTimeout(Poco::Timespan(Poco::Timespan::HOURS));
+    this->Session = std::move(NewSession);
   } catch (const Poco::Exception &Problem) {
     return failure(ErrorCode::Unreachable, Problem.displayText());
   }
   return {};
 }
 
-Result<StoreResponse> StoreConnection::exchange(const StoreRequest &Message,
+Result<StoreResponse> StoreConnection::exchange(const StoreRequest &Request,
                                                 TimePoint Deadline) {
-  const Duration Left = Deadline - this->Time.now();
-  if (Left <= Duration::zero())
-    return failure(ErrorCode::Unreachable, "no time was left for the call");
+  const Duration Remaining = Deadline - this->Time.now();
+  if (Remaining <= Duration::zero())
+    return failure(ErrorCode::Unreachable, "no time is left for the call");
   try {
-    HTTPRequest Request(Message.Method, Message.Path, HTTPRequest::HTTP_1_1);
-    Request.setHost(this->Address);
-    if (!Message.Body.empty())
-      Request.setContentType("application/json");
-    if (Message.Method != HTTPRequest::HTTP_GET)
-      Request.setContentLength(
-          static_cast<std::streamsize>(Message.Body.size()));
-    this->Session->setTimeout(timespan(Left));
-    this->Session->socket().setReceiveTimeout(timespan(Left));
-    this->Session->socket().setSendTimeout(timespan(Left));
-    this->Session->sendRequest(Request) << Message.Body << std::flush;
-    HTTPResponse Response;
-    std::istream &In = this->Session->receiveResponse(Response);
+    HTTPRequest HttpRequest(Request.Method, Request.Path,
+                            HTTPRequest::HTTP_1_1);
+    HttpRequest.setHost(this->Address);
+    if (!Request.Body.empty())
+      HttpRequest.setContentType("application/json");
+    if (Request.Method != HTTPRequest::HTTP_GET)
+      HttpRequest.setContentLength(
+          static_cast<std::streamsize>(Request.Body.size()));
+    this->Session->setTimeout(timespan(Remaining));
+    this->Session->socket().setReceiveTimeout(timespan(Remaining));
+    this->Session->socket().setSendTimeout(timespan(Remaining));
+    this->Session->sendRequest(HttpRequest) << Request.Body << std::flush;
+    HTTPResponse HttpResponse;
+    std::istream &In = this->Session->receiveResponse(HttpResponse);
     Result<std::string> Body =
-        readAnswer(In, *this->Session, this->Time, Deadline);
+        readBody(In, *this->Session, this->Time, Deadline);
     if (!Body)
       return tl::unexpected(Body.error());
-    return StoreResponse{Response.getStatus(), std::move(*Body)};
+    return StoreResponse{HttpResponse.getStatus(), std::move(*Body)};
   } catch (const Poco::TimeoutException &Problem) {
     return failure(ErrorCode::TimedOut, Problem.displayText());
   } catch (const Poco::Exception &Problem) {
@@ -123,17 +127,18 @@
   }
 }
 
-Result<StoreResponse> StoreConnection::call(const StoreRequest &Message,
+Result<StoreResponse> StoreConnection::call(const StoreRequest &Request,
                                             Duration Limit) {
   const TimePoint Deadline = this->Time.now() + Limit;
   if (const Result<void> Connected = this->connect(Limit); !Connected)
     return tl::unexpected(Connected.error());
-  Result<StoreResponse> Answer = this->exchange(Message, Deadline);
+  Result<StoreResponse> Response = this->exchange(Request, Deadline);
   this->LastUsedAt = this->Time.now();
-  // After a call that went wrong the next answer could be this one's.
-  if (!Answer)
+  // After a failed call, the next response on the connection could still belong
+  // to it.
+  if (!Response)
     this->Session.reset();
-  return Answer;
+  return Response;
 }
 
 } // namespace parsleywing
--- a/src/Platform/StoreWatch.cpp
+++ b/src/Platform/StoreWatch.cpp
@@ -19,8 +19,8 @@
 
 namespace {
 
-constexpr Duration FirstBackoff = std::chrono::milliseconds(100);
-constexpr Duration BackoffLimit = std::chrono::seconds(5);
+constexpr Duration InitialRetryDelay = std::chrono::milliseconds(100);
+constexpr Duration MaxRetryDelay = std::chrono::seconds(5);
 
 std::vector<StoreChange> changesOf(const Object &Message) {
   std::vector<StoreChange> Changes;
@@ -37,11 +37,11 @@
 }
 
 std::string createRequest(const std::string &Prefix) {
-  Object Wanted;
-  Wanted.set("key", internal::toBase64(Prefix));
-  Wanted.set("range_end", internal::toBase64(prefixRangeEnd(Prefix)));
+  Object Create;
+  Create.set("key", internal::toBase64(Prefix));
+  Create.set("range_end", internal::toBase64(prefixRangeEnd(Prefix)));
   Object Message;
-  Message.set("create_request", Wanted);
+  Message.set("create_request", Create);
   return internal::stringify(Message);
 }
 
@@ -61,7 +61,7 @@
       if (this->ActiveSession != nullptr)
         this->ActiveSession->socket().shutdown();
     } catch (const Poco::Exception &) {
-      // It is closed already.
+      // The socket is already closed.
     }
   }
   this->Wakeup.notify_all();
@@ -74,7 +74,8 @@
 }
 
 void StoreWatch::run() {
-  Backoff Pause(FirstBackoff, BackoffLimit, this->WatchOptions.Seed);
+  Backoff RetryBackoff(InitialRetryDelay, MaxRetryDelay,
+                       this->WatchOptions.Seed);
   while (!this->Stopping) {
     const Duration Wait =
         this->Budget->tryAcquire(StoreCall::Watch, this->Time.now());
@@ -83,13 +84,13 @@
       continue;
     }
     if (this->watchOnce())
-      Pause.reset();
-    this->waitOrStop(Pause.nextDelay());
+      RetryBackoff.reset();
+    this->waitOrStop(RetryBackoff.nextDelay());
   }
 }
 
 bool StoreWatch::watchOnce() {
-  bool Began = false;
+  bool Started = false;
   try {
     const Poco::Net::SocketAddress Address(this->Settings.Address);
     Poco::Net::StreamSocket Socket;
@@ -115,18 +116,19 @@
       Session.sendRequest(Request) << Body << std::flush;
       HTTPResponse Response;
       std::istream &In = Session.receiveResponse(Response);
-      Began = Response.getStatus() == HTTPResponse::HTTP_OK;
-      if (Began)
+      Started = Response.getStatus() == HTTPResponse::HTTP_OK;
+      if (Started)
         this->readChanges(In);
     } catch (const Poco::Exception &) {
-      // The watch ended; the next one tells its reader to look again.
+      // The watch has ended. The next one reports its start, so that the
+      // receiver reads the current state again.
     }
     std::lock_guard<std::mutex> Lock(this->Mutex);
     this->ActiveSession = nullptr;
   } catch (const Poco::Exception &) {
     return false;
   }
-  return Began;
+  return Started;
 }
 
 void StoreWatch::readChanges(std::istream &In) {
--- a/src/Program/CallerMetrics.cpp
+++ b/src/Program/CallerMetrics.cpp
@@ -4,50 +4,49 @@
 
 namespace {
 
-void addCount(Metrics &Measured, MetricKind Kind, MetricName Name,
+void addCount(Metrics &Registry, MetricKind Kind, MetricName Name,
               const CallerCounters::Count &Value) {
-  Measured.callback(Kind, std::move(Name),
+  Registry.callback(Kind, std::move(Name),
                     [&Value] { return static_cast<double>(Value); });
 }
 
-void addConnections(Metrics &Measured, const CallerCounters &Counters) {
+void addConnections(Metrics &Registry, const CallerCounters &Counters) {
   const auto AddCounter = [&](const char *Name, const char *Help,
                               const CallerCounters::Count &Value) {
-    addCount(Measured, MetricKind::Counter, {Name, Help, ""}, Value);
+    addCount(Registry, MetricKind::Counter, {Name, Help, ""}, Value);
   };
-  addCount(
-      Measured, MetricKind::Gauge,
-      {"caller_connections_open", "Callers' connections at this moment.", ""},
-      Counters.ConnectionsOpen);
+  addCount(Registry, MetricKind::Gauge,
+           {"caller_connections_open", "Open connections of callers.", ""},
+           Counters.ConnectionsOpen);
   AddCounter("caller_connections_total", "Connections that callers opened.",
              Counters.ConnectionsAccepted);
   AddCounter("caller_connections_refused_total",
-             "Connections answered with 503 for want of a thread.",
+             "Connections refused with 503 because no thread was free.",
              Counters.ConnectionsRefused);
   AddCounter("caller_connections_idle_closed_total",
-             "Connections closed after a long time without a request.",
+             "Connections closed after being idle for too long.",
              Counters.ConnectionsIdleClosed);
   AddCounter("callers_left_total",
-             "Callers that were gone before their final answer.",
+             "Callers that disconnected before the final response.",
              Counters.CallersLeft);
 }
 
-void addProblems(Metrics &Measured, const CallerCounters &Counters) {
+void addProblems(Metrics &Registry, const CallerCounters &Counters) {
   for (const auto &[Type, Name] : ProblemTypeNames)
-    addCount(Measured, MetricKind::Counter,
-             {"caller_problems_total", "Error answers to callers.",
+    addCount(Registry, MetricKind::Counter,
+             {"caller_problems_total", "Error responses to callers.",
               "type=\"" + std::string(Name) + "\""},
              Counters.ProblemsByType[static_cast<std::size_t>(Type)]);
 }
 
-void addLatencies(Metrics &Measured, CallerServer &Callers) {
-  LatencyHistogram &Queued = Measured.latency(
-      {"request_queue_seconds", "Time until the first attempt began.", ""});
+void addLatencies(Metrics &Registry, CallerServer &Callers) {
+  LatencyHistogram &Queued = Registry.latency(
+      {"request_queue_seconds", "Time until the first attempt started.", ""});
   LatencyHistogram &FirstToken =
-      Measured.latency({"request_first_token_seconds",
-                        "Time until the first piece of the answer.", ""});
-  LatencyHistogram &Total = Measured.latency(
-      {"request_total_seconds", "Time until the final answer.", ""});
+      Registry.latency({"request_first_token_seconds",
+                        "Time until the first chunk of the response.", ""});
+  LatencyHistogram &Total = Registry.latency(
+      {"request_total_seconds", "Time until the final response.", ""});
   Callers.observeTimings(
       [&Queued, &FirstToken, &Total](const RequestTiming &Timing) {
         if (Timing.Queued)
@@ -60,10 +59,10 @@
 
 } // namespace
 
-void addCallerMetrics(Metrics &Measured, CallerServer &Callers) {
-  addConnections(Measured, Callers.counters());
-  addProblems(Measured, Callers.counters());
-  addLatencies(Measured, Callers);
+void addCallerMetrics(Metrics &Registry, CallerServer &Callers) {
+  addConnections(Registry, Callers.counters());
+  addProblems(Registry, Callers.counters());
+  addLatencies(Registry, Callers);
 }
 
 } // namespace parsleywing
--- a/src/Program/CommandLine.cpp
+++ b/src/Program/CommandLine.cpp
@@ -69,66 +69,76 @@
          "Exit codes and settings: docs/OPERATING.md.\n";
 }
 
-template <typename C> void printHelp(const C &Chosen) {
-  std::cout << "Usage: parsleywing " << Chosen.usage() << "\n\n"
-            << Chosen.summary() << "\n\n"
-            << Chosen.options() << "  --help                print this text\n";
+template <typename C> void printHelp(const C &Selected) {
+  std::cout << "Usage: parsleywing " << Selected.usage() << "\n\n"
+            << Selected.summary() << "\n\n"
+            << Selected.options()
+            << "  --help                print this text\n";
 }
 
-ExitCode refuse(const std::string &Problem) {
+ExitCode printUsageError(const std::string &Problem) {
   std::cerr << "parsleywing: " << Problem << '\n';
   return ExitCode::WrongUsage;
 }
 
-/// Reads the options strictly: no abbreviations, no unknown or repeated ones.
+/// Parses the options and runs the command. Abbreviated, unknown and repeated
+/// options are errors.
 template <typename C>
-ExitCode runCommand(const C &Chosen, const std::vector<std::string> &Words) {
-  for (const std::string &Word : Words)
-    if (Word == "--help") {
-      printHelp(Chosen);
+ExitCode runCommand(const C &Selected,
+                    const std::vector<std::string> &Arguments) {
+  for (const std::string &Argument : Arguments)
+    if (Argument == "--help") {
+      printHelp(Selected);
       return ExitCode::Success;
     }
   try {
-    const options::options_description Known = Chosen.options();
+    const options::options_description Description = Selected.options();
     const int Style = options::command_line_style::unix_style &
                       ~options::command_line_style::allow_guessing;
-    options::variables_map Given;
-    options::store(options::command_line_parser(Words)
-                       .options(Known)
-                       .positional(Chosen.positional())
+    options::variables_map Values;
+    options::store(options::command_line_parser(Arguments)
+                       .options(Description)
+                       .positional(Selected.positional())
                        .style(Style)
                        .run(),
-                   Given);
-    options::notify(Given);
-    return Chosen.run(Given);
+                   Values);
+    options::notify(Values);
+    return Selected.run(Values);
   } catch (const options::error &Problem) {
-    return refuse(std::string(Chosen.name()) + ": " + Problem.what() +
-                  "; see parsleywing " + Chosen.name() + " --help");
+    return printUsageError(std::string(Selected.name()) + ": " +
+                           Problem.what() + "; see parsleywing " +
+                           Selected.name() + " --help");
   }
 }
 
 } // namespace
 
-ExitCode runCommandLine(const std::vector<std::string> &Words) {
-  if (Words.empty()) {
+ExitCode runCommandLine(const std::vector<std::string> &Arguments) {
+  if (Arguments.empty()) {
     printOverview(std::cerr);
     return ExitCode::WrongUsage;
   }
-  if (Words[0] == "help" || Words[0] == "--help" || Words[0] == "-h") {
-    const Command *Topic = Words.size() > 1 ? findCommand(Words[1]) : nullptr;
-    if (Topic)
-      std::visit([](const auto &C) { printHelp(C); }, *Topic);
+  if (Arguments[0] == "help" || Arguments[0] == "--help" ||
+      Arguments[0] == "-h") {
+    const Command *HelpTopic =
+        Arguments.size() > 1 ? findCommand(Arguments[1]) : nullptr;
+    if (HelpTopic)
+      std::visit([](const auto &C) { printHelp(C); }, *HelpTopic);
     else
       printOverview(std::cout);
     return ExitCode::Success;
   }
-  const std::string Name = Words[0] == "--version" ? "version" : Words[0];
-  const Command *Chosen = findCommand(Name);
-  if (Chosen == nullptr)
-    return refuse("'" + Name + "' is not a command; see parsleywing help");
-  const std::vector<std::string> Rest(Words.begin() + 1, Words.end());
-  return std::visit([&](const auto &C) { return runCommand(C, Rest); },
-                    *Chosen);
+  const std::string Name =
+      Arguments[0] == "--version" ? "version" : Arguments[0];
+  const Command *Selected = findCommand(Name);
+  if (Selected == nullptr)
+    return printUsageError("'" + Name +
+                           "' is not a command; see parsleywing help");
+  const std::vector<std::string> CommandArguments(Arguments.begin() + 1,
+                                                  Arguments.end());
+  return std::visit(
+      [&](const auto &C) { return runCommand(C, CommandArguments); },
+      *Selected);
 }
 
 } // namespace parsleywing
--- a/src/Program/Commands/ApplyCommand.cpp
+++ b/src/Program/Commands/ApplyCommand.cpp
@@ -16,63 +16,64 @@
 
 constexpr std::uint32_t DefaultWaitSeconds = 10;
 
-/// The platform from the command line, or from the settings file it names.
-Result<PlatformEndpoint> platformOf(const OptionValues &Given) {
+/// Returns the platform given on the command line, or in the settings file
+/// named there.
+Result<PlatformEndpoint> platformOf(const OptionValues &Values) {
   const Settings Defaults;
-  if (Given.count("platform") == 1)
-    return PlatformEndpoint{optionValue<std::string>(Given, "platform"),
+  if (Values.count("platform") == 1)
+    return PlatformEndpoint{optionValue<std::string>(Values, "platform"),
                             Defaults.Platform.Prefix};
-  const auto Wanted = readSettings(optionValue<std::string>(Given, "settings"));
-  if (!Wanted)
-    return tl::unexpected<Error>(Wanted.error());
-  if (Wanted->Platform.Address.empty())
+  const auto Config =
+      readSettings(optionValue<std::string>(Values, "settings"));
+  if (!Config)
+    return tl::unexpected<Error>(Config.error());
+  if (Config->Platform.Address.empty())
     return failure(ErrorCode::InvalidInput,
-                   "the settings file names no [platform] address");
-  return PlatformEndpoint{Wanted->Platform.Address, Wanted->Platform.Prefix};
+                   "the settings file has no [platform] address");
+  return PlatformEndpoint{Config->Platform.Address, Config->Platform.Prefix};
 }
 
-ExitCode reportPlatform(const Error &Failure) {
-  if (Failure.Code == ErrorCode::Refused)
-    return printError(Failure, ExitCode::NotAvailable);
-  return printError(Failure);
+ExitCode printPlatformError(const Error &Problem) {
+  if (Problem.Code == ErrorCode::Refused)
+    return printError(Problem, ExitCode::NotAvailable);
+  return printError(Problem);
 }
 
-std::string textOf(const std::string &Path) {
+std::string readFile(const std::string &Path) {
   std::ostringstream Text;
   Text << std::ifstream(Path).rdbuf();
   return Text.str();
 }
 
-/// Prints what the file changes against what is in force now.
-void printChanges(const AppliedDeclarations &InForce,
-                  const Declarations &Wanted) {
-  const auto Before = parseDeclarations(InForce.Text, "(in force)");
-  if (!Before)
+/// Prints the changes from the active declarations to those of the file.
+void printChanges(const AppliedDeclarations &Active, const Declarations &New) {
+  const auto Current = parseDeclarations(Active.Text, "(in force)");
+  if (!Current)
     return;
-  for (const DeclarationChange &Change : compareDeclarations(*Before, Wanted))
+  for (const DeclarationChange &Change : compareDeclarations(*Current, New))
     std::cout << textOf(Change) << '\n';
 }
 
-/// Waits for all live routers and names those that are behind.
+/// Waits until all live routers have the generation; else lists those that lag.
 ExitCode waitForFleet(const PlatformEndpoint &Platform,
                       std::uint64_t Generation, std::uint32_t Seconds) {
-  const auto Behind =
+  const auto Lagging =
       waitForGeneration(Platform, Generation, std::chrono::seconds(Seconds));
-  const std::string Place = "generation " + std::to_string(Generation);
-  if (!Behind)
+  const std::string Label = "generation " + std::to_string(Generation);
+  if (!Lagging)
     return printError({ErrorCode::TimedOut,
-                       Place +
+                       Label +
                            " was accepted, but the list of routers cannot be "
                            "read: " +
-                           Behind.error().Message});
-  if (Behind->empty()) {
-    std::cout << "all live routers have " << Place << '\n';
+                           Lagging.error().Message});
+  if (Lagging->empty()) {
+    std::cout << "all live routers have " << Label << '\n';
     return ExitCode::Success;
   }
-  std::string Text = Place + " was accepted, but after " +
+  std::string Text = Label + " was accepted, but after " +
                      std::to_string(Seconds) +
                      " s these routers are not known to have it:";
-  for (const LaggingRouter &Router : *Behind)
+  for (const LaggingRouter &Router : *Lagging)
     Text += "\n  " + Router.Name + ": " + Router.Reason;
   return printError({ErrorCode::TimedOut, Text});
 }
@@ -80,59 +81,59 @@
 } // namespace
 
 OptionsDescription ApplyCommand::options() const {
-  OptionsDescription Known("Options");
-  Known.add_options()(
+  OptionsDescription Options("Options");
+  Options.add_options()(
       "file", options::value<std::string>()->required()->value_name("FILE"),
-      "declarations file; also as the first word")(
+      "declarations file; also accepted as the first argument")(
       "operator", options::value<std::string>()->required()->value_name("NAME"),
-      "who applies; shown to operators whose file comes second")(
+      "name of the operator; shown to others whose apply conflicts")(
       "platform", options::value<std::string>()->value_name("ADDRESS"),
       "numeric IP:port of the platform's store")(
       "settings", options::value<std::string>()->value_name("FILE"),
-      "settings file that names the platform")(
+      "settings file with the platform's address")(
       "wait",
       options::value<std::uint32_t>()
           ->default_value(DefaultWaitSeconds)
           ->value_name("SECONDS"),
-      "how long to go on while the store does not answer")(
+      "how long to retry while the store does not answer")(
       "wait-in-force", options::value<std::uint32_t>()->value_name("SECONDS"),
-      "after that wait so long until all live routers have the generation");
-  return Known;
+      "then wait at most so long until all live routers have the generation");
+  return Options;
 }
 
 PositionalOptions ApplyCommand::positional() const {
-  PositionalOptions Words;
-  Words.add("file", 1);
-  return Words;
+  PositionalOptions Arguments;
+  Arguments.add("file", 1);
+  return Arguments;
 }
 
-ExitCode ApplyCommand::run(const OptionValues &Given) const {
-  if (Given.count("settings") + Given.count("platform") != 1)
+ExitCode ApplyCommand::run(const OptionValues &Values) const {
+  if (Values.count("settings") + Values.count("platform") != 1)
     return printError({ErrorCode::InvalidInput,
                        "apply: give either --settings or --platform"},
                       ExitCode::WrongUsage);
-  const auto &Path = optionValue<std::string>(Given, "file");
-  const auto Declared = loadDeclarations(Path);
-  if (!Declared)
-    return printError(Declared.error());
-  const auto Platform = platformOf(Given);
+  const auto &Path = optionValue<std::string>(Values, "file");
+  const auto New = loadDeclarations(Path);
+  if (!New)
+    return printError(New.error());
+  const auto Platform = platformOf(Values);
   if (!Platform)
     return printError(Platform.error());
-  const auto InForce = readFromPlatform(*Platform);
-  if (InForce)
-    printChanges(*InForce, *Declared);
-  else if (InForce.error().Code != ErrorCode::NotFound)
-    return reportPlatform(InForce.error());
+  const auto Active = readFromPlatform(*Platform);
+  if (Active)
+    printChanges(*Active, *New);
+  else if (Active.error().Code != ErrorCode::NotFound)
+    return printPlatformError(Active.error());
   const auto Applied = applyToPlatform(
-      {*Platform, textOf(Path), optionValue<std::string>(Given, "operator"),
-       std::chrono::seconds(optionValue<std::uint32_t>(Given, "wait"))});
+      {*Platform, textOf(Path), optionValue<std::string>(Values, "operator"),
+       std::chrono::seconds(optionValue<std::uint32_t>(Values, "wait"))});
   if (!Applied)
-    return reportPlatform(Applied.error());
+    return printPlatformError(Applied.error());
   std::cout << "in force as generation " << Applied->Generation << std::endl;
-  if (Given.count("wait-in-force") == 0)
+  if (Values.count("wait-in-force") == 0)
     return ExitCode::Success;
   return waitForFleet(*Platform, Applied->Generation,
-                      optionValue<std::uint32_t>(Given, "wait-in-force"));
+                      optionValue<std::uint32_t>(Values, "wait-in-force"));
 }
 
 } // namespace parsleywing
--- a/src/Program/Commands/CheckCommand.cpp
+++ b/src/Program/Commands/CheckCommand.cpp
@@ -10,45 +10,45 @@
 namespace {
 
 ExitCode checkDeclarations(const std::string &Path) {
-  const auto Declared = loadDeclarations(Path);
-  if (!Declared)
-    return printError(Declared.error());
-  std::cout << Path << ": correct; " << Declared->Accounts.size()
-            << " accounts, " << Declared->Services.size() << " services, "
-            << Declared->Servers.size() << " servers\n";
+  const auto Parsed = loadDeclarations(Path);
+  if (!Parsed)
+    return printError(Parsed.error());
+  std::cout << Path << ": correct; " << Parsed->Accounts.size() << " accounts, "
+            << Parsed->Services.size() << " services, "
+            << Parsed->Servers.size() << " servers\n";
   return ExitCode::Success;
 }
 
 ExitCode checkSettings(const std::string &Path) {
-  const auto Wanted = readSettings(Path);
-  if (!Wanted)
-    return printError(Wanted.error());
-  std::cout << Path << ": correct; router " << Wanted->Name << '\n';
-  if (Wanted->DeclarationsFile.empty())
+  const auto Config = readSettings(Path);
+  if (!Config)
+    return printError(Config.error());
+  std::cout << Path << ": correct; router " << Config->Name << '\n';
+  if (Config->DeclarationsFile.empty())
     return ExitCode::Success;
-  return checkDeclarations(Wanted->DeclarationsFile);
+  return checkDeclarations(Config->DeclarationsFile);
 }
 
 } // namespace
 
 OptionsDescription CheckCommand::options() const {
-  OptionsDescription Known("Options");
-  Known.add_options()("settings",
-                      options::value<std::string>()->value_name("FILE"),
-                      "settings file, with the declarations it names")(
+  OptionsDescription Options("Options");
+  Options.add_options()("settings",
+                        options::value<std::string>()->value_name("FILE"),
+                        "settings file, with the declarations it names")(
       "declarations", options::value<std::string>()->value_name("FILE"),
       "declarations file");
-  return Known;
+  return Options;
 }
 
-ExitCode CheckCommand::run(const OptionValues &Given) const {
-  if (Given.count("settings") + Given.count("declarations") != 1)
+ExitCode CheckCommand::run(const OptionValues &Values) const {
+  if (Values.count("settings") + Values.count("declarations") != 1)
     return printError({ErrorCode::InvalidInput,
                        "check: give either --settings or --declarations"},
                       ExitCode::WrongUsage);
-  if (Given.count("settings") == 1)
-    return checkSettings(optionValue<std::string>(Given, "settings"));
-  return checkDeclarations(optionValue<std::string>(Given, "declarations"));
+  if (Values.count("settings") == 1)
+    return checkSettings(optionValue<std::string>(Values, "settings"));
+  return checkDeclarations(optionValue<std::string>(Values, "declarations"));
 }
 
 } // namespace parsleywing
--- a/src/Program/Commands/DrainCommand.cpp
+++ b/src/Program/Commands/DrainCommand.cpp
@@ -12,11 +12,11 @@
 
 constexpr auto PollInterval = std::chrono::milliseconds(100);
 
-/// Waits until the router's process no longer answers.
+/// Waits until the router's process is unreachable.
 ExitCode waitForEnd(const OperatorClient &Router, std::uint32_t Seconds) {
-  const auto Limit =
+  const auto Deadline =
       std::chrono::steady_clock::now() + std::chrono::seconds(Seconds);
-  while (std::chrono::steady_clock::now() < Limit) {
+  while (std::chrono::steady_clock::now() < Deadline) {
     const auto Health = Router.health();
     if (!Health && Health.error().Code == ErrorCode::Unreachable) {
       std::cout << "the router has ended\n";
@@ -24,31 +24,32 @@
     }
     std::this_thread::sleep_for(PollInterval);
   }
-  return printError({ErrorCode::TimedOut, "the router still drains after " +
-                                              std::to_string(Seconds) + " s"});
+  return printError(
+      {ErrorCode::TimedOut,
+       "the router is still draining after " + std::to_string(Seconds) + " s"});
 }
 
 } // namespace
 
 OptionsDescription DrainCommand::options() const {
-  OptionsDescription Known("Options");
-  Known.add_options()(
+  OptionsDescription Options("Options");
+  Options.add_options()(
       "router",
       options::value<std::string>()->required()->value_name("ADDRESS"),
       "the router's [listen] operators address")(
       "wait", options::value<std::uint32_t>()->value_name("SECONDS"),
-      "wait so long for the router's end");
-  return Known;
+      "wait at most so long until the router has ended");
+  return Options;
 }
 
-ExitCode DrainCommand::run(const OptionValues &Given) const {
-  const OperatorClient Router(optionValue<std::string>(Given, "router"));
-  const auto Asked = Router.post("/drain");
-  if (!Asked)
-    return printError(Asked.error());
-  if (Given.count("wait") == 1)
-    return waitForEnd(Router, optionValue<std::uint32_t>(Given, "wait"));
-  std::cout << "the router drains\n";
+ExitCode DrainCommand::run(const OptionValues &Values) const {
+  const OperatorClient Router(optionValue<std::string>(Values, "router"));
+  const auto Response = Router.post("/drain");
+  if (!Response)
+    return printError(Response.error());
+  if (Values.count("wait") == 1)
+    return waitForEnd(Router, optionValue<std::uint32_t>(Values, "wait"));
+  std::cout << "the router is draining\n";
   return ExitCode::Success;
 }
 
--- a/src/Program/Commands/FetchCommand.cpp
+++ b/src/Program/Commands/FetchCommand.cpp
@@ -7,16 +7,16 @@
 namespace options = boost::program_options;
 
 OptionsDescription FetchCommand::options() const {
-  OptionsDescription Known("Options");
-  Known.add_options()(
+  OptionsDescription Options("Options");
+  Options.add_options()(
       "router",
       options::value<std::string>()->required()->value_name("ADDRESS"),
       "the router's [listen] operators address");
-  return Known;
+  return Options;
 }
 
-ExitCode FetchCommand::run(const OptionValues &Given) const {
-  const OperatorClient Router(optionValue<std::string>(Given, "router"));
+ExitCode FetchCommand::run(const OptionValues &Values) const {
+  const OperatorClient Router(optionValue<std::string>(Values, "router"));
   const auto Body = Router.get(this->Path);
   if (!Body)
     return printError(Body.error());
--- a/src/Program/Commands/GatewayCommand.cpp
+++ b/src/Program/Commands/GatewayCommand.cpp
@@ -11,32 +11,33 @@
 namespace options = boost::program_options;
 
 OptionsDescription GatewayCommand::options() const {
-  OptionsDescription Known("Options");
-  Known.add_options()(
+  OptionsDescription Options("Options");
+  Options.add_options()(
       "settings", options::value<std::string>()->required()->value_name("FILE"),
       "settings file of this router")("check",
-                                      "read and check the settings, then end");
-  return Known;
+                                      "read and check the settings, then exit");
+  return Options;
 }
 
-ExitCode GatewayCommand::run(const OptionValues &Given) const {
-  const auto Path = optionValue<std::string>(Given, "settings");
-  auto Wanted = readGatewaySettings(Path);
-  if (!Wanted)
-    return printError(Wanted.error());
-  if (Given.count("check") > 0) {
+ExitCode GatewayCommand::run(const OptionValues &Values) const {
+  const auto Path = optionValue<std::string>(Values, "settings");
+  auto Config = readGatewaySettings(Path);
+  if (!Config)
+    return printError(Config.error());
+  if (Values.count("check") > 0) {
     std::cout << Path << ": the settings are valid\n";
     return ExitCode::Success;
   }
   const auto Logging =
-      startLogging(Wanted->Gateway.MinLogLevel, Wanted->Gateway.LogTarget);
+      startLogging(Config->Gateway.MinLogLevel, Config->Gateway.LogTarget);
   if (!Logging)
     return printError(Logging.error(), ExitCode::CannotStart);
-  GatewayProcess Process(Path, std::move(*Wanted));
+  GatewayProcess Process(Path, std::move(*Config));
   if (const auto Ended = Process.run(); !Ended)
     return printError(Ended.error(), ExitCode::CannotStart);
-  // The feed's threads may wait for the store for seconds more, and the grace
-  // that the platform gives a stopping process is over before that.
+  // The feed's threads may still block on the store for several seconds, longer
+  // than the grace period that the platform allows a stopping process. Exit
+  // without waiting for them.
   stopLogging();
   std::cout.flush();
   std::_Exit(static_cast<int>(ExitCode::Success));
--- a/src/Program/Commands/OrderCommand.cpp
+++ b/src/Program/Commands/OrderCommand.cpp
@@ -17,94 +17,96 @@
 
 constexpr std::uint32_t DefaultWaitSeconds = 120;
 constexpr std::uint32_t DefaultLeaseSeconds = 20;
-constexpr std::uint32_t LeastLeaseSeconds = 4;
-constexpr std::uint32_t MostLeaseSeconds = 600;
+constexpr std::uint32_t MinLeaseSeconds = 4;
+constexpr std::uint32_t MaxLeaseSeconds = 600;
 constexpr std::uint32_t DefaultLoads = 4;
 constexpr std::uint32_t DefaultPeriodSeconds = 60;
 
-std::string wordOf(const OptionValues &Given, const char *Name) {
-  return Given.count(Name) == 1 ? optionValue<std::string>(Given, Name) : "";
+std::string textOption(const OptionValues &Values, const char *Name) {
+  return Values.count(Name) == 1 ? optionValue<std::string>(Values, Name) : "";
 }
 
-std::uint32_t numberOf(const OptionValues &Given, const char *Name) {
-  return optionValue<std::uint32_t>(Given, Name);
+std::uint32_t numberOption(const OptionValues &Values, const char *Name) {
+  return optionValue<std::uint32_t>(Values, Name);
 }
 
-/// What is wrong with the options together; empty where nothing is.
-std::string problemOf(const OptionValues &Given) {
-  if (Given.count("load-adapter") + Given.count("unload-adapter") != 1)
+/// Returns what is wrong with the combination of options, or an empty string.
+std::string checkOptions(const OptionValues &Values) {
+  if (Values.count("load-adapter") + Values.count("unload-adapter") != 1)
     return "order: give either --load-adapter or --unload-adapter";
-  if (Given.count("load-adapter") != Given.count("path"))
+  if (Values.count("load-adapter") != Values.count("path"))
     return "order: --path goes with --load-adapter";
-  const std::uint32_t Life = numberOf(Given, "lease-life");
-  if (Life < LeastLeaseSeconds || Life > MostLeaseSeconds)
+  const std::uint32_t Ttl = numberOption(Values, "lease-life");
+  if (Ttl < MinLeaseSeconds || Ttl > MaxLeaseSeconds)
     return "order: --lease-life must be from " +
-           std::to_string(LeastLeaseSeconds) + " to " +
-           std::to_string(MostLeaseSeconds);
-  if (numberOf(Given, "loads") == 0 || numberOf(Given, "load-period") == 0)
+           std::to_string(MinLeaseSeconds) + " to " +
+           std::to_string(MaxLeaseSeconds);
+  if (numberOption(Values, "loads") == 0 ||
+      numberOption(Values, "load-period") == 0)
     return "order: --loads and --load-period must be at least 1";
   return "";
 }
 
-/// The server as the declarations in force have it.
+/// Returns the server's entry in the active declarations.
 Result<ServerDeclaration> findServer(const PlatformEndpoint &Platform,
                                      const std::string &Name) {
-  const auto InForce = readFromPlatform(Platform);
-  if (!InForce)
-    return tl::unexpected<Error>(InForce.error());
-  const auto Declared = parseDeclarations(InForce->Text, "(in force)");
-  if (!Declared)
-    return tl::unexpected<Error>(Declared.error());
-  const auto Found = Declared->Servers.find(idOf<ServerId>(Name));
-  if (Found == Declared->Servers.end())
+  const auto Active = readFromPlatform(Platform);
+  if (!Active)
+    return tl::unexpected<Error>(Active.error());
+  const auto Parsed = parseDeclarations(Active->Text, "(in force)");
+  if (!Parsed)
+    return tl::unexpected<Error>(Parsed.error());
+  const auto Entry = Parsed->Servers.find(idOf<ServerId>(Name));
+  if (Entry == Parsed->Servers.end())
     return failure(ErrorCode::InvalidInput,
                    "the declarations in force have no server '" + Name + "'");
-  return Found->second;
+  return Entry->second;
 }
 
-EngineOrder orderOf(const OptionValues &Given,
+EngineOrder orderOf(const OptionValues &Values,
                     const ServerDeclaration &Server) {
   EngineOrder Order;
   Order.Address = Server.Address;
   Order.Fencing = Server.Fencing;
-  Order.Path = wordOf(Given, "path");
-  const bool Load = Given.count("load-adapter") == 1;
-  Order.Kind = Load ? OrderKind::LoadAdapter : OrderKind::UnloadAdapter;
-  Order.Name = wordOf(Given, Load ? "load-adapter" : "unload-adapter");
+  Order.Path = textOption(Values, "path");
+  const bool IsLoad = Values.count("load-adapter") == 1;
+  Order.Kind = IsLoad ? OrderKind::LoadAdapter : OrderKind::UnloadAdapter;
+  Order.Name = textOption(Values, IsLoad ? "load-adapter" : "unload-adapter");
   return Order;
 }
 
-ServerOrderSettings settingsOf(const OptionValues &Given,
+ServerOrderSettings settingsOf(const OptionValues &Values,
                                const PlatformEndpoint &Platform) {
   ServerOrderSettings Settings;
   Settings.Store.Address = Platform.Address;
   Settings.Prefix = Platform.Prefix;
-  Settings.Server = wordOf(Given, "server");
-  Settings.Holder =
-      wordOf(Given, "operator") + ", process " + std::to_string(::getpid());
-  Settings.LeaseTtl = std::chrono::seconds(numberOf(Given, "lease-life"));
-  Settings.Timeout = std::chrono::seconds(numberOf(Given, "wait"));
-  Settings.Rate.MaxLoads = numberOf(Given, "loads");
-  Settings.Rate.Period = std::chrono::seconds(numberOf(Given, "load-period"));
+  Settings.Server = textOption(Values, "server");
+  Settings.Holder = textOption(Values, "operator") + ", process " +
+                    std::to_string(::getpid());
+  Settings.LeaseTtl = std::chrono::seconds(numberOption(Values, "lease-life"));
+  Settings.Timeout = std::chrono::seconds(numberOption(Values, "wait"));
+  Settings.Rate.MaxLoads = numberOption(Values, "loads");
+  Settings.Rate.Period =
+      std::chrono::seconds(numberOption(Values, "load-period"));
   return Settings;
 }
 
-std::string explain(OrderOutcome Outcome) {
+std::string describe(OrderOutcome Outcome) {
   switch (Outcome) {
   case OrderOutcome::Done:
-    return "the engine obeyed";
+    return "the engine executed the order";
   case OrderOutcome::AlreadyInEffect:
-    return "it was in effect before; nothing was sent";
+    return "the order was already in effect; nothing was sent";
   case OrderOutcome::Stale:
-    return "the engine knows a newer order and refused this one";
+    return "the engine has received a newer order and refused this one";
   case OrderOutcome::LeaseLost:
-    return "the lease was lost; this order was not sent then";
+    return "the lease was lost; the order was not sent this time";
   case OrderOutcome::NotSent:
-    return "the engine cannot be reached; nothing was sent";
+    return "the engine is unreachable; nothing was sent";
   case OrderOutcome::Refused:
-    return "the engine refused it";
+    return "the engine refused the order";
   case OrderOutcome::Unknown:
-    return "it may or may not be in effect; its report did not tell";
+    return "the order may be in effect; the engine's report does not show it";
   }
   return "";
 }
@@ -131,7 +133,7 @@
 ExitCode print(const ServerOrderReport &Report) {
   const std::string Line =
       std::string(nameOf(OrderOutcomeNames, Report.Outcome)) + ": " +
-      explain(Report.Outcome) + " (number " + std::to_string(Report.Number) +
+      describe(Report.Outcome) + " (number " + std::to_string(Report.Number) +
       ", repeats " + std::to_string(Report.Repeats) + ")";
   const ExitCode Code = exitCodeOf(Report.Outcome);
   if (Code == ExitCode::Success)
@@ -147,45 +149,45 @@
 } // namespace
 
 OptionsDescription OrderCommand::options() const {
-  const auto Word = [](const char *Shown) {
-    return options::value<std::string>()->value_name(Shown);
+  const auto Text = [](const char *ValueName) {
+    return options::value<std::string>()->value_name(ValueName);
   };
-  const auto Number = [](std::uint32_t Default, const char *Shown) {
+  const auto Number = [](std::uint32_t Default, const char *ValueName) {
     return options::value<std::uint32_t>()->default_value(Default)->value_name(
-        Shown);
+        ValueName);
   };
-  OptionsDescription Known("Options");
-  Known.add_options()("server", Word("NAME")->required(),
-                      "backend server, as the declarations in force name it")(
-      "load-adapter", Word("NAME"), "load this adapter, as requests name it")(
-      "path", Word("PATH"), "where the engine finds the adapter's weights")(
-      "unload-adapter", Word("NAME"), "unload this adapter")(
-      "operator", Word("NAME")->required(),
-      "who orders; shown in the store to those who wait")(
-      "platform", Word("ADDRESS")->required(),
+  OptionsDescription Options("Options");
+  Options.add_options()("server", Text("NAME")->required(),
+                        "backend server, as the declarations in force name it")(
+      "load-adapter", Text("NAME"), "load this adapter, as requests name it")(
+      "path", Text("PATH"), "where the engine finds the adapter's weights")(
+      "unload-adapter", Text("NAME"), "unload this adapter")(
+      "operator", Text("NAME")->required(),
+      "name of the operator; shown in the store to others who wait")(
+      "platform", Text("ADDRESS")->required(),
       "numeric IP:port of the platform's store")(
-      "prefix", Word("TEXT")->default_value(Settings{}.Platform.Prefix),
-      "start of the fleet's keys in the store, as [platform] prefix")(
+      "prefix", Text("TEXT")->default_value(Settings{}.Platform.Prefix),
+      "prefix of the fleet's keys in the store, as [platform] prefix")(
       "wait", Number(DefaultWaitSeconds, "SECONDS"),
-      "how long to wait for the server's lease and for leave to load")(
+      "how long to wait for the server's lease and for permission to load")(
       "lease-life", Number(DefaultLeaseSeconds, "SECONDS"),
-      "life of the lease; the same for all operators of a fleet")(
+      "TTL of the lease; must be the same for all operators of a fleet")(
       "loads", Number(DefaultLoads, "COUNT"),
-      "loads that may begin in one period, fleet-wide")(
+      "maximum number of loads started in one period, fleet-wide")(
       "load-period", Number(DefaultPeriodSeconds, "SECONDS"),
       "length of that period");
-  return Known;
+  return Options;
 }
 
-ExitCode OrderCommand::run(const OptionValues &Given) const {
-  if (const std::string Problem = problemOf(Given); !Problem.empty())
+ExitCode OrderCommand::run(const OptionValues &Values) const {
+  if (const std::string Problem = checkOptions(Values); !Problem.empty())
     return printError({ErrorCode::InvalidInput, Problem}, ExitCode::WrongUsage);
-  const PlatformEndpoint Platform{wordOf(Given, "platform"),
-                                  wordOf(Given, "prefix")};
-  const auto Server = findServer(Platform, wordOf(Given, "server"));
+  const PlatformEndpoint Platform{textOption(Values, "platform"),
+                                  textOption(Values, "prefix")};
+  const auto Server = findServer(Platform, textOption(Values, "server"));
   if (!Server)
     return printError(Server.error());
-  ServerOrder Order(settingsOf(Given, Platform), orderOf(Given, *Server),
+  ServerOrder Order(settingsOf(Values, Platform), orderOf(Values, *Server),
                     [](const std::string &Line) {
                       std::cout << Line << '\n' << std::flush;
                     });
--- a/src/Program/Commands/ReportCommand.cpp
+++ b/src/Program/Commands/ReportCommand.cpp
@@ -8,46 +8,46 @@
 namespace options = boost::program_options;
 
 OptionsDescription ReportCommand::options() {
-  OptionsDescription Known("Options");
-  Known.add_options()(
+  OptionsDescription Options("Options");
+  Options.add_options()(
       "log",
       options::value<std::vector<std::string>>()
           ->default_value({LogFiles::StandardInput}, LogFiles::StandardInput)
           ->value_name("LOG"),
       "log of a router; - for standard input")(
       "plot", options::value<std::string>()->value_name("FILE"),
-      "also write a program for gnuplot: requests and delay by second");
-  return Known;
+      "also write a gnuplot script: requests and delay per second");
+  return Options;
 }
 
 PositionalOptions ReportCommand::positional() {
-  PositionalOptions Places;
-  Places.add("log", -1);
-  return Places;
+  PositionalOptions Arguments;
+  Arguments.add("log", -1);
+  return Arguments;
 }
 
-ExitCode ReportCommand::run(const OptionValues &Given) {
-  LogFiles Logs(optionValue<std::vector<std::string>>(Given, "log"));
-  RunReport Whole;
-  const auto Read = Logs.forEachLine(
-      [&Whole](const std::string &Source, const std::string &Line) {
-        Whole.add(Source, Line);
+ExitCode ReportCommand::run(const OptionValues &Values) {
+  LogFiles Logs(optionValue<std::vector<std::string>>(Values, "log"));
+  RunReport Summary;
+  const auto Scanned = Logs.forEachLine(
+      [&Summary](const std::string &Source, const std::string &Line) {
+        Summary.add(Source, Line);
       });
-  if (!Read)
-    return printError(Read.error());
-  if (Whole.requests() == 0)
+  if (!Scanned)
+    return printError(Scanned.error());
+  if (Summary.requests() == 0)
     return printError(
-        {ErrorCode::NotFound, "no line tells the end of a request"},
+        {ErrorCode::NotFound, "no line reports the end of a request"},
         ExitCode::Failed);
-  if (Given.count("plot") > 0) {
-    const auto &Path = optionValue<std::string>(Given, "plot");
+  if (Values.count("plot") > 0) {
+    const auto &Path = optionValue<std::string>(Values, "plot");
     std::ofstream File(Path);
-    Whole.printPlot(File);
+    Summary.printPlot(File);
     File.close();
     if (!File)
       return printError({ErrorCode::Unreachable, Path + " cannot be written"});
   }
-  Whole.print(std::cout);
+  Summary.print(std::cout);
   return ExitCode::Success;
 }
 
--- a/src/Program/Commands/ReportCommand.h
+++ b/src/Program/Commands/ReportCommand.h
@@ -11,7 +11,8 @@
   static const char *name() { return "report"; }
   static const char *usage() { return "report [LOG ...]"; }
   static const char *summary() {
-    return "Summarise from the routers' logs how requests ended.";
+    return "Summarise from the routers' logs how requests ended, and what "
+           "limited them.";
   }
   static OptionsDescription options();
   static PositionalOptions positional();
--- a/src/Program/Commands/RouterCommand.cpp
+++ b/src/Program/Commands/RouterCommand.cpp
@@ -9,21 +9,21 @@
 namespace options = boost::program_options;
 
 OptionsDescription RouterCommand::options() const {
-  OptionsDescription Known("Options");
-  Known.add_options()(
+  OptionsDescription Options("Options");
+  Options.add_options()(
       "settings", options::value<std::string>()->required()->value_name("FILE"),
       "settings file of this router");
-  return Known;
+  return Options;
 }
 
-ExitCode RouterCommand::run(const OptionValues &Given) const {
-  auto Wanted = readSettings(optionValue<std::string>(Given, "settings"));
-  if (!Wanted)
-    return printError(Wanted.error());
-  const auto Logging = startLogging(Wanted->Level, Wanted->LogTarget);
+ExitCode RouterCommand::run(const OptionValues &Values) const {
+  auto Config = readSettings(optionValue<std::string>(Values, "settings"));
+  if (!Config)
+    return printError(Config.error());
+  const auto Logging = startLogging(Config->Level, Config->LogTarget);
   if (!Logging)
     return printError(Logging.error(), ExitCode::CannotStart);
-  RouterProcess Router(std::move(*Wanted));
+  RouterProcess Router(std::move(*Config));
   const auto Unanswered = Router.run();
   if (!Unanswered && Unanswered.error().Code == ErrorCode::Unreachable)
     return printError(Unanswered.error(), ExitCode::CannotStart);
@@ -34,8 +34,8 @@
   printError(
       {ErrorCode::Interrupted,
        "ended with " + std::to_string(*Unanswered) + " requests unanswered"});
-  // Threads that still serve these requests refer to the router's parts. To
-  // destroy the parts under them would crash and hide this exit code.
+  // Threads that still serve these requests use the router's parts. Destroying
+  // the parts now would crash the process and hide this exit code.
   std::_Exit(static_cast<int>(ExitCode::Unfinished));
 }
 
--- a/src/Program/Commands/ShowCommand.cpp
+++ b/src/Program/Commands/ShowCommand.cpp
@@ -8,24 +8,23 @@
 namespace options = boost::program_options;
 
 OptionsDescription ShowCommand::options() const {
-  OptionsDescription Known("Options");
-  Known.add_options()(
+  OptionsDescription Options("Options");
+  Options.add_options()(
       "platform",
       options::value<std::string>()->required()->value_name("ADDRESS"),
       "numeric IP:port of the platform's store");
-  return Known;
+  return Options;
 }
 
-ExitCode ShowCommand::run(const OptionValues &Given) const {
+ExitCode ShowCommand::run(const OptionValues &Values) const {
   const Settings Defaults;
-  const auto InForce = readFromPlatform(
-      {optionValue<std::string>(Given, "platform"), Defaults.Platform.Prefix});
-  if (!InForce)
-    return printError(InForce.error(),
-                      InForce.error().Code == ErrorCode::Refused
-                          ? ExitCode::NotAvailable
-                          : exitCodeOf(InForce.error().Code));
-  std::cout << "; generation " << InForce->Generation << '\n' << InForce->Text;
+  const auto Active = readFromPlatform(
+      {optionValue<std::string>(Values, "platform"), Defaults.Platform.Prefix});
+  if (!Active)
+    return printError(Active.error(), Active.error().Code == ErrorCode::Refused
+                                          ? ExitCode::NotAvailable
+                                          : exitCodeOf(Active.error().Code));
+  std::cout << "; generation " << Active->Generation << '\n' << Active->Text;
   return ExitCode::Success;
 }
 
--- a/src/Program/Commands/TraceCommand.cpp
+++ b/src/Program/Commands/TraceCommand.cpp
@@ -11,16 +11,16 @@
 
 namespace {
 
-/// Clocks of VMs differ by some tens of milliseconds; the rest shows what led
-/// up to a decision: a store lost, a drain begun.
-constexpr double DefaultAround = 2;
-constexpr double MostAround = 3600;
+/// The clocks of VMs differ by some tens of milliseconds; the rest of the time
+/// shows what led to a decision, such as a lost store or a drain.
+constexpr double DefaultMarginSeconds = 2;
+constexpr double MaxMarginSeconds = 3600;
 
 } // namespace
 
 OptionsDescription TraceCommand::options() {
-  OptionsDescription Known("Options");
-  Known.add_options()(
+  OptionsDescription Options("Options");
+  Options.add_options()(
       "id", options::value<std::string>()->required()->value_name("ID"),
       "identity of the request")(
       "log",
@@ -30,44 +30,44 @@
       "log of a router; - for standard input")(
       "around",
       options::value<double>()
-          ->default_value(DefaultAround, "2")
+          ->default_value(DefaultMarginSeconds, "2")
           ->value_name("SECONDS"),
-      "how long before and after the routers' own lines are shown");
-  return Known;
+      "how long before and after the request other lines are shown");
+  return Options;
 }
 
 PositionalOptions TraceCommand::positional() {
-  PositionalOptions Places;
-  Places.add("id", 1);
-  Places.add("log", -1);
-  return Places;
+  PositionalOptions Arguments;
+  Arguments.add("id", 1);
+  Arguments.add("log", -1);
+  return Arguments;
 }
 
-ExitCode TraceCommand::run(const OptionValues &Given) {
-  const auto Seconds = optionValue<double>(Given, "around");
-  if (!(Seconds >= 0 && Seconds <= MostAround))
+ExitCode TraceCommand::run(const OptionValues &Values) {
+  const auto Seconds = optionValue<double>(Values, "around");
+  if (!(Seconds >= 0 && Seconds <= MaxMarginSeconds))
     return printError({ErrorCode::InvalidInput,
                        "trace: --around must be from 0 to 3600 seconds"},
                       ExitCode::WrongUsage);
-  const auto &Id = optionValue<std::string>(Given, "id");
-  LogFiles Logs(optionValue<std::vector<std::string>>(Given, "log"));
+  const auto &Id = optionValue<std::string>(Values, "id");
+  LogFiles Logs(optionValue<std::vector<std::string>>(Values, "log"));
   RequestStory Story(Id, std::chrono::duration_cast<Duration>(
                              std::chrono::duration<double>(Seconds)));
-  const auto Looked =
+  const auto Scanned =
       Logs.forEachLine([&Story](const std::string &, const std::string &Line) {
         Story.look(Line);
       });
-  if (!Looked)
-    return printError(Looked.error());
+  if (!Scanned)
+    return printError(Scanned.error());
   if (!Story.begin())
     return printError({ErrorCode::NotFound, "no line names the request " + Id},
                       ExitCode::Failed);
-  const auto Gathered = Logs.forEachLine(
+  const auto Collected = Logs.forEachLine(
       [&Story](const std::string &Source, const std::string &Line) {
         Story.gather(Source, Line);
       });
-  if (!Gathered)
-    return printError(Gathered.error());
+  if (!Collected)
+    return printError(Collected.error());
   for (const RequestStory::Line &Each : Story.lines())
     std::cout << (Each.Named ? "* " : "  ") << Each.Source << ": " << Each.Text
               << '\n';
--- a/src/Program/DeclarationsLoader.cpp
+++ b/src/Program/DeclarationsLoader.cpp
@@ -24,26 +24,26 @@
     std::optional<PutInForce> Newest = this->Pending.take(StopCheckInterval);
     if (!Newest)
       continue;
-    bool FollowsTheLast = true;
+    bool FollowsLast = true;
     while (auto Newer = this->Pending.take(Duration::zero())) {
       Newest = std::move(Newer);
-      FollowsTheLast = false;
+      FollowsLast = false;
     }
-    this->update(*Newest, FollowsTheLast);
+    this->update(*Newest, FollowsLast);
   }
 }
 
-void DeclarationsLoader::update(const PutInForce &Newest, bool FollowsTheLast) {
-  const std::string Place = "generation " + std::to_string(Newest.Generation);
-  auto Declared = this->Updater.update(Newest, FollowsTheLast);
-  if (!Declared) {
-    // `apply` checks each file before it goes to the store, so this is one
-    // that a later version wrote. What is in force stays so.
-    log(LogPart::Program, LogLevel::Error, Declared.error().Message);
+void DeclarationsLoader::update(const PutInForce &Next, bool FollowsLast) {
+  const std::string Label = "generation " + std::to_string(Next.Generation);
+  auto Parsed = this->Updater.update(Next, FollowsLast);
+  if (!Parsed) {
+    // `apply` validates each file before it writes to the store, so a later
+    // version must have written this one. The active declarations stay active.
+    log(LogPart::Program, LogLevel::Error, Parsed.error().Message);
     return;
   }
-  log(LogPart::Program, LogLevel::Info, "In force: " + Place + ".");
-  this->OnLoaded(std::move(*Declared));
+  log(LogPart::Program, LogLevel::Info, "In force: " + Label + ".");
+  this->OnLoaded(std::move(*Parsed));
 }
 
 } // namespace parsleywing
--- a/src/Program/DeclarationsUpdater.cpp
+++ b/src/Program/DeclarationsUpdater.cpp
@@ -4,9 +4,10 @@
 
 namespace {
 
-/// Whether each section's header is written in one way only. `[ account a ]`
-/// and `[account a]` are different sections to the store and one to the
-/// reader, which refuses to see it twice: a change alone would not show that.
+/// Returns whether no section header contains padding. `[ account a ]` and
+/// `[account a]` are different sections to the store, but the same one to the
+/// declarations reader, which rejects duplicates. A change alone would not
+/// reveal such a duplicate.
 bool hasPlainHeaders(std::string_view Text) {
   for (const std::string_view Blank : {"[ ", " ]", "[\t", "\t]"})
     if (Text.find(Blank) != std::string_view::npos)
@@ -24,18 +25,18 @@
 } // namespace
 
 Result<DeclarationsPtr> DeclarationsUpdater::update(const PutInForce &Next,
-                                                    bool FollowsTheLast) {
+                                                    bool FollowsLast) {
   std::optional<AccountChanges> Changes;
-  if (FollowsTheLast && this->LastDeclarations)
+  if (FollowsLast && this->LastDeclarations)
     Changes = this->accountOnlyChanges(Next);
   if (!Changes || !this->updateKeyIndex(*Changes))
     return this->parseComplete(Next);
-  std::unique_ptr<Declarations> Made = this->acquireBase();
-  apply(*Changes, *Made);
-  Made->Generation = Next.Generation;
+  std::unique_ptr<Declarations> Updated = this->acquireBase();
+  apply(*Changes, *Updated);
+  Updated->Generation = Next.Generation;
   this->PreviousGeneration = this->LastDeclarations->Generation;
   this->LastChanges = std::move(Changes);
-  return this->publish(std::move(Made));
+  return this->publish(std::move(Updated));
 }
 
 std::optional<AccountChanges>
@@ -45,25 +46,26 @@
   return readAccountChanges(*this->LastDeclarations, Next.Changes);
 }
 
-/// Moves the keys of the changed accounts. False where two accounts would have
-/// one key; a whole read must follow, which also builds the keys anew.
+/// Updates the key index for the changed accounts. Returns false if two
+/// accounts would share a key; complete parsing must follow, which also
+/// rebuilds the index.
 bool DeclarationsUpdater::updateKeyIndex(const AccountChanges &Changes) {
-  const auto Forget = [this](AccountId Account) {
-    const auto Before = this->LastDeclarations->Accounts.find(Account);
-    if (Before != this->LastDeclarations->Accounts.end())
-      this->AccountByKeyDigest.erase(Before->second.KeyDigest);
+  const auto RemoveKey = [this](AccountId Account) {
+    const auto Previous = this->LastDeclarations->Accounts.find(Account);
+    if (Previous != this->LastDeclarations->Accounts.end())
+      this->AccountByKeyDigest.erase(Previous->second.KeyDigest);
   };
   for (const AccountId Account : Changes.Removed)
-    Forget(Account);
+    RemoveKey(Account);
   for (const auto &[Id, Account] : Changes.Set)
-    Forget(Id);
+    RemoveKey(Id);
   for (const auto &[Id, Account] : Changes.Set)
     if (!this->AccountByKeyDigest.emplace(Account.KeyDigest, Id).second)
       return false;
   return true;
 }
 
-/// Declarations equal to the last but for their generation.
+/// Returns declarations that equal the last ones except for their generation.
 std::unique_ptr<Declarations> DeclarationsUpdater::acquireBase() {
   std::unique_ptr<Declarations> Base;
   {
@@ -80,33 +82,34 @@
 
 Result<DeclarationsPtr>
 DeclarationsUpdater::parseComplete(const PutInForce &Next) {
-  // After a failure the changes that follow lead on from what was not taken.
+  // If parsing fails, the next changes refer to a text that was not applied.
   this->LastDeclarations.reset();
   this->LastChanges.reset();
   this->AccountByKeyDigest.clear();
-  auto Read = parseDeclarations(
+  auto Parsed = parseDeclarations(
       *Next.Text, "generation " + std::to_string(Next.Generation));
-  if (!Read)
-    return tl::unexpected<Error>(Read.error());
-  Read->Generation = Next.Generation;
-  for (const auto &[Id, Account] : Read->Accounts)
+  if (!Parsed)
+    return tl::unexpected<Error>(Parsed.error());
+  Parsed->Generation = Next.Generation;
+  for (const auto &[Id, Account] : Parsed->Accounts)
     this->AccountByKeyDigest.emplace(Account.KeyDigest, Id);
-  DeclarationsPtr Made =
-      this->publish(std::make_unique<Declarations>(std::move(*Read)));
+  DeclarationsPtr Published =
+      this->publish(std::make_unique<Declarations>(std::move(*Parsed)));
   if (!hasPlainHeaders(*Next.Text))
     this->LastDeclarations.reset();
-  return Made;
+  return Published;
 }
 
 DeclarationsPtr
-DeclarationsUpdater::publish(std::unique_ptr<Declarations> Made) {
-  const auto TakeBack = [Back = this->Recycled](const Declarations *Free) {
-    std::unique_ptr<Declarations> Old(const_cast<Declarations *>(Free));
-    std::lock_guard<std::mutex> Lock(Back->Mutex);
-    if (!Back->Latest || Back->Latest->Generation < Old->Generation)
-      std::swap(Back->Latest, Old);
+DeclarationsUpdater::publish(std::unique_ptr<Declarations> New) {
+  const auto Recycle = [Pool = this->Recycled](const Declarations *Released) {
+    std::unique_ptr<Declarations> Recovered(
+        const_cast<Declarations *>(Released));
+    std::lock_guard<std::mutex> Lock(Pool->Mutex);
+    if (!Pool->Latest || Pool->Latest->Generation < Recovered->Generation)
+      std::swap(Pool->Latest, Recovered);
   };
-  this->LastDeclarations = DeclarationsPtr(Made.release(), TakeBack);
+  this->LastDeclarations = DeclarationsPtr(New.release(), Recycle);
   return this->LastDeclarations;
 }
 
--- a/src/Program/DeclarationsUpdater.h
+++ b/src/Program/DeclarationsUpdater.h
@@ -47,11 +47,11 @@
   DeclarationsPtr publish(std::unique_ptr<Declarations> Made);
 
   std::shared_ptr<RecyclePool> Recycled;
-  DeclarationsPtr
-      LastDeclarations; ///< Null if the next text must be parsed completely.
+  /// Null if the next text must be parsed completely.
+  DeclarationsPtr LastDeclarations;
   std::uint64_t PreviousGeneration = 0;
-  std::optional<AccountChanges>
-      LastChanges; ///< From `PreviousGeneration` to `LastDeclarations`.
+  /// From `PreviousGeneration` to `LastDeclarations`.
+  std::optional<AccountChanges> LastChanges;
   std::unordered_map<std::string, AccountId> AccountByKeyDigest;
   std::uint64_t InPlaceUpdates = 0;
 };
--- a/src/Program/FleetGeneration.cpp
+++ b/src/Program/FleetGeneration.cpp
@@ -15,89 +15,96 @@
 
 constexpr Duration PollInterval = std::chrono::milliseconds(100);
 constexpr Duration ListInterval = std::chrono::seconds(1);
-/// A router answers this within its process; a frozen one never does.
-constexpr Duration AnswerLimit = std::chrono::seconds(1);
-/// Routers asked at once, so that a few frozen ones do not hold up the rest.
-constexpr std::size_t AskedAtOnce = 32;
+/// A router answers this request without calling others; a frozen one never
+/// answers.
+constexpr Duration ResponseTimeout = std::chrono::seconds(1);
+/// Number of routers queried concurrently, so that a few frozen ones do not
+/// delay the others.
+constexpr std::size_t MaxConcurrentQueries = 32;
 
-/// Nothing where the router has the generation, else why it is not known to.
-std::optional<std::string> whyBehind(const RouterRegistration &Router,
-                                     std::uint64_t Wanted) {
+/// Returns nothing if the router has the generation, else why it is not known
+/// to have it.
+std::optional<std::string> lagReason(const RouterRegistration &Router,
+                                     std::uint64_t Generation) {
   if (Router.OperatorAddress.empty())
     return "it has no operator address";
-  const OperatorClient Client(Router.OperatorAddress, AnswerLimit);
+  const OperatorClient Client(Router.OperatorAddress, ResponseTimeout);
   const auto Body = Client.get("/generation");
   if (!Body)
     return Body.error().Message;
   try {
-    const auto Told =
+    const auto Status =
         Poco::JSON::Parser().parse(*Body).extract<Poco::JSON::Object::Ptr>();
-    // Another router may listen where this one did.
-    const auto Name = Told->getValue<std::string>("name");
+    // Another router may listen at the address by now.
+    const auto Name = Status->getValue<std::string>("name");
     if (Name != Router.Name)
       return "router " + Name + " answers at its address";
-    const auto Has = Told->getValue<Poco::UInt64>("generation");
-    if (Has >= Wanted)
+    const auto Current = Status->getValue<Poco::UInt64>("generation");
+    if (Current >= Generation)
       return std::nullopt;
-    return "it has generation " + std::to_string(Has);
+    return "it has generation " + std::to_string(Current);
   } catch (const Poco::Exception &) {
-    return "its answer is not readable";
+    return "its response is malformed";
   }
 }
 
-std::vector<LaggingRouter> askSome(std::span<const RouterRegistration> Routers,
-                                   std::uint64_t Wanted) {
-  std::vector<std::future<std::optional<std::string>>> Answers;
-  Answers.reserve(Routers.size());
+std::vector<LaggingRouter>
+queryBatch(std::span<const RouterRegistration> Routers,
+           std::uint64_t Generation) {
+  std::vector<std::future<std::optional<std::string>>> Reasons;
+  Reasons.reserve(Routers.size());
   for (const RouterRegistration &Router : Routers)
-    Answers.push_back(std::async(std::launch::async, [&Router, Wanted] {
-      return whyBehind(Router, Wanted);
+    Reasons.push_back(std::async(std::launch::async, [&Router, Generation] {
+      return lagReason(Router, Generation);
     }));
-  std::vector<LaggingRouter> Behind;
+  std::vector<LaggingRouter> Lagging;
   for (std::size_t Index = 0; Index < Routers.size(); ++Index)
-    if (auto Reason = Answers[Index].get())
-      Behind.push_back({Routers[Index].Name, std::move(*Reason)});
-  return Behind;
+    if (auto Reason = Reasons[Index].get())
+      Lagging.push_back({Routers[Index].Name, std::move(*Reason)});
+  return Lagging;
 }
 
 std::vector<LaggingRouter>
-askAll(const std::vector<RouterRegistration> &Routers, std::uint64_t Wanted) {
-  std::vector<LaggingRouter> Behind;
-  std::span<const RouterRegistration> Rest(Routers);
-  while (!Rest.empty()) {
-    const std::size_t Some = std::min(AskedAtOnce, Rest.size());
-    for (LaggingRouter &Router : askSome(Rest.first(Some), Wanted))
-      Behind.push_back(std::move(Router));
-    Rest = Rest.subspan(Some);
+queryRouters(const std::vector<RouterRegistration> &Routers,
+             std::uint64_t Generation) {
+  std::vector<LaggingRouter> Lagging;
+  std::span<const RouterRegistration> Remaining(Routers);
+  while (!Remaining.empty()) {
+    const std::size_t BatchSize =
+        std::min(MaxConcurrentQueries, Remaining.size());
+    for (LaggingRouter &Router :
+         queryBatch(Remaining.first(BatchSize), Generation))
+      Lagging.push_back(std::move(Router));
+    Remaining = Remaining.subspan(BatchSize);
   }
-  return Behind;
+  return Lagging;
 }
 
 } // namespace
 
 Result<std::vector<LaggingRouter>>
 waitForGeneration(const PlatformEndpoint &Platform, std::uint64_t Generation,
-                  Duration Wait) {
+                  Duration Timeout) {
   const Clock Time = Clock::steady();
-  const TimePoint Limit = Time.now() + Wait;
-  auto Listed = listRouters(Platform);
+  const TimePoint Deadline = Time.now() + Timeout;
+  auto Routers = listRouters(Platform);
   TimePoint NextList = Time.now() + ListInterval;
   while (true) {
-    const bool Last = Time.now() >= Limit;
-    std::vector<LaggingRouter> Behind;
-    if (Listed)
-      Behind = askAll(*Listed, Generation);
-    if (Listed && (Behind.empty() || Last))
-      return Behind;
-    if (Last)
-      return tl::unexpected<Error>(Listed.error());
+    const bool IsLast = Time.now() >= Deadline;
+    std::vector<LaggingRouter> Lagging;
+    if (Routers)
+      Lagging = queryRouters(*Routers, Generation);
+    if (Routers && (Lagging.empty() || IsLast))
+      return Lagging;
+    if (IsLast)
+      return tl::unexpected<Error>(Routers.error());
     std::this_thread::sleep_for(PollInterval);
     if (Time.now() < NextList)
       continue;
     NextList = Time.now() + ListInterval;
-    // An older list is better than none while the store is away.
-    if (auto Newer = listRouters(Platform); Newer || !Listed)
-      Listed = std::move(Newer);
+    // While the store is unreachable, the previous list is used.
+    if (auto NewList = listRouters(Platform); NewList || !Routers)
+      Routers = std::move(NewList);
   }
 }
 
--- a/src/Program/GatewayProcess.cpp
+++ b/src/Program/GatewayProcess.cpp
@@ -11,8 +11,9 @@
 
 namespace {
 
-/// How often the first thread looks for signals and for the end of the drain.
-constexpr Duration SignalWait = std::chrono::milliseconds(100);
+/// Interval at which the main thread checks for signals and the end of the
+/// drain.
+constexpr Duration SignalPollInterval = std::chrono::milliseconds(100);
 
 const WireFormat &wireFormat() {
   static const WireFormat Format = platformWireFormat();
@@ -46,8 +47,9 @@
       this->MetricsRegistry, [this](std::shared_ptr<const FleetView> View) {
         this->Front.updateView(std::move(View));
       });
-  this->Front.subscribeToRelay(
-      [this](const RelayMessage &Told) { this->Feed->onRelayMessage(Told); });
+  this->Front.subscribeToRelay([this](const RelayMessage &Message) {
+    this->Feed->onRelayMessage(Message);
+  });
   std::thread Traffic([this] {
     this->Front.run();
     this->TrafficEnded = true;
@@ -61,25 +63,25 @@
 
 void GatewayProcess::handleSignals() {
   while (!this->TrafficEnded) {
-    const auto Received = this->Signals.wait(SignalWait);
-    if (!Received)
+    const auto Signal = this->Signals.wait(SignalPollInterval);
+    if (!Signal)
       continue;
-    if (*Received == SIGHUP) {
+    if (*Signal == SIGHUP) {
       this->checkSettingsFile();
       continue;
     }
     log(LogPart::Program, LogLevel::Info,
-        "signal=" + std::to_string(*Received) + " drains");
+        "signal=" + std::to_string(*Signal) + " drains");
     this->Front.drain();
     this->Feed->leave();
   }
 }
 
 void GatewayProcess::checkSettingsFile() const {
-  const auto Read = readGatewaySettings(this->Path);
-  if (!Read)
+  const auto Loaded = readGatewaySettings(this->Path);
+  if (!Loaded)
     log(LogPart::Program, LogLevel::Warn,
-        "reload refused: " + Read.error().Message);
+        "reload refused: " + Loaded.error().Message);
   else
     log(LogPart::Program, LogLevel::Info, "reload settings=" + this->Path);
 }
--- a/src/Program/Main.cpp
+++ b/src/Program/Main.cpp
@@ -1,7 +1,7 @@
 #include "Program/CommandLine.h"
 
-int main(int ArgumentCount, char **Arguments) {
-  const std::vector<std::string> Words(Arguments + 1,
-                                       Arguments + ArgumentCount);
-  return static_cast<int>(parsleywing::runCommandLine(Words));
+int main(int ArgumentCount, char **ArgumentVector) {
+  const std::vector<std::string> Arguments(ArgumentVector + 1,
+                                           ArgumentVector + ArgumentCount);
+  return static_cast<int>(parsleywing::runCommandLine(Arguments));
 }
--- a/src/Program/Orders/LoadRateLimiter.cpp
+++ b/src/Program/Orders/LoadRateLimiter.cpp
@@ -9,8 +9,8 @@
 
 namespace {
 
-constexpr Duration FirstWait = std::chrono::milliseconds(250);
-constexpr Duration LongestWait = std::chrono::seconds(2);
+constexpr Duration InitialRetryDelay = std::chrono::milliseconds(250);
+constexpr Duration MaxRetryDelay = std::chrono::seconds(2);
 
 } // namespace
 
@@ -20,56 +20,57 @@
       Random(internal::seedOrRandom(this->Settings.Seed)) {}
 
 Result<void> LoadRateLimiter::acquire(TimePoint Deadline) {
-  Backoff Waits(FirstWait, LongestWait, this->Random());
+  Backoff RetryBackoff(InitialRetryDelay, MaxRetryDelay, this->Random());
   while (true) {
-    const Result<bool> Taken = this->tryAcquire();
-    if (Taken && *Taken)
+    const Result<bool> Acquired = this->tryAcquire();
+    if (Acquired && *Acquired)
       return {};
-    const Duration Wait = Waits.nextDelay();
+    const Duration Wait = RetryBackoff.nextDelay();
     if (this->Time.now() + Wait < Deadline) {
       std::this_thread::sleep_for(Wait);
       continue;
     }
-    if (!Taken)
-      return tl::unexpected<Error>(Taken.error());
+    if (!Acquired)
+      return tl::unexpected<Error>(Acquired.error());
     return failure(ErrorCode::TimedOut,
-                   "the weight store's rate allowed no load in time");
+                   "the weight store's rate limit allowed no load in time");
   }
 }
 
-std::string LoadRateLimiter::slotKey(std::uint32_t Place) const {
-  return this->Settings.Prefix + std::to_string(Place);
+std::string LoadRateLimiter::slotKey(std::uint32_t Index) const {
+  return this->Settings.Prefix + std::to_string(Index);
 }
 
-/// Of the free keys one is drawn: two that wait then rarely want the same.
+/// Picks one of the free keys at random, so that two waiting processes rarely
+/// claim the same key.
 Result<bool> LoadRateLimiter::tryAcquire() {
-  const auto Taken = this->Store.getPrefix(this->Settings.Prefix, true);
-  if (!Taken)
-    return tl::unexpected<Error>(Taken.error());
-  std::set<std::string> Keys;
-  for (const StoreEntry &Entry : Taken->Entries)
-    Keys.insert(Entry.Key);
-  std::vector<std::string> Free;
-  for (std::uint32_t Place = 0; Place < this->Settings.MaxLoads; ++Place)
-    if (!Keys.contains(this->slotKey(Place)))
-      Free.push_back(this->slotKey(Place));
-  if (Free.empty())
+  const auto UsedSlots = this->Store.getPrefix(this->Settings.Prefix, true);
+  if (!UsedSlots)
+    return tl::unexpected<Error>(UsedSlots.error());
+  std::set<std::string> UsedKeys;
+  for (const StoreEntry &Entry : UsedSlots->Entries)
+    UsedKeys.insert(Entry.Key);
+  std::vector<std::string> FreeKeys;
+  for (std::uint32_t Index = 0; Index < this->Settings.MaxLoads; ++Index)
+    if (!UsedKeys.contains(this->slotKey(Index)))
+      FreeKeys.push_back(this->slotKey(Index));
+  if (FreeKeys.empty())
     return false;
-  std::uniform_int_distribution<std::size_t> Draw(0, Free.size() - 1);
-  return this->claimSlot(Free[Draw(this->Random)]);
+  std::uniform_int_distribution<std::size_t> Pick(0, FreeKeys.size() - 1);
+  return this->claimSlot(FreeKeys[Pick(this->Random)]);
 }
 
 Result<bool> LoadRateLimiter::claimSlot(const std::string &Key) {
   const auto Lease = this->Store.grantLease(this->Settings.Period);
   if (!Lease)
     return tl::unexpected<Error>(Lease.error());
-  const auto Swap =
+  const auto Outcome =
       this->Store.commit({{keyAbsent(Key)}, {putKey(Key, "", *Lease)}, {}});
-  if (!Swap)
-    return tl::unexpected<Error>(Swap.error());
-  if (!Swap->Succeeded)
+  if (!Outcome)
+    return tl::unexpected<Error>(Outcome.error());
+  if (!Outcome->Succeeded)
     (void)this->Store.revokeLease(*Lease);
-  return Swap->Succeeded;
+  return Outcome->Succeeded;
 }
 
 } // namespace parsleywing
--- a/src/Program/Orders/ServerOrder.cpp
+++ b/src/Program/Orders/ServerOrder.cpp
@@ -6,11 +6,11 @@
 
 namespace {
 
-/// One process that makes a handful of calls.
+/// Rate limit for a process that makes only a few calls.
 constexpr double CallsPerSecond = 20;
 constexpr double CallBurst = 20;
-constexpr Duration TurnPoll = std::chrono::milliseconds(50);
-constexpr Duration ReportPoll = std::chrono::milliseconds(500);
+constexpr Duration LeasePollInterval = std::chrono::milliseconds(50);
+constexpr Duration ReportPollInterval = std::chrono::milliseconds(500);
 constexpr std::uint32_t MaxRepeats = 3;
 constexpr const char *LeaseKeys = "orders/";
 constexpr const char *RateKeys = "loads/";
@@ -21,18 +21,18 @@
 
 } // namespace
 
-FencedLeaseTiming orderLeaseTiming(std::chrono::seconds Life,
+FencedLeaseTiming orderLeaseTiming(std::chrono::seconds Ttl,
                                    FencingCheck Check) {
-  const Duration Whole = Life;
-  FencedLeaseTiming Times;
-  Times.Ttl = Life;
-  Times.SafetyMargin = Whole * 2 / 5;
-  Times.RenewInterval = Whole / 5;
-  Times.RetryInterval = Whole / 10;
-  Times.TakeoverDelay = Check == FencingCheck::Checked
-                            ? Duration::zero()
-                            : Whole + Times.SafetyMargin;
-  return Times;
+  const Duration Lifetime = Ttl;
+  FencedLeaseTiming Timing;
+  Timing.Ttl = Ttl;
+  Timing.SafetyMargin = Lifetime * 2 / 5;
+  Timing.RenewInterval = Lifetime / 5;
+  Timing.RetryInterval = Lifetime / 10;
+  Timing.TakeoverDelay = Check == FencingCheck::Checked
+                             ? Duration::zero()
+                             : Lifetime + Timing.SafetyMargin;
+  return Timing;
 }
 
 ServerOrder::ServerOrder(ServerOrderSettings S, EngineOrder O,
@@ -54,23 +54,23 @@
 Result<ServerOrderReport> ServerOrder::run() {
   const TimePoint Deadline = this->Time.now() + this->Settings.Timeout;
   this->OnProgress("waiting for the lease of " + this->Settings.Server);
-  const auto Turn = this->acquireLease(Deadline);
-  if (!Turn)
-    return tl::unexpected<Error>(Turn.error());
-  this->Number = *Turn;
-  this->OnProgress("holding the lease with number " + std::to_string(*Turn));
-  const auto Seen =
+  const auto Number = this->acquireLease(Deadline);
+  if (!Number)
+    return tl::unexpected<Error>(Number.error());
+  this->Number = *Number;
+  this->OnProgress("holding the lease with number " + std::to_string(*Number));
+  const auto Adapters =
       this->Client.checkReport(this->Order.Address, this->Order.Limit);
-  if (!Seen)
+  if (!Adapters)
     return tl::unexpected<Error>(
         {ErrorCode::Unreachable,
-         "no report of " + this->Settings.Server +
-             ", nothing was sent: " + Seen.error().Message});
-  this->AdaptersBefore = *Seen;
-  if (const auto Leave = this->acquireLoadSlot(Deadline); !Leave)
-    return tl::unexpected<Error>(Leave.error());
+         "no report from " + this->Settings.Server +
+             ", nothing was sent: " + Adapters.error().Message});
+  this->AdaptersBefore = *Adapters;
+  if (const auto Slot = this->acquireLoadSlot(Deadline); !Slot)
+    return tl::unexpected<Error>(Slot.error());
   ServerOrderReport Report;
-  Report.Number = *Turn;
+  Report.Number = *Number;
   this->sendAndVerify(Report);
   this->recordOtherChanges(Report);
   return Report;
@@ -79,20 +79,22 @@
 Result<FencingNumber> ServerOrder::acquireLease(TimePoint Deadline) {
   this->Lease.setWanted(true);
   while (this->Time.now() < Deadline) {
-    if (const auto Usable = this->Lease.fencingNumber())
-      return *Usable;
-    std::this_thread::sleep_for(TurnPoll);
+    if (const auto Number = this->Lease.fencingNumber())
+      return *Number;
+    std::this_thread::sleep_for(LeasePollInterval);
   }
   return failure(ErrorCode::TimedOut,
                  "the lease of " + this->Settings.Server +
-                     " could not be had in time; nothing was sent");
+                     " could not be acquired in time; nothing was sent");
 }
 
-/// Only a load of what is not there reads from the weight store.
+/// Only a load of an adapter that is not loaded yet reads from the weight
+/// store, and so needs a slot.
 Result<void> ServerOrder::acquireLoadSlot(TimePoint Deadline) {
-  const bool Reads = this->Order.Kind == OrderKind::LoadAdapter &&
-                     !OrderClient::inEffect(this->Order, this->AdaptersBefore);
-  if (!Reads)
+  const bool NeedsSlot =
+      this->Order.Kind == OrderKind::LoadAdapter &&
+      !OrderClient::inEffect(this->Order, this->AdaptersBefore);
+  if (!NeedsSlot)
     return {};
   this->OnProgress("waiting for leave to load");
   LoadRateLimiterSettings Rate = this->Settings.Rate;
@@ -103,13 +105,15 @@
       .acquire(Deadline);
 }
 
-/// The lease may have lapsed and been taken again meanwhile. Its new number
-/// would pass for a new order where somebody else's came between, so only the
-/// number counts under which this order began.
+/// The lease may have expired and been acquired again in the meantime. With the
+/// new number, this order would pass for a newer one than an order that another
+/// holder sent in between. Only the number with which this order started is
+/// therefore valid.
 std::optional<LeasePermit> ServerOrder::currentPermit() {
-  const auto Use = this->serverChecksFencing() ? this->Lease.permit()
-                                               : this->Lease.confirmedPermit();
-  return Use && Use->Number == this->Number ? Use : std::nullopt;
+  const auto Permit = this->serverChecksFencing()
+                          ? this->Lease.permit()
+                          : this->Lease.confirmedPermit();
+  return Permit && Permit->Number == this->Number ? Permit : std::nullopt;
 }
 
 OrderOutcome ServerOrder::sendOrder() {
@@ -117,8 +121,8 @@
                            [this] { return this->currentPermit(); });
 }
 
-/// At a server that ignores the number, an older order may have been held up
-/// on its way and arrive after this one, which only the report shows.
+/// At a server that ignores the number, an older order may have been delayed in
+/// transit and arrive after this one. Only the server's report shows that.
 void ServerOrder::sendAndVerify(ServerOrderReport &Report) {
   while (true) {
     Report.Outcome = this->sendOrder();
@@ -135,34 +139,34 @@
       return;
     }
     ++Report.Repeats;
-    this->OnProgress("an older order undid it; giving it again");
+    this->OnProgress("an older order undid it; sending it again");
   }
 }
 
-/// Watches for as long as a successor waits. A report that does not come says
-/// nothing, and the next one shows the same.
+/// Watches for as long as the takeover delay of a next holder. A missing report
+/// is ignored, since the next one shows the same state.
 bool ServerOrder::remainsInEffect() {
   const TimePoint End = this->Time.now() + this->LeaseTiming.TakeoverDelay;
   while (this->Time.now() < End) {
-    std::this_thread::sleep_for(ReportPoll);
-    const auto Seen =
+    std::this_thread::sleep_for(ReportPollInterval);
+    const auto Adapters =
         this->Client.checkReport(this->Order.Address, this->Order.Limit);
-    if (Seen && !OrderClient::inEffect(this->Order, *Seen))
+    if (Adapters && !OrderClient::inEffect(this->Order, *Adapters))
       return false;
   }
   return true;
 }
 
 void ServerOrder::recordOtherChanges(ServerOrderReport &Report) {
-  const auto After =
+  const auto AdaptersAfter =
       this->Client.checkReport(this->Order.Address, this->Order.Limit);
-  if (!After)
+  if (!AdaptersAfter)
     return;
-  for (const std::string &Name : *After)
+  for (const std::string &Name : *AdaptersAfter)
     if (!this->AdaptersBefore.contains(Name))
       Report.OtherChanges.insert("+" + Name);
   for (const std::string &Name : this->AdaptersBefore)
-    if (!After->contains(Name))
+    if (!AdaptersAfter->contains(Name))
       Report.OtherChanges.insert("-" + Name);
   Report.OtherChanges.erase("+" + this->Order.Name);
   Report.OtherChanges.erase("-" + this->Order.Name);
--- a/src/Program/ProcessUsage.cpp
+++ b/src/Program/ProcessUsage.cpp
@@ -9,24 +9,24 @@
 namespace {
 
 double secondsOf(const timeval &Time) {
-  constexpr double MicrosecondsASecond = 1e6;
+  constexpr double MicrosecondsPerSecond = 1e6;
   return static_cast<double>(Time.tv_sec) +
-         static_cast<double>(Time.tv_usec) / MicrosecondsASecond;
+         static_cast<double>(Time.tv_usec) / MicrosecondsPerSecond;
 }
 
 } // namespace
 
 double cpuSeconds() {
-  rusage Used{};
-  ::getrusage(RUSAGE_SELF, &Used);
-  return secondsOf(Used.ru_utime) + secondsOf(Used.ru_stime);
+  rusage Usage{};
+  ::getrusage(RUSAGE_SELF, &Usage);
+  return secondsOf(Usage.ru_utime) + secondsOf(Usage.ru_stime);
 }
 
 double residentBytes() {
   std::ifstream In("/proc/self/statm");
-  long AllPages = 0;
+  long TotalPages = 0;
   long ResidentPages = 0;
-  In >> AllPages >> ResidentPages;
+  In >> TotalPages >> ResidentPages;
   return static_cast<double>(ResidentPages) *
          static_cast<double>(::sysconf(_SC_PAGESIZE));
 }
--- a/src/Program/RouterLinks.cpp
+++ b/src/Program/RouterLinks.cpp
@@ -12,7 +12,7 @@
 constexpr const char *RouterKeys = "routers/";
 constexpr const char *RunRecordKeys = "runs/";
 
-RunRecordVerdict toDecision(RunVerdict Verdict) {
+RunRecordVerdict toRunRecordVerdict(RunVerdict Verdict) {
   switch (Verdict) {
   case RunVerdict::Claimed:
     return RunRecordVerdict::Claimed;
@@ -24,14 +24,15 @@
   return RunRecordVerdict::Unavailable;
 }
 
-StoreSettings storeSettings(const Settings &Wanted) {
+StoreSettings storeSettings(const Settings &From) {
   StoreSettings Store;
-  Store.Address = Wanted.Platform.Address;
-  Store.CallTimeout = Wanted.Platform.RequestTimeout;
+  Store.Address = From.Platform.Address;
+  Store.CallTimeout = From.Platform.RequestTimeout;
   return Store;
 }
 
-std::shared_ptr<StoreBudget> budgetFor(std::uint32_t PerSecond, TimePoint Now) {
+std::shared_ptr<StoreBudget> makeBudget(std::uint32_t PerSecond,
+                                        TimePoint Now) {
   constexpr double BurstSeconds = 2;
   return std::make_shared<StoreBudget>(PerSecond, BurstSeconds * PerSecond,
                                        Now);
@@ -39,40 +40,42 @@
 
 } // namespace
 
-RouterCoreSettings coreSettings(const Settings &Wanted, Incarnation Life) {
-  RouterCoreSettings Core = Wanted.Core;
-  const auto Self = idOf<RouterId>(Wanted.Name);
-  const std::uint64_t Seed = rendezvousScore(Self.Value, Life);
+RouterCoreSettings coreSettings(const Settings &From, Incarnation Number) {
+  RouterCoreSettings Core = From.Core;
+  const auto Self = idOf<RouterId>(From.Name);
+  const std::uint64_t Seed = rendezvousScore(Self.Value, Number);
   Core.Requests.Seed = Seed;
   Core.Fairness.Seed = Seed;
   Core.Configuration.Seed = Seed;
   Core.Membership.RandomSeed = Seed;
   Core.Servers.Seed = Seed;
-  if (Wanted.Policy == FairnessMode::Local)
+  if (From.Policy == FairnessMode::Local)
     Core.Fairness.Policy = LocalOnlyPolicy{};
   RouterRecord &Record = Core.Membership.Self;
   Record.Router = Self;
-  Record.Life = Life;
-  Record.Zone = static_cast<std::uint32_t>(hashName(Wanted.Zone));
-  Record.Name = Wanted.Name;
-  Record.PeerAddress = Wanted.PeerAddress;
-  Record.CallerAddress = Wanted.Callers.Address;
-  for (const auto &[Name, Address] : Wanted.Peers.KnownRouters)
-    if (Name != Wanted.Name)
+  Record.Number = Number;
+  Record.Zone = static_cast<std::uint32_t>(hashName(From.Zone));
+  Record.Name = From.Name;
+  Record.PeerAddress = From.PeerAddress;
+  Record.CallerAddress = From.Callers.Address;
+  for (const auto &[Name, Address] : From.Peers.KnownRouters)
+    if (Name != From.Name)
       Core.Membership.Seeds.push_back(Address);
   return Core;
 }
 
-RouterLinks::RouterLinks(const Settings &W, Incarnation L, ControlLoop &C,
-                         std::function<void(DeclarationsPtr)> PutInForce)
-    : RouterSettings(W), IncarnationNumber(L), Control(C),
-      Loader(std::move(PutInForce)) {}
+RouterLinks::RouterLinks(const Settings &Config, Incarnation Number,
+                         ControlLoop &Loop,
+                         std::function<void(DeclarationsPtr)> OnDeclarations)
+    : RouterSettings(Config), IncarnationNumber(Number), Control(Loop),
+      Loader(std::move(OnDeclarations)) {}
 
 RouterLinks::~RouterLinks() {
-  // The loader's thread may still bring declarations, and with them watches.
-  std::unique_ptr<LoadPoller> Ending;
+  // The loader's thread may still deliver declarations, which use the poller.
+  // The poller is destroyed after the lock is released.
+  std::unique_ptr<LoadPoller> Released;
   std::lock_guard<std::mutex> Lock(this->Mutex);
-  Ending = std::move(this->Poller);
+  Released = std::move(this->Poller);
 }
 
 Result<void> RouterLinks::start() {
@@ -82,23 +85,24 @@
   this->startPlatform();
   this->Poller = std::make_unique<LoadPoller>(
       this->RouterSettings.Polling, processCounters(),
-      [this](Event Told) { this->Control.post(std::move(Told)); });
+      [this](Event Received) { this->Control.post(std::move(Received)); });
   return {};
 }
 
 Result<void> RouterLinks::startPeers() {
   if (this->RouterSettings.PeerAddress.empty())
     return {};
-  PeerSettings Peer;
-  Peer.Self = idOf<RouterId>(this->RouterSettings.Name);
-  Peer.Life = this->IncarnationNumber;
-  Peer.BindAddress = this->RouterSettings.PeerAddress;
-  Peer.FleetSecret = this->RouterSettings.Peers.Secret;
-  Peer.BytesPerSecond = this->RouterSettings.Peers.MaxBytesPerSecond;
-  Peer.FaultInjectionAllowed = this->RouterSettings.Peers.FaultInjection;
-  auto Started = PeerTransport::start(Peer, [this](PeerPartReceived Received) {
-    this->Control.post(std::move(Received));
-  });
+  PeerSettings Transport;
+  Transport.Self = idOf<RouterId>(this->RouterSettings.Name);
+  Transport.Life = this->IncarnationNumber;
+  Transport.BindAddress = this->RouterSettings.PeerAddress;
+  Transport.FleetSecret = this->RouterSettings.Peers.Secret;
+  Transport.BytesPerSecond = this->RouterSettings.Peers.MaxBytesPerSecond;
+  Transport.FaultInjectionAllowed = this->RouterSettings.Peers.FaultInjection;
+  auto Started =
+      PeerTransport::start(Transport, [this](PeerPartReceived Received) {
+        this->Control.post(std::move(Received));
+      });
   if (!Started)
     return tl::unexpected<Error>(Started.error());
   this->Peers = std::move(*Started);
@@ -109,13 +113,13 @@
   const PlatformAccess &Access = this->RouterSettings.Platform;
   if (Access.Address.empty()) {
     log(LogPart::Platform, LogLevel::Warn,
-        "No platform is set: requests with an idempotency key that may not be "
-        "repeated are refused.");
+        "No platform store is configured: non-repeatable requests with an "
+        "idempotency key are refused.");
     return;
   }
   const Clock Time = this->Control.clock();
-  this->Budget = budgetFor(Access.MaxCallsPerSecond, Time.now());
-  this->RecordBudget = budgetFor(Access.MaxRecordCallsPerSecond, Time.now());
+  this->Budget = makeBudget(Access.MaxCallsPerSecond, Time.now());
+  this->RecordBudget = makeBudget(Access.MaxRecordCallsPerSecond, Time.now());
   ConfigurationStoreSettings Configuration;
   Configuration.Prefix = Access.Prefix + ConfigurationKeys;
   PlatformSettings Platform;
@@ -134,14 +138,16 @@
   this->Platform = std::make_unique<PlatformThread>(
       Platform, Configuration, storeSettings(this->RouterSettings),
       this->Budget, Self, Time,
-      [this](const PlatformEvent &Told) { this->onPlatformEvent(Told); });
-  RunRecordSettings Record;
-  Record.Prefix = Access.Prefix + RunRecordKeys;
-  Record.WriterId =
+      [this](const PlatformEvent &Event) { this->onPlatformEvent(Event); });
+  RunRecordSettings RecordSettings;
+  RecordSettings.Prefix = Access.Prefix + RunRecordKeys;
+  RecordSettings.WriterId =
       this->RouterSettings.Name + "-" + std::to_string(this->IncarnationNumber);
-  Record.ClaimTimeout = this->RouterSettings.Core.Requests.Records.ClaimLimit;
+  RecordSettings.ClaimTimeout =
+      this->RouterSettings.Core.Requests.Records.ClaimLimit;
   this->RunRecords = std::make_unique<RunRecordWriter>(
-      Record, storeSettings(this->RouterSettings), this->RecordBudget, Time);
+      RecordSettings, storeSettings(this->RouterSettings), this->RecordBudget,
+      Time);
 }
 
 std::uint64_t RouterLinks::storeCallCount(StoreCall Kind) const {
@@ -151,80 +157,80 @@
 }
 
 void RouterLinks::execute(const Action &A) {
-  std::visit([this](const auto &Asked) { this->on(Asked); }, A);
+  std::visit([this](const auto &Each) { this->on(Each); }, A);
 }
 
-template <typename OtherAction> void RouterLinks::on(const OtherAction &Asked) {
+template <typename OtherAction> void RouterLinks::on(const OtherAction &A) {
   if constexpr (std::is_constructible_v<PlatformRequest, OtherAction>)
     if (this->Platform)
-      this->Platform->submit(Asked);
+      this->Platform->submit(A);
 }
 
-void RouterLinks::on(const SendToPeer &Asked) {
+void RouterLinks::on(const SendToPeer &A) {
   if (this->Peers)
-    this->Peers->send(Asked);
+    this->Peers->send(A);
 }
 
-void RouterLinks::on(const ContactAddress &Asked) {
+void RouterLinks::on(const ContactAddress &A) {
   if (this->Peers)
-    this->Peers->sendToAddress(Asked.Address, Asked.Message);
+    this->Peers->sendToAddress(A.Address, A.Message);
 }
 
-void RouterLinks::on(const PeerAddressLearned &Asked) {
+void RouterLinks::on(const PeerAddressLearned &A) {
   if (!this->Peers)
     return;
-  const auto Set = this->Peers->setAddress(Asked.Router, Asked.Address);
+  const auto Set = this->Peers->setAddress(A.Router, A.Address);
   if (!Set)
     log(LogPart::Peer, LogLevel::Warn, Set.error().Message);
 }
 
 void RouterLinks::on(const Superseded &) {
   log(LogPart::Program, LogLevel::Error,
-      "A later process bears this router's name. This one ends.");
+      "A later process has this router's name. This process ends.");
   this->IsSuperseded = true;
 }
 
-void RouterLinks::on(const ClaimRunRecord &Asked) {
-  const RequestId Request = Asked.Request;
+void RouterLinks::on(const ClaimRunRecord &A) {
+  const RequestId Request = A.Request;
   if (!this->RunRecords) {
     this->Control.post(
         RunRecordAnswered{Request, RunRecordVerdict::Unavailable});
     return;
   }
   this->RunRecords->claim(
-      Asked.Account, Asked.Key, Asked.Identity,
-      [this, Request](RunVerdict Verdict) {
-        this->Control.post(RunRecordAnswered{Request, toDecision(Verdict)});
+      A.Account, A.Key, A.Identity, [this, Request](RunVerdict Verdict) {
+        this->Control.post(
+            RunRecordAnswered{Request, toRunRecordVerdict(Verdict)});
       });
 }
 
-void RouterLinks::on(const CompleteRunRecord &Asked) {
+void RouterLinks::on(const CompleteRunRecord &A) {
   if (this->RunRecords)
-    this->RunRecords->complete(Asked.Account, Asked.Key, Asked.Identity);
+    this->RunRecords->complete(A.Account, A.Key, A.Identity);
 }
 
-void RouterLinks::on(const ReleaseRunRecord &Asked) {
+void RouterLinks::on(const ReleaseRunRecord &A) {
   if (this->RunRecords)
-    this->RunRecords->release(Asked.Account, Asked.Key, Asked.Identity);
+    this->RunRecords->release(A.Account, A.Key, A.Identity);
 }
 
-void RouterLinks::on(const WatchServers &Asked) {
+void RouterLinks::on(const WatchServers &A) {
   {
     std::lock_guard<std::mutex> Lock(this->Mutex);
-    this->WatchedServers = Asked.Servers;
+    this->WatchedServers = A.Servers;
   }
-  this->watchServers(Asked.Servers);
+  this->watchServers(A.Servers);
 }
 
-void RouterLinks::setDeclarations(const DeclarationsPtr &Declared) {
+void RouterLinks::setDeclarations(const DeclarationsPtr &Active) {
   std::vector<ServerId> Servers;
   {
     std::lock_guard<std::mutex> Lock(this->Mutex);
-    this->ActiveDeclarations = Declared;
+    this->ActiveDeclarations = Active;
     Servers = this->WatchedServers;
   }
-  // Where a server moved to another address, the set watched stays the same
-  // and nobody else would ask for it anew.
+  // If a server moved to another address, the set of watched servers is the
+  // same, and nothing else would trigger the update.
   this->watchServers(Servers);
 }
 
@@ -232,47 +238,46 @@
   std::lock_guard<std::mutex> Lock(this->Mutex);
   std::vector<LoadPoller::Watched> Targets;
   for (const ServerId Server : Servers) {
-    const auto Declared = this->ActiveDeclarations->Servers.find(Server);
-    if (Declared == this->ActiveDeclarations->Servers.end())
+    const auto Entry = this->ActiveDeclarations->Servers.find(Server);
+    if (Entry == this->ActiveDeclarations->Servers.end())
       continue;
     bool IsEngine = false;
     for (const auto &[Id, Service] : this->ActiveDeclarations->Services)
       if (Service.Kind == ServiceKind::Engine &&
           std::ranges::find(Service.Servers, Server) != Service.Servers.end())
         IsEngine = true;
-    Targets.push_back({Server, Declared->second.Address, IsEngine});
+    Targets.push_back({Server, Entry->second.Address, IsEngine});
   }
   if (this->Poller)
     this->Poller->watch(Targets);
 }
 
-void RouterLinks::onPlatformEvent(const PlatformEvent &Told) {
-  std::visit(Overloaded{
-                 // The platform's thread has said so in the log.
-                 [](const RouterLeaseChanged &) {},
-                 [this](const RoutersListed &Listed) {
-                   this->onRoutersListed(Listed);
-                 },
-                 [this](const VmsListed &Listed) { this->onVmsListed(Listed); },
-                 [this](const auto &Other) { this->Control.post(Other); },
-             },
-             Told);
+void RouterLinks::onPlatformEvent(const PlatformEvent &Event) {
+  std::visit(
+      Overloaded{
+          // The platform's thread has logged the change.
+          [](const RouterLeaseChanged &) {},
+          [this](const RoutersListed &List) { this->onRoutersListed(List); },
+          [this](const VmsListed &List) { this->onVmsListed(List); },
+          [this](const auto &Other) { this->Control.post(Other); },
+      },
+      Event);
 }
 
-void RouterLinks::onRoutersListed(const RoutersListed &Listed) {
-  LeaseListed Leases;
-  for (const RouterRegistration &Router : Listed.Routers)
-    Leases.Holders.push_back({idOf<RouterId>(Router.Name),
-                              Router.IncarnationNumber, Router.PeerAddress});
-  this->Control.post(std::move(Leases));
+void RouterLinks::onRoutersListed(const RoutersListed &List) {
+  LeaseListed Event;
+  for (const RouterRegistration &Router : List.Routers)
+    Event.Holders.push_back({idOf<RouterId>(Router.Name),
+                             Router.IncarnationNumber, Router.PeerAddress});
+  this->Control.post(std::move(Event));
 }
 
-void RouterLinks::onVmsListed(const VmsListed &Listed) {
+void RouterLinks::onVmsListed(const VmsListed &List) {
   VmListChanged Routers;
   ServersListed Servers;
   {
     std::lock_guard<std::mutex> Lock(this->Mutex);
-    for (const VmListing &Vm : Listed.Vms) {
+    for (const VmListing &Vm : List.Vms) {
       const bool IsLeaving = Vm.State == VmState::Leaving;
       const auto Server = idOf<ServerId>(Vm.Name);
       if (this->ActiveDeclarations->Servers.contains(Server))
--- a/src/Program/RouterLinks.h
+++ b/src/Program/RouterLinks.h
@@ -22,7 +22,7 @@
 /// are absent.
 class RouterLinks {
 public:
-  RouterLinks(const Settings &W, Incarnation L, ControlLoop &C,
+  RouterLinks(const Settings &Config, Incarnation Number, ControlLoop &Loop,
               std::function<void(DeclarationsPtr)> OnDeclarations);
   ~RouterLinks();
   RouterLinks(const RouterLinks &) = delete;
--- a/src/Program/RouterProcess.cpp
+++ b/src/Program/RouterProcess.cpp
@@ -15,70 +15,72 @@
 
 constexpr Duration StopPollInterval = std::chrono::milliseconds(50);
 constexpr Duration DrainPollInterval = std::chrono::milliseconds(20);
-/// The longest wait for the control thread's answer to a dump.
-constexpr Duration ControlAnswerLimit = std::chrono::seconds(2);
-/// Time after the limit of a drain to answer the requests that it cut off.
-constexpr Duration CutOffGrace = std::chrono::seconds(2);
-/// The time between the accept of a connection and its request's channel.
+/// Maximum time to wait for the control thread, for instance for a dump.
+constexpr Duration ControlCallTimeout = std::chrono::seconds(2);
+/// Time after the drain limit to send responses for the aborted requests.
+constexpr Duration AbortGrace = std::chrono::seconds(2);
+/// Time allowed between accepting a connection and opening the channel of its
+/// request.
 constexpr Duration AcceptGrace = std::chrono::milliseconds(100);
 
-std::uint64_t millisecondsOfWallClock() {
+std::uint64_t wallClockMilliseconds() {
   const auto Now = std::chrono::system_clock::now().time_since_epoch();
   return static_cast<std::uint64_t>(
       std::chrono::duration_cast<std::chrono::milliseconds>(Now).count());
 }
 
-/// The settings in force by section and key. Secrets are only said to be set.
-Poco::JSON::Object::Ptr dumpSettings(const Settings &InForce) {
-  Poco::JSON::Object::Ptr All = new Poco::JSON::Object;
+/// Returns the settings by section and key. For secrets only whether they are
+/// set is shown.
+Poco::JSON::Object::Ptr dumpSettings(const Settings &Active) {
+  Poco::JSON::Object::Ptr Sections = new Poco::JSON::Object;
   for (const Setting &Each : settingsTable()) {
-    if (!All->has(Each.Section))
-      All->set(Each.Section, Poco::JSON::Object::Ptr(new Poco::JSON::Object));
-    std::string Value = Each.Get(InForce);
+    if (!Sections->has(Each.Section))
+      Sections->set(Each.Section,
+                    Poco::JSON::Object::Ptr(new Poco::JSON::Object));
+    std::string Value = Each.Get(Active);
     if (Each.Section == PeersSection)
       Value = Value.empty() ? "none" : "set";
-    All->getObject(Each.Section)->set(Each.Key, Value);
+    Sections->getObject(Each.Section)->set(Each.Key, Value);
   }
-  for (const auto &[Name, Address] : InForce.Peers.KnownRouters)
-    All->getObject(PeersSection)->set(Name, Address);
-  return All;
+  for (const auto &[Name, Address] : Active.Peers.KnownRouters)
+    Sections->getObject(PeersSection)->set(Name, Address);
+  return Sections;
 }
 
-Poco::JSON::Object::Ptr dumpConfiguration(const Declarations &InForce) {
+Poco::JSON::Object::Ptr dumpConfiguration(const Declarations &Active) {
   Poco::JSON::Object::Ptr Part = new Poco::JSON::Object;
-  Part->set("generation", static_cast<Poco::UInt64>(InForce.Generation));
-  Part->set("accounts", static_cast<Poco::UInt64>(InForce.Accounts.size()));
-  Part->set("services", static_cast<Poco::UInt64>(InForce.Services.size()));
-  Part->set("servers", static_cast<Poco::UInt64>(InForce.Servers.size()));
+  Part->set("generation", static_cast<Poco::UInt64>(Active.Generation));
+  Part->set("accounts", static_cast<Poco::UInt64>(Active.Accounts.size()));
+  Part->set("services", static_cast<Poco::UInt64>(Active.Services.size()));
+  Part->set("servers", static_cast<Poco::UInt64>(Active.Servers.size()));
   return Part;
 }
 
 } // namespace
 
 RouterProcess::RouterProcess(Settings S)
-    : RouterSettings(std::move(S)),
-      IncarnationNumber(millisecondsOfWallClock()),
+    : RouterSettings(std::move(S)), IncarnationNumber(wallClockMilliseconds()),
       StartedAt(Clock::steady().now()),
       Control(Clock::steady(),
               coreSettings(this->RouterSettings, this->IncarnationNumber)),
       Callers(this->RouterSettings.Callers, this->Control,
               std::to_string(this->IncarnationNumber)),
       Links(this->RouterSettings, this->IncarnationNumber, this->Control,
-            [this](DeclarationsPtr Declared) {
-              this->activateDeclarations(std::move(Declared));
+            [this](DeclarationsPtr Active) {
+              this->activateDeclarations(std::move(Active));
             }) {}
 
 RouterProcess::~RouterProcess() {
-  // The control thread calls the links, which go first.
+  // The control thread uses the links, which are destroyed before it.
   this->Control.stop();
 }
 
 Result<std::size_t> RouterProcess::run() {
-  const auto Running = this->start();
-  if (!Running)
-    return tl::unexpected<Error>(Running.error());
+  const auto Started = this->start();
+  if (!Started)
+    return tl::unexpected<Error>(Started.error());
   log(LogPart::Program, LogLevel::Info,
-      "Router " + this->RouterSettings.Name + " serves.");
+      "Router " + this->RouterSettings.Name + " is serving.");
   this->waitForStop();
   return this->drain();
 }
@@ -86,38 +88,38 @@
 Result<void> RouterProcess::start() {
   this->addMetrics();
   this->addStateSources();
-  auto Done = this->startDeclarations();
-  if (!Done)
-    return Done;
+  auto Started = this->startDeclarations();
+  if (!Started)
+    return Started;
   this->Control.setSink([this](const Action &A) { this->Links.execute(A); });
-  Done = this->Links.start();
-  if (!Done)
-    return failure(ErrorCode::Unreachable, Done.error().Message);
+  Started = this->Links.start();
+  if (!Started)
+    return failure(ErrorCode::Unreachable, Started.error().Message);
   this->Control.start();
-  Done = this->startOperatorServer();
-  if (!Done)
-    return Done;
-  Done = this->Callers.start();
-  if (!Done)
-    return failure(ErrorCode::Unreachable, Done.error().Message);
+  Started = this->startOperatorServer();
+  if (!Started)
+    return Started;
+  Started = this->Callers.start();
+  if (!Started)
+    return failure(ErrorCode::Unreachable, Started.error().Message);
   return {};
 }
 
 Result<void> RouterProcess::startDeclarations() {
   if (this->RouterSettings.DeclarationsFile.empty())
     return {};
-  auto Declared = loadDeclarations(this->RouterSettings.DeclarationsFile);
-  if (!Declared)
-    return tl::unexpected<Error>(Declared.error());
+  auto Loaded = loadDeclarations(this->RouterSettings.DeclarationsFile);
+  if (!Loaded)
+    return tl::unexpected<Error>(Loaded.error());
   this->activateDeclarations(
-      std::make_shared<const Declarations>(std::move(*Declared)));
+      std::make_shared<const Declarations>(std::move(*Loaded)));
   return {};
 }
 
-void RouterProcess::activateDeclarations(DeclarationsPtr Declared) {
-  this->Callers.context().setDeclarations(Declared);
-  this->Links.setDeclarations(Declared);
-  this->Control.post(DeclarationsChanged{std::move(Declared)});
+void RouterProcess::activateDeclarations(DeclarationsPtr Active) {
+  this->Callers.context().setDeclarations(Active);
+  this->Links.setDeclarations(Active);
+  this->Control.post(DeclarationsChanged{std::move(Active)});
 }
 
 Result<void> RouterProcess::startOperatorServer() {
@@ -156,17 +158,16 @@
            this->RouterSettings.Name + "\",availability_zone=\"" +
            this->RouterSettings.Zone + "\""},
       [] { return 1.0; });
-  this->MetricsRegistry.callback(MetricKind::Counter,
-                                 {"process_cpu_seconds_total",
-                                  "Processor time that the process has used.",
-                                  ""},
-                                 cpuSeconds);
-  AddGauge("process_resident_bytes", "Memory of the process in RAM.",
+  this->MetricsRegistry.callback(
+      MetricKind::Counter,
+      {"process_cpu_seconds_total", "CPU time that the process has used.", ""},
+      cpuSeconds);
+  AddGauge("process_resident_bytes", "Resident memory of the process.",
            residentBytes);
-  AddGauge("requests_open", "Requests without a final answer.", [this] {
+  AddGauge("requests_open", "Requests without a final response.", [this] {
     return static_cast<double>(this->Control.openRequests());
   });
-  AddGauge("configuration_generation", "Generation of the declarations.",
+  AddGauge("configuration_generation", "Generation of the active declarations.",
            [this] {
              return static_cast<double>(
                  this->Callers.context().declarations().InForce->Generation);
@@ -186,7 +187,7 @@
 void RouterProcess::addTrafficMetrics() {
   const CallerCounters &Caller = this->Callers.counters();
   for (const auto &[Outcome, Name] : RequestOutcomeNames)
-    this->addCounter({"requests_total", "Final answers to callers.",
+    this->addCounter({"requests_total", "Final responses to callers.",
                       "outcome=\"" + std::string(Name) + "\""},
                      [&Caller, Index = static_cast<std::size_t>(Outcome)] {
                        return static_cast<double>(
@@ -201,14 +202,15 @@
   AddBackend("backend_attempts_total", "Attempts at backend servers.",
              Backend.Attempts);
   AddBackend("backend_interrupted_total",
-             "Attempts that broke after the request may have left.",
+             "Attempts that failed after the request may have been sent.",
              Backend.Interrupted);
-  AddBackend("backend_resumes_total", "Broken streams taken up again.",
+  AddBackend("backend_resumes_total", "Interrupted streams that were resumed.",
              Backend.Resumes);
-  AddBackend("backend_silences_total", "Attempts ended by lack of progress.",
-             Backend.Silences);
+  AddBackend("backend_silences_total",
+             "Attempts ended because no progress was made.", Backend.Silences);
   AddBackend("backend_foreign_events_total",
-             "Events of another response, dropped.", Backend.ForeignEvents);
+             "Events that belonged to another response and were dropped.",
+             Backend.ForeignEvents);
   AddBackend("load_report_bytes_total", "Bytes of load reports and probes.",
              Backend.PollBytes);
 }
@@ -225,18 +227,18 @@
                     ""},
                    Peer(&PeerCounters::DatagramBytesOut));
   this->addCounter({"peer_received_bytes_total",
-                    "Bytes of datagrams of other routers, headers included.",
+                    "Bytes of datagrams from other routers, headers included.",
                     ""},
                    Peer(&PeerCounters::DatagramBytesIn));
   this->addCounter({"peer_bulk_sent_bytes_total",
                     "Bytes sent to other routers over TCP.", ""},
                    Peer(&PeerCounters::BulkBytesOut));
   for (const auto &[Kind, Name] : StoreCallNames)
-    this->addCounter({"store_calls_total", "Calls on the platform's store.",
+    this->addCounter({"store_calls_total", "Calls to the platform's store.",
                       "kind=\"" + std::string(Name) + "\""},
-                     [this, Wanted = Kind] {
+                     [this, Call = Kind] {
                        return static_cast<double>(
-                           this->Links.storeCallCount(Wanted));
+                           this->Links.storeCallCount(Call));
                      });
 }
 
@@ -288,7 +290,7 @@
     std::function<Poco::JSON::Object::Ptr()> Read) {
   return [this, Read = std::move(Read)]() -> Poco::JSON::Object::Ptr {
     Poco::JSON::Object::Ptr Part;
-    this->Control.ask([&Part, &Read] { Part = Read(); }, ControlAnswerLimit);
+    this->Control.ask([&Part, &Read] { Part = Read(); }, ControlCallTimeout);
     return Part;
   };
 }
@@ -309,25 +311,25 @@
 
 std::size_t RouterProcess::drain() {
   const Clock Time = Clock::steady();
-  const TimePoint Limit = Time.now() +
-                          this->RouterSettings.Core.Requests.Drain.HardLimit +
-                          CutOffGrace;
+  const TimePoint Deadline =
+      Time.now() + this->RouterSettings.Core.Requests.Drain.HardLimit +
+      AbortGrace;
   this->Draining = true;
   this->Callers.announceDrain();
   log(LogPart::Program, LogLevel::Info, "Draining.");
   this->Control.post(DrainRequested{});
-  // Only after this has run is it sure that no later request is taken in.
-  this->Control.ask([] {}, ControlAnswerLimit);
-  bool Stopped = false;
-  TimePoint IdleFrom = Limit;
-  while (Time.now() < Limit && this->Signals.stopCount() < 2) {
+  // Once this call has run, the control thread accepts no more requests.
+  this->Control.ask([] {}, ControlCallTimeout);
+  bool AcceptStopped = false;
+  TimePoint IdleSince = Deadline;
+  while (Time.now() < Deadline && this->Signals.stopCount() < 2) {
     if (!this->isIdle()) {
-      Stopped = false;
-    } else if (!Stopped) {
+      AcceptStopped = false;
+    } else if (!AcceptStopped) {
       this->Callers.stopAccepting();
-      Stopped = true;
-      IdleFrom = Time.now();
-    } else if (Time.now() - IdleFrom >= AcceptGrace) {
+      AcceptStopped = true;
+      IdleSince = Time.now();
+    } else if (Time.now() - IdleSince >= AcceptGrace) {
       break;
     }
     this->Signals.wait(DrainPollInterval);
--- a/src/Program/Settings.cpp
+++ b/src/Program/Settings.cpp
@@ -33,7 +33,8 @@
   return Text;
 }
 
-/// Stores another router's name and address. Returns the problem or nothing.
+/// Stores another router's name and address. Returns a description of the
+/// problem, or an empty string.
 std::string addPeer(const IniFile &File, const IniSection &Section,
                     const IniEntry &Entry, Settings &Into) {
   if (!isName(Entry.Key))
@@ -44,20 +45,20 @@
   return {};
 }
 
-/// Stores one entry. Returns the problem or nothing.
+/// Stores one entry. Returns a description of the problem, or an empty string.
 std::string addEntry(const IniFile &File, const IniSection &Section,
                      const IniEntry &Entry, Settings &Into) {
-  const Setting *Known = findSetting(Section.Name, Entry.Key);
-  if (Known == nullptr && Section.Name == PeersSection)
+  const Setting *Match = findSetting(Section.Name, Entry.Key);
+  if (Match == nullptr && Section.Name == PeersSection)
     return addPeer(File, Section, Entry, Into);
-  if (Known == nullptr)
+  if (Match == nullptr)
     return File.place(Section, Entry) + " is not a known key; allowed are " +
            knownKeys(Section.Name);
-  if (!Known->Set(Into, Entry.Value)) {
-    const bool Secret = Section.Name == PeersSection;
-    return Secret
-               ? File.place(Section, Entry) + " must be " + Known->AllowedValues
-               : mustBe(File, Section, Entry, Known->AllowedValues);
+  if (!Match->Set(Into, Entry.Value)) {
+    const bool IsSecret = Section.Name == PeersSection;
+    return IsSecret
+               ? File.place(Section, Entry) + " must be " + Match->AllowedValues
+               : mustBe(File, Section, Entry, Match->AllowedValues);
   }
   return {};
 }
@@ -76,7 +77,8 @@
   return {};
 }
 
-/// The first required setting that the file does not give, as a sentence.
+/// Returns a sentence about the first required setting that is missing from the
+/// file, or an empty string.
 std::string missingSetting(const IniFile &File) {
   for (const Setting &Each : settingsTable()) {
     if (!Each.Required)
@@ -94,18 +96,18 @@
 } // namespace
 
 Result<Settings> readSettings(const IniFile &File) {
-  Settings Read;
+  Settings Parsed;
   for (const IniSection &Section : File.Sections) {
-    std::string Problem = addSection(File, Section, Read);
+    std::string Problem = addSection(File, Section, Parsed);
     if (!Problem.empty())
       return failure(ErrorCode::InvalidInput, std::move(Problem));
   }
   std::string Missing = missingSetting(File);
   if (!Missing.empty())
     return failure(ErrorCode::InvalidInput, std::move(Missing));
-  Read.Callers.RouterName = Read.Name;
-  Read.Callers.FleetSecret = Read.Peers.Secret;
-  return Read;
+  Parsed.Callers.RouterName = Parsed.Name;
+  Parsed.Callers.FleetSecret = Parsed.Peers.Secret;
+  return Parsed;
 }
 
 Result<Settings> readSettings(const std::string &Path) {
