--- a/src/Program/SettingsTable.cpp
+++ b/src/Program/SettingsTable.cpp
@@ -17,16 +17,17 @@
 constexpr std::uint64_t MaxMinuteMilliseconds = 60'000;
 constexpr std::size_t MinSecretLength = 16;
 
-/// How each kind of setting is made. `Field` finds the value inside the
-/// settings, as a reference.
+// One function for each kind of setting. `Field` returns a reference to the
+// value inside the settings.
+
 template <typename Access>
 Setting checkedText(std::string Section, std::string Key, std::string Allowed,
                     bool (*Check)(const std::string &), Access Field,
-                    std::string Explanation) {
+                    std::string Description) {
   return {std::move(Section),
           std::move(Key),
           std::move(Allowed),
-          std::move(Explanation),
+          std::move(Description),
           false,
           [Field, Check](Settings &Into, const std::string &Value) {
             if (!Check(Value))
@@ -45,23 +46,23 @@
 
 template <typename Access>
 Setting text(std::string Section, std::string Key, Access Field,
-             std::string Explanation) {
+             std::string Description) {
   return checkedText(std::move(Section), std::move(Key), "a text", isNotEmpty,
-                     Field, std::move(Explanation));
+                     Field, std::move(Description));
 }
 
 template <typename Access>
 Setting name(std::string Section, std::string Key, Access Field,
-             std::string Explanation) {
+             std::string Description) {
   return checkedText(std::move(Section), std::move(Key), NameRule, isName,
-                     Field, std::move(Explanation));
+                     Field, std::move(Description));
 }
 
 template <typename Access>
 Setting address(std::string Section, std::string Key, Access Field,
-                std::string Explanation) {
+                std::string Description) {
   return checkedText(std::move(Section), std::move(Key), AddressRule,
-                     isNumericAddress, Field, std::move(Explanation));
+                     isNumericAddress, Field, std::move(Description));
 }
 
 Setting required(Setting Optional) {
@@ -69,7 +70,8 @@
   return Optional;
 }
 
-/// A whole number from `Low` to `High`; nothing where the text is not one.
+/// Parses a whole number from `Low` to `High`; returns nothing if the text is
+/// not one.
 std::optional<std::uint64_t>
 wholeNumber(const std::string &Value, std::uint64_t Low, std::uint64_t High) {
   Poco::UInt64 Number = 0;
@@ -84,29 +86,29 @@
          std::to_string(High);
 }
 
-/// A whole number from `Low` to `High`, which `Store` puts into the settings
-/// and `Show` gives back as the file would.
-template <typename Store, typename Show>
+/// A whole number from `Low` to `High`. `Set` stores it in the settings, and
+/// `Get` formats it as in the settings file.
+template <typename Setter, typename Getter>
 Setting ranged(std::string Section, std::string Key, std::uint64_t Low,
-               std::uint64_t High, Store Put, Show Give,
-               std::string Explanation) {
+               std::uint64_t High, Setter Set, Getter Get,
+               std::string Description) {
   return {std::move(Section),
           std::move(Key),
           rangeText(Low, High),
-          std::move(Explanation),
+          std::move(Description),
           false,
           [=](Settings &Into, const std::string &Value) {
             const auto Number = wholeNumber(Value, Low, High);
             if (Number)
-              Put(Into, *Number);
+              Set(Into, *Number);
             return Number.has_value();
           },
-          Give};
+          Get};
 }
 
 template <typename Access>
 Setting count(std::string Section, std::string Key, std::uint64_t Low,
-              std::uint64_t High, Access Field, std::string Explanation) {
+              std::uint64_t High, Access Field, std::string Description) {
   return ranged(
       std::move(Section), std::move(Key), Low, High,
       [Field](Settings &Into, std::uint64_t Number) {
@@ -114,29 +116,29 @@
         Target = static_cast<std::decay_t<decltype(Target)>>(Number);
       },
       [Field](Settings From) { return std::to_string(Field(From)); },
-      std::move(Explanation));
+      std::move(Description));
 }
 
-/// A part of one, given in percent.
+/// A fraction from 0 to 1, given in percent.
 template <typename Access>
 Setting percent(std::string Section, std::string Key, Access Field,
-                std::string Explanation) {
-  constexpr std::uint64_t Whole = 100;
+                std::string Description) {
+  constexpr std::uint64_t PercentScale = 100;
   return ranged(
-      std::move(Section), std::move(Key), 0, Whole,
+      std::move(Section), std::move(Key), 0, PercentScale,
       [Field](Settings &Into, std::uint64_t Number) {
-        Field(Into) = static_cast<double>(Number) / Whole;
+        Field(Into) = static_cast<double>(Number) / PercentScale;
       },
       [Field](Settings From) {
-        return std::to_string(std::lround(Field(From) * Whole));
+        return std::to_string(std::lround(Field(From) * PercentScale));
       },
-      std::move(Explanation));
+      std::move(Description));
 }
 
-/// A duration in the unit that the key's name ends in.
+/// A duration, in the unit with which the name of its key ends.
 template <typename Unit, typename Access>
 Setting duration(std::string Section, std::string Key, std::uint64_t Low,
-                 std::uint64_t High, Access Field, std::string Explanation) {
+                 std::uint64_t High, Access Field, std::string Description) {
   return ranged(
       std::move(Section), std::move(Key), Low, High,
       [Field](Settings &Into, std::uint64_t Number) {
@@ -146,26 +148,26 @@
         return std::to_string(
             std::chrono::duration_cast<Unit>(Field(From)).count());
       },
-      std::move(Explanation));
+      std::move(Description));
 }
 
 template <typename Enum, std::size_t Count, typename Access>
 Setting choice(std::string Section, std::string Key,
                const EnumNames<Enum, Count> &Names, Access Field,
-               std::string Explanation) {
+               std::string Description) {
   std::string Allowed;
   for (const auto &[Value, Name] : Names)
     Allowed += (Allowed.empty() ? "" : " or ") + std::string(Name);
   return {std::move(Section),
           std::move(Key),
           std::move(Allowed),
-          std::move(Explanation),
+          std::move(Description),
           false,
           [Field, &Names](Settings &Into, const std::string &Value) {
-            const auto Chosen = valueOf(Names, Value);
-            if (Chosen)
-              Field(Into) = *Chosen;
-            return Chosen.has_value();
+            const auto Parsed = valueOf(Names, Value);
+            if (Parsed)
+              Field(Into) = *Parsed;
+            return Parsed.has_value();
           },
           [Field, &Names](Settings From) {
             return std::string(nameOf(Names, Field(From)));
--- a/test/Platform/FencedLeaseTest.cpp
+++ b/test/Platform/FencedLeaseTest.cpp
@@ -11,10 +11,10 @@
 
 namespace {
 
-FencedLeaseTiming shortTimes() { return {2s, 800ms, 300ms, 300ms, 100ms}; }
+FencedLeaseTiming shortTiming() { return {2s, 800ms, 300ms, 300ms, 100ms}; }
 
 template <typename Condition> bool eventually(Condition Holds) {
-  for (int Try = 0; Try < 1000; ++Try) {
+  for (int Attempt = 0; Attempt < 1000; ++Attempt) {
     if (Holds())
       return true;
     std::this_thread::sleep_for(10ms);
@@ -22,20 +22,20 @@
   return false;
 }
 
-/// Two holders, a store and an engine that ignores the number, on a clock of
-/// events. Holders are paused at any point: between tick and call, between
-/// answer and its handling, between the look at the lease and the order's
-/// arrival, the last for less than a successor waits.
-class LeaseWorld {
+/// Discrete-event simulation of two holders, a store and an engine that ignores
+/// the fencing number. Holders are paused at any point: between tick and call,
+/// between a response and its handling, and between the check of the lease and
+/// the arrival of the order, the latter for less than the takeover delay.
+class LeaseSimulation {
 public:
-  explicit LeaseWorld(std::uint64_t Seed) : Random(Seed) {
+  explicit LeaseSimulation(std::uint64_t Seed) : Random(Seed) {
     for (Holder &Each : this->Holders) {
       this->perform(Each, Each.State.handle(this->Now, LeaseWanted{}));
-      this->wake(Each);
+      this->tick(Each);
     }
   }
 
-  /// How many orders arrived.
+  /// Runs the simulation and returns the number of orders that arrived.
   std::size_t run(Duration Length) {
     const TimePoint End = this->Now + Length;
     while (!this->Queue.empty() && this->Queue.begin()->first < End) {
@@ -45,93 +45,94 @@
       RC_ASSERT(!(this->Holders[0].State.fencingNumber(this->Now) &&
                   this->Holders[1].State.fencingNumber(this->Now)));
     }
-    return this->Arrived;
+    return this->OrderCount;
   }
 
-  FencingNumber highest() const { return this->Highest; }
+  FencingNumber highestNumber() const { return this->HighestNumber; }
 
 private:
   static constexpr FencedLeaseTiming Times{20s, 8s, 10s, 4s, 2s};
 
   struct Holder {
     FencedLeaseState State{Times};
-    TimePoint AwakeFrom;
+    TimePoint PausedUntil;
   };
 
   Duration draw(Duration Limit) {
     return Duration(std::uniform_int_distribution<Duration::rep>(
         0, Limit.count() - 1)(this->Random));
   }
-  bool chance(int OneIn) { return this->Random() % OneIn == 0; }
+  bool oneIn(int N) { return this->Random() % N == 0; }
 
-  void later(Duration Wait, std::function<void()> Act) {
-    this->Queue.emplace(this->Now + Wait, std::move(Act));
+  void schedule(Duration Wait, std::function<void()> Task) {
+    this->Queue.emplace(this->Now + Wait, std::move(Task));
   }
 
-  /// Runs it at once, or when the holder is no longer paused.
-  void whenAwake(Holder &Who, std::function<void()> Act) {
-    if (this->Now >= Who.AwakeFrom)
-      Act();
+  /// Runs the function at once, or when the holder is no longer paused.
+  void runWhenAwake(Holder &H, std::function<void()> Task) {
+    if (this->Now >= H.PausedUntil)
+      Task();
     else
-      this->later(Who.AwakeFrom - this->Now, std::move(Act));
+      this->schedule(H.PausedUntil - this->Now, std::move(Task));
   }
 
-  void wake(Holder &Who) {
-    this->perform(Who, Who.State.handle(this->Now, LeaseTick{}));
-    if (const auto Number = Who.State.fencingNumber(this->Now))
-      this->later(this->draw(Times.TakeoverDelay),
-                  [this, Number] { this->arrive(*Number); });
-    if (this->chance(100))
-      Who.AwakeFrom = this->Now + this->draw(60s);
-    this->later(200ms, [this, &Who] {
-      this->whenAwake(Who, [&] { this->wake(Who); });
-    });
+  void tick(Holder &H) {
+    this->perform(H, H.State.handle(this->Now, LeaseTick{}));
+    if (const auto Number = H.State.fencingNumber(this->Now))
+      this->schedule(this->draw(Times.TakeoverDelay),
+                     [this, Number] { this->receiveOrder(*Number); });
+    if (this->oneIn(100))
+      H.PausedUntil = this->Now + this->draw(60s);
+    this->schedule(
+        200ms, [this, &H] { this->runWhenAwake(H, [&] { this->tick(H); }); });
   }
 
-  void arrive(FencingNumber Number) {
-    RC_ASSERT(Number >= this->Highest);
-    this->Highest = Number;
-    ++this->Arrived;
+  void receiveOrder(FencingNumber Number) {
+    RC_ASSERT(Number >= this->HighestNumber);
+    this->HighestNumber = Number;
+    ++this->OrderCount;
   }
 
-  void perform(Holder &Who, const std::vector<LeaseAction> &Actions) {
+  void perform(Holder &H, const std::vector<LeaseAction> &Actions) {
     for (const LeaseAction &Action : Actions) {
       const TimePoint SentAt = this->Now;
-      this->later(this->draw(1s), [this, &Who, Action, SentAt] {
-        const LeaseEvent Answer = this->effect(Who, Action, SentAt);
+      this->schedule(this->draw(1s), [this, &H, Action, SentAt] {
+        const LeaseEvent Response = this->executeAtStore(H, Action, SentAt);
         if (std::holds_alternative<ReleaseLease>(Action))
           return;
-        this->later(this->draw(1s), [this, &Who, Answer] {
-          this->whenAwake(Who, [this, &Who, Answer] {
-            this->perform(Who, Who.State.handle(this->Now, Answer));
+        this->schedule(this->draw(1s), [this, &H, Response] {
+          this->runWhenAwake(H, [this, &H, Response] {
+            this->perform(H, H.State.handle(this->Now, Response));
           });
         });
       });
     }
   }
 
-  LeaseEvent effect(Holder &Who, const LeaseAction &Action, TimePoint SentAt) {
-    if (this->Now >= this->Lapses)
+  LeaseEvent executeAtStore(Holder &H, const LeaseAction &Action,
+                            TimePoint SentAt) {
+    if (this->Now >= this->ExpiresAt)
       this->Owner = nullptr;
-    const bool Lost = this->chance(10);
+    const bool ResponseLost = this->oneIn(10);
     if (std::holds_alternative<ReleaseLease>(Action)) {
-      if (this->Owner == &Who && !Lost)
+      if (this->Owner == &H && !ResponseLost)
         this->Owner = nullptr;
       return LeaseTick{};
     }
-    const bool Acquire = std::holds_alternative<AcquireLease>(Action);
-    if (Acquire ? this->Owner != nullptr : this->Owner != &Who)
-      return Acquire ? LeaseEvent(LeaseAcquisitionFailed{})
-                     : LeaseEvent(LeaseExpired{});
-    this->Owner = &Who;
-    this->Lapses = this->Now + Times.Ttl;
-    if (Acquire)
-      ++this->Created;
-    if (Lost)
-      return Acquire ? LeaseEvent(LeaseAcquisitionFailed{})
-                     : LeaseEvent(LeaseRenewalFailed{});
-    return Acquire ? LeaseEvent(LeaseAcquired{this->Created, SentAt})
-                   : LeaseEvent(LeaseRenewed{SentAt});
+    const bool IsAcquire = std::holds_alternative<AcquireLease>(Action);
+    if (IsAcquire ? this->Owner != nullptr : this->Owner != &H)
+      return IsAcquire ? LeaseEvent(LeaseAcquisitionFailed{})
+                       : LeaseEvent(LeaseExpired{});
+    this->Owner = &H;
+    this->ExpiresAt = this->Now + Times.Ttl;
+    if (IsAcquire)
+      ++this->LastCreateRevision;
+    if (ResponseLost)
+      return IsAcquire ? LeaseEvent(LeaseAcquisitionFailed{})
+                       : LeaseEvent(LeaseRenewalFailed{});
+    return IsAcquire
+               ? LeaseEvent(LeaseAcquired{this->LastCreateRevision, SentAt})
+               : LeaseEvent(LeaseRenewed{SentAt});
   }
 
   std::mt19937_64 Random;
@@ -139,54 +140,53 @@
   std::multimap<TimePoint, std::function<void()>> Queue;
   Holder Holders[2];
   Holder *Owner = nullptr;
-  TimePoint Lapses;
-  FencingNumber Created = 0;
-  FencingNumber Highest = 0;
-  std::size_t Arrived = 0;
+  TimePoint ExpiresAt;
+  FencingNumber LastCreateRevision = 0;
+  FencingNumber HighestNumber = 0;
+  std::size_t OrderCount = 0;
 };
 
 } // namespace
 
-// Symptom: an engine obeys an order that is older than one it obeyed. Sequence:
-// pauses of both holders at any point, lost replies. Cause: a holder goes
-// on with a lease that is another's, or its successor begins too early. Failed
-// in one run each without the comparison with UsableUntil in
-// FencedLeaseState::usable (two users after 1 test), and without SuccessorWait
-// in UsableFrom (an older number arrived, after 2 tests).
-Test(FencedLease, ordersOfPausedHoldersArriveWithRisingNumbers) {
+// Guards against an engine that executes an order older than one it has already
+// executed. Both holders are paused at any point and responses are lost; the
+// failure occurs if a holder uses a lease that it has lost, or if the next
+// holder starts too early. Fails without the comparison with ValidUntil in
+// FencedLeaseState::fencingNumber, and without TakeoverDelay in ValidFrom.
+Test(FencedLease, ordersOfPausedHoldersArriveWithIncreasingNumbers) {
   setenv("RC_PARAMS", "seed=1 max_success=100", 0);
-  std::size_t Arrived = 0;
-  FencingNumber Highest = 0;
-  cr_assert(rc::check("numbers rise at the engine", [&] {
-    LeaseWorld World(*rc::gen::inRange<std::uint64_t>(0, 1'000'000));
-    Arrived += World.run(20min);
-    Highest = std::max(Highest, World.highest());
+  std::size_t OrderCount = 0;
+  FencingNumber HighestNumber = 0;
+  cr_assert(rc::check("numbers increase at the engine", [&] {
+    LeaseSimulation Simulation(*rc::gen::inRange<std::uint64_t>(0, 1'000'000));
+    OrderCount += Simulation.run(20min);
+    HighestNumber = std::max(HighestNumber, Simulation.highestNumber());
   }));
-  cr_assert_gt(Arrived, 1000U, "the run gave orders");
-  cr_assert_gt(Highest, 5, "the lease changed hands");
+  cr_assert_gt(OrderCount, 1000U, "the run sent orders");
+  cr_assert_gt(HighestNumber, 5, "the lease changed hands");
 }
 
-// Symptom: a server gets an order of a holder that lost its lease. Sequence: a
-// holder is paused past the life of its lease, another takes it, the first is
-// woken and still believes it holds it. Cause: it asks no clock. Fails without
-// the comparison with UsableUntil in FencedLeaseState::usable.
-Test(FencedLease, aPausedHolderGivesNoOrderAfterItWakes) {
+// Guards against orders of a holder that has lost its lease: a holder is paused
+// beyond the TTL of its lease, another process acquires the lease, and the
+// first holder resumes and still believes that it holds the lease. Fails
+// without the comparison with ValidUntil in FencedLeaseState::fencingNumber.
+Test(FencedLease, aPausedHolderSendsNoOrderAfterItResumes) {
   FencedLeaseState State({20s, 8s, 10s, 4s, 2s});
   TimePoint Now{1s};
   cr_assert_eq(State.handle(Now, LeaseWanted{}).size(), 1U);
   State.handle(Now + 1s, LeaseAcquired{7, Now});
-  cr_assert_not(State.fencingNumber(Now + 10s), "a successor must wait");
+  cr_assert_not(State.fencingNumber(Now + 10s), "a new holder must wait");
   cr_assert(State.fencingNumber(Now + 11s) == FencingNumber{7});
-  // The life counts from before the call was sent.
+  // The TTL counts from before the call was sent.
   cr_assert_not(State.fencingNumber(Now + 12s));
   cr_assert_not(State.fencingNumber(Now + 60s));
-  // A renewal answered too late does not bring it back.
+  // A response to a renewal that arrives too late does not restore the lease.
   const auto Actions = State.handle(Now + 60s, LeaseRenewed{Now + 59s});
   cr_assert(std::holds_alternative<ReleaseLease>(Actions.at(0)));
   cr_assert_not(State.fencingNumber(Now + 61s));
 }
 
-Test(FencedLease, renewalsExtendItAndFailuresLetItEnd) {
+Test(FencedLease, renewalsExtendItAndFailuresLetItExpire) {
   FencedLeaseState State({20s, 8s, 2s, 4s, 2s});
   TimePoint Now{1s};
   State.handle(Now, LeaseWanted{});
@@ -202,22 +202,22 @@
   cr_assert_not(State.fencingNumber(Now + 11s));
 }
 
-// Symptom: two routers give orders to one server. Sequence: both want its
-// lease; the holder loses the store; the lease lapses; the other takes it.
-// Cause: the holder goes on until the store tells it otherwise. Fails without
-// the margin in FencedLeaseState::extend.
-Test(FencedLease, neverHasTwoUsersAndItsNumbersRise) {
+// Guards against two routers that send orders to one server: both want its
+// lease, the holder loses the store, the lease expires, the other router
+// acquires it, and the first goes on until the store reports the loss. Fails
+// without the margin in FencedLeaseState::extendValidity.
+Test(FencedLease, neverHasTwoUsersAndItsNumbersIncrease) {
   standin::StoreStandIn Store({"127.0.0.1:0"});
   Store.start();
   const auto Budget =
       std::make_shared<StoreBudget>(1000, 1000, Clock::steady().now());
   const StoreSettings Client{Store.address(), 200ms, 500ms};
-  FencedLease A({"orders/s1", "a", shortTimes(), 1}, Client, Budget,
+  FencedLease A({"orders/s1", "a", shortTiming(), 1}, Client, Budget,
                 Clock::steady());
   A.setWanted(true);
   cr_assert(eventually([&] { return A.fencingNumber().has_value(); }));
   const FencingNumber First = *A.fencingNumber();
-  FencedLease B({"orders/s1", "b", shortTimes(), 2}, Client, Budget,
+  FencedLease B({"orders/s1", "b", shortTiming(), 2}, Client, Budget,
                 Clock::steady());
   B.setWanted(true);
   std::this_thread::sleep_for(500ms);
@@ -226,14 +226,14 @@
   Store.changeFaults([](auto &Faults) { Faults.Silent = true; });
   cr_assert(eventually([&] { return !A.fencingNumber().has_value(); }));
   cr_assert_eq(Store.peek("orders/").Entries.size(), 1U,
-               "the holder stops before the store lets the lease lapse");
+               "the holder stops before the lease expires in the store");
   Store.changeFaults([](auto &Faults) { Faults.Silent = false; });
   A.setWanted(false);
   cr_assert(eventually([&] {
-    const auto OfA = A.fencingNumber();
-    const auto OfB = B.fencingNumber();
-    cr_assert_not(OfA && OfB);
-    return OfB.has_value();
+    const auto NumberOfA = A.fencingNumber();
+    const auto NumberOfB = B.fencingNumber();
+    cr_assert_not(NumberOfA && NumberOfB);
+    return NumberOfB.has_value();
   }));
   cr_assert_gt(*B.fencingNumber(), First);
 }
--- a/test/Platform/RunRecordWriterTest.cpp
+++ b/test/Platform/RunRecordWriterTest.cpp
@@ -14,24 +14,24 @@
   Fixture() : Store({"127.0.0.1:0"}) { this->Store.start(); }
 
   std::unique_ptr<RunRecordWriter> writer(const std::string &Name,
-                                          Duration Patience = 5s,
-                                          Duration Deadline = 300ms) {
-    RunRecordSettings R;
-    R.WriterId = Name;
-    R.ClaimTimeout = Patience;
-    R.Seed = hashName(Name);
+                                          Duration ClaimTimeout = 5s,
+                                          Duration CallTimeout = 300ms) {
+    RunRecordSettings Settings;
+    Settings.WriterId = Name;
+    Settings.ClaimTimeout = ClaimTimeout;
+    Settings.Seed = hashName(Name);
     return std::make_unique<RunRecordWriter>(
-        R, StoreSettings{this->Store.address(), Deadline, 500ms}, this->Budget,
-        Clock::steady());
+        Settings, StoreSettings{this->Store.address(), CallTimeout, 500ms},
+        this->Budget, Clock::steady());
   }
 
   std::size_t records() const {
     return this->Store.peek("runs/records/").Entries.size();
   }
 
-  bool settles(std::size_t Wanted) const {
-    for (int Try = 0; Try < 500; ++Try) {
-      if (this->records() == Wanted)
+  bool reachesRecordCount(std::size_t Count) const {
+    for (int Attempt = 0; Attempt < 500; ++Attempt) {
+      if (this->records() == Count)
         return true;
       std::this_thread::sleep_for(20ms);
     }
@@ -55,17 +55,17 @@
 
 } // namespace
 
-Test(RunRecordWriter, givesARecordToOneClaimOnly) {
+Test(RunRecordWriter, grantsARecordToOneClaimOnly) {
   Fixture F;
   const auto A = F.writer("a");
   const auto B = F.writer("b");
   cr_assert(claim(*A, "k", "a1").get() == RunVerdict::Claimed);
   cr_assert(claim(*B, "k", "b1").get() == RunVerdict::TakenByOther);
   A->release(Account, "k", "a1");
-  cr_assert(F.settles(0));
+  cr_assert(F.reachesRecordCount(0));
   cr_assert(claim(*B, "k", "b2").get() == RunVerdict::Claimed);
   B->complete(Account, "k", "b2");
-  for (int Try = 0; Try < 500; ++Try) {
+  for (int Attempt = 0; Attempt < 500; ++Attempt) {
     if (F.Store.peek("runs/records/").Entries.at(0).Value == "done b2")
       break;
     std::this_thread::sleep_for(10ms);
@@ -74,10 +74,10 @@
   cr_assert(claim(*A, "k", "a2").get() == RunVerdict::TakenByOther);
 }
 
-// Symptom: forty requests are refused because a forty-first had run before.
-// Sequence: all are claimed in one transaction, one of them is taken. Cause:
-// the transaction fails as a whole.
-Test(RunRecordWriter, splitsABatchOfWhichOneIsTaken) {
+// Guards against refusing forty requests because one of them has run before:
+// all are claimed in one transaction, which fails as a whole if one record is
+// taken.
+Test(RunRecordWriter, splitsABatchWithOneTakenRecord) {
   Fixture F;
   const auto A = F.writer("a");
   const auto B = F.writer("b");
@@ -93,10 +93,11 @@
   cr_assert_leq(F.Store.calls(StoreCall::Transaction), 12U);
 }
 
-// Symptom: a request is refused as already run although it never ran, or runs
-// twice. Sequence: the store writes the record, its reply is lost. Cause: the
-// writer takes its own record for another's. Fails without isOwn in judge.
-Test(RunRecordWriter, recognisesItsOwnRecordAfterALostReply) {
+// Guards against a request that is refused as already run although it never
+// ran, or that runs twice: the store writes the record, the response is lost,
+// and the writer mistakes its own record for another's. Fails without isOwn in
+// RunRecordWriter::resolveClaims.
+Test(RunRecordWriter, recognisesItsOwnRecordAfterALostResponse) {
   Fixture F;
   const auto A = F.writer("a");
   cr_assert(claim(*A, "k0", "a0").get() == RunVerdict::Claimed);
@@ -105,11 +106,12 @@
   cr_assert_eq(F.records(), 2U);
 }
 
-// Symptom: a request told "not run" can never run again: its repeat is told
-// that it ran. Sequence: the write of the record takes effect, the reply is
-// lost, and the store stays silent beyond the patience. Cause: the record of a
-// claim that was given up stands. Fails without the settlement in dropLate.
-Test(RunRecordWriter, deletesTheRecordOfAClaimThatWasGivenUp) {
+// Guards against a request that was reported as not run but can never run,
+// because its retry finds a record: the write takes effect, the response is
+// lost, and the store stays silent beyond the claim timeout, so that the record
+// of the abandoned claim remains. Fails without the queued update in
+// RunRecordWriter::dropExpired.
+Test(RunRecordWriter, deletesTheRecordOfATimedOutClaim) {
   Fixture F;
   const auto A = F.writer("a", 600ms);
   const auto B = F.writer("b");
@@ -118,15 +120,15 @@
   cr_assert(claim(*A, "k", "a1").get() == RunVerdict::Unavailable);
   cr_assert_eq(F.records(), 2U);
   F.Store.changeFaults([](auto &Faults) { Faults.Stall = false; });
-  cr_assert(F.settles(1));
+  cr_assert(F.reachesRecordCount(1));
   cr_assert(claim(*B, "k", "b1").get() == RunVerdict::Claimed);
 }
 
-// Symptom: a request is refused for want of its record, a second after it came,
-// though the store is there. Sequence: the call that settles an earlier record
-// hangs on its way; the next claim comes behind it. Cause: that call's limit
-// was as long as the claim's. Fails without withinPatience: Unavailable.
-Test(RunRecordWriter, claimsARecordBehindASettlementThatHangs) {
+// Guards against a request that is refused as Unavailable after a second
+// although the store is reachable: the call that updates an earlier record
+// hangs in transit for as long as the claim timeout, and the next claim waits
+// for it. Fails without limitCallTimeout.
+Test(RunRecordWriter, claimsARecordWhileAnUpdateHangs) {
   Fixture F;
   const auto A = F.writer("a", 1s, 1s);
   cr_assert(claim(*A, "k0", "a0").get() == RunVerdict::Claimed);
@@ -136,17 +138,18 @@
   });
   const auto Before = F.Store.calls(StoreCall::Transaction);
   A->complete(Account, "k0", "a0");
-  for (int Try = 0;
-       Try < 200 && F.Store.calls(StoreCall::Transaction) == Before; ++Try)
+  for (int Attempt = 0;
+       Attempt < 200 && F.Store.calls(StoreCall::Transaction) == Before;
+       ++Attempt)
     std::this_thread::sleep_for(5ms);
   cr_assert(claim(*A, "k", "a1").get() == RunVerdict::Claimed);
 }
 
-// Symptom: as above, some time after the store had returned. Sequence: the
-// claim's write hangs on its way; it is given up, the writer finds no record
-// and has nothing to delete; then the write arrives. Cause: nothing stops a
-// write that is under way. Fails without the guard among the conditions.
-Test(RunRecordWriter, stopsAWriteThatArrivesAfterItWasGivenUp) {
+// Guards against a record written by an abandoned attempt, which makes a
+// request that never ran look as if it had run: the claim's write hangs in
+// transit, the writer gives it up, finds no record to delete, and then the
+// write arrives. Fails without the guard key among the conditions.
+Test(RunRecordWriter, blocksAWriteThatArrivesAfterItsRetry) {
   Fixture F;
   const auto A = F.writer("a", 400ms, 150ms);
   cr_assert(claim(*A, "k0", "a0").get() == RunVerdict::Claimed);
@@ -155,19 +158,19 @@
     Faults.LateMs = 1500;
     Faults.LoseRequests = 0;
   });
-  // The first try hangs on the way; the repeat under a new guard succeeds, and
-  // its release leaves room for the late write.
+  // The first attempt hangs in transit. The retry with a new guard revision
+  // succeeds, and after its release the late write finds no record.
   cr_assert(claim(*A, "k", "a1").get() == RunVerdict::Claimed);
   A->release(Account, "k", "a1");
-  cr_assert(F.settles(1));
+  cr_assert(F.reachesRecordCount(1));
   std::this_thread::sleep_for(2s);
   cr_assert_eq(F.records(), 1U);
 }
 
-// Symptom: two routers run the same request. Sequence: many writers claim the
-// same keys while replies and requests are lost at random. Cause: a verdict is
+// Guards against two routers that run the same request: many writers claim the
+// same keys while requests and responses are lost at random, and a verdict is
 // given without certainty.
-Test(RunRecordWriter, neverTellsTwoThatTheyClaimed) {
+Test(RunRecordWriter, neverGrantsARecordToTwoClaims) {
   Fixture F;
   std::vector<std::unique_ptr<RunRecordWriter>> Writers;
   Writers.reserve(4);
@@ -195,9 +198,9 @@
   cr_assert_geq(Claimed, 25);
 }
 
-// Guards against requests that were told "not run" and cannot be repeated: the
-// process ended before their records were released.
-Test(RunRecordWriter, settlesWhatWaitsAsTheProcessEnds) {
+// Guards against requests that were reported as not run and cannot be retried,
+// because the process ended before their records were released.
+Test(RunRecordWriter, flushesPendingUpdatesAtShutdown) {
   Fixture F;
   auto A = F.writer("a");
   std::vector<std::future<RunVerdict>> All;
@@ -210,19 +213,19 @@
   for (int Index = 0; Index < 200; ++Index)
     A->release(Account, "k" + std::to_string(Index), "a");
   A.reset();
-  cr_assert_eq(F.records(), 0U, "%zu records stand", F.records());
+  cr_assert_eq(F.records(), 0U, "%zu records remain", F.records());
 }
 
-// Guards against a process that does not end since the store is away.
-Test(RunRecordWriter, endsWithoutTheStore) {
+// Guards against a process that does not exit while the store is unreachable.
+Test(RunRecordWriter, shutsDownWithoutTheStore) {
   Fixture F;
   auto A = F.writer("a");
   cr_assert(claim(*A, "k", "a1").get() == RunVerdict::Claimed);
   F.Store.changeFaults([](auto &Faults) { Faults.Stall = true; });
   A->release(Account, "k", "a1");
   const Clock Time = Clock::steady();
-  const TimePoint Begun = Time.now();
+  const TimePoint StartedAt = Time.now();
   A.reset();
-  cr_assert_lt((Time.now() - Begun).count(), Duration(5s).count());
+  cr_assert_lt((Time.now() - StartedAt).count(), Duration(5s).count());
   F.Store.changeFaults([](auto &Faults) { Faults.Stall = false; });
 }
--- a/test/Platform/StoreClientTest.cpp
+++ b/test/Platform/StoreClientTest.cpp
@@ -33,19 +33,19 @@
   cr_assert_eq(Read->Entries[0].Value.size(), 3U);
   cr_assert_eq(Read->Entries[0].ModRevision, *Written);
   cr_assert_eq(Read->Entries[0].CreateRevision, *Written);
-  const auto Lost = F.Client->commit(
+  const auto Failed = F.Client->commit(
       {{keyAbsent("a/1")}, {putKey("a/1", "z")}, {readKey("a/1")}});
-  cr_assert(Lost.has_value());
-  cr_assert_not(Lost->Succeeded);
-  cr_assert_eq(Lost->Reads.at(0).Entries.at(0).Value.size(), 3U);
-  const auto Won = F.Client->commit(
+  cr_assert(Failed.has_value());
+  cr_assert_not(Failed->Succeeded);
+  cr_assert_eq(Failed->Reads.at(0).Entries.at(0).Value.size(), 3U);
+  const auto Swapped = F.Client->commit(
       {{keyModRevisionIs("a/1", *Written)}, {putKey("a/1", "z")}, {}});
-  cr_assert(Won.has_value() && Won->Succeeded);
+  cr_assert(Swapped.has_value() && Swapped->Succeeded);
   cr_assert_eq(F.Client->getPrefix("a/")->Entries.at(0).Value, "z");
   cr_assert_eq(F.Client->getPrefix("a/", true)->Entries.at(0).Value, "");
 }
 
-Test(StoreClient, leasesTakeTheirKeysWithThem) {
+Test(StoreClient, deletesTheKeysOfAnEndedLease) {
   Fixture F;
   const auto Lease = F.Client->grantLease(60s);
   cr_assert(Lease.has_value());
@@ -59,24 +59,25 @@
                ErrorCode::NotFound);
 }
 
-// Symptom: a write that took effect is taken for one that did not.
-// Sequence: the store performs the write and the connection breaks before its
-// answer. Cause: every broken call is told apart only by whether it failed.
-Test(StoreClient, tellsALostReplyFromACallThatNeverLeft) {
+// Guards against treating a write that took effect as one that did not: the
+// store performs the write, and the connection breaks before the response. The
+// error must differ from that of a call that was never sent.
+Test(StoreClient, distinguishesALostResponseFromAnUnsentCall) {
   Fixture F;
   F.Store.changeFaults([](auto &Faults) { Faults.LoseReplies = 1; });
   const auto Lost = F.Client->put("k", "v");
   cr_assert_eq(Lost.error().Code, ErrorCode::Interrupted);
   cr_assert_eq(F.Client->get("k")->Entries.size(), 1U);
-  StoreClient Nowhere({"127.0.0.1:1", 300ms, 500ms}, F.Budget, Clock::steady());
-  cr_assert_eq(Nowhere.put("k", "v").error().Code, ErrorCode::Unreachable);
+  StoreClient Unconnected({"127.0.0.1:1", 300ms, 500ms}, F.Budget,
+                          Clock::steady());
+  cr_assert_eq(Unconnected.put("k", "v").error().Code, ErrorCode::Unreachable);
 }
 
-// Symptom: every call fails for minutes though the store is well. Sequence:
-// something between the ends forgets the open connection; new ones work.
-// Cause: the client keeps a connection on which a call got no answer. Fails
-// without the reset of the connection in StoreClient::call.
-Test(StoreClient, replacesAConnectionThatWentSilent) {
+// Guards against calls that fail for minutes although the store is healthy: a
+// middlebox forgets the open connection while new ones work, and the client
+// keeps using the connection on which a call timed out. Fails without the reset
+// of the connection in StoreConnection::call.
+Test(StoreClient, replacesASilentConnection) {
   Fixture F;
   cr_assert(F.Client->put("k", "v").has_value());
   F.Store.changeFaults([](auto &Faults) { Faults.SilentExisting = true; });
@@ -96,7 +97,7 @@
   cr_assert_eq(Small->callCount(StoreCall::Range), 2U);
 }
 
-Test(StoreClient, refusesWhileTheStoreRefusesAndReturnsAfterAnOutage) {
+Test(StoreClient, reportsRefusalsAndRecoversAfterAnOutage) {
   Fixture F;
   F.Store.changeFaults([](auto &Faults) { Faults.CallsPerSecond = 1; });
   (void)F.Client->get("k");
@@ -106,12 +107,13 @@
     Faults.CallsPerSecond = 0;
     Faults.AwayMs = 300;
   });
-  for (int Try = 0; Try < 100 && F.Client->get("k").has_value(); ++Try)
+  for (int Attempt = 0; Attempt < 100 && F.Client->get("k").has_value();
+       ++Attempt)
     std::this_thread::sleep_for(5ms);
-  bool Back = false;
-  for (int Try = 0; Try < 200 && !Back; ++Try) {
+  bool Recovered = false;
+  for (int Attempt = 0; Attempt < 200 && !Recovered; ++Attempt) {
     std::this_thread::sleep_for(20ms);
-    Back = F.Client->get("k").has_value();
+    Recovered = F.Client->get("k").has_value();
   }
-  cr_assert(Back);
+  cr_assert(Recovered);
 }
--- a/test/Platform/StoreConnectionTest.cpp
+++ b/test/Platform/StoreConnectionTest.cpp
@@ -14,48 +14,49 @@
 
 using Socket = Poco::Net::StreamSocket;
 
-constexpr const char *Whole = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\n";
+constexpr const char *ResponseHead =
+    "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\n";
 
-/// A store that answers the first call with "told" and a text behind it, ends
-/// the connection a moment later where the test wants it, and answers one call
-/// on a second connection with "next".
+/// A store that answers the first call with "told" followed by some trailing
+/// text, closes the connection afterwards if the test asks for it, and answers
+/// one call on a second connection with "next".
 class TwoCallStore {
 public:
-  TwoCallStore(std::string TextBehind, bool Ends)
-      : Listening(Poco::Net::SocketAddress("127.0.0.1:0")),
-        Worker([this, Behind = std::move(TextBehind), Ends] {
-          Socket First = this->Listening.acceptConnection();
-          answer(First, std::string(Whole) + "told" + Behind);
-          if (Ends)
+  TwoCallStore(std::string TrailingText, bool Closes)
+      : Listener(Poco::Net::SocketAddress("127.0.0.1:0")),
+        Worker([this, Trailing = std::move(TrailingText), Closes] {
+          Socket First = this->Listener.acceptConnection();
+          respond(First, std::string(ResponseHead) + "told" + Trailing);
+          if (Closes)
             First.close();
-          if (!this->Listening.poll(Poco::Timespan(2, 0), Socket::SELECT_READ))
+          if (!this->Listener.poll(Poco::Timespan(2, 0), Socket::SELECT_READ))
             return;
-          Socket Second = this->Listening.acceptConnection();
-          answer(Second, std::string(Whole) + "next");
+          Socket Second = this->Listener.acceptConnection();
+          respond(Second, std::string(ResponseHead) + "next");
         }) {}
 
   ~TwoCallStore() { this->Worker.join(); }
   TwoCallStore(const TwoCallStore &) = delete;
   TwoCallStore &operator=(const TwoCallStore &) = delete;
 
-  std::string address() const { return this->Listening.address().toString(); }
+  std::string address() const { return this->Listener.address().toString(); }
 
 private:
-  static void answer(Socket &On, const std::string &Text) {
-    std::array<char, 4096> Piece{};
+  static void respond(Socket &Connection, const std::string &Text) {
+    std::array<char, 4096> Buffer{};
     try {
-      if (On.receiveBytes(Piece.data(), Piece.size()) > 0)
-        On.sendBytes(Text.data(), static_cast<int>(Text.size()));
+      if (Connection.receiveBytes(Buffer.data(), Buffer.size()) > 0)
+        Connection.sendBytes(Text.data(), static_cast<int>(Text.size()));
     } catch (const Poco::Exception &) {
-      // The client has left.
+      // The client has disconnected.
     }
   }
 
-  Poco::Net::ServerSocket Listening;
+  Poco::Net::ServerSocket Listener;
   std::thread Worker;
 };
 
-/// Makes two calls, a moment apart; what the second one got.
+/// Makes two calls with a pause in between and returns the second result.
 Result<StoreResponse> secondOfTwo(const std::string &Address) {
   StoreConnection Store(Address, 10s, Clock::steady());
   const auto First = Store.call({"GET", "/a", ""}, 1s);
@@ -67,19 +68,19 @@
 
 } // namespace
 
-// Guards against a call over a connection that the store has ended: it fails,
-// and whether it took effect is not known.
-Test(StoreConnection, aConnectionThatTheStoreHasEndedIsReplaced) {
+// Guards against a call over a connection that the store has closed: the call
+// would fail, and it would not be known whether it took effect.
+Test(StoreConnection, aConnectionThatTheStoreHasClosedIsReplaced) {
   TwoCallStore Store("", true);
   const auto Second = secondOfTwo(Store.address());
   cr_assert(Second.has_value(), "%s", Second.error().Message.c_str());
   cr_assert_eq(Second->Body, "next");
 }
 
-// Guards against an answer that is taken for the next call's: it came together
-// with the end of the one before.
-Test(StoreConnection, whatCameBehindAnAnswerIsNotTheNextOne) {
-  TwoCallStore Store(std::string(Whole) + "late", false);
+// Guards against taking data that arrived together with the end of one response
+// for the response to the next call.
+Test(StoreConnection, dataAfterAResponseIsNotTheNextResponse) {
+  TwoCallStore Store(std::string(ResponseHead) + "late", false);
   const auto Second = secondOfTwo(Store.address());
   cr_assert(Second.has_value(), "%s", Second.error().Message.c_str());
   cr_assert_eq(Second->Body, "next", "got %s", Second->Body.c_str());
--- a/test/Program/CallerMetricsTest.cpp
+++ b/test/Program/CallerMetricsTest.cpp
@@ -12,12 +12,12 @@
 
 } // namespace
 
-// What the front counts, and the times that it observes, stand in the text.
+// The counters of the caller server and the observed times are rendered.
 Test(CallerMetrics, ShowsCountersAndTimesOfRequests) {
   ControlLoop Control(Clock::steady(), RouterCoreSettings{});
-  Metrics Measured;
+  Metrics Registry;
   CallerServer Callers(CallerSettings{}, Control, "1");
-  addCallerMetrics(Measured, Callers);
+  addCallerMetrics(Registry, Callers);
   Callers.context().Counters.ConnectionsOpen = 3;
   Callers.context().Counters.countProblem(ProblemType::UnknownKey);
   RequestTiming Refused;
@@ -27,7 +27,7 @@
   Served.FirstToken = std::chrono::milliseconds(2);
   Callers.context().Timings(Refused);
   Callers.context().Timings(Served);
-  const std::string Text = Measured.render();
+  const std::string Text = Registry.render();
   cr_assert(hasLine(Text, "parsleywing_caller_connections_open 3"));
   cr_assert(hasLine(
       Text, "parsleywing_caller_problems_total{type=\"unknown-key\"} 1"));
--- a/test/Program/DeclarationsUpdaterTest.cpp
+++ b/test/Program/DeclarationsUpdaterTest.cpp
@@ -18,22 +18,23 @@
          "\n";
 }
 
-/// A file as sections by name, edited in place.
+/// A declarations file as sections by name.
 using Sections = std::map<std::string, std::string>;
 
-bool chance(int OneIn) { return *rc::gen::inRange(0, OneIn) == 0; }
+bool oneIn(int N) { return *rc::gen::inRange(0, N) == 0; }
 
-/// Small numbers, so that keys clash and services are missing now and then.
+/// Makes a random edit. The numbers are small, so that sometimes keys clash and
+/// services are missing.
 void edit(Sections &File) {
   const std::string Name = *rc::gen::element<std::string>("k", "l", "m", "n");
-  if (chance(4))
+  if (oneIn(4))
     File.erase(Name);
   else
-    File[Name] = sectionOf(Name, *rc::gen::inRange(0, 20), chance(20) ? 0 : 1,
-                           chance(15) ? "a, b" : "a");
-  if (chance(12) && !File.erase("b"))
+    File[Name] = sectionOf(Name, *rc::gen::inRange(0, 20), oneIn(20) ? 0 : 1,
+                           oneIn(15) ? "a, b" : "a");
+  if (oneIn(12) && !File.erase("b"))
     File["b"] = "[service b]\nservers = s\n";
-  if (chance(20) && !File.erase("odd"))
+  if (oneIn(20) && !File.erase("odd"))
     File["odd"] = "[ account k ]\n" + sectionOf("", 30, 1, "a").substr(11);
 }
 
@@ -47,48 +48,49 @@
 
 } // namespace
 
-// Symptom: a router's declarations differ from the text in force.
-// Sequence: any edits, valid or not, one after the other; some are passed over
-// since newer ones wait; holders let go of declarations early or late.
-// Cause: a change was made on the wrong base, or not checked like the whole.
-// Fails with any of five checks taken out; docs/CONFIGURATION.md lists them.
-Test(DeclarationsUpdater, ChangesGiveWhatAWholeReadGives) {
+// Guards against declarations that differ from the active text: valid and
+// invalid edits follow each other, some are skipped because newer ones are
+// queued, and declarations are released early or late. A change applied to the
+// wrong base, or validated less strictly than a complete text, would make a
+// difference. Fails if any of five checks is removed; docs/CONFIGURATION.md
+// lists them.
+Test(DeclarationsUpdater, UpdatesEqualCompleteParsing) {
   std::uint64_t InPlace = 0;
-  const bool Holds = rc::check("changes give what a whole read gives", [&] {
+  const bool Holds = rc::check("updates equal complete parsing", [&] {
     DeclarationsUpdater Updater;
     ConfigurationText Text;
-    std::vector<DeclarationsPtr> Held;
-    /// What somebody still holds, and a copy made when it was in force.
-    std::vector<std::pair<Declarations, DeclarationsPtr>> Kept;
-    bool Follows = true;
+    std::vector<DeclarationsPtr> Referenced;
+    /// Declarations that are still referenced, each with a copy made earlier.
+    std::vector<std::pair<Declarations, DeclarationsPtr>> Copies;
+    bool FollowsLast = true;
     Sections File;
     const int Edits = *rc::gen::inRange(1, 25);
     for (int Edit = 1; Edit <= Edits; ++Edit) {
       edit(File);
       const ConfigurationText Next(textOf(File));
-      const PutInForce Put{static_cast<std::uint64_t>(Edit),
-                           std::make_shared<const std::string>(Next.whole()),
-                           Text.deltaTo(Next)};
+      const PutInForce Change{static_cast<std::uint64_t>(Edit),
+                              std::make_shared<const std::string>(Next.whole()),
+                              Text.deltaTo(Next)};
       Text = Next;
-      if (chance(10)) {
-        Follows = false;
+      if (oneIn(10)) {
+        FollowsLast = false;
         continue;
       }
-      const auto Made = Updater.update(Put, Follows);
-      Follows = true;
-      auto Whole = parseDeclarations(*Put.Text, "whole");
-      RC_ASSERT(Made.has_value() == Whole.has_value());
-      if (!Made)
+      const auto Updated = Updater.update(Change, FollowsLast);
+      FollowsLast = true;
+      auto Complete = parseDeclarations(*Change.Text, "whole");
+      RC_ASSERT(Updated.has_value() == Complete.has_value());
+      if (!Updated)
         continue;
-      Whole->Generation = Put.Generation;
-      RC_ASSERT(**Made == *Whole);
-      Held.push_back(*Made);
-      if (Held.size() > 1 && !chance(4))
-        Held.erase(Held.begin(), Held.end() - 1);
-      Kept.emplace_back(*Held.front(), Held.front());
-      if (!chance(3))
-        Kept.clear();
-      for (const auto &[Copy, Old] : Kept)
+      Complete->Generation = Change.Generation;
+      RC_ASSERT(**Updated == *Complete);
+      Referenced.push_back(*Updated);
+      if (Referenced.size() > 1 && !oneIn(4))
+        Referenced.erase(Referenced.begin(), Referenced.end() - 1);
+      Copies.emplace_back(*Referenced.front(), Referenced.front());
+      if (!oneIn(3))
+        Copies.clear();
+      for (const auto &[Copy, Old] : Copies)
         RC_ASSERT(Copy == *Old);
     }
     InPlace += Updater.inPlaceUpdates();
