--- a/src/Gateway/AllocationAgent.cpp
+++ b/src/Gateway/AllocationAgent.cpp
@@ -57,9 +57,9 @@
 AllocationAgent::AllocationAgent(EventLoop &L, RouterExchange &R,
                                  std::uint64_t P, const WarmUpBounds &WarmUps,
                                  Metrics &M)
-    : Loop(L), Routers(R), Process(P), Counters(M), Sole(R.self()) {
+    : Loop(L), Routers(R), Process(P), Counters(M), Ownership(R.self()) {
   this->LocalAllocator.setWarmUpPolicy(WarmUps, [this](std::uint64_t Server) {
-    return this->Sole.owns(Server, this->BootClock.now());
+    return this->Ownership.owns(Server, this->BootClock.now());
   });
 }
 
@@ -71,7 +71,7 @@
 }
 
 void AllocationAgent::updateView(const FleetView &View) {
-  this->Sole.updateView(View, this->Groups, this->BootClock.now());
+  this->Ownership.updateView(View, this->Groups, this->BootClock.now());
 }
 
 void AllocationAgent::request(AllocationRequest Ask, Callback Told) {
@@ -187,7 +187,7 @@
   const auto Found = this->ActiveAttempts.find(Id);
   if (Found == this->ActiveAttempts.end())
     return;
-  Found->second.Work.PrefillTokens = 0;
+  Found->second.Load.PrefillTokens = 0;
   this->sendTo(Found->second.Allocator, GrantStarted{Id});
 }
 
@@ -206,9 +206,9 @@
   for (auto &[Id, Send] : this->ActiveAttempts) {
     Send.Allocator = this->Routers.firstFor(Send.Service);
     this->sendTo(Send.Allocator,
-                 GrantActive{Id, Send.Server, Send.Work.PrefillTokens,
-                             Send.Work.OutputTokens,
-                             Send.Work.ServerStartedMs});
+                 GrantActive{Id, Send.Server, Send.Load.PrefillTokens,
+                             Send.Load.OutputTokens,
+                             Send.Load.ServerStartedMs});
   }
   this->Loop.after(TellInterval, [this] { this->reportActiveAttempts(); });
 }
--- a/src/Gateway/AllocationAgent.h
+++ b/src/Gateway/AllocationAgent.h
@@ -15,18 +15,18 @@
 
 using AllocationReply = std::variant<AllocationGrant, AllocationRefusal>;
 
-/// What became of an ask, and who decided it.
+/// The result of an allocation request, and the allocator that decided it.
 struct AllocationOutcome {
   AllocationReply Reply;
   std::string Allocator;
-  /// From the ask to the answer.
+  /// From the allocation request to its reply.
   Duration WaitTime{};
-  /// A grant to a server that warms up: not sent later than this, on the clock
-  /// that counts suspended time.
+  /// For a server that warms up: the latest time at which the grant may be
+  /// used, on the boot-time clock.
   std::optional<TimePoint> SendDeadline{};
 };
 
-/// Counts of the agent's messages and decisions.
+/// Counts of the agent's requests and their outcomes.
 struct AllocationCounters {
   explicit AllocationCounters(Metrics &Into);
 
@@ -38,63 +38,67 @@
   Counter &LateWarmUpGrants;
 };
 
-/// Asks the allocator of a service for a server and tells it how sends go; and
-/// is the allocator itself for the services that fall to this router. The
-/// allocator is the first live router in the service's rendezvous order, so all
-/// routers find it without a word. Messages are datagrams, sent again until
-/// they are answered; where nothing answers, the next router in the order is
-/// asked from then on, and at last this one is the allocator of its own
-/// requests. No request goes round an allocator: a router that is slow to read
-/// the answers would else send a flood straight to the engines.
+/// Requests servers from the allocator of a service and reports the progress of
+/// attempts to it. Also runs the allocator for the services that belong to this
+/// router.
 ///
-/// Belongs to the loop's thread.
+/// The allocator is the first live router in the service's rendezvous order, so
+/// all routers agree on it without communication. Messages are datagrams and
+/// are resent until they are answered. If an allocator does not answer, the
+/// next router in the order is used, and finally this router allocates for its
+/// own requests. No request bypasses allocation: otherwise a router that is
+/// slow to read the replies would send a flood directly to the engines.
+///
+/// Used on the event loop's thread only.
 class AllocationAgent {
 public:
   using Callback = std::function<void(const AllocationOutcome &)>;
 
-  /// `Process` tells this process from earlier ones of the router's name.
+  /// `Process` distinguishes this process from earlier ones of the same router
+  /// name.
   AllocationAgent(EventLoop &L, RouterExchange &R, std::uint64_t Process,
                   const WarmUpBounds &WarmUps, Metrics &M);
   AllocationAgent(const AllocationAgent &) = delete;
   AllocationAgent &operator=(const AllocationAgent &) = delete;
 
-  /// Tells of this router's requests from now on.
+  /// Starts the periodic reports of active attempts.
   void start() { this->reportActiveAttempts(); }
 
-  /// Servers or configuration have changed.
+  /// Must be called when servers or configuration have changed.
   void setServers(const FleetView &View);
-  /// Each new view, behind `setServers`.
+  /// Must be called with each new view, after `setServers`.
   void updateView(const FleetView &View);
 
   CorrelationId newId() { return {this->Process, ++this->LastNumber}; }
 
-  /// Asks; `Told` is called once, perhaps before this returns. The identity is
-  /// one of `newId`.
-  void request(AllocationRequest Ask, Callback Told);
-  /// An ask that was not answered yet is over.
+  /// Requests a server. `OnOutcome` is called once, possibly before this
+  /// returns. The request's identity must come from `newId`.
+  void request(AllocationRequest Request, Callback OnOutcome);
+  /// Cancels an allocation request that has no reply yet.
   void cancel(const CorrelationId &Id);
 
-  /// A request was sent to a server, whoever chose it.
+  /// A request was sent to a server, with or without an allocator's grant.
   void onAttemptSent(const CorrelationId &Id, std::uint64_t Service,
-                     std::uint64_t Server, const AttemptLoad &Work);
-  /// The server has begun to answer.
+                     std::uint64_t Server, const AttemptLoad &Load);
+  /// The server has started its response.
   void onAttemptStarted(const CorrelationId &Id);
   void onAttemptEnded(const CorrelationId &Id, ServerVerdict Verdict);
 
   const Allocator &allocator() const { return this->LocalAllocator; }
-  /// A grant to a server that warms up has come too late to be used.
+  /// Counts a grant for a server that warms up which arrived too late for use.
   void recordLateGrant() { this->Counters.LateWarmUpGrants.add(); }
 
-  /// Called with each server whose cache the local allocator knows nothing of.
-  void onUnknownCache(std::function<void(std::uint64_t Server)> Ask) {
-    this->OnUnknownCache = std::move(Ask);
+  /// Sets the callback for servers whose cache content is unknown to the local
+  /// allocator.
+  void onUnknownCache(std::function<void(std::uint64_t Server)> Handler) {
+    this->OnUnknownCache = std::move(Handler);
   }
-  void recordCached(std::uint64_t Server, const CachedParts &Told) {
-    this->LocalAllocator.recordCached(Server, Told);
+  void recordCached(std::uint64_t Server, const CachedParts &Parts) {
+    this->LocalAllocator.recordCached(Server, Parts);
   }
 
-  /// A message of another router, or of this one's own allocator (then without
-  /// an address).
+  /// Handles a message of another router, or of the local allocator, which has
+  /// no address.
   void onMessage(const RouterMessage &Message,
                  const Poco::Net::SocketAddress &From);
 
@@ -104,15 +108,15 @@
     Callback OnOutcome;
     std::string Allocator;
     TimePoint RequestedAt{};
-    /// When the present allocator was first asked, on the clock that counts
-    /// suspended time.
+    /// When the request was first sent to the current allocator, on the
+    /// boot-time clock.
     TimePoint FirstSentAt{};
     TimerId Timer = 0;
     TimePoint TimerDueAt{};
-    /// Times that it was sent to this allocator.
+    /// Number of transmissions to the current allocator.
     int SendCount = 0;
     int UnansweredCount = 0;
-    /// Allocators that did not answer.
+    /// Number of allocators that did not answer.
     int SkippedAllocators = 0;
     bool Queued = false;
   };
@@ -120,19 +124,19 @@
   struct ActiveAttempt {
     std::uint64_t Service = 0;
     std::uint64_t Server = 0;
-    AttemptLoad Work;
+    AttemptLoad Load;
     std::string Allocator;
   };
 
-  void sendRequest(PendingRequest &Asked);
+  void sendRequest(PendingRequest &Pending);
   void onRequestTimer(const CorrelationId &Id);
-  void complete(const CorrelationId &Id, const AllocationReply &Answer);
+  void complete(const CorrelationId &Id, const AllocationReply &Reply);
 
   void sendTo(const std::string &Router, RouterMessage Message);
   void scheduleAllocator();
   void runAllocator();
   void deliverLocalReplies();
-  void logRefusal(const AllocationRefusal &Refused) const;
+  void logRefusal(const AllocationRefusal &Refusal) const;
   void release(const CorrelationId &Id,
                const Poco::Net::SocketAddress &Allocator);
   void reportActiveAttempts();
@@ -143,10 +147,11 @@
   AllocationCounters Counters;
   ServerGroups Groups;
   Clock BootClock = Clock::sinceBoot();
-  ServerOwnership Sole;
+  ServerOwnership Ownership;
   Allocator LocalAllocator;
   std::function<void(std::uint64_t)> OnUnknownCache;
-  /// Where the processes that asked here are.
+  /// Addresses of the router processes that sent requests to the local
+  /// allocator.
   std::map<std::uint64_t, Poco::Net::SocketAddress> Requesters;
   std::map<CorrelationId, PendingRequest> PendingRequests;
   std::map<CorrelationId, ActiveAttempt> ActiveAttempts;
--- a/src/Gateway/CrashDetector.h
+++ b/src/Gateway/CrashDetector.h
@@ -17,75 +17,80 @@
 
 namespace parsleywing {
 
-/// Finds out which servers have crashed with requests of this router in hand,
-/// and tells all routers of those requests, so that a request that crashes each
-/// server it is sent to is refused by all of them behind the third.
+/// Detects servers that crashed with requests of this router in flight, and
+/// reports those requests to all routers. A request that crashes every server
+/// it is sent to is refused by the whole fleet after the third crash.
 ///
-/// A connection that breaks or falls silent proves nothing: it may have been
-/// reset or lost on its way. The router connects to the server once more. Where
-/// that is refused, its process is gone; where it is taken twice, the process
-/// lives. Where neither comes, a later start or the end of its entry within
-/// some seconds tells the same. A server that leaves, or is not listed any
-/// more, may end at any time, and its end speaks against nobody.
+/// A broken or silent connection is no evidence: it may have been reset, or
+/// packets lost. The router therefore opens another connection to the server.
+/// If that is refused, the process has ended; if two are accepted in a row, the
+/// process is alive. If neither happens, a later process start or the end of
+/// the server's entry within some seconds is evidence of a crash. A draining or
+/// unlisted server may stop at any time, so its end counts against no request.
 ///
-/// News go to all routers at once, and to one after the other again and again,
-/// which makes up for lost datagrams and for routers that were cut off. One
-/// that begins asks some of the others.
+/// Facts are broadcast once, and then gossiped to one router at a time, which
+/// makes up for lost datagrams and for routers that were disconnected. A router
+/// that starts requests the facts known to some of the others.
 ///
-/// Belongs to the loop's thread.
+/// Used on the event loop's thread only.
 class CrashDetector {
 public:
-  /// `Number` tells this process from earlier ones of the router's name.
-  CrashDetector(EventLoop &L, RouterExchange &R, std::uint64_t Number,
+  /// `Process` distinguishes this process from earlier ones of the same router
+  /// name.
+  CrashDetector(EventLoop &L, RouterExchange &R, std::uint64_t Process,
                 Metrics &M);
   CrashDetector(const CrashDetector &) = delete;
   CrashDetector &operator=(const CrashDetector &) = delete;
 
-  /// `Refused` is called whenever requests that are in hand may have become
-  /// refused ones.
-  void start(std::function<void()> Refused);
+  /// `OnRefused` is called whenever requests in flight may have become refused
+  /// ones.
+  void start(std::function<void()> OnRefused);
 
-  /// How a send ended that got no whole answer.
+  /// Why an attempt ended without a complete response.
   enum class AttemptEnd { Broken, Silent };
 
-  /// A send ended without a whole answer while its server had it in hand.
-  /// `StartedMs` is the start of the process that it was sent to, `Server` the
-  /// server as it is listed now; null where it is not.
+  /// An attempt ended without a complete response while the request was in
+  /// flight at its server. `StartedMs` is the start time of the process that
+  /// the request was sent to; `Server` is the server as listed now, or null if
+  /// it is not listed.
   void onAttemptLost(const RequestIdentity &Request,
                      const GatewayServer *Server, std::int64_t StartedMs,
-                     AttemptEnd How);
-  /// Calls once it is known whether this server's process has crashed, or will
-  /// not be known soon: at once where that is not being looked at.
-  void afterCheck(const ServerProcess &Broken, std::function<void()> Then);
+                     AttemptEnd End);
+  /// Calls `Then` once the first check of the server's process has ended,
+  /// conclusive or not; at once if no check is running.
+  void afterCheck(const ServerProcess &Process, std::function<void()> Then);
 
-  /// The request got its whole answer.
+  /// The request has received a complete response.
   void onCompleted(const RequestIdentity &Request);
 
-  /// Whether the request must not be sent; remembers that it came.
+  /// Whether the request must not be sent. Records the refusal.
   bool checkRefused(const RequestIdentity &Request);
-  /// Whether a refused request may be sent once all the same. Only the first
-  /// router of the request's order says so, and not twice.
+  /// Whether a refused request may be sent once as a probe. Only the first
+  /// router of the request's rendezvous order grants that, and only once.
   bool acquireProbe(const RequestIdentity &Request);
 
-  /// Requests that were in hand at a server that crashed go to servers by this
-  /// number, so that they do not meet again: what crashes then is the one's
-  /// alone. Nothing where the request is under no suspicion.
+  /// Key by which requests that were in flight at a crashed server are spread
+  /// over servers. They then do not share a server again, so that a further
+  /// crash can be attributed to one request. Empty if the request is not
+  /// suspected.
   std::optional<std::uint32_t> spreadOf(const RequestIdentity &Request) const;
 
-  /// New servers or routers are in force.
+  /// Must be called with each new list of servers.
   void updateServers(const ServerList &Listed);
+  /// Must be called when the list of routers has changed.
   void updateRouters();
 
-  void onReport(const CrashReport &News, const Poco::Net::SocketAddress &From);
+  void onReport(const CrashReport &Report,
+                const Poco::Net::SocketAddress &From);
 
   const CrashRegistry &registry() const { return this->Registry; }
 
 private:
   enum class Stage {
     FirstCheck,
-    BetweenChecks, ///< A process has taken one connection.
+    BetweenChecks, ///< The server has accepted the first connection.
     SecondCheck,
-    Unreachable, ///< The list of servers will tell.
+    Unreachable, ///< Decided by later lists of servers.
   };
 
   /// A server that may have crashed.
@@ -95,24 +100,25 @@
     std::set<RequestIdentity> InFlight{};
     TimePoint ExpiresAt{};
     Stage CurrentStage = Stage::FirstCheck;
-    /// What waits for the first check.
+    /// Called when the first check has ended.
     std::vector<std::function<void()>> Callbacks{};
   };
 
-  void check(const ServerProcess &Process, Stage Now);
+  void check(const ServerProcess &Process, Stage NewStage);
   void onChecked(const ServerProcess &Process, ConnectOutcome Outcome);
   void checkAgainstList(const ServerProcess &Process,
-                        const SuspectedCrash &Known, const ServerList &Listed);
+                        const SuspectedCrash &Suspect,
+                        const ServerList &Listed);
   void confirm(const ServerProcess &Process, const char *Evidence);
   void dismiss(const ServerProcess &Process);
   void scheduleSecondCheck(const ServerProcess &Process);
   void removeExpired();
   void recordFacts(const std::vector<CrashFact> &Facts);
   void broadcast(const std::vector<CrashFact> &Facts);
-  void sendAllFacts(const Poco::Net::SocketAddress &Asker);
+  void sendAllFacts(const Poco::Net::SocketAddress &Receiver);
   void gossip();
   CrashReport makeReport(std::vector<CrashFact> Facts);
-  /// In as many messages as they need.
+  /// Splits the facts into as many reports as they need.
   std::vector<CrashReport> makeReports(const std::vector<CrashFact> &Facts);
   Counter &checkCounter(ConnectOutcome Outcome) const {
     return *this->CheckCounters.at(Outcome);
@@ -129,7 +135,7 @@
   std::map<ServerProcess, SuspectedCrash> SuspectedCrashes;
   /// When servers were last found alive.
   std::map<ServerProcess, TimePoint> LastAliveAt;
-  /// What others know was asked for.
+  /// Whether other routers have been asked for their facts.
   bool ReportsRequested = false;
   std::mt19937_64 Random;
 };
--- a/src/Gateway/FleetExchange.cpp
+++ b/src/Gateway/FleetExchange.cpp
@@ -1,6 +1,6 @@
 #include "Gateway/FleetExchange.h"
 
-#include "Gateway/FleetNewsItems.h"
+#include "Gateway/FleetUpdateItems.h"
 #include "Runtime/Id.h"
 #include "Runtime/Log.h"
 
@@ -272,7 +272,7 @@
   Told.ConfigurationRevision = this->View->ConfigurationRevision;
   Told.SeenRevision = this->View->SeenRevision;
   Told.CompactRevision =
-      Recent == nullptr ? Told.SeenRevision : Recent->StartRevision;
+      Recent == nullptr ? Told.SeenRevision : Recent->CompactRevision;
   const bool Looks =
       this->Role == RelayRole::Verifier &&
       this->BootClock.now() - this->RelayProvenAt > this->Times.SuspectProofAge;
@@ -285,7 +285,7 @@
   const FleetHistory *Recent = this->View->History.get();
   const Revision Known = this->View->SeenRevision;
   if (Recent == nullptr || Behind.SeenRevision >= Known ||
-      Behind.SeenRevision < Recent->StartRevision)
+      Behind.SeenRevision < Recent->CompactRevision)
     return;
   const std::vector<FleetUpdateItem> Items =
       itemsAfter(*Recent, Behind.SeenRevision);
@@ -327,7 +327,7 @@
   Word.ProvenAt = Asked->SentAt + std::chrono::milliseconds(Told.ProvenAfterMs);
   Word.ConfigurationRevision = Told.ConfigurationRevision;
   Word.SeenRevision = Told.SeenRevision;
-  Word.HistoryStartRevision = Told.CompactRevision;
+  Word.CompactRevision = Told.CompactRevision;
   Word.ReadsStore = Told.ReadsStore;
   Word.ListsProvenAt =
       Asked->SentAt + std::chrono::milliseconds(Told.ListsProvenAfterMs);
--- a/src/Gateway/FleetExchange.h
+++ b/src/Gateway/FleetExchange.h
@@ -18,26 +18,26 @@
 
 namespace parsleywing {
 
-/// What a relay has told of its view.
+/// The state of a relay's view, as the relay reported it.
 struct RelayStatus {
-  /// The relay's configuration was the newest one at this moment, on the clock
-  /// that counts suspended time.
+  /// The relay's configuration was the newest one at this time, on the
+  /// boot-time clock.
   TimePoint ProvenAt{};
   Revision ConfigurationRevision = 0;
   Revision SeenRevision = 0;
-  /// The relay can tell of all changes behind this revision.
-  Revision HistoryStartRevision = 0;
-  /// It reads the store itself.
+  /// The relay can send all changes after this revision.
+  Revision CompactRevision = 0;
+  /// Whether the relay reads the store itself.
   bool ReadsStore = false;
-  /// It is the one that this router hears of changes from.
+  /// Whether this is the relay that the receiving router follows.
   bool IsOwnRelay = true;
-  /// Tells the routers apart that such words come from.
+  /// Identifies the router that sent the status.
   std::uint64_t SenderHash = 0;
-  /// The relay's lists lacked no change at this moment, on the same clock.
+  /// The relay's lists were complete at this time, on the same clock.
   TimePoint ListsProvenAt{};
 };
 
-/// Changes that a relay has told: all behind `From` and up to `To`.
+/// Changes that a relay sent: all after `AfterRevision` and up to `ToRevision`.
 struct RelayUpdate {
   Revision AfterRevision = 0;
   Revision ToRevision = 0;
@@ -46,78 +46,82 @@
 
 using RelayMessage = std::variant<RelayStatus, RelayUpdate>;
 
-/// What a router does for others where changes of the fleet are concerned.
+/// The part that a router takes in distributing changes of the fleet.
 enum class RelayRole {
-  Unknown,  ///< It has not seen the list of routers yet.
-  Relay,    ///< It reads the store, and others hear from it.
-  Follower, ///< It hears from a relay.
-  Verifier, ///< As a follower; but where the relays' proofs grow old it reads
-            ///< the store whatever they say, and tells who asks.
+  Unknown,  ///< The list of routers is not known yet.
+  Relay,    ///< Reads the store and serves followers.
+  Follower, ///< Receives changes from a relay.
+  Verifier, ///< A follower which reads the store itself once the relays' proofs
+            ///< are old, whatever they report, and answers status requests.
 };
 
-/// Whether a router of this role hears of the fleet from another one.
+/// Whether a router of this role receives changes from a relay.
 inline bool followsRelay(RelayRole Role) {
   return Role == RelayRole::Follower || Role == RelayRole::Verifier;
 }
 
-/// Lets a few routers, the relays, read the store for the others: they prove
-/// that the configuration is the newest one, and pass on the changes of servers
-/// and routers. So the calls on the store grow with the relays. Each router has
-/// one relay, the first of its cluster's order; where that does not answer, the
-/// next. Where a relay's proof grows old, the relays of the other clusters are
-/// asked as well, and the one that has reached the store takes its place for a
-/// while: with a third of 195 routers turned away by the store, the others made
-/// 1,000 calls of their own in 9 s before they had left their relays.
+/// Lets a few routers, the relays, read the store for the others. Relays prove
+/// that the configuration is the newest one, and forward the changes of servers
+/// and routers, so the number of calls on the store grows with the number of
+/// relays and not with the fleet. Each router follows one relay, the first in
+/// its cluster's rendezvous order, or the next one if that does not answer.
 ///
-/// The relays of a fleet may all be turned away where the others are not: both
-/// of 63 routers' were, with a third of all, and their words looked like an
-/// outage, in which the rest used a configuration for 3 s too long. So eight
-/// more, the scouts, do not take their word for it.
+/// If the proof of a router's relay grows old, the relays of the other clusters
+/// are asked as well, and one that has reached the store substitutes for it for
+/// a while. Without this, when the store rejected a third of 195 routers, the
+/// others made 1,000 calls of their own in 9 s before they switched relays.
 ///
-/// A relay sends proofs and changes at once to the routers that asked it
-/// lately, and changes again with each of their questions until they have them.
+/// The store may reject all relays of a fleet and serve the other routers: both
+/// relays of 63 routers were once rejected along with a third of the fleet. The
+/// followers took their reports for an outage and used a configuration for 3 s
+/// too long. Eight more routers, the verifiers, therefore check for themselves.
 ///
-/// Belongs to the loop's thread.
+/// A relay pushes proofs and changes to the routers that asked it recently, and
+/// resends changes with each of their requests until they have them.
+///
+/// Used on the event loop's thread only.
 class FleetExchange {
 public:
   using MessageCallback = std::function<void(const RelayMessage &)>;
 
-  /// `Process` tells this process from earlier ones of the router's name.
+  /// `Process` distinguishes this process from earlier ones of the same router
+  /// name.
   FleetExchange(EventLoop &L, RouterExchange &R, std::uint64_t Process,
                 const RelayTimes &T)
       : Loop(L), Routers(R), Process(Process), Times(T) {}
 
-  /// What this router knows, for those whose relay it is.
+  /// Sets the view that is served to followers.
   void updateView(const std::shared_ptr<const FleetView> &New);
 
-  /// Asks a relay from now on.
-  void start(MessageCallback Told);
+  /// Starts following a relay.
+  void start(MessageCallback Callback);
 
-  /// Safe from any thread.
+  /// Thread-safe.
   RelayRole role() const { return this->Role; }
 
-  /// The relay answers, and is cut off from the store where this router is not:
-  /// another one is asked for a while.
+  /// Switches to another relay for a while. Called if the relay answers but is
+  /// disconnected from the store and this router is not.
   void switchRelay();
 
-  void onStatusRequest(const FleetStatusRequest &Asked,
+  void onStatusRequest(const FleetStatusRequest &Request,
                        const Poco::Net::SocketAddress &From);
-  void onStatus(const FleetStatus &Told, const Poco::Net::SocketAddress &From);
-  void onUpdate(const FleetUpdate &News);
+  void onStatus(const FleetStatus &Message,
+                const Poco::Net::SocketAddress &From);
+  void onUpdate(const FleetUpdate &Message);
 
 private:
-  /// A router that hears of the fleet from this one.
+  /// A router that follows this one.
   struct Follower {
-    /// Its last question, and when that was received here.
+    /// Its last status request, and when that was received.
     CorrelationId RequestId;
     TimePoint RequestedAt{};
-    /// What it has, or has been sent.
+    /// The revision that it has, or has been sent.
     Revision SeenRevision = 0;
-    /// When changes were last sent to it once more.
+    /// When changes were last resent to it.
     TimePoint ResentAt{};
   };
 
-  /// A question of this router's.
+  /// A status request sent by this router.
   struct SentRequest {
     std::uint64_t Number = 0;
     TimePoint SentAt{};
@@ -128,18 +132,18 @@
   void requestStatus();
   void requestOtherStatuses();
   CorrelationId newRequestId();
-  void requestIfBehind(Revision Told);
-  void recordStatus(const RelayStatus &Word,
+  void requestIfBehind(Revision RelayRevision);
+  void recordStatus(const RelayStatus &Status,
                     const Poco::Net::SocketAddress &From);
   void updateClusters();
   void updateVerifiers(const RouterList &Listed);
   RelayRole determineRole();
-  /// Whether the router at this address is one of the relays of the moment.
+  /// Whether the router at this address is currently a relay.
   bool isRelay(const Poco::Net::SocketAddress &Address);
   std::string relayOf(const RelayCluster &Cluster);
   bool updateRelay();
   void sendStatus(const Poco::Net::SocketAddress &To, const Follower &Known);
-  void sendUpdates(const Poco::Net::SocketAddress &To, Follower &Behind);
+  void sendUpdates(const Poco::Net::SocketAddress &To, Follower &Known);
 
   EventLoop &Loop;
   RouterExchange &Routers;
@@ -148,26 +152,26 @@
   MessageCallback OnMessage;
   Clock BootClock = Clock::sinceBoot();
   std::shared_ptr<const FleetView> View = std::make_shared<FleetView>();
-  /// The routers that the clusters were made for.
+  /// The numbers of routers that the clusters were made for.
   RouterCounts ClusteredCounts;
   std::vector<RelayCluster> Clusters;
   std::vector<std::string> Verifiers;
   std::map<Poco::Net::SocketAddress, Follower> Followers;
-  /// The last questions, the newest first.
+  /// The last requests, the newest first.
   std::deque<SentRequest> SentRequests;
   std::uint64_t LastNumber = 0;
-  /// All changes up to this revision have come, though the view may not show
-  /// them yet.
+  /// All changes up to this revision have been received, though the view may
+  /// not include them yet.
   Revision ReceivedRevision = 0;
-  /// When the relay's last word came.
+  /// When the relay's last status was received.
   TimePoint StatusReceivedAt{};
   std::string CurrentRelay;
-  /// The first question that it has not answered.
+  /// When the first request was sent that the relay has not answered.
   std::optional<TimePoint> UnansweredSince;
-  /// What its last word proved, and the newest proof of any relay.
+  /// The proof in the relay's last status, and the newest one of any relay.
   TimePoint RelayProvenAt{};
   TimePoint NewestProvenAt{};
-  /// A relay of another cluster in its place, and until when.
+  /// A relay of another cluster that replaces the own one, and until when.
   std::string SubstituteRelay;
   TimePoint SubstituteUntil{};
   TimePoint OthersRequestedAt{};
--- a/src/Gateway/FleetFeed.cpp
+++ b/src/Gateway/FleetFeed.cpp
@@ -303,7 +303,7 @@
   if (!this->BehindSince)
     this->BehindSince = Now;
   const bool Late = Now - *this->BehindSince > BehindPatience;
-  if (this->Loaded && (Late || Word.HistoryStartRevision > Seen))
+  if (this->Loaded && (Late || Word.CompactRevision > Seen))
     this->ReloadDue = true;
 }
 
--- a/src/Gateway/FleetFeed.h
+++ b/src/Gateway/FleetFeed.h
@@ -17,13 +17,13 @@
 
 namespace parsleywing {
 
-/// What a call on the store is for. Each costs; a list of several pages counts
-/// as one call here.
+/// The purpose of a call on the store, since each call costs money. A list of
+/// several pages counts as one call here.
 enum class StoreCallCause {
-  List,          ///< All servers or routers, at a start or behind a gap.
-  Compare,       ///< All servers, against a change that no watch told of.
+  List,          ///< All servers or routers, at the start or after a gap.
+  Compare,       ///< All servers, to find changes that no watch reported.
   Configuration, ///< The content of a configuration.
-  Proof,         ///< That the configuration is the newest one.
+  Proof,         ///< Whether the configuration is the newest one.
   Watch,         ///< Changes.
   Registration,  ///< This router's own entry.
   Renewal,       ///< The lease of that entry.
@@ -39,13 +39,12 @@
     {StoreCallCause::Renewal, "renewal"},
 }};
 
-/// Counts of the calls that keep the view.
+/// Counts of the calls on the store that keep the view current.
 struct FleetFeedCounters {
   explicit FleetFeedCounters(Metrics &Into);
 
-  /// By what they are for.
   std::map<StoreCallCause, Counter *> Calls;
-  /// Those that may be stale, or only renew a lease: a tenth of the price.
+  /// Stale reads and lease renewals: a tenth of the price.
   Counter &CheapCalls;
   Counter &FailedCalls;
   Counter &Reloads;
@@ -53,37 +52,35 @@
   Counter &ConfigurationsApplied;
 };
 
-/// Keeps the router's view of the fleet current, on two threads of its own: one
-/// waits for changes, the other proves by a plain read, about once a second,
-/// that the configuration is the newest one, and renews this router's entry. A
-/// waiting call proves nothing while it waits, and one that hangs shows nothing
-/// at all; so the proof never rests on it.
+/// Keeps the router's view of the fleet current, with two threads of its own.
+/// The watcher waits for changes. The prover reads the configuration about once
+/// a second to prove that it is the newest one, and renews this router's entry.
+/// The proof does not rely on the watch: a pending watch call proves nothing,
+/// and one that hangs looks the same.
 ///
-/// A router that is no relay hears both from its relay. At its start, and for a
-/// new configuration, it makes stale reads at a tenth of the price: their
-/// revisions say what they lack, the relay tells that, and its proof holds for
-/// no other revision. It reads the newest state only where the relays' words
-/// are not enough. 85 routers that each watched and read for themselves made
-/// 201 calls a second on a day with an outage; 195 that made plain reads for
-/// all of this 17 to 44 each on a day.
+/// A router that is no relay gets both from its relay. At the start, and for a
+/// new configuration, it uses stale reads at a tenth of the price: their
+/// revision states what is missing, the relay sends that, and the relay's proof
+/// is valid for exactly one revision. It uses linearizable reads only if the
+/// relays' messages are not enough. 85 routers that all watched and read the
+/// store made 201 calls per second on a day with an outage; 195 routers that
+/// used linearizable reads throughout made 17 to 44 calls each on a day.
 ///
-/// In three files: the relay's word and what both threads use, the watch
-/// (`FleetFeedWatch.cpp`), proofs and this router's entry
+/// Implemented in three files: the relay's messages and what both threads use,
+/// the watcher (`FleetFeedWatch.cpp`), and the prover with this router's entry
 /// (`FleetFeedProver.cpp`).
 class FleetFeed {
 public:
   struct Options {
     std::string RouterName;
     std::string RouterAddress;
-    /// Cores that this router has.
     double RouterCores = 1;
     std::string RouterZone;
     std::uint64_t Seed = 1;
     FleetBounds Bounds;
-    /// Says what this router does for others; a relay where there is no such
-    /// function.
+    /// Returns this router's current role. Without it the router is a relay.
     std::function<RelayRole()> Role;
-    /// This router has reached the store, and its relay has not.
+    /// Called if this router has reached the store and its relay has not.
     std::function<void()> SwitchRelay;
   };
 
@@ -91,23 +88,23 @@
   using ViewCallback = std::function<void(std::shared_ptr<const FleetView>)>;
 
   FleetFeed(Options O, std::function<FleetSource()> NewSource, Metrics &Into,
-            ViewCallback R);
+            ViewCallback OnNewView);
   ~FleetFeed();
   FleetFeed(const FleetFeed &) = delete;
   FleetFeed &operator=(const FleetFeed &) = delete;
 
   void stop();
 
-  /// This router stops soon: its entry is removed now, so that others ask
-  /// nothing of it any more, and is not written again.
+  /// Removes this router's entry and does not write it again. Called when the
+  /// router is about to stop, so that others send it no more requests.
   void leave();
 
-  /// What the relay has told. A proof counts only where both have the same
-  /// configuration; where the relay has a newer one, this router reads it.
-  void onRelayMessage(const RelayMessage &Told);
+  /// Handles a message of a relay. A proof counts only if both routers have the
+  /// same configuration; if the relay has a newer one, this router reads it.
+  void onRelayMessage(const RelayMessage &Message);
 
 private:
-  /// The wait before a call is made again, doubled with each failure in a row.
+  /// The delay before a call is retried, doubled with each failure in a row.
   struct Backoff {
     Duration InitialDelay;
     Duration MaxDelay;
@@ -120,12 +117,11 @@
     void reset() { this->NextDelay = this->InitialDelay; }
   };
 
-  void apply(const RelayStatus &Word);
-  void apply(const RelayUpdate &News);
-  /// Another router reads the store for this one.
-  void reportUnusable(const UnusableServer &Written);
+  void apply(const RelayStatus &Status);
+  void apply(const RelayUpdate &Update);
+  void reportUnusable(const UnusableServer &Unusable);
   void checkOwnRemoval(const FleetChange &Change);
-  void applyServerList(const StoredServers &Read);
+  void applyServerList(const StoredServers &List);
   RelayRole role() const;
   bool hasRelay() const { return followsRelay(this->role()); }
   bool acceptsOutageReport(TimePoint Now) const;
@@ -145,48 +141,51 @@
 
   void runProver();
   bool proveOnce(FleetSource &Source);
-  void applyRelayProof(const RelayStatus &Word);
+  void applyRelayProof(const RelayStatus &Status);
   bool isProofDue(TimePoint Now);
   void renewProof(FleetSource &Source);
   void recordReportedOutage(TimePoint Now);
   void scheduleFetch(TimePoint Now);
-  void checkBehindRelay(const RelayStatus &Word);
+  void checkBehindRelay(const RelayStatus &Status);
   bool relayHasNewerConfiguration() const;
   void fetchConfiguration(FleetSource &Source);
   bool readConfiguration(FleetSource &Source, Revision Known,
-                         ReadConsistency Age);
+                         ReadConsistency Consistency);
   Duration nextProofRetryDelay();
-  void applyConfiguration(const StoredConfiguration &Read, ReadConsistency Age);
-  void applyChanges(const FleetChanges &Read);
-  void checkWatchLag(Revision StoreAt);
+  void applyConfiguration(const StoredConfiguration &Stored,
+                          ReadConsistency Consistency);
+  void applyChanges(const FleetChanges &Changes);
+  void checkWatchLag(Revision StoreRevision);
   void catchUp(FleetSource &Source);
   Revision seenRevision();
   void compareServers(FleetSource &Source);
   void maintainRegistration(FleetSource &Source);
 
-  /// Counts and logs the outcome of a call; true where it went well.
-  bool recordCall(StoreCallCause Call, ReadConsistency Age,
+  /// Counts and logs the outcome of a call; returns whether it succeeded.
+  bool recordCall(StoreCallCause Cause, ReadConsistency Consistency,
                   const Error *Problem);
   template <typename Value>
-  bool recordCall(StoreCallCause Call, ReadConsistency Age,
-                  const Result<Value> &Read) {
-    return this->recordCall(Call, Age, Read ? nullptr : &Read.error());
+  bool recordCall(StoreCallCause Cause, ReadConsistency Consistency,
+                  const Result<Value> &Outcome) {
+    return this->recordCall(Cause, Consistency,
+                            Outcome ? nullptr : &Outcome.error());
   }
   void publish();
-  /// The same for changes of the lists, at most once in a while.
+  /// Publishes changes of the lists, at a limited rate.
   void publishChanges();
-  /// With `Mutex` held: until changes may be published; zero where they may
-  /// now.
+  /// The time until changes may be published; zero if they may be now. Requires
+  /// `Mutex`.
   Duration publishDelay();
   bool changesAreDue();
   bool stopping();
-  /// Waits, or less where the feed stops. False where it stops.
+  /// Sleeps until the time is over or the feed stops. Returns false if the feed
+  /// stops.
   bool sleepUnlessStopped(Duration Wait);
-  /// The same for the prover, or less where it is wanted sooner.
+  /// The same for the prover, which may also be woken earlier.
   bool sleepUntilWoken(Duration Wait);
   Duration proverInterval();
   Duration jittered(Duration Whole);
-  /// With `Mutex` held: a number from 0 to 1.
+  /// A random number from 0 to 1. Requires `Mutex`.
   double randomFraction();
 
   Options Settings;
@@ -202,59 +201,60 @@
   bool StoreReachable = true;
   bool Stopping = false;
   bool Leaving = false;
-  /// The lists were read once, so that others may ask this router.
+  /// Whether the lists were read, so that other routers may send requests to
+  /// this one.
   bool ListsRead = false;
-  /// Everything was read once.
+  /// Whether everything was read.
   bool Loaded = false;
-  /// No other router was found at first, and the lists were read once more.
+  /// Whether the lists were read again since no other router was listed at
+  /// first.
   bool ListsRetried = false;
-  /// The prover has something to do that it did not have before.
   bool ProverWakeRequested = false;
-  /// Changes of the lists that are not published yet, and the last time that
-  /// any were.
+  /// Whether changes of the lists are not published yet, and when changes were
+  /// last published.
   bool ChangesPending = false;
   TimePoint ChangesPublishedAt{};
-  /// The relay cannot tell all that this router lacks.
+  /// Whether the relay cannot send all that this router lacks.
   bool ReloadDue = false;
-  /// The watch has not told for too long what the store has.
+  /// Whether the watch is too late in reporting a change.
   bool CatchUpDue = false;
-  /// Relays reached the store when the last call failed.
+  /// Whether relays reached the store when the last call failed.
   bool FailedAlone = false;
-  /// A relay has reached the store since.
+  /// Whether a relay has reached the store since the last failed call.
   bool StoreRecovered = false;
-  /// The last plain read of the configuration failed.
+  /// Whether the last linearizable read of the configuration failed.
   bool LastProofFailed = false;
-  /// The entry of this router's earlier process was looked for.
+  /// Whether an entry of this router's earlier process was looked up.
   bool LeaseLookedUp = false;
-  /// This router's entry has gone, though it has not left.
+  /// Whether this router's entry was removed though the router has not left.
   bool EntryLost = false;
-  /// Lists in a row that may have been stale.
+  /// Number of lists in a row that may have been stale.
   int StaleListReads = 0;
-  /// Own proofs since the relay's last one.
+  /// Number of own proofs since the relay's last one.
   int OwnProofs = 0;
   TimePoint LoadedAt{};
   TimePoint ListsReadAt{};
-  /// A revision that the store has and the watch has not told, and since when.
+  /// A revision of the store that the watch has not reported, and since when.
   Revision UnseenRevision = 0;
   TimePoint UnseenSince{};
   RelayTrust Relays;
-  /// The newest of the relays' words.
+  /// The newest status of any relay.
   RelayStatus LastStatus;
-  /// A relay has a newer configuration, since when, and when it is read next.
+  /// Since when a relay has a newer configuration, and when to read it next.
   std::optional<TimePoint> NewerConfigurationSince;
   TimePoint NextFetchAt{};
-  /// In an outage that the relays tell of: when this router tries for itself.
+  /// When this router tries the store itself in an outage reported by relays.
   std::optional<TimePoint> OwnAttemptAt;
-  /// Since when the relay has known changes that did not come.
+  /// Since when the relay has known changes that this router has not received.
   std::optional<TimePoint> BehindSince;
   std::mt19937_64 Random;
-  /// The last call that failed, and when the configuration may be read again;
-  /// sooner where a relay has reached the store since.
+  /// When the last call failed, and when the configuration may be read again,
+  /// which is sooner if a relay has reached the store since.
   TimePoint FailedAt{};
   TimePoint NextProofAt{};
   Backoff ProofRetry;
   LeaseId Lease = 0;
-  /// The last unusable writing of each key that was logged.
+  /// The revision of the last unusable entry that was logged for each server.
   std::map<std::string, Revision> ReportedUnusable;
   std::thread Watcher;
   std::thread Prover;
--- a/src/Gateway/FleetFeedTimes.h
+++ b/src/Gateway/FleetFeedTimes.h
@@ -3,26 +3,26 @@
 
 #include "Runtime/Clock.h"
 
-// Times that both threads of the feed go by.
+// Times used by both threads of the feed.
 namespace parsleywing::internal {
 
-/// A relay looks more often whether its proof is due, since the others wait for
-/// it.
+/// How often a relay checks whether its proof is due; more often than other
+/// routers, since these wait for it.
 inline constexpr Duration RelayProverInterval = std::chrono::milliseconds(100);
 
-/// The waits between calls that fail. A relay finds the store again within the
-/// second, and tells the others; they would hear of it all the same where they
-/// asked more rarely still. Calls of 85 routers in an outage of 8 s, each 200
-/// to 250 ms after the last: 5,700.
+/// Delays between calls that fail. A relay detects within a second that the
+/// store is back and notifies the others, so followers may retry more rarely.
+/// With delays of 200 to 250 ms, 85 routers made 5,700 calls in an outage of
+/// 8 s.
 inline constexpr Duration InitialRetryDelay = std::chrono::milliseconds(250);
 inline constexpr Duration MaxRelayRetryDelay = std::chrono::seconds(1);
 inline constexpr Duration InitialFollowerRetryDelay =
     std::chrono::milliseconds(800);
 inline constexpr Duration MaxFollowerRetryDelay = std::chrono::seconds(4);
 
-/// A router that starts waits for so long for its relay's first word, which
-/// takes two round trips (some 5 ms) where the relay is up, and one of its
-/// looks (0.1 s) more where both start together.
+/// How long a router that starts waits for the first status of its relay. That
+/// takes two round trips (about 5 ms) if the relay is running, plus one check
+/// of the relay (0.1 s) if both start together.
 inline constexpr Duration RelayGrace = std::chrono::milliseconds(600);
 
 } // namespace parsleywing::internal
--- a/src/Gateway/FleetSource.h
+++ b/src/Gateway/FleetSource.h
@@ -13,29 +13,28 @@
 
 namespace parsleywing {
 
-/// The configuration as it stands in the store.
+/// The configuration in the store.
 struct StoredConfiguration {
   std::shared_ptr<const GatewayConfiguration> Configuration;
   Revision ModRevision = 0;
-  /// The store's newest revision at the time of the read; 0 where it is not
-  /// known.
+  /// The store's newest revision at the time of the read; 0 if unknown.
   Revision StoreRevision = 0;
 };
 
-/// The entry of a server, and when it was written.
+/// The entry of a server.
 struct StoredServer {
   GatewayServer Server;
   Revision ModRevision = 0;
 };
 
-/// A server's entry is gone.
+/// The entry of a server was deleted.
 struct RemovedServer {
   std::string Id;
   Revision ModRevision = 0;
 };
 
-/// A server's entry is there and cannot be used: it is no server's own writing.
-/// It names no server until the server writes again.
+/// The entry of a server exists but is invalid, so it was not written by the
+/// server. The server counts as unlisted until it writes its entry again.
 struct UnusableServer {
   std::string Id;
   Revision ModRevision = 0;
@@ -43,16 +42,16 @@
   std::string Reason;
 };
 
-/// A router that is listed, with the address at which others reach it.
+/// The entry of a router.
 struct StoredRouter {
   std::string Name;
+  /// The address at which other routers reach it.
   std::string Address;
-  /// Cores that it has.
   double Cores = 1;
   Revision ModRevision = 0;
-  /// The lease that its entry hangs on; 0 where it is not known.
+  /// The lease that the entry is attached to; 0 if unknown.
   LeaseId Lease = 0;
-  /// Its availability zone; empty where it does not say.
+  /// Its availability zone; empty if not stated.
   std::string Zone{};
 };
 
@@ -61,14 +60,14 @@
   Revision ModRevision = 0;
 };
 
-/// The operators ask that nothing more be sent to the servers of an
+/// The operators have requested that nothing more be sent to the servers of an
 /// availability zone.
 struct EvacuatedZone {
   std::string Zone;
   Revision ModRevision = 0;
 };
 
-/// An evacuation was taken back.
+/// The evacuation of a zone has ended.
 struct RestoredZone {
   std::string Zone;
   Revision ModRevision = 0;
@@ -79,25 +78,26 @@
                                  RemovedServer, UnusableServer, StoredRouter,
                                  RemovedRouter, EvacuatedZone, RestoredZone>;
 
-/// Changes after a revision, and the revision to go on from.
+/// Changes after a revision, and the revision up to which they are complete.
 struct FleetChanges {
   std::vector<FleetChange> Changes;
   Revision LastRevision = 0;
 };
 
-/// The latest changes of servers and routers in the order in which they were
-/// learnt: whoever has seen all before `Since` lacks nothing with them. Each is
-/// shared by all copies, which are made at each change of a large fleet.
+/// The latest changes of servers and routers, in the order in which they were
+/// received. Complete for a reader that has seen all changes up to
+/// `CompactRevision`. The changes themselves are shared between copies, since a
+/// large fleet copies its history with each change.
 struct FleetHistory {
-  Revision StartRevision = 0;
+  Revision CompactRevision = 0;
   std::vector<std::shared_ptr<const FleetChange>> Changes;
 };
 
 /// All servers at one time.
 struct StoredServers {
   std::vector<StoredServer> Servers;
-  /// The revision of the store when the read began: an entry that is missing
-  /// and older than this is gone.
+  /// The store's revision when the read began: a known entry that is older and
+  /// missing from the list has been deleted.
   Revision ReadRevision = 0;
   std::vector<UnusableServer> Unusable{};
 };
@@ -113,31 +113,31 @@
   Revision ReadRevision = 0;
 };
 
-/// How new a read has to be.
 enum class ReadConsistency {
-  Linearizable, ///< All that was acknowledged before the read is in it.
-  AllowStale,   ///< Some seconds old perhaps; a tenth of the price. It says by
-                ///< its revision how old.
+  Linearizable, ///< Includes all writes acknowledged before the read.
+  AllowStale,   ///< May be some seconds old, at a tenth of the price. The
+                ///< revision of the result states its age.
 };
 
 /// Reads the fleet from the platform's store, for one thread. The functions
-/// block for a bounded time. `ErrorCode::NotFound` of `Changes` says that the
-/// history after the revision is gone.
+/// block for a bounded time. `Changes` returns `ErrorCode::NotFound` if the
+/// history after the revision has been compacted.
 struct FleetSource {
-  /// Nothing where there is none yet. `Known` is the revision that the reader
-  /// has: a configuration that has not changed comes without its content.
-  std::function<Result<std::optional<StoredConfiguration>>(Revision Known,
-                                                           ReadConsistency Age)>
+  /// Empty if there is no configuration yet. `Known` is the revision that the
+  /// caller has: an unchanged configuration is returned without its content.
+  std::function<Result<std::optional<StoredConfiguration>>(
+      Revision Known, ReadConsistency Consistency)>
       Configuration;
-  std::function<Result<StoredServers>(ReadConsistency Age)> Servers;
-  std::function<Result<StoredRouters>(ReadConsistency Age)> Routers;
-  std::function<Result<StoredEvacuations>(ReadConsistency Age)> Evacuations;
-  /// Waits for changes for at most this long.
+  std::function<Result<StoredServers>(ReadConsistency Consistency)> Servers;
+  std::function<Result<StoredRouters>(ReadConsistency Consistency)> Routers;
+  std::function<Result<StoredEvacuations>(ReadConsistency Consistency)>
+      Evacuations;
+  /// Waits at most this long for changes.
   std::function<Result<FleetChanges>(Revision After, Duration Wait)> Changes;
-  /// Lists this router under a lease of this life; returns the lease.
-  std::function<Result<LeaseId>(const StoredRouter &Self, Duration Life)>
+  /// Writes this router's entry under a new lease and returns the lease.
+  std::function<Result<LeaseId>(const StoredRouter &Self, Duration Ttl)>
       Register;
-  /// `NotFound` where the lease has ended.
+  /// Returns `NotFound` if the lease has expired.
   std::function<Result<void>(LeaseId Lease)> Renew;
   std::function<Result<void>(LeaseId Lease)> Unregister;
 };
--- a/src/Gateway/FleetState.cpp
+++ b/src/Gateway/FleetState.cpp
@@ -88,8 +88,8 @@
   const auto Kept =
       Changes.begin() + static_cast<std::ptrdiff_t>(Most / DroppedDivisor);
   for (auto Each = Changes.begin(); Each != Kept; ++Each)
-    this->History->StartRevision =
-        std::max(this->History->StartRevision, revisionOf(**Each));
+    this->History->CompactRevision =
+        std::max(this->History->CompactRevision, revisionOf(**Each));
   Changes.erase(Changes.begin(), Kept);
 }
 
@@ -173,7 +173,7 @@
   // A later list says nothing of the routers up to its revision.
   if (this->SeenRevision > 0)
     return;
-  this->History->StartRevision = Read.ReadRevision;
+  this->History->CompactRevision = Read.ReadRevision;
   this->SeenRevision = Read.ReadRevision;
 }
 
--- a/src/Gateway/FleetState.h
+++ b/src/Gateway/FleetState.h
@@ -7,45 +7,46 @@
 
 namespace parsleywing {
 
-/// What this router has learnt of the fleet from the store, never going back:
-/// a late answer, a stale read or a dropped history must not bring an older
-/// configuration or a removed server back. Decides when a server whose entry
-/// vanished is gone. Makes no calls and has no clock of its own.
+/// What this router knows of the fleet from the store. The state never goes
+/// back: a late response, a stale read or a compacted history must not restore
+/// an older configuration or a removed server. Also decides when a server whose
+/// entry vanished is removed. Makes no calls and has no clock of its own.
 class FleetState {
 public:
-  /// Takes a configuration unless a newer one is known. True where it is new.
-  bool applyConfiguration(const StoredConfiguration &Read);
-  /// The configuration was the newest one at this moment.
-  void recordProof(TimePoint AskedAt);
-
-  /// Takes a whole list. Servers that it lacks are removed.
-  void applyServers(const StoredServers &Read, TimePoint Now);
-  void applyRouters(const StoredRouters &Read);
-  void applyEvacuations(const StoredEvacuations &Read, TimePoint Now);
+  /// Applies a configuration unless a newer one is known. Returns whether it is
+  /// new.
+  bool applyConfiguration(const StoredConfiguration &Stored);
+  /// The configuration was the newest one at this time.
+  void recordProof(TimePoint RequestedAt);
+
+  /// Applies a complete list: entries that it lacks are removed.
+  void applyServers(const StoredServers &List, TimePoint Now);
+  void applyRouters(const StoredRouters &List);
+  void applyEvacuations(const StoredEvacuations &List, TimePoint Now);
   void applyChange(const FleetChange &Change, TimePoint Now);
 
-  /// A call on the store failed, or went well again.
-  void recordStoreReachable(bool Reached, TimePoint Now);
+  /// Records whether a call on the store succeeded.
+  void recordStoreReachable(bool Reachable, TimePoint Now);
 
-  /// Drops entries whose grace is over. True where the view has changed.
+  /// Removes entries whose grace period is over. Returns whether the view has
+  /// changed.
   bool expire(TimePoint Now);
 
-  /// The belief as it stands now. Lists that have not changed since the last
-  /// call are the same objects: a new proof, twice a second, must not make
-  /// every router work through all servers and routers again.
+  /// The current state as a view. Lists that have not changed since the last
+  /// call are the same objects: a new proof arrives twice a second and must not
+  /// make every router process all servers and routers again.
   FleetView view();
 
   TimePoint provenAt() const { return this->ProvenAt; }
   /// All changes of servers up to this revision are known.
   Revision seenRevision() const { return this->SeenRevision; }
-  void recordSeenRevision(Revision At);
-  /// Whoever has all changes up to this revision lacked none at this moment.
+  void recordSeenRevision(Revision Seen);
+  /// Lists with all changes up to this revision were complete at this time.
   void recordListsProof(Revision Complete, TimePoint At);
   TimePoint listsProvenAt() const { return this->ListsProvenAt; }
   Revision configurationRevision() const { return this->ConfigurationRevision; }
   std::size_t serverCount() const { return this->Servers.size(); }
   bool hasConfiguration() const { return this->Configuration != nullptr; }
-  /// Whether another router than this one is listed.
   bool knowsRouterOtherThan(const std::string &Name) const {
     return this->Routers.size() > this->Routers.count(Name);
   }
@@ -55,21 +56,21 @@
     GatewayServer Server;
     Revision ModRevision = 0;
     TimePoint ReceivedAt{};
-    /// The entry vanished while the store was in trouble; the server may live.
+    /// The entry vanished while the store had failures, so the server may still
+    /// be alive.
     bool Lapsed = false;
     TimePoint RemoveAt{};
   };
 
-  void applyServer(const StoredServer &Read, TimePoint Now);
-  void applyEvacuation(const EvacuatedZone &Asked);
-  void applyRestoration(const RestoredZone &Returned, TimePoint Now);
-  /// Until when the server has to be taken for one that warms up.
+  void applyServer(const StoredServer &Stored, TimePoint Now);
+  void applyEvacuation(const EvacuatedZone &Evacuated);
+  void applyRestoration(const RestoredZone &Restored, TimePoint Now);
   TimePoint warmUpEndsAt(const Entry &Known) const;
-  void applyRouter(const StoredRouter &Read);
-  void removeServer(const RemovedServer &Gone, TimePoint Now);
-  void dropUnusableServer(const UnusableServer &Found);
-  void removeRouter(const RemovedRouter &Gone);
-  /// Keeps a change for routers that hear of it from this one.
+  void applyRouter(const StoredRouter &Stored);
+  void removeServer(const RemovedServer &Removed, TimePoint Now);
+  void dropUnusableServer(const UnusableServer &Unusable);
+  void removeRouter(const RemovedRouter &Removed);
+  /// Keeps a change for the routers that follow this one.
   void appendToHistory(FleetChange Change);
 
   std::shared_ptr<const GatewayConfiguration> Configuration;
@@ -77,35 +78,35 @@
   Revision SeenRevision = 0;
   TimePoint ProvenAt{};
   TimePoint ListsProvenAt{};
-  /// A proof of lists that these do not reach up to yet.
+  /// A proof of the lists at a revision that they have not reached yet.
   Revision PendingProofRevision = 0;
   TimePoint PendingProofAt{};
   std::map<std::string, Entry> Servers;
-  /// Whether the entry was written by an earlier process of the server than one
-  /// that has been heard of: such a heartbeat can come late, behind a newer one
-  /// or behind its removal.
-  bool isFromEarlierProcess(const StoredServer &Read) const;
+  /// Whether the entry was written by an earlier process of the server than a
+  /// known one: such a heartbeat can arrive after a newer one or after the
+  /// server's removal.
+  bool isFromEarlierProcess(const StoredServer &Stored) const;
 
-  /// The revision at which a server or router was removed: older news of it is
-  /// void.
+  /// The revisions at which servers and routers were removed. Changes of them
+  /// with an older revision are ignored.
   std::map<std::string, Revision> RemovedServers;
   std::map<std::string, Revision> RemovedRouters;
-  /// The start of the last process of each removed server.
+  /// The start time of the last process of each removed server.
   std::map<std::string, std::int64_t> RemovedServerStarts;
   std::map<std::string, StoredRouter> Routers;
 
-  /// The end of a zone's last evacuation: its servers are cold then.
+  /// The end of a zone's last evacuation, at which its servers are cold.
   struct ZoneRestoration {
     Revision ModRevision = 0;
     TimePoint ReceivedAt{};
   };
   std::map<std::string, Revision> EvacuatedZones;
   std::map<std::string, ZoneRestoration> RestoredZones;
-  /// The lists of the last view; null where something has changed since.
+  /// The lists of the last view; null if something has changed since.
   std::shared_ptr<const ServerList> CachedServerList;
   std::shared_ptr<const RouterList> CachedRouterList;
   std::shared_ptr<const std::map<std::string, Revision>> CachedEvacuatedZones;
-  /// Copied before it is changed once a view has it.
+  /// Copied on write once a view shares it.
   std::shared_ptr<FleetHistory> History = std::make_shared<FleetHistory>();
   bool HistoryShared = false;
   bool StoreReachable = false;
--- a/src/Gateway/FleetNewsItems.cpp
+++ b/src/Gateway/FleetUpdateItems.cpp
@@ -1,4 +1,4 @@
-#include "Gateway/FleetNewsItems.h"
+#include "Gateway/FleetUpdateItems.h"
 
 #include "Runtime/Overloaded.h"
 
--- a/src/Gateway/RelayTimes.h
+++ b/src/Gateway/RelayTimes.h
@@ -7,30 +7,31 @@
 
 namespace parsleywing {
 
-/// What a router has to keep to, from its settings.
+/// Upper bounds on how long changes of the fleet may take to become effective.
 struct FleetBounds {
-  /// A key that was taken away must not work for longer than this.
+  /// From the revocation of a key until it is rejected.
   Duration Revocation = std::chrono::seconds(5);
-  /// A configuration is in force so long after it was accepted.
+  /// From the acceptance of a configuration until it is active.
   Duration Configuration = std::chrono::seconds(2);
-  /// A server that leaves gets no requests so long after it said so.
+  /// From the time a server starts to drain until it gets no more requests.
   Duration Removal = std::chrono::seconds(2);
 };
 
-/// How often relays prove that what they tell is new, and what the others make
-/// of a proof that does not come. All follow from the bounds: where these are
-/// wide, fewer calls on the store do.
+/// How often relays prove that their state is current, and how followers react
+/// to a missing proof. All times are derived from the bounds: wider bounds need
+/// fewer calls on the store.
 struct RelayTimes {
-  /// A relay proves so often that its configuration is the newest one. Three
-  /// proofs and more fit into each bound, so that one may be lost.
+  /// How often a relay proves that its configuration is the newest one. More
+  /// than three proofs fit into each bound, so that one may be lost.
   Duration ProofInterval;
-  /// Without a word for so long a router asks its relay at once.
+  /// Time without a status after which a router asks its relay at once.
   Duration MaxSilence;
-  /// With a proof older than this a router asks the other relays too.
+  /// Age of the newest proof after which a router asks the other relays too.
   Duration SuspectProofAge;
-  /// With a proof older than this a router reads the store for itself, unless
-  /// several relays say that they do not reach it either. Two proofs and their
-  /// way, and two thirds of the shortest bound: the rest is for the own read.
+  /// Age of the newest proof after which a router reads the store itself,
+  /// unless several relays report that they cannot reach it either. It covers
+  /// two proofs and their transmission, or two thirds of the shortest bound;
+  /// the rest is left for the router's own read.
   Duration MaxProofAge;
 
   static RelayTimes of(const FleetBounds &Bounds) {
--- a/src/Gateway/RelayTrust.h
+++ b/src/Gateway/RelayTrust.h
@@ -9,28 +9,28 @@
 
 namespace parsleywing {
 
-/// Judges by the words of relays whether a router may leave the reading of the
-/// store to them. Makes no calls and has no clock of its own.
+/// Decides from the status messages of relays whether a router may leave
+/// reading the store to them. Makes no calls and has no clock of its own.
 ///
-/// A relay whose proof grows old is cut off from the store, or the store is
-/// away for all. In the first case a router has to read for itself, or it would
-/// send requests to servers that have left; in the second each call of each
-/// router is in vain: 195 routers made 1,600 in an outage of 6 s. Several
-/// relays that answer, read for themselves and have no new proof tell the
-/// second case from the first.
+/// If a relay's proof grows old, either the relay is disconnected from the
+/// store or the store is unreachable for all routers. In the first case a
+/// router must read the store itself, or it would send requests to servers that
+/// have left. In the second case each call fails: 195 routers made 1,600 calls
+/// in an outage of 6 s. Several relays that answer, read the store themselves
+/// and have no new proof indicate the second case.
 class RelayTrust {
 public:
   explicit RelayTrust(const RelayTimes &T) : Times(T) {}
 
-  void recordStatus(const RelayStatus &Word, TimePoint Now);
+  void recordStatus(const RelayStatus &Status, TimePoint Now);
 
-  /// What the newest word proves.
+  /// The time of the newest proof.
   TimePoint provenAt() const { return this->ProvenAt; }
   bool isFresh(TimePoint Now) const {
     return Now - this->ProvenAt < this->Times.MaxProofAge;
   }
 
-  /// Relays answer, and none of them reaches the store.
+  /// Whether several relays answer and none of them reaches the store.
   bool storeSeemsUnreachable(TimePoint Now) const;
 
 private:
@@ -41,7 +41,7 @@
 
   RelayTimes Times;
   TimePoint ProvenAt{};
-  /// The last word of each relay that reads the store, by who told it.
+  /// The last status of each router that reads the store, by its sender hash.
   std::map<std::uint64_t, Witness> Witnesses;
 };
 
--- a/src/Gateway/RouterExchange.h
+++ b/src/Gateway/RouterExchange.h
@@ -15,19 +15,20 @@
 
 namespace parsleywing {
 
-/// The routers of the fleet as this one sees them, and its datagrams to and
-/// from them. Orders them for any key by weighted rendezvous, so that all
-/// routers agree on the first one without a word. Messages may be lost, and
-/// those of one turn of the loop share datagrams.
+/// The routers of the fleet as known to this one, and the datagrams to and from
+/// them. Orders the routers for any key by weighted rendezvous hashing, so that
+/// all routers agree on the first one without communication. Messages may be
+/// lost; those sent in one turn of the event loop share datagrams.
 ///
-/// Belongs to the loop's thread.
+/// Used on the event loop's thread only.
 class RouterExchange {
 public:
   struct Options {
     std::string RouterName;
-    /// Numeric IP and port for datagrams of other routers; empty for none.
+    /// Numeric IP address and port for datagrams of other routers; empty for
+    /// none.
     std::string Address;
-    /// Cores that this router has; the same as others read of it.
+    /// Must equal the value in this router's entry in the store.
     double Cores = 1;
     std::string Zone{};
   };
@@ -40,45 +41,45 @@
   RouterExchange(const RouterExchange &) = delete;
   RouterExchange &operator=(const RouterExchange &) = delete;
 
-  /// Fails where the address is taken.
-  Result<void> open(Receiver Into);
+  /// Fails if the address is in use.
+  Result<void> open(Receiver OnMessage);
 
-  /// Takes the routers that are listed now.
-  void setRouters(const RouterList &Places);
+  void setRouters(const RouterList &Endpoints);
 
   const std::string &self() const { return this->Settings.RouterName; }
   const std::string &zone() const { return this->Settings.Zone; }
-  /// Listed routers by their zone.
+  /// The number of listed routers in each zone.
   const RouterCounts &counts() const { return this->Counts; }
-  /// Where a listed router takes datagrams; null where it is listed no more.
+  /// The address of a listed router, or null if it is not listed.
   const Poco::Net::SocketAddress *addressOf(const std::string &Name) const;
-  /// The listed router at an address; empty where there is none. Costs a look
-  /// at each.
+  /// The listed router at an address; empty if there is none. Linear in the
+  /// number of routers.
   std::string nameAt(const Poco::Net::SocketAddress &Address) const;
 
-  /// The first live router in the order of a key: this one, where it has no
-  /// other. Routers that are suspected are passed over.
+  /// The first live router in the rendezvous order of a key; this one if there
+  /// is no other. Suspected routers are skipped.
   const std::string &firstFor(std::uint64_t Key);
 
-  /// The same among the routers of these zones; of all, where these have no
-  /// live one. A key must always come with the same zones.
+  /// The first live router of these zones, or of all zones if these have none.
+  /// A key must always be used with the same zones.
   const std::string &firstIn(std::uint64_t Key,
                              const std::set<std::string> &Zones);
 
-  /// A router did not answer, or is of no use: it is passed over for a while,
-  /// twice as long with each time in a row.
+  /// Skips a router that did not answer or is of no use, for a time that
+  /// doubles with each suspicion in a row.
   void suspect(const std::string &Name);
 
-  /// This router stops soon: it is the first for no key where there is another.
+  /// This router stops soon: it is no longer the first router for any key,
+  /// unless there is no other.
   void leave();
 
-  /// Sends to a router of the list. Nothing happens where it is listed no
-  /// more: whoever waits for its answer asks another one in time.
+  /// Sends to a listed router. Does nothing if the router is not listed; the
+  /// sender of a request then times out and asks another router.
   void send(const std::string &Router, RouterMessage Message);
   void send(const Poco::Net::SocketAddress &Address, RouterMessage Message);
-  /// To each listed router but this one: a datagram each.
+  /// Sends one datagram to each listed router except this one.
   void sendToAll(const RouterMessage &Message);
-  /// The listed routers but this one.
+  /// The listed routers except this one.
   std::vector<std::string> others() const;
 
 private:
@@ -87,16 +88,15 @@
     std::uint64_t Hash = 0;
     double Cores = 1;
     std::string Zone;
-    /// Passed over until then, for so long.
+    /// The end and the length of the last suspicion.
     TimePoint SuspectUntil{};
     Duration SuspectDuration{};
   };
 
-  /// Where `Zones` is given, empty if these have no live router.
+  /// Empty if `Zones` is given and has no live router.
   std::string findFirst(std::uint64_t Key, TimePoint Now,
                         const std::set<std::string> *Zones = nullptr) const;
   std::string *cachedFirst(std::uint64_t Key);
-  /// The orders may have changed.
   void clearFirstCache();
   void flush();
   void onReadable();
@@ -112,10 +112,10 @@
   Receiver OnMessage;
   std::map<std::string, Router> Routers;
   RouterCounts Counts;
-  /// Orders found since the list changed: a request costs one look-up here in
-  /// place of one score for each router (85 routers: 6 microseconds).
+  /// The first router of each key since the list changed. A request costs one
+  /// lookup instead of one score per router (6 microseconds with 85 routers).
   std::unordered_map<std::uint64_t, std::string> FirstCache;
-  /// From then on a suspected router may be the first again.
+  /// When the next suspicion ends, which may change the first routers.
   TimePoint FirstCacheValidUntil = TimePoint::max();
   std::map<Poco::Net::SocketAddress, std::vector<RouterMessage>> Outbox;
   bool FlushDue = false;
--- a/test/Gateway/FleetExchangeTest.cpp
+++ b/test/Gateway/FleetExchangeTest.cpp
@@ -235,7 +235,7 @@
   P.showViews();
   cr_assert(P.runUntil([&P] { return P.LastWord.has_value(); }));
   cr_expect_eq(P.NewsCame, 0);
-  cr_expect_eq(P.LastWord->HistoryStartRevision, 100);
+  cr_expect_eq(P.LastWord->CompactRevision, 100);
   cr_expect_eq(P.LastWord->SeenRevision, 105);
 }
 
