--- a/lab/Engine.h
+++ b/lab/Engine.h
@@ -14,8 +14,8 @@
 /// milliseconds.
 using Milliseconds = double;
 
-/// The performance of an engine. The time of a step depends on these parameters
-/// and on the running requests.
+/// The performance of an engine. Rates are those of an engine without
+/// contention; the time of a step also depends on the running requests.
 struct EngineParameters {
   /// Maximum number of requests that run concurrently.
   std::uint32_t Slots = 64;
@@ -69,7 +69,8 @@
   explicit Engine(EngineParameters P) : Parameters(P) {}
 
   void submit(EngineRequest Request, Milliseconds Now);
-  /// Removes a request whose caller has disconnected.
+  /// Removes a request whose caller has disconnected. The current step still
+  /// takes its full time.
   void cancel(const CorrelationId &Id);
 
   /// The end of the current step; nothing if the engine is idle.
