--- a/src/Platform/ConfigurationStore.cpp
+++ b/src/Platform/ConfigurationStore.cpp
@@ -72,7 +72,7 @@
     return Manifest;
   } catch (const Poco::Exception &Problem) {
     return failure(ErrorCode::Malformed,
-                   "the manifest is malformed: " + Problem.displayText());
+                   "the manifest cannot be read: " + Problem.displayText());
   }
 }
 
--- a/src/Platform/FencedLeaseState.cpp
+++ b/src/Platform/FencedLeaseState.cpp
@@ -23,28 +23,28 @@
 
 std::optional<FencingNumber>
 FencedLeaseState::fencingNumber(TimePoint Now) const {
-  if (!this->Wanted || !this->Number || Now < this->ValidFrom ||
+  if (!this->IsWanted || !this->Number || Now < this->ValidFrom ||
       Now >= this->ValidUntil)
     return std::nullopt;
   return this->Number;
 }
 
 std::optional<LeasePermit> FencedLeaseState::permit(TimePoint Now) const {
-  const auto Number = this->fencingNumber(Now);
-  if (!Number)
+  const auto CurrentNumber = this->fencingNumber(Now);
+  if (!CurrentNumber)
     return std::nullopt;
-  return LeasePermit{*Number, this->ValidUntil};
+  return LeasePermit{*CurrentNumber, this->ValidUntil};
 }
 
 void FencedLeaseState::on(TimePoint Now, const LeaseWanted &, Actions &Out) {
-  this->Wanted = true;
+  this->IsWanted = true;
   this->on(Now, LeaseTick{}, Out);
 }
 
 void FencedLeaseState::on(TimePoint, const LeaseUnwanted &, Actions &Out) {
-  if (!this->Wanted)
+  if (!this->IsWanted)
     return;
-  this->Wanted = false;
+  this->IsWanted = false;
   // A call in progress is handled when its outcome arrives; the lease is
   // released then.
   if (this->CallInProgress)
@@ -62,11 +62,11 @@
 void FencedLeaseState::on(TimePoint Now, const LeaseAcquired &Event,
                           Actions &Out) {
   this->CallInProgress = false;
-  // A store restored from a backup would issue numbers that servers have
-  // already seen.
+  // A store that was reset to an earlier state would issue numbers that servers
+  // have already seen.
   const bool IsHigher = Event.Number > this->HighestNumber;
   this->HighestNumber = std::max(this->HighestNumber, Event.Number);
-  if (!this->Wanted || !IsHigher) {
+  if (!this->IsWanted || !IsHigher) {
     Out.emplace_back(ReleaseLease{});
     this->NextCallAt = Now + this->Timing.RetryInterval;
     return;
@@ -87,7 +87,7 @@
 void FencedLeaseState::on(TimePoint Now, const LeaseRenewed &Event,
                           Actions &Out) {
   this->CallInProgress = false;
-  if (!this->Wanted) {
+  if (!this->IsWanted) {
     Out.emplace_back(ReleaseLease{});
     this->Number.reset();
     return;
@@ -109,7 +109,7 @@
                           Actions &Out) {
   this->CallInProgress = false;
   this->NextCallAt = Now + this->Timing.RetryInterval / 2;
-  if (this->Wanted)
+  if (this->IsWanted)
     return;
   Out.emplace_back(ReleaseLease{});
   this->Number.reset();
@@ -126,7 +126,7 @@
 }
 
 void FencedLeaseState::on(TimePoint Now, const LeaseTick &, Actions &Out) {
-  if (this->CallInProgress || !this->Wanted)
+  if (this->CallInProgress || !this->IsWanted)
     return;
   if (this->Number && Now >= this->ValidUntil) {
     Out.emplace_back(ReleaseLease{});
--- a/src/Platform/FencedLeaseState.h
+++ b/src/Platform/FencedLeaseState.h
@@ -111,7 +111,7 @@
   void markLost(TimePoint Now);
 
   FencedLeaseTiming Timing;
-  bool Wanted = false;
+  bool IsWanted = false;
   /// A call to the store is in progress; its outcome arrives as an event.
   bool CallInProgress = false;
   std::optional<FencingNumber> Number;
--- a/src/Platform/StoreBudget.h
+++ b/src/Platform/StoreBudget.h
@@ -34,9 +34,9 @@
 }};
 
 /// Limits the rate of one router's calls to the service: a token bucket for
-/// calls of every kind, shared by all clients in the process. Thread-safe.
-/// Without it a fault that makes one router repeat its calls would use up the
-/// service's rate limit for the whole fleet.
+/// calls of every kind, shared by the clients that use it. Thread-safe. Without
+/// it a fault that makes one router repeat its calls would use up the service's
+/// rate limit for the whole fleet.
 class StoreBudget {
 public:
   /// Allows `PerSecond` calls on average, and `Burst` at once.
--- a/src/Program/Commands/ApplyCommand.cpp
+++ b/src/Program/Commands/ApplyCommand.cpp
@@ -125,7 +125,7 @@
   else if (Active.error().Code != ErrorCode::NotFound)
     return printPlatformError(Active.error());
   const auto Applied = applyToPlatform(
-      {*Platform, textOf(Path), optionValue<std::string>(Values, "operator"),
+      {*Platform, readFile(Path), optionValue<std::string>(Values, "operator"),
        std::chrono::seconds(optionValue<std::uint32_t>(Values, "wait"))});
   if (!Applied)
     return printPlatformError(Applied.error());
--- a/src/Program/Orders/ServerOrder.cpp
+++ b/src/Program/Orders/ServerOrder.cpp
@@ -54,11 +54,12 @@
 Result<ServerOrderReport> ServerOrder::run() {
   const TimePoint Deadline = this->Time.now() + this->Settings.Timeout;
   this->OnProgress("waiting for the lease of " + this->Settings.Server);
-  const auto Number = this->acquireLease(Deadline);
-  if (!Number)
-    return tl::unexpected<Error>(Number.error());
-  this->Number = *Number;
-  this->OnProgress("holding the lease with number " + std::to_string(*Number));
+  const auto LeaseNumber = this->acquireLease(Deadline);
+  if (!LeaseNumber)
+    return tl::unexpected<Error>(LeaseNumber.error());
+  this->Number = *LeaseNumber;
+  this->OnProgress("holding the lease with number " +
+                   std::to_string(*LeaseNumber));
   const auto Adapters =
       this->Client.checkReport(this->Order.Address, this->Order.Limit);
   if (!Adapters)
@@ -70,7 +71,7 @@
   if (const auto Slot = this->acquireLoadSlot(Deadline); !Slot)
     return tl::unexpected<Error>(Slot.error());
   ServerOrderReport Report;
-  Report.Number = *Number;
+  Report.Number = *LeaseNumber;
   this->sendAndVerify(Report);
   this->recordOtherChanges(Report);
   return Report;
@@ -79,8 +80,8 @@
 Result<FencingNumber> ServerOrder::acquireLease(TimePoint Deadline) {
   this->Lease.setWanted(true);
   while (this->Time.now() < Deadline) {
-    if (const auto Number = this->Lease.fencingNumber())
-      return *Number;
+    if (const auto LeaseNumber = this->Lease.fencingNumber())
+      return *LeaseNumber;
     std::this_thread::sleep_for(LeasePollInterval);
   }
   return failure(ErrorCode::TimedOut,
--- a/test/Platform/PlatformThreadTest.cpp
+++ b/test/Platform/PlatformThreadTest.cpp
@@ -16,11 +16,11 @@
 
   template <typename Kind> std::vector<Kind> all() {
     std::lock_guard<std::mutex> Lock(this->Mutex);
-    std::vector<Kind> Found;
+    std::vector<Kind> Matches;
     for (const auto &Each : this->Events)
       if (const auto *Event = std::get_if<Kind>(&Each))
-        Found.push_back(*Event);
-    return Found;
+        Matches.push_back(*Event);
+    return Matches;
   }
 };
 
--- a/test/Platform/RunRecordWriterTest.cpp
+++ b/test/Platform/RunRecordWriterTest.cpp
@@ -159,7 +159,7 @@
     Faults.LoseRequests = 0;
   });
   // The first attempt hangs in transit. The retry with a new guard revision
-  // succeeds, and after its release the late write finds no record.
+  // succeeds. After its release, only the guard key prevents the late write.
   cr_assert(claim(*A, "k", "a1").get() == RunVerdict::Claimed);
   A->release(Account, "k", "a1");
   cr_assert(F.reachesRecordCount(1));
--- a/test/Platform/StoreClientTest.cpp
+++ b/test/Platform/StoreClientTest.cpp
@@ -65,8 +65,8 @@
 Test(StoreClient, distinguishesALostResponseFromAnUnsentCall) {
   Fixture F;
   F.Store.changeFaults([](auto &Faults) { Faults.LoseReplies = 1; });
-  const auto Lost = F.Client->put("k", "v");
-  cr_assert_eq(Lost.error().Code, ErrorCode::Interrupted);
+  const auto Unanswered = F.Client->put("k", "v");
+  cr_assert_eq(Unanswered.error().Code, ErrorCode::Interrupted);
   cr_assert_eq(F.Client->get("k")->Entries.size(), 1U);
   StoreClient Unconnected({"127.0.0.1:1", 300ms, 500ms}, F.Budget,
                           Clock::steady());
--- a/test/Program/SettingsTest.cpp
+++ b/test/Program/SettingsTest.cpp
@@ -15,7 +15,7 @@
 
 const std::string SourceFolder = SOURCE_FOLDER;
 
-// Lines 1 to 5.
+// The required settings, which take lines 1 to 5 of a file.
 const std::string ValidStart = "[router]\nname = r1\navailability_zone = z1\n"
                                "[listen]\ncallers = 127.0.0.1:7000\n";
 
@@ -86,7 +86,7 @@
   }
 }
 
-// A message about a wrong secret may end in a log or on a screen.
+// Messages appear in logs and on screens, so they must not contain a secret.
 Test(Settings, AWrongSecretIsNotRepeatedInTheMessage) {
   const auto Parsed = parse(ValidStart + "[peers]\nsecret = hunter2\n");
   cr_assert(!Parsed.has_value());
@@ -114,8 +114,8 @@
   cr_assert(Parsed->Policy == FairnessMode::Shared);
 }
 
-// Every default must itself be allowed, and give the same value when it is
-// written into a file.
+// Every default must be an allowed value, and yield the same value when it is
+// written to a file and read again.
 Test(SettingsTable, EveryDefaultIsAllowedAndStable) {
   const Settings Defaults;
   for (const Setting &Each : settingsTable()) {
