--- a/bench/BackendStreamBench.cpp
+++ b/bench/BackendStreamBench.cpp
@@ -56,7 +56,7 @@
   Call.ResumeFrom->ResponseId = engine().Id;
   std::uint64_t Events = 0;
   EngineListener Listener;
-  Listener.Delta = [&](const std::string &Text, std::uint64_t) {
+  Listener.DeltaReceived = [&](const std::string &Text, std::uint64_t) {
     benchmark::DoNotOptimize(Text.data());
     ++Events;
     return true;
--- a/bench/CapacityControlBench.cpp
+++ b/bench/CapacityControlBench.cpp
@@ -241,7 +241,7 @@
 
   FairMessage message() const {
     FairMessage M;
-    M.ToLife = 1;
+    M.ToIncarnation = 1;
     return M;
   }
 
--- a/bench/ConfigurationBench.cpp
+++ b/bench/ConfigurationBench.cpp
@@ -132,9 +132,9 @@
   Keeper.handle(Now, ViewChanged{V});
   Now += 2s;
   ConfigurationText Text(fileOf(0));
-  Keeper.handle(
-      Now, ConfigurationMessageReceived{
-               RouterId{2}, ConfigurationWhole{1, Text.hash(), Text.whole()}});
+  Keeper.handle(Now, ConfigurationMessageReceived{
+                         RouterId{2}, ConfigurationSnapshot{1, Text.hash(),
+                                                            Text.fullText()}});
   std::uint64_t Generation = 1;
   while (State.KeepRunning()) {
     State.PauseTiming();
--- a/bench/ProgramLoaderBench.cpp
+++ b/bench/ProgramLoaderBench.cpp
@@ -45,9 +45,10 @@
 
   DeclarationsPtr next(bool FollowsLast) {
     const int Number = static_cast<int>(++this->Generation % AccountCount);
-    const PutInForce Change{this->Generation,
-                            this->Text,
-                            {{}, accountSection(Number, 2 + Number % 7)}};
+    const ActivateConfiguration Change{
+        this->Generation,
+        this->Text,
+        {{}, accountSection(Number, 2 + Number % 7)}};
     auto Updated = this->Updater.update(Change, FollowsLast);
     return Updated ? *Updated : nullptr;
   }
--- a/src/Backend/BackendConnection.cpp
+++ b/src/Backend/BackendConnection.cpp
@@ -113,7 +113,7 @@
 
 BackendConnection::BackendConnection(const std::string &A,
                                      Duration ConnectLimit,
-                                     ConnectionBreaker &B, const Clock &Time)
+                                     ConnectionCanceller &B, const Clock &Time)
     : Address(A), Breaker(nullptr), Socket(new internal::TimedSocket(Time)) {
   Poco::Net::StreamSocket Connected(this->Socket);
   Connected.connect(Poco::Net::SocketAddress(A), toTimespan(ConnectLimit));
@@ -125,7 +125,7 @@
 
 BackendConnection::~BackendConnection() { this->detach(); }
 
-bool BackendConnection::attach(ConnectionBreaker &B) {
+bool BackendConnection::attach(ConnectionCanceller &B) {
   if (!B.attach(this->Http->socket()))
     return false;
   this->Breaker = &B;
@@ -157,7 +157,7 @@
   return this->SentWhole && !this->Socket->Ended && this->Http->buffered() == 0;
 }
 
-bool BackendConnection::stirred() const {
+bool BackendConnection::hasUnsolicitedInput() const {
   return this->Socket->poll(Poco::Timespan(0),
                             Poco::Net::SocketImpl::SELECT_READ |
                                 Poco::Net::SocketImpl::SELECT_ERROR);
--- a/src/Backend/BackendConnection.h
+++ b/src/Backend/BackendConnection.h
@@ -1,7 +1,7 @@
 #ifndef PARSLEYWING_BACKEND_BACKENDCONNECTION_H
 #define PARSLEYWING_BACKEND_BACKENDCONNECTION_H
 
-#include "Backend/ConnectionBreaker.h"
+#include "Backend/ConnectionCanceller.h"
 #include "Runtime/Clock.h"
 
 #include <Poco/Net/HTTPClientSession.h>
@@ -44,13 +44,13 @@
   /// Throws where that fails in time, or where
   /// the breaker was used; nothing of a request has left then.
   BackendConnection(const std::string &Address, Duration ConnectLimit,
-                    ConnectionBreaker &B, const Clock &Time);
+                    ConnectionCanceller &B, const Clock &Time);
   ~BackendConnection();
   BackendConnection(const BackendConnection &) = delete;
   BackendConnection &operator=(const BackendConnection &) = delete;
 
   /// Moves the connection from a finished call to the next one's breaker.
-  bool attach(ConnectionBreaker &B);
+  bool attach(ConnectionCanceller &B);
   void detach();
 
   /// Bytes that do not come or go before this moment raise a timeout.
@@ -68,7 +68,7 @@
 
   /// Whether the other side ended the connection: an answer of unstated or
   /// chunked length that ends so may have been cut off.
-  bool ended() const { return this->Socket->Ended; }
+  bool peerClosed() const { return this->Socket->Ended; }
 
   /// Whether the next call may go over the connection: the request went out
   /// whole, the other side has not ended it, and nothing came behind the answer
@@ -77,7 +77,7 @@
 
   /// Whether the other side has sent or ended something while nothing was
   /// expected: such a connection is of no more use.
-  bool stirred() const;
+  bool hasUnsolicitedInput() const;
 
   std::uint64_t receivedBytes() const { return this->Socket->Received; }
   std::uint64_t sentBytes() const { return this->Socket->Sent; }
@@ -86,7 +86,7 @@
   class Session;
 
   std::string Address;
-  ConnectionBreaker *Breaker;
+  ConnectionCanceller *Breaker;
   internal::TimedSocket *Socket;
   std::unique_ptr<Session> Http;
   bool SentWhole = true;
--- a/src/Backend/BackendCounters.cpp
+++ b/src/Backend/BackendCounters.cpp
@@ -18,8 +18,8 @@
   case AttemptOutcome::Cancelled:
     ++this->Cancelled;
     return;
-  case AttemptOutcome::CallerLeft:
-    ++this->CallersLeft;
+  case AttemptOutcome::CallerDisconnected:
+    ++this->CallersDisconnected;
     return;
   }
 }
--- a/src/Backend/BackendSettings.h
+++ b/src/Backend/BackendSettings.h
@@ -9,20 +9,20 @@
 
 /// Limits of calls to backend servers.
 struct BackendSettings {
-  Duration ConnectLimit = std::chrono::seconds(1);
+  Duration ConnectTimeout = std::chrono::seconds(1);
   /// From the request to the first piece of output: covers the wait in the
   /// engine's own queue.
-  Duration FirstEventLimit = std::chrono::seconds(10);
+  Duration FirstEventTimeout = std::chrono::seconds(10);
   /// Between two events of a stream that has begun its output.
-  Duration EventGapLimit = std::chrono::seconds(10);
+  Duration EventGapTimeout = std::chrono::seconds(10);
   /// For the probe that tells a silent server from a silent connection.
-  Duration ProbeLimit = std::chrono::milliseconds(500);
+  Duration ProbeTimeout = std::chrono::milliseconds(500);
   /// For the order that frees the slot of an abandoned response.
-  Duration CancelLimit = std::chrono::seconds(1);
+  Duration CancelTimeout = std::chrono::seconds(1);
   /// Largest single event, in bytes.
   std::size_t MaxEventBytes = 1 << 20;
   /// Largest answer that is read whole, in bytes.
-  std::size_t MaxAnswerBytes = 4 << 20;
+  std::size_t MaxResponseBytes = 4 << 20;
   /// Idle connections kept for one server.
   std::size_t MaxIdleConnections = 8;
   /// An idle connection older than this is closed: what lies between the two
--- a/src/Backend/ConnectionBreaker.cpp
+++ b/src/Backend/ConnectionCanceller.cpp
@@ -1,10 +1,10 @@
-#include "Backend/ConnectionBreaker.h"
+#include "Backend/ConnectionCanceller.h"
 
 #include <Poco/Exception.h>
 
 namespace parsleywing {
 
-void ConnectionBreaker::breakOff() {
+void ConnectionCanceller::cancel() {
   std::lock_guard<std::mutex> Lock(this->Mutex);
   this->Broken = true;
   if (!this->Attached)
@@ -16,7 +16,7 @@
   }
 }
 
-bool ConnectionBreaker::attach(const Poco::Net::StreamSocket &Socket) {
+bool ConnectionCanceller::attach(const Poco::Net::StreamSocket &Socket) {
   std::lock_guard<std::mutex> Lock(this->Mutex);
   if (this->Broken)
     return false;
@@ -24,7 +24,7 @@
   return true;
 }
 
-void ConnectionBreaker::detach() {
+void ConnectionCanceller::detach() {
   std::lock_guard<std::mutex> Lock(this->Mutex);
   this->Attached.reset();
 }
--- a/src/Backend/ConnectionBreaker.h
+++ b/src/Backend/ConnectionCanceller.h
@@ -1,5 +1,5 @@
-#ifndef PARSLEYWING_BACKEND_CONNECTIONBREAKER_H
-#define PARSLEYWING_BACKEND_CONNECTIONBREAKER_H
+#ifndef PARSLEYWING_BACKEND_CONNECTIONCANCELLER_H
+#define PARSLEYWING_BACKEND_CONNECTIONCANCELLER_H
 
 #include <Poco/Net/StreamSocket.h>
 #include <atomic>
@@ -11,13 +11,13 @@
 /// Ends the connection of a call from another thread. Once broken it stays so:
 /// a connection attached later is refused, which covers a break that comes
 /// while the call still connects.
-class ConnectionBreaker {
+class ConnectionCanceller {
 public:
   /// Shuts the attached connection down, which wakes a blocked read at once.
   /// Never blocks on the network.
-  void breakOff();
+  void cancel();
 
-  bool broken() const { return this->Broken; }
+  bool isCancelled() const { return this->Broken; }
 
   /// False where the breaker was used already.
   bool attach(const Poco::Net::StreamSocket &Socket);
--- a/src/Backend/ConnectionPool.cpp
+++ b/src/Backend/ConnectionPool.cpp
@@ -3,7 +3,7 @@
 namespace parsleywing {
 
 std::unique_ptr<BackendConnection>
-ConnectionPool::take(const std::string &Address) {
+ConnectionPool::acquire(const std::string &Address) {
   const TimePoint Now = this->Settings.Time.now();
   std::lock_guard<std::mutex> Lock(this->Mutex);
   std::vector<Idle> &Kept = this->Servers[Address];
@@ -11,14 +11,14 @@
     Idle Youngest = std::move(Kept.back());
     Kept.pop_back();
     if (Now - Youngest.Since < this->Settings.MaxIdleTime &&
-        !Youngest.Connection->stirred())
+        !Youngest.Connection->hasUnsolicitedInput())
       return std::move(Youngest.Connection);
   }
   return nullptr;
 }
 
-void ConnectionPool::put(const std::string &Address,
-                         std::unique_ptr<BackendConnection> C) {
+void ConnectionPool::release(const std::string &Address,
+                             std::unique_ptr<BackendConnection> C) {
   C->detach();
   std::lock_guard<std::mutex> Lock(this->Mutex);
   std::vector<Idle> &Kept = this->Servers[Address];
@@ -26,12 +26,12 @@
     Kept.push_back({this->Settings.Time.now(), std::move(C)});
 }
 
-void ConnectionPool::drop(const std::string &Address) {
+void ConnectionPool::closeIdle(const std::string &Address) {
   std::lock_guard<std::mutex> Lock(this->Mutex);
   this->Servers.erase(Address);
 }
 
-std::size_t ConnectionPool::idle(const std::string &Address) const {
+std::size_t ConnectionPool::idleCount(const std::string &Address) const {
   std::lock_guard<std::mutex> Lock(this->Mutex);
   const auto Server = this->Servers.find(Address);
   return Server == this->Servers.end() ? 0 : Server->second.size();
--- a/src/Backend/ConnectionPool.h
+++ b/src/Backend/ConnectionPool.h
@@ -21,15 +21,16 @@
 
   /// An idle connection that looks alive, the youngest first; nothing where
   /// there is none.
-  std::unique_ptr<BackendConnection> take(const std::string &Address);
+  std::unique_ptr<BackendConnection> acquire(const std::string &Address);
 
   /// Keeps a connection whose last answer was read to its end.
-  void put(const std::string &Address, std::unique_ptr<BackendConnection> C);
+  void release(const std::string &Address,
+               std::unique_ptr<BackendConnection> C);
 
   /// Closes every idle connection to a server, after one of them was silent.
-  void drop(const std::string &Address);
+  void closeIdle(const std::string &Address);
 
-  std::size_t idle(const std::string &Address) const;
+  std::size_t idleCount(const std::string &Address) const;
 
 private:
   struct Idle {
--- a/src/Backend/EngineAttempt.cpp
+++ b/src/Backend/EngineAttempt.cpp
@@ -62,18 +62,19 @@
   ++this->Counters.Attempts;
   if (this->Call.ResumeFrom)
     ++this->Counters.Resumes;
-  if (this->Listener.SetBreaker)
-    this->Listener.SetBreaker([B = this->Breaker] { B->breakOff(); });
+  if (this->Listener.SetCanceller)
+    this->Listener.SetCanceller([B = this->Breaker] { B->cancel(); });
   EngineResult Result = this->attempt();
-  if (this->Listener.SetBreaker)
-    this->Listener.SetBreaker({});
+  if (this->Listener.SetCanceller)
+    this->Listener.SetCanceller({});
   if (this->Connection) {
     this->Counters.EventBytes +=
         this->Connection->receivedBytes() - this->ReceivedBefore;
     this->Connection.reset();
   }
-  if (this->MayHaveLeft && (Result.Outcome == AttemptOutcome::Cancelled ||
-                            Result.Outcome == AttemptOutcome::CallerLeft))
+  if (this->MayHaveLeft &&
+      (Result.Outcome == AttemptOutcome::Cancelled ||
+       Result.Outcome == AttemptOutcome::CallerDisconnected))
     this->freeSlot();
   this->Counters.countOutcome(Result.Outcome);
   return Result;
@@ -94,7 +95,7 @@
 }
 
 Duration EngineAttempt::limitOf(Duration Setting) const {
-  const Duration Own = this->Call.SilenceLimit;
+  const Duration Own = this->Call.ProgressTimeout;
   return Own > Duration::zero() ? std::min(Own, Setting) : Setting;
 }
 
@@ -108,10 +109,10 @@
 /// otherwise look alive.
 void EngineAttempt::allowIfProgressed() {
   const std::uint64_t Now = this->Check.point().Sequence;
-  if (Now == this->SeenSequence || !this->Check.outputBegun())
+  if (Now == this->SeenSequence || !this->Check.outputStarted())
     return;
   this->SeenSequence = Now;
-  this->allow(this->Settings.EventGapLimit);
+  this->allow(this->Settings.EventGapTimeout);
 }
 
 /// An idle connection may be dead without a sign: what is sent over it is then
@@ -120,11 +121,11 @@
 /// connection, which the handshake has just proved.
 void EngineAttempt::connect() {
   if (this->Call.Repeatable && !this->Call.ResumeFrom)
-    this->Connection = this->Pool.take(this->Call.Address);
+    this->Connection = this->Pool.acquire(this->Call.Address);
   this->FromPool = this->Connection != nullptr;
   if (!this->Connection)
     this->Connection = std::make_unique<BackendConnection>(
-        this->Call.Address, this->Settings.ConnectLimit, *this->Breaker,
+        this->Call.Address, this->Settings.ConnectTimeout, *this->Breaker,
         this->Settings.Time);
   else if (!this->Connection->attach(*this->Breaker))
     throw Poco::Net::ConnectionAbortedException("broken off before the send");
@@ -134,11 +135,11 @@
 void EngineAttempt::sendRequest() {
   // A stream taken up again has left the engine's queue behind it. With the
   // long limit a frozen engine would hold its caller that long for each try.
-  this->allow(this->Call.ResumeFrom ? this->Settings.EventGapLimit
-                                    : this->Settings.FirstEventLimit);
+  this->allow(this->Call.ResumeFrom ? this->Settings.EventGapTimeout
+                                    : this->Settings.FirstEventTimeout);
   this->MayHaveLeft = true;
-  if (this->Listener.Sent)
-    this->Listener.Sent();
+  if (this->Listener.SendStarted)
+    this->Listener.SendStarted();
   Poco::Net::HTTPRequest Request("POST", ResponsesPath, "HTTP/1.1");
   Request.setKeepAlive(this->Call.Repeatable);
   Request.set("Accept", StreamType);
@@ -183,7 +184,7 @@
   if (!this->Call.ResumeFrom && SaysNotRun && isPublishedError(Body))
     Result.Outcome = AttemptOutcome::Rejected;
   Result.ServerLeaving =
-      saysLeaving(Status, Response.get(DrainHeader, ""), Body);
+      reportsLeaving(Status, Response.get(DrainHeader, ""), Body);
   Result.RetryAfterSeconds = retryAfterOf(Response);
   return Result;
 }
@@ -194,7 +195,7 @@
   while (true) {
     switch (Reader.next(Event)) {
     case ReadStatus::End:
-      if (this->Breaker->broken())
+      if (this->Breaker->isCancelled())
         return this->failed("broken off", false);
       ++this->Counters.TruncatedStreams;
       return this->interrupted(true);
@@ -204,7 +205,7 @@
     case ReadStatus::Event:
       break;
     }
-    const auto Ended = this->actOn(this->Check.take(Event), In);
+    const auto Ended = this->actOn(this->Check.processEvent(Event), In);
     if (Ended)
       return *Ended;
   }
@@ -216,10 +217,12 @@
   case StreamVerdict::Skip:
     this->allowIfProgressed();
     return std::nullopt;
-  case StreamVerdict::Pass:
-    if (this->Listener.Delta &&
-        !this->Listener.Delta(this->Check.text(), this->Check.point().Tokens))
-      return EngineResult{AttemptOutcome::CallerLeft, this->Check.tokens()};
+  case StreamVerdict::Forward:
+    if (this->Listener.DeltaReceived &&
+        !this->Listener.DeltaReceived(this->Check.text(),
+                                      this->Check.point().Tokens))
+      return EngineResult{AttemptOutcome::CallerDisconnected,
+                          this->Check.tokens()};
     this->allowIfProgressed();
     return std::nullopt;
   case StreamVerdict::Finished:
@@ -243,10 +246,10 @@
   this->allow(EndLimit);
   try {
     if (In.rdbuf()->sbumpc() == EOF && this->Connection->reusable() &&
-        !this->Breaker->broken()) {
+        !this->Breaker->isCancelled()) {
       this->Counters.EventBytes +=
           this->Connection->receivedBytes() - this->ReceivedBefore;
-      this->Pool.put(this->Call.Address, std::move(this->Connection));
+      this->Pool.release(this->Call.Address, std::move(this->Connection));
     }
   } catch (const std::exception &) {
     // It is closed instead of kept.
@@ -256,13 +259,13 @@
 
 EngineResult EngineAttempt::interrupted(bool Resumable) const {
   EngineResult Result{AttemptOutcome::Interrupted, this->Check.tokens()};
-  if (Resumable && this->Check.point().possible())
+  if (Resumable && this->Check.point().isResumable())
     Result.Resume = this->Check.point();
   return Result;
 }
 
 EngineResult EngineAttempt::failed(const std::string &Why, bool Silent) {
-  if (this->Breaker->broken())
+  if (this->Breaker->isCancelled())
     return {AttemptOutcome::Cancelled, this->Check.tokens()};
   log(LogPart::Backend, LogLevel::Info,
       "Attempt at " + this->Call.Address + " broke: " + Why + ".");
@@ -278,11 +281,11 @@
       this->Connection->receivedBytes() == this->ReceivedBefore;
   if (Result.PooledConnectionBroke) {
     ++this->Counters.PooledConnectionsBroken;
-    this->Pool.drop(this->Call.Address);
+    this->Pool.closeIdle(this->Call.Address);
   }
   if (!Silent)
     return Result;
-  ++this->Counters.Silences;
+  ++this->Counters.ProgressTimeouts;
   this->Connection.reset();
   Result.ServerSuspect = !probeServer(this->Call.Address, this->Settings);
   if (Result.ServerSuspect)
--- a/src/Backend/EngineAttempt.h
+++ b/src/Backend/EngineAttempt.h
@@ -38,8 +38,8 @@
   BackendCounters &Counters;
   ConnectionPool &Pool;
   ResponseStreamCheck Check;
-  std::shared_ptr<ConnectionBreaker> Breaker =
-      std::make_shared<ConnectionBreaker>();
+  std::shared_ptr<ConnectionCanceller> Breaker =
+      std::make_shared<ConnectionCanceller>();
   std::unique_ptr<BackendConnection> Connection;
   bool MayHaveLeft = false;
   bool FromPool = false;
--- a/src/Backend/EngineClient.h
+++ b/src/Backend/EngineClient.h
@@ -26,7 +26,7 @@
   /// A resumed attempt keeps the identity of the one that broke.
   std::string Identity;
   /// Tightens the limits of silence in the settings; zero leaves them.
-  Duration SilenceLimit{0};
+  Duration ProgressTimeout{0};
   /// Whether the request may be sent again after it may have run. Only then an
   /// idle connection may carry it.
   bool Repeatable = false;
@@ -40,14 +40,15 @@
 /// called from the thread that runs the call; any may be empty.
 struct EngineListener {
   /// The first byte of the request may leave from here on.
-  std::function<void()> Sent;
+  std::function<void()> SendStarted;
   /// A piece of the answer, and the tokens generated so far. False ends the
   /// attempt, since the caller is gone.
-  std::function<bool(const std::string &Text, std::uint64_t Tokens)> Delta;
+  std::function<bool(const std::string &Text, std::uint64_t Tokens)>
+      DeltaReceived;
   /// Receives what ends a blocked read from another thread; an empty function
   /// when the attempt is over. What it receives never blocks, and may be
   /// called any number of times, also after the attempt.
-  std::function<void(std::function<void()>)> SetBreaker;
+  std::function<void(std::function<void()>)> SetCanceller;
 };
 
 /// How the attempt ended, and its whole cost.
--- a/src/Backend/LoadPoller.cpp
+++ b/src/Backend/LoadPoller.cpp
@@ -92,7 +92,7 @@
   ShortCall Call;
   Call.Address = Target.Address;
   Call.Path = Target.ReportsLoad ? MetricsPath : HealthPath;
-  Call.Limit = this->Settings.Limit;
+  Call.Timeout = this->Settings.Timeout;
   ++this->Counters.PollCalls;
   const auto Answer = runShortCall(Call);
   Observation Seen;
@@ -123,12 +123,13 @@
   ServerCondition Now = Server.Condition;
   if (Seen.Answered)
     Now = Seen.Leaving ? ServerCondition::Leaving : ServerCondition::Usable;
-  else if (Server.Failures >= this->Settings.FailuresUntilFailed)
+  else if (Server.Failures >= this->Settings.FailureThreshold)
     Now = ServerCondition::Failed;
   const TimePoint At = Clock::steady().now();
   // After one missed report the last condition is no longer what was seen.
   const bool IsSure = Seen.Answered || Now == ServerCondition::Failed;
-  const bool Repeats = IsSure && At >= Server.Told + this->Settings.RepeatEvery;
+  const bool Repeats =
+      IsSure && At >= Server.Told + this->Settings.RepeatInterval;
   const bool Tells = Now != Server.Condition || Repeats;
   Server.Condition = Now;
   if (Tells)
--- a/src/Backend/LoadPoller.h
+++ b/src/Backend/LoadPoller.h
@@ -21,17 +21,17 @@
 struct PollSettings {
   Duration Interval = std::chrono::seconds(1);
   /// For one report, connection included.
-  Duration Limit = std::chrono::milliseconds(500);
+  Duration Timeout = std::chrono::milliseconds(500);
   /// Part of the interval by which each wait varies, so that many routers do
   /// not ask at the same moment; 0 to 1.
   double Jitter = 0.2;
   /// Reports missed in a row before a server counts as failed.
-  unsigned FailuresUntilFailed = 3;
+  unsigned FailureThreshold = 3;
   /// Threads that ask. Each can be held up by one dead server for `Limit`.
   unsigned Threads = 4;
   /// A condition that stays is told again after so long: who took over a
   /// server, or heard otherwise from another router, must hear it too.
-  Duration RepeatEvery = std::chrono::seconds(5);
+  Duration RepeatInterval = std::chrono::seconds(5);
   std::uint64_t Seed = 1;
 };
 
--- a/src/Backend/OrderClient.cpp
+++ b/src/Backend/OrderClient.cpp
@@ -56,11 +56,11 @@
 } // namespace
 
 Result<std::set<std::string>>
-OrderClient::checkReport(const std::string &Address, Duration Limit) {
+OrderClient::fetchLoadedModels(const std::string &Address, Duration Limit) {
   ShortCall Call;
   Call.Address = Address;
   Call.Path = ModelsPath;
-  Call.Limit = Limit;
+  Call.Timeout = Limit;
   ++this->Counters.OrderCalls;
   const auto Answer = runShortCall(Call);
   if (!Answer)
@@ -76,14 +76,14 @@
 }
 
 OrderClient::Effect OrderClient::effectOf(const EngineOrder &Order) {
-  const auto Report = this->checkReport(Order.Address, Order.Limit);
+  const auto Report = this->fetchLoadedModels(Order.Address, Order.CallTimeout);
   if (!Report)
     return Effect::Unseen;
-  return inEffect(Order, *Report) ? Effect::InPlace : Effect::Missing;
+  return isInEffect(Order, *Report) ? Effect::InPlace : Effect::Missing;
 }
 
-bool OrderClient::inEffect(const EngineOrder &Order,
-                           const std::set<std::string> &Report) {
+bool OrderClient::isInEffect(const EngineOrder &Order,
+                             const std::set<std::string> &Report) {
   const bool Wanted = Order.Kind == OrderKind::LoadAdapter;
   return Report.contains(Order.Name) == Wanted;
 }
@@ -96,8 +96,8 @@
 /// number is always sent the order, also where its effect is in place: it then
 /// knows the number and refuses an older order that is still on its way. It may
 /// refuse to load what it has loaded, which its report settles.
-OrderOutcome OrderClient::give(const EngineOrder &Order,
-                               const AskLease &Lease) {
+OrderOutcome OrderClient::sendOrder(const EngineOrder &Order,
+                                    const PermitProvider &Lease) {
   const bool Checked = Order.Fencing == FencingCheck::Checked;
   if (!Checked && this->effectOf(Order) == Effect::InPlace)
     return OrderOutcome::AlreadyInEffect;
@@ -113,15 +113,15 @@
 }
 
 OrderOutcome OrderClient::send(const EngineOrder &Order,
-                               const AskLease &Lease) {
+                               const PermitProvider &Lease) {
   ShortCall Call;
   Call.Address = Order.Address;
   Call.Method = "POST";
   Call.Path = Order.Kind == OrderKind::LoadAdapter ? LoadPath : UnloadPath;
   Call.Body = bodyOf(Order);
-  Call.Limit = Order.Limit;
+  Call.Timeout = Order.CallTimeout;
   // The number is part of the leave, so that it cannot be another lease's.
-  Call.SendUntil = [&]() -> std::optional<TimePoint> {
+  Call.SendPermission = [&]() -> std::optional<TimePoint> {
     const auto Use = Lease();
     if (!Use)
       return std::nullopt;
--- a/src/Backend/OrderClient.h
+++ b/src/Backend/OrderClient.h
@@ -37,7 +37,7 @@
   FencingCheck Fencing = FencingCheck::Ignored;
   /// For each call to the engine; the order itself ends no later than the use
   /// of its lease.
-  Duration Limit = std::chrono::seconds(5);
+  Duration CallTimeout = std::chrono::seconds(5);
 };
 
 /// How an order ended.
@@ -68,24 +68,24 @@
   explicit OrderClient(BackendCounters &C) : Counters(C) {}
 
   /// Asks the holder for leave to send, and under which number.
-  using AskLease = std::function<std::optional<LeasePermit>()>;
+  using PermitProvider = std::function<std::optional<LeasePermit>()>;
 
   /// Gives an order. `Lease` is asked as the last thing before the first byte
   /// leaves; it must give nothing well before the lease can have lapsed.
-  OrderOutcome give(const EngineOrder &Order, const AskLease &Lease);
+  OrderOutcome sendOrder(const EngineOrder &Order, const PermitProvider &Lease);
 
   /// Whether the report shows what the order wants.
-  static bool inEffect(const EngineOrder &Order,
-                       const std::set<std::string> &Report);
+  static bool isInEffect(const EngineOrder &Order,
+                         const std::set<std::string> &Report);
 
   /// The models and adapters that the engine reports as loaded.
-  Result<std::set<std::string>> checkReport(const std::string &Address,
-                                            Duration Limit);
+  Result<std::set<std::string>> fetchLoadedModels(const std::string &Address,
+                                                  Duration Limit);
 
 private:
   enum class Effect { InPlace, Missing, Unseen };
   Effect effectOf(const EngineOrder &Order);
-  OrderOutcome send(const EngineOrder &Order, const AskLease &Lease);
+  OrderOutcome send(const EngineOrder &Order, const PermitProvider &Lease);
 
   BackendCounters &Counters;
 };
--- a/src/Backend/PlainAttempt.cpp
+++ b/src/Backend/PlainAttempt.cpp
@@ -28,8 +28,8 @@
 
 PlainResult PlainAttempt::run() {
   ++this->Counters.Attempts;
-  if (this->Listener.SetBreaker)
-    this->Listener.SetBreaker([B = this->Breaker] { B->breakOff(); });
+  if (this->Listener.SetCanceller)
+    this->Listener.SetCanceller([B = this->Breaker] { B->cancel(); });
   try {
     this->attempt();
   } catch (const Poco::TimeoutException &Late) {
@@ -39,8 +39,8 @@
   } catch (const std::exception &Broken) {
     this->failed(Broken.what(), false);
   }
-  if (this->Listener.SetBreaker)
-    this->Listener.SetBreaker({});
+  if (this->Listener.SetCanceller)
+    this->Listener.SetCanceller({});
   this->Connection.reset();
   this->Counters.countOutcome(this->Result.Outcome);
   return this->Result;
@@ -53,7 +53,7 @@
 }
 
 void PlainAttempt::allow(Duration Setting) {
-  const Duration Own = this->Call.SilenceLimit;
+  const Duration Own = this->Call.ProgressTimeout;
   const Duration Limit =
       Own > Duration::zero() ? std::min(Own, Setting) : Setting;
   this->Connection->setDeadline(this->Settings.Time.now() + Limit);
@@ -63,11 +63,11 @@
 /// idle connection.
 void PlainAttempt::connect() {
   if (this->Call.Repeatable)
-    this->Connection = this->Pool.take(this->Call.Address);
+    this->Connection = this->Pool.acquire(this->Call.Address);
   this->FromPool = this->Connection != nullptr;
   if (!this->Connection)
     this->Connection = std::make_unique<BackendConnection>(
-        this->Call.Address, this->Settings.ConnectLimit, *this->Breaker,
+        this->Call.Address, this->Settings.ConnectTimeout, *this->Breaker,
         this->Settings.Time);
   else if (!this->Connection->attach(*this->Breaker))
     throw Poco::Net::ConnectionAbortedException("broken off before the send");
@@ -82,10 +82,10 @@
   Request.erase("Content-Length");
   Request.set(IdentityHeader, this->Call.Identity);
   Request.setKeepAlive(this->Call.Repeatable);
-  this->allow(this->Settings.FirstEventLimit);
+  this->allow(this->Settings.FirstEventTimeout);
   this->MayHaveLeft = true;
-  if (this->Listener.Sent)
-    this->Listener.Sent();
+  if (this->Listener.SendStarted)
+    this->Listener.SendStarted();
   this->Connection->send(Request, this->Call.Body);
 }
 
@@ -97,11 +97,11 @@
       std::strtoul(Response.get("Retry-After", "0").c_str(), nullptr, 10));
   if (this->refused(Response, In))
     return;
-  this->Result.AnswerBegun = true;
+  this->Result.ResponseStarted = true;
   this->Result.Outcome = AttemptOutcome::Completed;
-  if (this->Listener.Head &&
-      !this->Listener.Head(this->Result.Status, headersOf(Response))) {
-    this->Result.Outcome = AttemptOutcome::CallerLeft;
+  if (this->Listener.HeadReceived &&
+      !this->Listener.HeadReceived(this->Result.Status, headersOf(Response))) {
+    this->Result.Outcome = AttemptOutcome::CallerDisconnected;
     return;
   }
   this->passBody(In);
@@ -111,7 +111,7 @@
     this->keepConnection(Response);
     return;
   }
-  if (this->Breaker->broken()) {
+  if (this->Breaker->isCancelled()) {
     this->Result.Outcome = AttemptOutcome::Cancelled;
     return;
   }
@@ -128,22 +128,22 @@
     return false;
   std::string Body;
   for (int Next = In.rdbuf()->sbumpc();
-       Next != EOF && Body.size() < this->Settings.MaxAnswerBytes;
+       Next != EOF && Body.size() < this->Settings.MaxResponseBytes;
        Next = In.rdbuf()->sbumpc())
     Body.push_back(static_cast<char>(Next));
   this->Result.ServerLeaving =
-      saysLeaving(Status, Response.get(DrainHeader, ""), Body);
+      reportsLeaving(Status, Response.get(DrainHeader, ""), Body);
   this->Result.Outcome = AttemptOutcome::Rejected;
   if (isPublishedError(Body) ||
       Response.getContentType().starts_with(ProblemType))
     return true;
   this->Result.Outcome = AttemptOutcome::Completed;
-  this->Result.AnswerBegun = true;
+  this->Result.ResponseStarted = true;
   this->Result.BodyBytes = Body.size();
-  if (this->Listener.Head)
-    this->Listener.Head(Status, headersOf(Response));
-  if (this->Listener.Body && !Body.empty())
-    this->Listener.Body(Body);
+  if (this->Listener.HeadReceived)
+    this->Listener.HeadReceived(Status, headersOf(Response));
+  if (this->Listener.BodyReceived && !Body.empty())
+    this->Listener.BodyReceived(Body);
   return true;
 }
 
@@ -151,7 +151,7 @@
 void PlainAttempt::passBody(std::istream &In) {
   std::array<char, PieceBytes> Piece{};
   while (true) {
-    this->allow(this->Settings.EventGapLimit);
+    this->allow(this->Settings.EventGapTimeout);
     const int First = In.rdbuf()->sbumpc();
     if (First == EOF)
       return;
@@ -162,9 +162,9 @@
         There > 0 ? In.rdbuf()->sgetn(Piece.data() + 1, There) : 0;
     const auto Size = static_cast<std::size_t>(More) + 1;
     this->Result.BodyBytes += Size;
-    if (this->Listener.Body &&
-        !this->Listener.Body(std::string_view(Piece.data(), Size))) {
-      this->Result.Outcome = AttemptOutcome::CallerLeft;
+    if (this->Listener.BodyReceived &&
+        !this->Listener.BodyReceived(std::string_view(Piece.data(), Size))) {
+      this->Result.Outcome = AttemptOutcome::CallerDisconnected;
       return;
     }
   }
@@ -185,20 +185,20 @@
     return static_cast<std::uint64_t>(Response.getContentLength64()) ==
            this->Result.BodyBytes;
   if (Response.getChunkedTransferEncoding())
-    return !this->Connection->ended();
-  return !this->Breaker->broken();
+    return !this->Connection->peerClosed();
+  return !this->Breaker->isCancelled();
 }
 
 void PlainAttempt::keepConnection(const Poco::Net::HTTPResponse &Response) {
   const bool Framed =
       Response.hasContentLength() || Response.getChunkedTransferEncoding();
   if (this->Call.Repeatable && Framed && Response.getKeepAlive() &&
-      this->Connection->reusable() && !this->Breaker->broken())
-    this->Pool.put(this->Call.Address, std::move(this->Connection));
+      this->Connection->reusable() && !this->Breaker->isCancelled())
+    this->Pool.release(this->Call.Address, std::move(this->Connection));
 }
 
 void PlainAttempt::failed(const std::string &Why, bool Silent) {
-  if (this->Breaker->broken()) {
+  if (this->Breaker->isCancelled()) {
     this->Result.Outcome = AttemptOutcome::Cancelled;
     return;
   }
@@ -215,11 +215,11 @@
       this->Connection->receivedBytes() == this->ReceivedBefore;
   if (this->Result.PooledConnectionBroke) {
     ++this->Counters.PooledConnectionsBroken;
-    this->Pool.drop(this->Call.Address);
+    this->Pool.closeIdle(this->Call.Address);
   }
   if (!Silent)
     return;
-  ++this->Counters.Silences;
+  ++this->Counters.ProgressTimeouts;
   this->Connection.reset();
   this->Result.ServerSuspect = !probeServer(this->Call.Address, this->Settings);
   if (this->Result.ServerSuspect)
--- a/src/Backend/PlainAttempt.h
+++ b/src/Backend/PlainAttempt.h
@@ -33,8 +33,8 @@
   const BackendSettings &Settings;
   BackendCounters &Counters;
   ConnectionPool &Pool;
-  std::shared_ptr<ConnectionBreaker> Breaker =
-      std::make_shared<ConnectionBreaker>();
+  std::shared_ptr<ConnectionCanceller> Breaker =
+      std::make_shared<ConnectionCanceller>();
   std::unique_ptr<BackendConnection> Connection;
   PlainResult Result;
   bool MayHaveLeft = false;
--- a/src/Backend/PlainServiceClient.h
+++ b/src/Backend/PlainServiceClient.h
@@ -30,7 +30,7 @@
   /// Names the request and the attempt; sent as `X-Request-Id`.
   std::string Identity;
   /// Tightens the limits of silence in the settings; zero leaves them.
-  Duration SilenceLimit{0};
+  Duration ProgressTimeout{0};
   /// Whether the request may be sent again after it may have run.
   bool Repeatable = false;
 };
@@ -39,13 +39,13 @@
 /// called from the thread that runs the call; any may be empty.
 struct PlainListener {
   /// The first byte of the request may leave from here on.
-  std::function<void()> Sent;
+  std::function<void()> SendStarted;
   /// The head of the answer. False ends the attempt: the caller is gone.
-  std::function<bool(int Status, const HeaderList &Headers)> Head;
+  std::function<bool(int Status, const HeaderList &Headers)> HeadReceived;
   /// A piece of the body. False ends the attempt.
-  std::function<bool(std::string_view Piece)> Body;
+  std::function<bool(std::string_view Piece)> BodyReceived;
   /// As in `EngineListener`.
-  std::function<void(std::function<void()>)> SetBreaker;
+  std::function<void(std::function<void()>)> SetCanceller;
 };
 
 struct PlainResult {
@@ -54,7 +54,7 @@
   int Status = 0;
   std::uint64_t BodyBytes = 0;
   /// Part of the answer was passed on, so it cannot be replaced by another.
-  bool AnswerBegun = false;
+  bool ResponseStarted = false;
   bool ServerSuspect = false;
   bool ServerLeaving = false;
   bool PooledConnectionBroke = false;
--- a/src/Backend/ResponseStreamCheck.cpp
+++ b/src/Backend/ResponseStreamCheck.cpp
@@ -31,7 +31,7 @@
   return this->WrongIdentity ? StreamVerdict::Foreign : StreamVerdict::Broken;
 }
 
-StreamVerdict ResponseStreamCheck::take(const StreamEvent &Event) {
+StreamVerdict ResponseStreamCheck::processEvent(const StreamEvent &Event) {
   try {
     return this->judge(Event);
   } catch (const Poco::Exception &) {
@@ -52,10 +52,10 @@
     return StreamVerdict::Abandoned;
   std::uint64_t Number = 0;
   const StreamVerdict Place = this->judgeNumber(*Data, Number);
-  if (Place != StreamVerdict::Pass)
+  if (Place != StreamVerdict::Forward)
     return Place;
   const StreamVerdict Verdict = this->byKind(Kind, *Data, Number);
-  if (Verdict == StreamVerdict::Skip || Verdict == StreamVerdict::Pass ||
+  if (Verdict == StreamVerdict::Skip || Verdict == StreamVerdict::Forward ||
       Verdict == StreamVerdict::Finished)
     this->Point.Sequence = Number;
   return Verdict;
@@ -67,7 +67,7 @@
                                                std::uint64_t &Number) {
   Number = Data.getValue<Poco::UInt64>("sequence_number");
   if (!this->Started)
-    return StreamVerdict::Pass;
+    return StreamVerdict::Forward;
   if (!this->ofThisItem(Data, Number))
     return this->foreignEvent();
   if (Number <= this->Point.Sequence) {
@@ -76,7 +76,7 @@
   }
   if (Number != this->Point.Sequence + 1)
     return this->broken(this->Counters.MissingEvents);
-  return StreamVerdict::Pass;
+  return StreamVerdict::Forward;
 }
 
 StreamVerdict ResponseStreamCheck::byKind(const std::string &Kind,
@@ -137,7 +137,7 @@
   this->Point.TextOffset += this->Text.size();
   this->Point.ItemTextOffset += this->Text.size();
   ++this->Point.Tokens;
-  return StreamVerdict::Pass;
+  return StreamVerdict::Forward;
 }
 
 /// The engine repeats the whole text of the item here. Another length than
--- a/src/Backend/ResponseStreamCheck.h
+++ b/src/Backend/ResponseStreamCheck.h
@@ -25,13 +25,13 @@
   /// Pieces of text passed on, taken as tokens until the engine states them.
   std::uint64_t Tokens = 0;
 
-  bool possible() const { return !this->ResponseId.empty(); }
+  bool isResumable() const { return !this->ResponseId.empty(); }
 };
 
 /// What to do after an event of the stream.
 enum class StreamVerdict {
   Skip,      ///< Nothing to pass on.
-  Pass,      ///< Pass `text()` on.
+  Forward,   ///< Pass `text()` on.
   Finished,  ///< The answer is whole.
   Abandoned, ///< The engine ended its response short of a whole answer.
   Broken,    ///< The stream cannot be trusted from here on; resume or give up.
@@ -46,15 +46,15 @@
   /// `Start` is empty for a new request.
   ResponseStreamCheck(std::string I, ResumePoint Start, BackendCounters &C)
       : Identity(std::move(I)), Counters(C), Point(std::move(Start)),
-        Started(this->Point.possible()) {}
+        Started(this->Point.isResumable()) {}
 
   /// Judges the next event. Never throws: an event that does not follow the
   /// published form breaks the stream.
-  StreamVerdict take(const StreamEvent &Event);
+  StreamVerdict processEvent(const StreamEvent &Event);
 
   const std::string &text() const { return this->Text; }
   const ResumePoint &point() const { return this->Point; }
-  bool outputBegun() const { return this->Point.Tokens > 0; }
+  bool outputStarted() const { return this->Point.Tokens > 0; }
 
   /// The cost: as the engine stated it, or the pieces counted here.
   std::uint64_t tokens() const;
--- a/src/Backend/ShortCall.cpp
+++ b/src/Backend/ShortCall.cpp
@@ -28,8 +28,8 @@
   }
 }
 
-Result<ShortAnswer> exchange(BackendConnection &Connection,
-                             const ShortCall &Call) {
+Result<ShortResponse> exchange(BackendConnection &Connection,
+                               const ShortCall &Call) {
   Poco::Net::HTTPRequest Request(Call.Method, Call.Path, "HTTP/1.1");
   for (const auto &[Name, Value] : Call.Headers)
     Request.set(Name, Value);
@@ -39,32 +39,32 @@
   Connection.send(Request, Call.Body);
   Poco::Net::HTTPResponse Response;
   std::istream &In = Connection.receive(Response);
-  ShortAnswer Answer;
+  ShortResponse Answer;
   for (int Next = In.rdbuf()->sbumpc(); Next != EOF;
        Next = In.rdbuf()->sbumpc()) {
-    if (Answer.Body.size() >= Call.MaxAnswerBytes)
+    if (Answer.Body.size() >= Call.MaxResponseBytes)
       return failure(ErrorCode::Malformed, "the answer is too large");
     Answer.Body.push_back(static_cast<char>(Next));
   }
   Answer.Status = Response.getStatus();
   Answer.Leaving =
-      saysLeaving(Answer.Status, Response.get(DrainHeader, ""), Answer.Body);
+      reportsLeaving(Answer.Status, Response.get(DrainHeader, ""), Answer.Body);
   Answer.Bytes = Connection.receivedBytes() + Connection.sentBytes();
   return Answer;
 }
 
 } // namespace
 
-Result<ShortAnswer> runShortCall(const ShortCall &Call) {
-  const TimePoint Deadline = Call.Time.now() + Call.Limit;
-  ConnectionBreaker Unused;
+Result<ShortResponse> runShortCall(const ShortCall &Call) {
+  const TimePoint Deadline = Call.Time.now() + Call.Timeout;
+  ConnectionCanceller Unused;
   bool Connected = false;
   try {
-    BackendConnection Connection(Call.Address, Call.Limit, Unused, Call.Time);
+    BackendConnection Connection(Call.Address, Call.Timeout, Unused, Call.Time);
     Connected = true;
     Connection.setDeadline(Deadline);
-    if (Call.SendUntil) {
-      const auto Until = Call.SendUntil();
+    if (Call.SendPermission) {
+      const auto Until = Call.SendPermission();
       if (!Until)
         return failure(ErrorCode::Denied, Call.Address + ": not sent");
       Connection.setDeadline(std::min(Deadline, *Until));
@@ -86,7 +86,7 @@
   ShortCall Call;
   Call.Address = Address;
   Call.Path = HealthPath;
-  Call.Limit = Settings.ProbeLimit;
+  Call.Timeout = Settings.ProbeTimeout;
   Call.Time = Settings.Time;
   const auto Answer = runShortCall(Call);
   return Answer && Answer->Status == Ok;
@@ -99,7 +99,7 @@
   Call.Address = Address;
   Call.Method = "POST";
   Call.Path = ResponsesPath + ResponseId + "/cancel";
-  Call.Limit = Settings.CancelLimit;
+  Call.Timeout = Settings.CancelTimeout;
   Call.Time = Settings.Time;
   const auto Answer = runShortCall(Call);
   if (!Answer)
@@ -110,8 +110,8 @@
   return {};
 }
 
-bool saysLeaving(int Status, const std::string &Header,
-                 const std::string &Body) {
+bool reportsLeaving(int Status, const std::string &Header,
+                    const std::string &Body) {
   if (Status != ServiceUnavailable)
     return false;
   if (Header == "true")
--- a/src/Backend/ShortCall.h
+++ b/src/Backend/ShortCall.h
@@ -20,18 +20,18 @@
   std::string Path;
   std::string Body;
   std::vector<std::pair<std::string, std::string>> Headers;
-  Duration Limit = std::chrono::seconds(1);
+  Duration Timeout = std::chrono::seconds(1);
   /// What the limit is measured by once the connection stands.
   Clock Time = Clock::steady();
-  std::size_t MaxAnswerBytes = 1 << 20;
+  std::size_t MaxResponseBytes = 1 << 20;
   /// Asked once the connection stands, as the last thing before the first
   /// byte: until when the call may last. Nothing: it is not sent, and the call
   /// fails as `Denied`. Making the connection may take long, and what the
   /// caller knew before it may no longer be so.
-  std::function<std::optional<TimePoint>()> SendUntil;
+  std::function<std::optional<TimePoint>()> SendPermission;
 };
 
-struct ShortAnswer {
+struct ShortResponse {
   int Status = 0;
   std::string Body;
   /// Whether the server says that it finishes its work and takes no more.
@@ -43,7 +43,7 @@
 /// Runs the call. `Unreachable` and `Denied` say for certain that nothing was
 /// sent; `TimedOut`, `Interrupted` and `Malformed` leave open whether it took
 /// effect. A status of any kind is an answer, not an error.
-Result<ShortAnswer> runShortCall(const ShortCall &Call);
+Result<ShortResponse> runShortCall(const ShortCall &Call);
 
 /// Whether the server answers `GET /health` over a new connection.
 bool probeServer(const std::string &Address, const BackendSettings &Settings);
@@ -54,8 +54,8 @@
                             const BackendSettings &Settings);
 
 /// Whether a 503 with this header or error body says that the server drains.
-bool saysLeaving(int Status, const std::string &DrainHeader,
-                 const std::string &Body);
+bool reportsLeaving(int Status, const std::string &DrainHeader,
+                    const std::string &Body);
 
 /// Whether the body is the published error object of engines:
 /// `{"error":{"message":...}}`.
--- a/src/Caller/AccountLimiter.cpp
+++ b/src/Caller/AccountLimiter.cpp
@@ -4,7 +4,7 @@
 
 namespace parsleywing {
 
-bool AccountLimiter::enter(AccountId Account, std::uint32_t Max) {
+bool AccountLimiter::tryAcquire(AccountId Account, std::uint32_t Max) {
   std::lock_guard<std::mutex> Lock(this->Mutex);
   std::uint32_t &Held = this->InFlight[Account];
   if (Held >= Max) {
@@ -16,7 +16,7 @@
   return true;
 }
 
-void AccountLimiter::leave(AccountId Account) {
+void AccountLimiter::release(AccountId Account) {
   std::lock_guard<std::mutex> Lock(this->Mutex);
   const auto Found = this->InFlight.find(Account);
   PARSLEYWING_INVARIANT(Found != this->InFlight.end(),
--- a/src/Caller/AccountLimiter.h
+++ b/src/Caller/AccountLimiter.h
@@ -15,10 +15,10 @@
 class AccountLimiter {
 public:
   /// Takes a place; false where the account holds `Max` already.
-  bool enter(AccountId Account, std::uint32_t Max);
+  bool tryAcquire(AccountId Account, std::uint32_t Max);
 
   /// Gives a place back.
-  void leave(AccountId Account);
+  void release(AccountId Account);
 
 private:
   std::mutex Mutex;
@@ -26,18 +26,18 @@
 };
 
 /// Holds a place of an account until it goes out of scope.
-class AccountPlace {
+class InFlightGuard {
 public:
-  AccountPlace(AccountLimiter &L, AccountId A, std::uint32_t Max)
-      : Limiter(L), Account(A), Taken(L.enter(A, Max)) {}
-  ~AccountPlace() {
+  InFlightGuard(AccountLimiter &L, AccountId A, std::uint32_t Max)
+      : Limiter(L), Account(A), Taken(L.tryAcquire(A, Max)) {}
+  ~InFlightGuard() {
     if (this->Taken)
-      this->Limiter.leave(this->Account);
+      this->Limiter.release(this->Account);
   }
-  AccountPlace(const AccountPlace &) = delete;
-  AccountPlace &operator=(const AccountPlace &) = delete;
+  InFlightGuard(const InFlightGuard &) = delete;
+  InFlightGuard &operator=(const InFlightGuard &) = delete;
 
-  bool taken() const { return this->Taken; }
+  bool isAcquired() const { return this->Taken; }
 
 private:
   AccountLimiter &Limiter;
--- a/src/Caller/CallerApi.cpp
+++ b/src/Caller/CallerApi.cpp
@@ -1,7 +1,7 @@
 #include "Caller/CallerApi.h"
 
+#include "Caller/RequestHandler.h"
 #include "Caller/RequestParser.h"
-#include "Caller/RequestServer.h"
 
 #include <Poco/JSON/Array.h>
 #include <Poco/JSON/Object.h>
@@ -57,9 +57,9 @@
   }
   // Taken before the body is read: slow senders hold threads as well.
   const CallerSettings &Settings = E.Context.Settings;
-  const AccountPlace Place(E.Context.InFlight, *Account,
-                           Settings.MaxInFlightPerAccount);
-  if (!Place.taken()) {
+  const InFlightGuard Place(E.Context.InFlight, *Account,
+                            Settings.MaxInFlightPerAccount);
+  if (!Place.isAcquired()) {
     E.sendProblem({ProblemType::AccountLimit,
                    "The account has " +
                        std::to_string(Settings.MaxInFlightPerAccount) +
@@ -78,7 +78,7 @@
     E.Identity = Asked->HandedOver->Identity;
     E.Response.set("X-Request-Id", E.Identity);
   }
-  RequestServer(E, *Asked).serve();
+  RequestHandler(E, *Asked).serve();
 }
 
 } // namespace
@@ -101,9 +101,9 @@
     return;
   }
   Poco::JSON::Array Models;
-  for (const auto &[Id, Service] : Declared.InForce->Services) {
+  for (const auto &[Id, Service] : Declared.Active->Services) {
     if (Service.Kind != ServiceKind::Engine ||
-        !mayUse(*Declared.InForce, *Account, Id))
+        !mayUse(*Declared.Active, *Account, Id))
       continue;
     Poco::JSON::Object Model;
     Model.set("id", Service.Name);
@@ -122,8 +122,8 @@
   serveDecided(E,
                [&](const CallerDeclarations &Declared,
                    AccountId Account) -> Parsed<CallerRequest> {
-                 if (!mayUse(*Declared.InForce, Account, Service) ||
-                     Declared.InForce->Services.at(Service).Kind !=
+                 if (!mayUse(*Declared.Active, Account, Service) ||
+                     Declared.Active->Services.at(Service).Kind !=
                          ServiceKind::Plain)
                    return tl::unexpected<Problem>(
                        Problem{ProblemType::ServiceNotAllowed,
@@ -145,7 +145,7 @@
 
 void serveExchange(Exchange &E) {
   if (E.Request->has(HandOverHeader))
-    E.Response.set(AnsweredHeader, E.Request->get("X-Request-Id", ""));
+    E.Response.set(AnsweredIdHeader, E.Request->get("X-Request-Id", ""));
   const auto Head = checkHead(E);
   if (!Head) {
     E.sendProblem(Head.error());
--- a/src/Caller/CallerConnection.cpp
+++ b/src/Caller/CallerConnection.cpp
@@ -76,7 +76,7 @@
              this->Caller,
              *this->Limits,
              Number,
-             Settings.RouterName + "-" + this->Context.Life + "-" +
+             Settings.RouterName + "-" + this->Context.IncarnationNumber + "-" +
                  std::to_string(Number)};
   Response.set("X-Request-Id", E.Identity);
   std::optional<HTTPServerRequestImpl> Request;
@@ -127,7 +127,7 @@
 /// that it was not read.
 void CallerConnection::endInOrder() {
   const bool Settled =
-      !this->HasUnread && CallerWatch::isSettled(this->socket());
+      !this->HasUnread && CallerWatch::isSafeToClose(this->socket());
   this->Caller.shutdownSend();
   if (!Settled)
     this->Context.Watch.linger(this->socket(),
--- a/src/Caller/CallerContext.cpp
+++ b/src/Caller/CallerContext.cpp
@@ -6,8 +6,8 @@
 
 BackendSettings settingsForRouters(const CallerSettings &Settings) {
   BackendSettings Changed = Settings.Backend;
-  Changed.FirstEventLimit = Settings.MaxTimeout;
-  Changed.EventGapLimit = Settings.MaxTimeout;
+  Changed.FirstEventTimeout = Settings.MaxTimeout;
+  Changed.EventGapTimeout = Settings.MaxTimeout;
   return Changed;
 }
 
@@ -18,7 +18,7 @@
       Engines(Settings.Backend, processCounters()),
       Services(Settings.Backend, processCounters()),
       Routers(settingsForRouters(Settings), processCounters()),
-      Life(std::move(L)) {
+      IncarnationNumber(std::move(L)) {
   this->setDeclarations(std::make_shared<Declarations>());
 }
 
--- a/src/Caller/CallerContext.h
+++ b/src/Caller/CallerContext.h
@@ -21,7 +21,7 @@
 /// Declarations with the index of their keys, so that a request sees both of
 /// one generation.
 struct CallerDeclarations {
-  DeclarationsPtr InForce;
+  DeclarationsPtr Active;
   std::shared_ptr<const AccountKeys> Keys;
 };
 
@@ -38,7 +38,7 @@
   PlainServiceClient Routers;
   std::atomic<std::uint64_t> NextRequest{1};
   /// Marks this process in the identities of its requests.
-  const std::string Life;
+  const std::string IncarnationNumber;
   CallerCounters Counters;
   AccountLimiter InFlight;
   CallerWatch Watch;
--- a/src/Caller/CallerCounters.h
+++ b/src/Caller/CallerCounters.h
@@ -27,7 +27,7 @@
   /// Connections closed after `IdleTimeout` without a request.
   Count ConnectionsIdleClosed{0};
   /// Callers noticed to be gone before their final answer.
-  Count CallersLeft{0};
+  Count CallersDisconnected{0};
   Count BytesReceived{0};
   Count BytesSent{0};
 
--- a/src/Caller/CallerRequest.h
+++ b/src/Caller/CallerRequest.h
@@ -2,7 +2,7 @@
 #define PARSLEYWING_CALLER_CALLERREQUEST_H
 
 #include "Backend/PlainServiceClient.h"
-#include "Caller/HandOverNote.h"
+#include "Caller/HandOverToken.h"
 
 #include <optional>
 #include <string>
@@ -29,7 +29,7 @@
   /// The request as it came.
   RawRequest Raw;
   /// Set where a router that drains handed the request over, with its proof.
-  std::optional<HandOverNote> HandedOver;
+  std::optional<HandOverToken> HandedOver;
 };
 
 } // namespace parsleywing
--- a/src/Caller/CallerServer.cpp
+++ b/src/Caller/CallerServer.cpp
@@ -62,7 +62,7 @@
                     "This router serves as many connections as it may.",
                     RequestOutcome::NotRun, Settings.LimitRetryAfter};
     const std::string Identity = Settings.RouterName + "-" +
-                                 this->Context.Life + "-" +
+                                 this->Context.IncarnationNumber + "-" +
                                  std::to_string(this->Context.NextRequest++);
     this->Context.Counters.countProblem(P.Type);
     this->Context.Counters.countOutcome(P.Outcome);
--- a/src/Caller/CallerServer.h
+++ b/src/Caller/CallerServer.h
@@ -43,8 +43,8 @@
   }
   /// Ended connections whose answers have not all left. The end of the process
   /// may cut these off.
-  std::size_t unsentAnswers() const {
-    return this->Context.Watch.unsentAnswers();
+  std::size_t unsentResponses() const {
+    return this->Context.Watch.unsentResponses();
   }
   const CallerCounters &counters() const { return this->Context.Counters; }
 
--- a/src/Caller/CallerSocket.cpp
+++ b/src/Caller/CallerSocket.cpp
@@ -13,7 +13,7 @@
   this->TooLarge = false;
 }
 
-void CallerSocketImpl::resetAtClose() {
+void CallerSocketImpl::enableResetOnClose() {
   this->Resets = true;
   try {
     this->setLinger(true, 0);
--- a/src/Caller/CallerSocket.h
+++ b/src/Caller/CallerSocket.h
@@ -35,7 +35,7 @@
   void setMoreFollows(bool Follows) { this->MoreFollows = Follows; }
 
   /// The connection is to end with a reset.
-  void resetAtClose();
+  void enableResetOnClose();
   bool willReset() const { return this->Resets; }
 
   bool receiveTimedOut() const { return this->TimedOut; }
--- a/src/Caller/CallerWatch.cpp
+++ b/src/Caller/CallerWatch.cpp
@@ -86,7 +86,7 @@
   return unsentBytes(Caller) > 0;
 }
 
-bool CallerWatch::isSettled(const Poco::Net::StreamSocket &Caller) {
+bool CallerWatch::isSafeToClose(const Poco::Net::StreamSocket &Caller) {
   return !hasUnsent(Caller) && pendingOf(Caller) != Pending::Bytes;
 }
 
--- a/src/Caller/CallerWatch.h
+++ b/src/Caller/CallerWatch.h
@@ -50,7 +50,7 @@
 
   /// Connections held open so whose answers had not all left when they were
   /// last looked at.
-  std::size_t unsentAnswers() const { return this->Unsent; }
+  std::size_t unsentResponses() const { return this->Unsent; }
 
   /// Whether something that was sent has not reached the caller's system. What
   /// its caller sends behind a close would then cut it off.
@@ -58,7 +58,7 @@
 
   /// Whether nothing is unsent and nothing waits to be read, so that a close
   /// loses nothing.
-  static bool isSettled(const Poco::Net::StreamSocket &Caller);
+  static bool isSafeToClose(const Poco::Net::StreamSocket &Caller);
 
   /// The time for a caller that has its answer to close the connection, and
   /// the most connections that are held open so.
--- a/src/Caller/Exchange.h
+++ b/src/Caller/Exchange.h
@@ -19,7 +19,7 @@
   Poco::Net::HTTPServerRequest *Request;
   Poco::Net::HTTPServerResponse &Response;
   const CallerSocket &Caller;
-  CallerSocketImpl &Limits;
+  CallerSocketImpl &SocketImpl;
   std::uint64_t Number;
   std::string Identity;
   /// Whether the whole body has been read, so that a next request can follow.
--- a/src/Caller/HandOverRelay.cpp
+++ b/src/Caller/HandOverClient.cpp
@@ -1,4 +1,4 @@
-#include "Caller/HandOverRelay.h"
+#include "Caller/HandOverClient.h"
 
 #include <Poco/String.h>
 
@@ -19,20 +19,20 @@
 } // namespace
 
 AttemptOutcome
-HandOverRelay::run(const HandOverRequest &Wanted, Duration Left,
-                   const std::function<void(std::function<void()>)> &Breaker,
-                   const std::function<bool()> &Progress) {
+HandOverClient::run(const HandOverRequest &Wanted, Duration Left,
+                    const std::function<void(std::function<void()>)> &Breaker,
+                    const std::function<bool()> &Progress) {
   const std::string &Secret = this->E.Context.Settings.FleetSecret;
   if (Wanted.Address.empty() || Secret.empty() || Left <= Duration::zero())
     return AttemptOutcome::NotSent;
   const PlainCall Call = this->callFor(Wanted, Left);
   this->Identity = Call.Identity;
   PlainListener Listener;
-  Listener.SetBreaker = Breaker;
-  Listener.Head = [&](int Status, const HeaderList &Headers) {
+  Listener.SetCanceller = Breaker;
+  Listener.HeadReceived = [&](int Status, const HeaderList &Headers) {
     return this->takeHead(Status, Headers);
   };
-  Listener.Body = [&](std::string_view Piece) {
+  Listener.BodyReceived = [&](std::string_view Piece) {
     return !this->PassOn || (Progress() && this->takeBody(Piece));
   };
   const PlainResult Ended = this->E.Context.Routers.run(Call, Listener);
@@ -45,8 +45,8 @@
 
 /// Each hand-over has an identity of its own, so that the answer to an earlier
 /// one is not taken for this one's.
-PlainCall HandOverRelay::callFor(const HandOverRequest &Wanted,
-                                 Duration Left) const {
+PlainCall HandOverClient::callFor(const HandOverRequest &Wanted,
+                                  Duration Left) const {
   const RawRequest &Raw = this->Asked.Raw;
   PlainCall Call;
   Call.Address = Wanted.Address;
@@ -62,13 +62,13 @@
   const auto Seconds = std::chrono::ceil<std::chrono::seconds>(Left).count();
   Call.Headers.emplace_back(TimeoutHeader, std::to_string(Seconds));
   Call.Headers.emplace_back(
-      HandOverHeader, writeHandOverNote({Call.Identity, Wanted.RecordHeld}, Raw,
+      HandOverHeader, signHandOverToken({Call.Identity, Wanted.RecordHeld}, Raw,
                                         this->E.Context.Settings.FleetSecret));
   return Call;
 }
 
-bool HandOverRelay::takeHead(int Status, const HeaderList &Headers) {
-  if (valueOf(Headers, AnsweredHeader) != this->Identity)
+bool HandOverClient::takeHead(int Status, const HeaderList &Headers) {
+  if (valueOf(Headers, AnsweredIdHeader) != this->Identity)
     return true; // Of another request: nothing of it is believed.
   const std::string Type = valueOf(Headers, "Content-Type");
   const std::string Outcome = valueOf(Headers, "X-Outcome");
@@ -88,21 +88,21 @@
   this->PassOn = true;
   this->IsEventStream = this->Asked.Kind == ServiceKind::Engine &&
                         Type.starts_with("text/event-stream");
-  return this->Passed.head(Status, Headers);
+  return this->Passed.forwardHead(Status, Headers);
 }
 
-bool HandOverRelay::takeBody(std::string_view Piece) {
+bool HandOverClient::takeBody(std::string_view Piece) {
   if (this->IsEventStream) {
     this->Tail += Piece;
     if (this->Tail.size() > 2 * TailBytes)
       this->Tail.erase(0, this->Tail.size() - TailBytes);
   }
-  return this->Passed.body(Piece);
+  return this->Passed.forwardBody(Piece);
 }
 
 /// Text in an event is JSON without line ends of its own, so that a line that
 /// begins so can only be an event's name.
-AttemptOutcome HandOverRelay::concludeStream() {
+AttemptOutcome HandOverClient::concludeStream() {
   const auto Last = this->Tail.rfind(EventLine);
   const std::string Name =
       Last == std::string::npos ? "" : this->Tail.substr(Last);
--- a/src/Caller/HandOverRelay.h
+++ b/src/Caller/HandOverClient.h
@@ -1,8 +1,8 @@
-#ifndef PARSLEYWING_CALLER_HANDOVERRELAY_H
-#define PARSLEYWING_CALLER_HANDOVERRELAY_H
+#ifndef PARSLEYWING_CALLER_HANDOVERCLIENT_H
+#define PARSLEYWING_CALLER_HANDOVERCLIENT_H
 
 #include "Caller/CallerRequest.h"
-#include "Caller/PassedAnswer.h"
+#include "Caller/ResponseForwarder.h"
 #include "Decision/Actions.h"
 
 #include <functional>
@@ -13,9 +13,9 @@
 /// by piece, to the own caller. Only an answer that carries the identity of
 /// this hand-over is passed on. One that says that the request did not run, or
 /// may have run, is not: the decision what follows stays with this router.
-class HandOverRelay {
+class HandOverClient {
 public:
-  HandOverRelay(Exchange &X, const CallerRequest &A, PassedAnswer &P)
+  HandOverClient(Exchange &X, const CallerRequest &A, ResponseForwarder &P)
       : E(X), Asked(A), Passed(P) {}
 
   /// Blocks until the other router's answer has ended. `Left` is the time until
@@ -26,7 +26,7 @@
 
   /// Whether the answer passed on has told the caller itself that it is not
   /// whole.
-  bool toldIncomplete() const { return this->Incomplete; }
+  bool reportedIncomplete() const { return this->Incomplete; }
 
 private:
   PlainCall callFor(const HandOverRequest &Wanted, Duration Left) const;
@@ -36,7 +36,7 @@
 
   Exchange &E;
   const CallerRequest &Asked;
-  PassedAnswer &Passed;
+  ResponseForwarder &Passed;
   std::string Identity;
   AttemptOutcome Said = AttemptOutcome::Interrupted;
   bool PassOn = false;
--- a/src/Caller/HandOverNote.cpp
+++ b/src/Caller/HandOverToken.cpp
@@ -1,4 +1,4 @@
-#include "Caller/HandOverNote.h"
+#include "Caller/HandOverToken.h"
 
 #include <Poco/HMACEngine.h>
 #include <Poco/SHA2Engine.h>
@@ -28,7 +28,7 @@
   Engine.update(Part);
 }
 
-std::string proofOf(const HandOverNote &Note, const RawRequest &Request,
+std::string proofOf(const HandOverToken &Note, const RawRequest &Request,
                     const std::string &Secret) {
   Poco::HMACEngine<Sha256> Engine(Secret);
   addPart(Engine, Note.Identity);
@@ -62,20 +62,20 @@
   return {};
 }
 
-std::string writeHandOverNote(const HandOverNote &Note,
+std::string signHandOverToken(const HandOverToken &Note,
                               const RawRequest &Request,
                               const std::string &Secret) {
   return Note.Identity + " " + (Note.RecordHeld ? HeldWord : NotHeldWord) +
          " " + proofOf(Note, Request, Secret);
 }
 
-std::optional<HandOverNote> readHandOverNote(const std::string &Value,
-                                             const RawRequest &Request,
-                                             const std::string &Secret) {
+std::optional<HandOverToken> verifyHandOverToken(const std::string &Value,
+                                                 const RawRequest &Request,
+                                                 const std::string &Secret) {
   const Poco::StringTokenizer Words(Value, " ");
   if (Secret.empty() || Words.count() != WordsOfNote || Words[0].empty())
     return std::nullopt;
-  const HandOverNote Note{Words[0], Words[1] == HeldWord};
+  const HandOverToken Note{Words[0], Words[1] == HeldWord};
   if (!sameProof(Words[2], proofOf(Note, Request, Secret)))
     return std::nullopt;
   return Note;
--- a/src/Caller/HandOverNote.h
+++ b/src/Caller/HandOverToken.h
@@ -1,5 +1,5 @@
-#ifndef PARSLEYWING_CALLER_HANDOVERNOTE_H
-#define PARSLEYWING_CALLER_HANDOVERNOTE_H
+#ifndef PARSLEYWING_CALLER_HANDOVERTOKEN_H
+#define PARSLEYWING_CALLER_HANDOVERTOKEN_H
 
 #include "Backend/PlainServiceClient.h"
 
@@ -22,7 +22,7 @@
 };
 
 /// What a router that drains tells the router to which it hands a request over.
-struct HandOverNote {
+struct HandOverToken {
   /// Takes the place of the identity that the other router would give.
   std::string Identity;
   /// The router that drains holds the run record.
@@ -35,21 +35,21 @@
 /// The header that repeats, in every answer to a request with a note, the
 /// `X-Request-Id` of the request, also where the request is refused before its
 /// note is looked at.
-inline constexpr const char *AnsweredHeader = "X-Parsleywing-Answers";
+inline constexpr const char *AnsweredIdHeader = "X-Parsleywing-Answers";
 
 /// The header's value: the note and an HMAC-SHA256 over the note and the whole
 /// request under the fleet's secret. The proof binds the note to this request:
 /// a caller that sees one cannot use it for another, and so cannot go past the
 /// run record. `Identity` may hold no spaces.
-std::string writeHandOverNote(const HandOverNote &Note,
+std::string signHandOverToken(const HandOverToken &Note,
                               const RawRequest &Request,
                               const std::string &Secret);
 
 /// The note in a header's value; nothing where the proof does not hold, or
 /// where there is no secret.
-std::optional<HandOverNote> readHandOverNote(const std::string &Value,
-                                             const RawRequest &Request,
-                                             const std::string &Secret);
+std::optional<HandOverToken> verifyHandOverToken(const std::string &Value,
+                                                 const RawRequest &Request,
+                                                 const std::string &Secret);
 
 } // namespace parsleywing
 
--- a/src/Caller/Problem.cpp
+++ b/src/Caller/Problem.cpp
@@ -26,26 +26,26 @@
   return "The request may have run";
 }
 
-ProblemType typeOf(AnswerReason Reason) {
+ProblemType typeOf(ResponseReason Reason) {
   switch (Reason) {
-  case AnswerReason::DeadlinePassed:
+  case ResponseReason::DeadlinePassed:
     return ProblemType::DeadlinePassed;
-  case AnswerReason::AccountQueueFull:
+  case ResponseReason::AccountQueueFull:
     return ProblemType::AccountLimit;
-  case AnswerReason::RouterQueueFull:
-  case AnswerReason::Overloaded:
-  case AnswerReason::RetryBudgetSpent:
+  case ResponseReason::RouterQueueFull:
+  case ResponseReason::Overloaded:
+  case ResponseReason::RetryBudgetSpent:
     return ProblemType::Overloaded;
-  case AnswerReason::NoServer:
+  case ResponseReason::NoServer:
     return ProblemType::NoServer;
-  case AnswerReason::AlreadyRun:
+  case ResponseReason::AlreadyRun:
     return ProblemType::AlreadyRun;
-  case AnswerReason::RecordUnavailable:
+  case ResponseReason::RecordUnavailable:
     return ProblemType::RecordUnavailable;
-  case AnswerReason::Draining:
+  case ResponseReason::Draining:
     return ProblemType::Draining;
-  case AnswerReason::CallerLeft:
-    return ProblemType::CallerLeft;
+  case ResponseReason::CallerDisconnected:
+    return ProblemType::CallerDisconnected;
   default:
     return ProblemType::ServerFailed;
   }
@@ -114,8 +114,8 @@
     Response.set("Retry-After", std::to_string(wholeSeconds(P.RetryAfter)));
 }
 
-Problem problemOf(const AnswerRequest &Answer) {
-  const std::string Reason(nameOf(AnswerReasonNames, Answer.Reason));
+Problem problemOf(const FinishRequest &Answer) {
+  const std::string Reason(nameOf(ResponseReasonNames, Answer.Reason));
   return {typeOf(Answer.Reason),
           std::string(sentenceFor(Answer.Outcome)) + ": " + Reason + ".",
           Answer.Outcome, Answer.RetryAfter};
--- a/src/Caller/Problem.h
+++ b/src/Caller/Problem.h
@@ -32,7 +32,7 @@
   DeadlinePassed,
   AlreadyRun,
   RecordUnavailable,
-  CallerLeft,
+  CallerDisconnected,
 };
 
 inline constexpr EnumNames<ProblemType, 22> ProblemTypeNames{{
@@ -57,7 +57,7 @@
     {ProblemType::DeadlinePassed, "deadline-passed"},
     {ProblemType::AlreadyRun, "already-run"},
     {ProblemType::RecordUnavailable, "record-unavailable"},
-    {ProblemType::CallerLeft, "caller-left"},
+    {ProblemType::CallerDisconnected, "caller-left"},
 }};
 
 /// An error answer in the form of RFC 9457.
@@ -80,7 +80,7 @@
 void setProblemHeaders(Poco::Net::HTTPResponse &Response, const Problem &P);
 
 /// The problem that tells a caller of a final answer other than completion.
-Problem problemOf(const AnswerRequest &Answer);
+Problem problemOf(const FinishRequest &Answer);
 
 } // namespace parsleywing
 
--- a/src/Caller/RequestServer.cpp
+++ b/src/Caller/RequestHandler.cpp
@@ -1,4 +1,4 @@
-#include "Caller/RequestServer.h"
+#include "Caller/RequestHandler.h"
 
 #include "Caller/ProgressReporter.h"
 
@@ -22,7 +22,7 @@
 
 } // namespace
 
-RequestServer::RequestServer(Exchange &X, const CallerRequest &A)
+RequestHandler::RequestHandler(Exchange &X, const CallerRequest &A)
     : E(X), Asked(A), Request{X.Number}, Writer(X, A.Stream), Passed(X),
       Relay(X, A, Passed), Channel(X.Context.Control.openChannel(Request)),
       Arrived(X.Context.Control.clock().now()) {
@@ -30,49 +30,49 @@
   this->Timing.Service = A.Service;
 }
 
-RequestServer::~RequestServer() {
+RequestHandler::~RequestHandler() {
   this->E.Context.Watch.remove(this->E.Caller);
   this->E.Context.Control.closeChannel(this->Request);
 }
 
-void RequestServer::serve() {
+void RequestHandler::serve() {
   this->E.Context.Control.post(RequestArrived{this->describe()});
   // After the arrival, since a `CallerLeft` before it would be lost.
   this->watchCaller();
   while (!this->Answered && !this->E.Context.Stopping) {
     const auto Decision = this->Channel->take(StopCheckInterval);
     if (Decision)
-      std::visit([this](const auto &D) { this->carryOut(D); }, *Decision);
+      std::visit([this](const auto &D) { this->execute(D); }, *Decision);
   }
   if (!this->Answered)
-    this->carryOut(this->answerAtTheEnd());
+    this->execute(this->answerAtTheEnd());
 }
 
 /// Nobody decides any more.
-AnswerRequest RequestServer::answerAtTheEnd() const {
+FinishRequest RequestHandler::answerAtTheEnd() const {
   if (this->AnswerWhole)
-    return {this->Request, RequestOutcome::Completed, AnswerReason::Served,
+    return {this->Request, RequestOutcome::Completed, ResponseReason::Served,
             Duration::zero()};
   if (this->MayHaveRun)
-    return {this->Request, RequestOutcome::Unknown, AnswerReason::Draining,
+    return {this->Request, RequestOutcome::Unknown, ResponseReason::Draining,
             Duration::zero()};
-  return {this->Request, RequestOutcome::NotRun, AnswerReason::Draining,
+  return {this->Request, RequestOutcome::NotRun, ResponseReason::Draining,
           this->E.Context.Settings.LimitRetryAfter};
 }
 
-void RequestServer::watchCaller() {
+void RequestHandler::watchCaller() {
   this->E.Context.Watch.add(this->E.Caller, [this] {
     this->CallerGone = true;
-    ++this->E.Context.Counters.CallersLeft;
-    this->E.Context.Control.post(CallerLeft{this->Request});
+    ++this->E.Context.Counters.CallersDisconnected;
+    this->E.Context.Control.post(CallerDisconnected{this->Request});
   });
 }
 
-Duration RequestServer::elapsed() const {
+Duration RequestHandler::elapsed() const {
   return this->E.Context.Control.clock().now() - this->Arrived;
 }
 
-RequestDescription RequestServer::describe() const {
+RequestDescription RequestHandler::describe() const {
   RequestDescription D;
   D.Request = this->Request;
   D.Account = this->Asked.Account;
@@ -90,7 +90,7 @@
   return D;
 }
 
-void RequestServer::carryOut(const StartAttempt &Start) {
+void RequestHandler::execute(const StartAttempt &Start) {
   if (!this->Timing.Queued)
     this->Timing.Queued = this->elapsed();
   this->MayHaveRun = true;
@@ -103,18 +103,18 @@
                     this->engineCall(Start.Attempt));
 }
 
-void RequestServer::carryOut(const ResumeAttempt &Wanted) {
+void RequestHandler::execute(const ResumeAttempt &Wanted) {
   if (!this->Broken) {
     this->endAttempt(Wanted.Attempt, AttemptOutcome::Rejected,
                      this->Timing.Tokens);
     return;
   }
-  EngineCall Call = this->engineCall(Wanted.StartedBy);
+  EngineCall Call = this->engineCall(Wanted.OriginalAttempt);
   Call.ResumeFrom = this->Broken->Point;
   this->runEngine(Wanted.Attempt, Wanted.Server, std::move(Call));
 }
 
-void RequestServer::carryOut(const HandOverRequest &Wanted) {
+void RequestHandler::execute(const HandOverRequest &Wanted) {
   this->MayHaveRun = true;
   this->abandonBroken();
   ControlLoop &Control = this->E.Context.Control;
@@ -136,7 +136,7 @@
       HandOverEnded{this->Request, Wanted.Attempt, Ended, this->offset()});
 }
 
-EngineCall RequestServer::engineCall(AttemptNumber StartedBy) const {
+EngineCall RequestHandler::engineCall(AttemptNumber StartedBy) const {
   EngineCall Call;
   Call.Model = this->Asked.Model;
   Call.Input = this->Asked.Input;
@@ -149,7 +149,7 @@
 }
 
 /// The account's key is for routers only, and so is a note between routers.
-PlainCall RequestServer::plainCall(AttemptNumber Attempt) const {
+PlainCall RequestHandler::plainCall(AttemptNumber Attempt) const {
   const RawRequest &Raw = this->Asked.Raw;
   PlainCall Call;
   Call.Method = Raw.Method;
@@ -165,8 +165,8 @@
   return Call;
 }
 
-void RequestServer::runEngine(AttemptNumber Attempt, ServerId Server,
-                              EngineCall Call) {
+void RequestHandler::runEngine(AttemptNumber Attempt, ServerId Server,
+                               EngineCall Call) {
   Call.Address = this->addressOf(Server);
   EngineResult Ended{AttemptOutcome::NotSent};
   Ended.Resume = Call.ResumeFrom;
@@ -181,7 +181,7 @@
   this->endAttempt(Attempt, Ended.Outcome, Ended.Tokens);
 }
 
-void RequestServer::startPlain(const StartAttempt &Start) {
+void RequestHandler::startPlain(const StartAttempt &Start) {
   PlainCall Call = this->plainCall(Start.Attempt);
   Call.Address = this->addressOf(Start.Server);
   PlainResult Ended;
@@ -194,8 +194,8 @@
   this->endAttempt(Start.Attempt, Ended.Outcome, this->Timing.Tokens);
 }
 
-std::string RequestServer::addressOf(ServerId Server) const {
-  const DeclarationsPtr Declared = this->E.Context.declarations().InForce;
+std::string RequestHandler::addressOf(ServerId Server) const {
+  const DeclarationsPtr Declared = this->E.Context.declarations().Active;
   const auto Found = Declared->Servers.find(Server);
   return Found == Declared->Servers.end() ? "" : Found->second.Address;
 }
@@ -203,14 +203,14 @@
 /// Told before the attempt's end is: the slot there would else be the first
 /// free one, and each retry would be refused by the same server within
 /// milliseconds.
-void RequestServer::reportServer(ServerId Server, bool Suspect, bool Leaving) {
+void RequestHandler::reportServer(ServerId Server, bool Suspect, bool Leaving) {
   if (Leaving || Suspect)
     this->E.Context.Control.post(ServerConditionChanged{
         Server, Leaving ? ServerCondition::Leaving : ServerCondition::Failed});
 }
 
-void RequestServer::endAttempt(AttemptNumber Attempt, AttemptOutcome Outcome,
-                               std::uint64_t Tokens) {
+void RequestHandler::endAttempt(AttemptNumber Attempt, AttemptOutcome Outcome,
+                                std::uint64_t Tokens) {
   this->AnswerWhole = Outcome == AttemptOutcome::Completed;
   this->E.Context.Control.post(
       AttemptEnded{this->Request, Attempt, Outcome, Tokens, this->offset()});
@@ -218,70 +218,73 @@
 
 /// Of a passed answer only counts that something of it has left: there is no
 /// place at which it could be taken up again.
-std::uint64_t RequestServer::offset() const {
-  return this->Passed.sent() ? 1 : this->PassedOn;
+std::uint64_t RequestHandler::offset() const {
+  return this->Passed.hasStarted() ? 1 : this->PassedOn;
 }
 
-bool RequestServer::isOver() const {
+bool RequestHandler::isOver() const {
   return this->CallerGone || this->E.Context.Stopping;
 }
 
-void RequestServer::noteFirstPiece() {
+void RequestHandler::noteFirstPiece() {
   if (!this->Timing.FirstToken)
     this->Timing.FirstToken = this->elapsed();
 }
 
 std::function<void(std::function<void()>)>
-RequestServer::breakerOf(AttemptNumber Attempt) {
+RequestHandler::breakerOf(AttemptNumber Attempt) {
   this->Channel->beginAttempt(Attempt);
   return [this](std::function<void()> Breaker) {
-    this->Channel->setBreaker(std::move(Breaker));
+    this->Channel->setCanceller(std::move(Breaker));
   };
 }
 
-EngineResult RequestServer::callEngine(AttemptNumber Attempt,
-                                       const EngineCall &Call) {
+EngineResult RequestHandler::callEngine(AttemptNumber Attempt,
+                                        const EngineCall &Call) {
   ControlLoop &Control = this->E.Context.Control;
   ProgressReporter Progress(Control.clock(), [&](std::uint64_t Generated) {
     Control.post(AttemptProgressed{this->Request, Attempt, Generated});
   });
   EngineListener Listener;
-  Listener.Sent = [&] { Control.post(AttemptSent{this->Request, Attempt}); };
-  Listener.Delta = [&](const std::string &Text, std::uint64_t Generated) {
+  Listener.SendStarted = [&] {
+    Control.post(AttemptSent{this->Request, Attempt});
+  };
+  Listener.DeltaReceived = [&](const std::string &Text,
+                               std::uint64_t Generated) {
     Progress.report(Generated);
     ++this->PassedOn;
     return this->passOn(Text);
   };
-  Listener.SetBreaker = this->breakerOf(Attempt);
+  Listener.SetCanceller = this->breakerOf(Attempt);
   EngineResult Ended = this->E.Context.Engines.run(Call, Listener);
   Progress.flush();
   return Ended;
 }
 
-PlainResult RequestServer::callPlain(AttemptNumber Attempt,
-                                     const PlainCall &Call) {
+PlainResult RequestHandler::callPlain(AttemptNumber Attempt,
+                                      const PlainCall &Call) {
   PlainListener Listener;
-  Listener.Sent = [&] {
+  Listener.SendStarted = [&] {
     this->E.Context.Control.post(AttemptSent{this->Request, Attempt});
   };
-  Listener.Head = [&](int Status, const HeaderList &Headers) {
+  Listener.HeadReceived = [&](int Status, const HeaderList &Headers) {
     this->noteFirstPiece();
-    return !this->isOver() && this->Passed.head(Status, Headers);
+    return !this->isOver() && this->Passed.forwardHead(Status, Headers);
   };
-  Listener.Body = [&](std::string_view Piece) {
-    return !this->isOver() && this->Passed.body(Piece);
+  Listener.BodyReceived = [&](std::string_view Piece) {
+    return !this->isOver() && this->Passed.forwardBody(Piece);
   };
-  Listener.SetBreaker = this->breakerOf(Attempt);
+  Listener.SetCanceller = this->breakerOf(Attempt);
   return this->E.Context.Services.run(Call, Listener);
 }
 
-bool RequestServer::passOn(const std::string &Text) {
+bool RequestHandler::passOn(const std::string &Text) {
   this->noteFirstPiece();
-  return !this->isOver() && this->Writer.delta(Text);
+  return !this->isOver() && this->Writer.writeDelta(Text);
 }
 
-void RequestServer::abandonBroken() {
-  this->Passed.drop();
+void RequestHandler::abandonBroken() {
+  this->Passed.discardBuffered();
   if (!this->Broken)
     return;
   this->Abandoned.push_back(*this->Broken);
@@ -291,13 +294,13 @@
     this->cancelAbandoned();
 }
 
-void RequestServer::cancelAbandoned() {
+void RequestHandler::cancelAbandoned() {
   for (const BrokenResponse &Each : this->Abandoned)
     this->E.Context.Engines.cancel(Each.Address, Each.Point.ResponseId);
   this->Abandoned.clear();
 }
 
-void RequestServer::carryOut(const AnswerRequest &Answer) {
+void RequestHandler::execute(const FinishRequest &Answer) {
   this->Answered = true;
   // A later close of the connection concerns nobody any more.
   this->E.Context.Watch.remove(this->E.Caller);
@@ -310,20 +313,21 @@
   this->cancelAbandoned();
 }
 
-void RequestServer::finishAnswer(const AnswerRequest &Answer) {
+void RequestHandler::finishAnswer(const FinishRequest &Answer) {
   // "Completed" for any other reason speaks of an earlier request, and there is
   // no answer to give.
   const bool Served = Answer.Outcome == RequestOutcome::Completed &&
-                      Answer.Reason == AnswerReason::Served;
-  const bool Counted = Served || this->Writer.started() || this->Passed.sent();
-  if (Served && this->Passed.any())
+                      Answer.Reason == ResponseReason::Served;
+  const bool Counted =
+      Served || this->Writer.started() || this->Passed.hasStarted();
+  if (Served && this->Passed.hasResponse())
     this->Passed.complete(this->Timing.Attempts);
   else if (Served)
     this->Writer.complete(this->Timing.Tokens, this->Timing.Attempts);
-  else if (!this->Passed.sent())
+  else if (!this->Passed.hasStarted())
     this->Writer.fail(Answer, this->Timing.Tokens, this->Timing.Attempts);
-  else if (!this->Relay.toldIncomplete())
-    this->Passed.cut();
+  else if (!this->Relay.reportedIncomplete())
+    this->Passed.abortResponse();
   // A problem is counted as it is sent.
   if (Counted)
     this->E.Context.Counters.countOutcome(Answer.Outcome);
--- a/src/Caller/RequestServer.h
+++ b/src/Caller/RequestHandler.h
@@ -1,11 +1,11 @@
-#ifndef PARSLEYWING_CALLER_REQUESTSERVER_H
-#define PARSLEYWING_CALLER_REQUESTSERVER_H
+#ifndef PARSLEYWING_CALLER_REQUESTHANDLER_H
+#define PARSLEYWING_CALLER_REQUESTHANDLER_H
 
 #include "Backend/EngineClient.h"
-#include "Caller/AnswerWriter.h"
 #include "Caller/CallerRequest.h"
-#include "Caller/HandOverRelay.h"
-#include "Caller/PassedAnswer.h"
+#include "Caller/HandOverClient.h"
+#include "Caller/ResponseForwarder.h"
+#include "Caller/ResponseWriter.h"
 
 #include <atomic>
 #include <memory>
@@ -17,12 +17,12 @@
 /// Has one request decided by the control thread and carries the decisions
 /// out. Lives on the stack of the connection's thread, from the request's
 /// arrival to its final answer.
-class RequestServer {
+class RequestHandler {
 public:
-  RequestServer(Exchange &X, const CallerRequest &A);
-  ~RequestServer();
-  RequestServer(const RequestServer &) = delete;
-  RequestServer &operator=(const RequestServer &) = delete;
+  RequestHandler(Exchange &X, const CallerRequest &A);
+  ~RequestHandler();
+  RequestHandler(const RequestHandler &) = delete;
+  RequestHandler &operator=(const RequestHandler &) = delete;
 
   /// Blocks until the final answer is written; as the process stops, at once.
   void serve();
@@ -36,13 +36,13 @@
   };
 
   RequestDescription describe() const;
-  void carryOut(const StartAttempt &Start);
-  void carryOut(const ResumeAttempt &Wanted);
-  void carryOut(const HandOverRequest &Wanted);
-  void carryOut(const CancelAttempt &) {} // The breaker has ended it.
-  void carryOut(const AnswerRequest &Answer);
+  void execute(const StartAttempt &Start);
+  void execute(const ResumeAttempt &Wanted);
+  void execute(const HandOverRequest &Wanted);
+  void execute(const CancelAttempt &) {} // The breaker has ended it.
+  void execute(const FinishRequest &Answer);
   /// Actions for other parts of the process never come to a request's channel.
-  template <typename OtherAction> void carryOut(const OtherAction &) {}
+  template <typename OtherAction> void execute(const OtherAction &) {}
 
   void startPlain(const StartAttempt &Start);
 
@@ -69,18 +69,18 @@
   void abandonBroken();
   void cancelAbandoned();
 
-  void finishAnswer(const AnswerRequest &Answer);
+  void finishAnswer(const FinishRequest &Answer);
   /// The final answer of a request that the end of the process cuts.
-  AnswerRequest answerAtTheEnd() const;
+  FinishRequest answerAtTheEnd() const;
   Duration elapsed() const;
   void watchCaller();
 
   Exchange &E;
   const CallerRequest &Asked;
   RequestId Request;
-  AnswerWriter Writer;
-  PassedAnswer Passed;
-  HandOverRelay Relay;
+  ResponseWriter Writer;
+  ResponseForwarder Passed;
+  HandOverClient Relay;
   std::shared_ptr<RequestChannel> Channel;
   TimePoint Arrived;
   RequestTiming Timing;
--- a/src/Caller/RequestParser.cpp
+++ b/src/Caller/RequestParser.cpp
@@ -238,7 +238,7 @@
       return refuse(ProblemType::BodyTooLarge,
                     "The body may hold " + std::to_string(Max) + " bytes.");
   }
-  if (E.Limits.receiveTimedOut())
+  if (E.SocketImpl.receiveTimedOut())
     return refuse(ProblemType::ReceiveTimeout,
                   "The body did not come whole in time.");
   // POCO ends the stream alike at the end of the body and where it breaks.
@@ -280,8 +280,8 @@
   Out.Timeout = *Timeout;
   if (!E.Request->has(HandOverHeader))
     return {};
-  Out.HandedOver = readHandOverNote(E.Request->get(HandOverHeader), Out.Raw,
-                                    Settings.FleetSecret);
+  Out.HandedOver = verifyHandOverToken(E.Request->get(HandOverHeader), Out.Raw,
+                                       Settings.FleetSecret);
   if (!Out.HandedOver)
     return refuse(ProblemType::InvalidHeader,
                   std::string(HandOverHeader) + " is for routers only.");
@@ -301,11 +301,10 @@
     return tl::unexpected(Body.error());
   if (const auto Filled = parseBody(**Body, Settings, Out); !Filled)
     return tl::unexpected(Filled.error());
-  if (!mayUse(*Declared.InForce, Account, Out.Service))
+  if (!mayUse(*Declared.Active, Account, Out.Service))
     return refuse(ProblemType::ServiceNotAllowed,
                   "The account may not use this service.");
-  const ServiceDeclaration &Service =
-      Declared.InForce->Services.at(Out.Service);
+  const ServiceDeclaration &Service = Declared.Active->Services.at(Out.Service);
   if (Service.Kind != ServiceKind::Engine)
     return refuse(ProblemType::InvalidBody,
                   "The service is no model; call it under /services.");
@@ -322,7 +321,7 @@
   Out.Account = Account;
   Out.Service = Service;
   Out.Kind = ServiceKind::Plain;
-  Out.Repeatable = Declared.InForce->Services.at(Service).Repeatable;
+  Out.Repeatable = Declared.Active->Services.at(Service).Repeatable;
   // A plain call counts as one token.
   Out.MaxOutputTokens = 1;
   if (const auto Read = readRaw(E, Out.Raw); !Read)
--- a/src/Caller/PassedAnswer.cpp
+++ b/src/Caller/ResponseForwarder.cpp
@@ -1,6 +1,6 @@
-#include "Caller/PassedAnswer.h"
+#include "Caller/ResponseForwarder.h"
 
-#include "Caller/HandOverNote.h"
+#include "Caller/HandOverToken.h"
 
 #include <Poco/NumberParser.h>
 #include <Poco/String.h>
@@ -21,14 +21,15 @@
     Poco::UInt64 Length = 0;
     if (isNamed(Name, HTTPMessage::CONTENT_LENGTH))
       return Poco::NumberParser::tryParseUnsigned64(Value, Length) &&
-             Length <= PassedAnswer::MaxHeldBytes;
+             Length <= ResponseForwarder::MaxBufferedBytes;
   }
   return false;
 }
 
 } // namespace
 
-bool PassedAnswer::head(int NewStatus, const HeaderList &NewHeaders) {
+bool ResponseForwarder::forwardHead(int NewStatus,
+                                    const HeaderList &NewHeaders) {
   this->Status = NewStatus;
   this->Headers = NewHeaders;
   this->Held.clear();
@@ -37,7 +38,7 @@
   return !this->Out || this->Out->good();
 }
 
-bool PassedAnswer::body(std::string_view Piece) {
+bool ResponseForwarder::forwardBody(std::string_view Piece) {
   if (!this->Out) {
     this->Held += Piece;
     return true;
@@ -48,7 +49,7 @@
 }
 
 /// The identity and the outcome are the router's to state, whoever answers.
-void PassedAnswer::begin() {
+void ResponseForwarder::begin() {
   HTTPResponse &Response = this->E.Response;
   Response.setStatusAndReason(
       static_cast<HTTPResponse::HTTPStatus>(this->Status));
@@ -56,7 +57,7 @@
     if (isNamed(Name, "X-Attempts"))
       Response.set(Name, Value); // Counted by the router that served it.
     else if (!isNamed(Name, "X-Request-Id") && !isNamed(Name, "X-Outcome") &&
-             !isNamed(Name, AnsweredHeader))
+             !isNamed(Name, AnsweredIdHeader))
       Response.add(Name, Value);
   if (!Response.hasContentLength() &&
       Response.getVersion() == HTTPMessage::HTTP_1_1)
@@ -66,22 +67,22 @@
   this->Out->flush();
 }
 
-void PassedAnswer::complete(AttemptNumber Attempts) {
+void ResponseForwarder::complete(AttemptNumber Attempts) {
   if (this->Out)
     return;
   this->E.Response.set("X-Outcome", "completed");
   this->E.Response.set("X-Attempts", std::to_string(Attempts));
   this->begin();
-  this->body(this->Held);
+  this->forwardBody(this->Held);
 }
 
-void PassedAnswer::cut() {
+void ResponseForwarder::abortResponse() {
   HTTPResponse &Response = this->E.Response;
   Response.setKeepAlive(false);
   // A caller of an answer without a stated end takes the connection's end for
   // it, unless that is a reset.
   if (!Response.hasContentLength() && !Response.getChunkedTransferEncoding()) {
-    this->E.Limits.resetAtClose();
+    this->E.SocketImpl.enableResetOnClose();
     return;
   }
   try {
--- a/src/Caller/AnswerWriter.cpp
+++ b/src/Caller/ResponseWriter.cpp
@@ -1,4 +1,4 @@
-#include "Caller/AnswerWriter.h"
+#include "Caller/ResponseWriter.h"
 
 #include <Poco/JSONString.h>
 
@@ -17,7 +17,7 @@
 
 } // namespace
 
-bool AnswerWriter::delta(const std::string &Text) {
+bool ResponseWriter::writeDelta(const std::string &Text) {
   if (!this->Stream) {
     this->Whole += Text;
     return true;
@@ -27,7 +27,7 @@
   return this->event("response.output_text.delta", member("delta", Text));
 }
 
-void AnswerWriter::complete(std::uint64_t Tokens, AttemptNumber Attempts) {
+void ResponseWriter::complete(std::uint64_t Tokens, AttemptNumber Attempts) {
   std::string Final =
       this->finalObject("completed", "completed", "served", Tokens, Attempts);
   if (this->Stream) {
@@ -42,8 +42,8 @@
   this->E.sendDocument(Final);
 }
 
-void AnswerWriter::fail(const AnswerRequest &Answer, std::uint64_t Tokens,
-                        AttemptNumber Attempts) {
+void ResponseWriter::fail(const FinishRequest &Answer, std::uint64_t Tokens,
+                          AttemptNumber Attempts) {
   if (!this->Out) {
     this->E.Response.set("X-Attempts", std::to_string(Attempts));
     this->E.sendProblem(problemOf(Answer));
@@ -53,42 +53,43 @@
       "response.incomplete",
       this->finalObject(
           "incomplete", nameOf(RequestOutcomeNames, Answer.Outcome),
-          nameOf(AnswerReasonNames, Answer.Reason), Tokens, Attempts));
+          nameOf(ResponseReasonNames, Answer.Reason), Tokens, Attempts));
 }
 
-void AnswerWriter::finalEvent(std::string_view Name, const std::string &Final) {
+void ResponseWriter::finalEvent(std::string_view Name,
+                                const std::string &Final) {
   // The last chunk follows as the response is destroyed.
-  this->E.Limits.setMoreFollows(true);
+  this->E.SocketImpl.setMoreFollows(true);
   this->event(Name, ",\"response\":" + Final);
-  this->E.Limits.setMoreFollows(false);
+  this->E.SocketImpl.setMoreFollows(false);
 }
 
-std::string AnswerWriter::finalObject(std::string_view Status,
-                                      std::string_view Outcome,
-                                      std::string_view Reason,
-                                      std::uint64_t Tokens,
-                                      AttemptNumber Attempts) const {
+std::string ResponseWriter::finalObject(std::string_view Status,
+                                        std::string_view Outcome,
+                                        std::string_view Reason,
+                                        std::uint64_t Tokens,
+                                        AttemptNumber Attempts) const {
   return "{\"object\":\"response\"" + member("id", this->E.Identity) +
          member("status", Status) + member("outcome", Outcome) +
          member("reason", Reason) + member("attempts", Attempts) +
          ",\"usage\":{\"output_tokens\":" + std::to_string(Tokens) + "}}";
 }
 
-void AnswerWriter::begin() {
+void ResponseWriter::begin() {
   this->E.Response.setContentType("text/event-stream");
   this->E.Response.set("Cache-Control", "no-store");
   this->E.Response.setChunkedTransferEncoding(true);
   this->E.finishHeaders();
   // The first piece of the answer follows at once.
-  this->E.Limits.setMoreFollows(true);
+  this->E.SocketImpl.setMoreFollows(true);
   this->Out = &this->E.Response.send();
   this->event("response.created", ",\"response\":{\"object\":\"response\"" +
                                       member("id", this->E.Identity) +
                                       member("status", "in_progress") + "}");
-  this->E.Limits.setMoreFollows(false);
+  this->E.SocketImpl.setMoreFollows(false);
 }
 
-bool AnswerWriter::event(std::string_view Name, std::string_view Fields) {
+bool ResponseWriter::event(std::string_view Name, std::string_view Fields) {
   *this->Out << "event: " << Name << "\ndata: {\"type\":\"" << Name
              << "\",\"sequence_number\":" << this->Sequence++ << Fields
              << "}\n\n";
--- a/src/Caller/AnswerWriter.h
+++ b/src/Caller/ResponseWriter.h
@@ -1,5 +1,5 @@
-#ifndef PARSLEYWING_CALLER_ANSWERWRITER_H
-#define PARSLEYWING_CALLER_ANSWERWRITER_H
+#ifndef PARSLEYWING_CALLER_RESPONSEWRITER_H
+#define PARSLEYWING_CALLER_RESPONSEWRITER_H
 
 #include "Caller/Exchange.h"
 
@@ -9,23 +9,23 @@
 
 /// Writes the answer of one request: as server-sent events, or collected into
 /// one JSON document. Used by the thread of the connection only.
-class AnswerWriter {
+class ResponseWriter {
 public:
-  AnswerWriter(Exchange &X, bool S) : E(X), Stream(S) {}
+  ResponseWriter(Exchange &X, bool S) : E(X), Stream(S) {}
 
   /// Whether events have been sent, so that the status can no longer change.
   bool started() const { return this->Out != nullptr; }
 
   /// Passes a piece of text on. False where the caller is gone or has taken no
   /// byte for the time of `SendTimeout`.
-  bool delta(const std::string &Text);
+  bool writeDelta(const std::string &Text);
 
   /// The answer is whole.
   void complete(std::uint64_t Tokens, AttemptNumber Attempts);
 
   /// The answer ends without being whole: as a problem where nothing has been
   /// sent yet, else as the final event `response.incomplete`.
-  void fail(const AnswerRequest &Answer, std::uint64_t Tokens,
+  void fail(const FinishRequest &Answer, std::uint64_t Tokens,
             AttemptNumber Attempts);
 
 private:
--- a/src/Control/ControlLoop.cpp
+++ b/src/Control/ControlLoop.cpp
@@ -21,7 +21,7 @@
           [](const ResumeAttempt &A) { return MaybeRequest(A.Request); },
           [](const HandOverRequest &A) { return MaybeRequest(A.Request); },
           [](const CancelAttempt &A) { return MaybeRequest(A.Request); },
-          [](const AnswerRequest &A) { return MaybeRequest(A.Request); },
+          [](const FinishRequest &A) { return MaybeRequest(A.Request); },
           [](const auto &) { return MaybeRequest(); },
       },
       Decision);
--- a/src/Control/RequestChannel.cpp
+++ b/src/Control/RequestChannel.cpp
@@ -9,8 +9,8 @@
     return;
   std::lock_guard<std::mutex> Lock(this->Mutex);
   this->Cancelled = Cancel->Attempt;
-  if (this->Breaker && this->Cancelled == this->Current)
-    this->Breaker();
+  if (this->Canceller && this->Cancelled == this->Current)
+    this->Canceller();
 }
 
 void RequestChannel::beginAttempt(AttemptNumber Number) {
@@ -18,11 +18,11 @@
   this->Current = Number;
 }
 
-void RequestChannel::setBreaker(std::function<void()> NewBreaker) {
+void RequestChannel::setCanceller(std::function<void()> NewBreaker) {
   std::lock_guard<std::mutex> Lock(this->Mutex);
-  this->Breaker = std::move(NewBreaker);
-  if (this->Breaker && this->Cancelled == this->Current)
-    this->Breaker();
+  this->Canceller = std::move(NewBreaker);
+  if (this->Canceller && this->Cancelled == this->Current)
+    this->Canceller();
 }
 
 } // namespace parsleywing
--- a/src/Control/RequestChannel.h
+++ b/src/Control/RequestChannel.h
@@ -31,12 +31,12 @@
   /// Sets what ends a blocked read; an empty function clears it. It is called
   /// from the control thread, or from here where a cancel came first, and must
   /// not block.
-  void setBreaker(std::function<void()> NewBreaker);
+  void setCanceller(std::function<void()> NewBreaker);
 
 private:
   Mailbox<Action> Decisions;
   std::mutex Mutex;
-  std::function<void()> Breaker;
+  std::function<void()> Canceller;
   AttemptNumber Current = 0;
   AttemptNumber Cancelled = 0;
 };
--- a/src/Decision/Actions.h
+++ b/src/Decision/Actions.h
@@ -30,7 +30,7 @@
   std::uint64_t Offset;
   /// The attempt that started the stream, under whose number the server knows
   /// it.
-  AttemptNumber StartedBy;
+  AttemptNumber OriginalAttempt;
 };
 
 /// Pass the request on to another router, since this one drains. Ends with
@@ -52,10 +52,10 @@
 };
 
 /// Give the caller its final answer, at once.
-struct AnswerRequest {
+struct FinishRequest {
   RequestId Request;
   RequestOutcome Outcome;
-  AnswerReason Reason;
+  ResponseReason Reason;
   /// When to come back; zero where coming back is of no use.
   Duration RetryAfter;
 };
@@ -104,10 +104,10 @@
 /// Everything that the control thread may ask of the other threads.
 using Action =
     std::variant<StartAttempt, ResumeAttempt, HandOverRequest, CancelAttempt,
-                 AnswerRequest, ClaimRunRecord, CompleteRunRecord,
+                 FinishRequest, ClaimRunRecord, CompleteRunRecord,
                  ReleaseRunRecord, DrainFinished, SendToPeer, ContactAddress,
                  PeerAddressLearned, Superseded, WatchManifest, StopWatching,
-                 ReadManifest, ReadParts, PutInForce, WatchServers>;
+                 ReadManifest, ReadParts, ActivateConfiguration, WatchServers>;
 
 } // namespace parsleywing
 
--- a/src/Decision/Configuration/ConfigurationKeeper.cpp
+++ b/src/Decision/Configuration/ConfigurationKeeper.cpp
@@ -35,7 +35,7 @@
               Size += sizeOf(Step);
             return Size;
           },
-          [](const ConfigurationWhole &Each) { return Each.Text.size(); },
+          [](const ConfigurationSnapshot &Each) { return Each.Text.size(); },
           [](const auto &) { return sizeof(std::uint64_t); }},
       Message);
 }
@@ -55,14 +55,14 @@
 }
 
 bool ConfigurationKeeper::joining() const {
-  return this->InForce == 0 &&
+  return this->ActiveGeneration == 0 &&
          (!this->JoinUntil || this->Now < *this->JoinUntil);
 }
 
-void ConfigurationKeeper::hearOf(std::uint64_t Generation) {
+void ConfigurationKeeper::recordGeneration(std::uint64_t Generation) {
   if (Generation > this->Highest) {
     this->Highest = Generation;
-    this->HighestAt.reset();
+    this->HighestHolder.reset();
   }
 }
 
@@ -74,14 +74,14 @@
   this->ReadBackoff = Duration::zero();
   this->NextRead.reset();
   const std::uint64_t Generation = Event.Manifest.Generation;
-  this->hearOf(Generation);
-  if (Generation <= this->InForce) {
-    this->StaleNews += Generation < this->InForce ? 1 : 0;
+  this->recordGeneration(Generation);
+  if (Generation <= this->ActiveGeneration) {
+    this->StaleNews += Generation < this->ActiveGeneration ? 1 : 0;
     return;
   }
   if (this->Loading && this->Loading->Generation >= Generation)
     return;
-  if (Generation < this->Highest && this->InForce == 0) {
+  if (Generation < this->Highest && this->ActiveGeneration == 0) {
     ++this->StaleNews;
     return;
   }
@@ -95,15 +95,15 @@
 /// A whole text comes from another router if any is known to have it: a zone
 /// that restarts at once would else use up the store's rate.
 bool ConfigurationKeeper::peersComeFirst() const {
-  return this->InForce == 0 && this->HighestAt &&
-         this->Tries < this->Settings.PeerTries;
+  return this->ActiveGeneration == 0 && this->HighestHolder &&
+         this->Tries < this->Settings.MaxPeerAttempts;
 }
 
 void ConfigurationKeeper::requestParts() {
   if (!this->Loading || this->joining())
     return;
   std::set<std::string> Held;
-  if (this->InForce != 0)
+  if (this->ActiveGeneration != 0)
     for (const std::string &Part :
          this->Text.parts(this->Settings.MaxPartBytes))
       Held.insert(toString(hashBytes(Part)));
@@ -134,10 +134,10 @@
 void ConfigurationKeeper::assemble(
     const std::map<std::string, std::string> &Read) {
   const ConfigurationManifest Manifest = *std::exchange(this->Loading, {});
-  if (Manifest.Generation <= this->InForce)
+  if (Manifest.Generation <= this->ActiveGeneration)
     return;
   std::map<std::string, std::string> Old;
-  if (this->InForce != 0)
+  if (this->ActiveGeneration != 0)
     for (std::string &Part : this->Text.parts(this->Settings.MaxPartBytes)) {
       std::string Hash = toString(hashBytes(Part));
       Old[std::move(Hash)] = std::move(Part);
@@ -159,12 +159,12 @@
   }
   for (const auto &[Hash, Part] : Old)
     Before += Part;
-  if (this->InForce == 0) {
-    this->adoptWhole(ConfigurationText(After), Manifest.Generation,
-                     Manifest.Hash, Source::Store);
+  if (this->ActiveGeneration == 0) {
+    this->adoptSnapshot(ConfigurationText(After), Manifest.Generation,
+                        Manifest.Hash, Source::Store);
     return;
   }
-  this->adoptStep({this->InForce, Manifest.Generation, Manifest.Hash,
+  this->adoptStep({this->ActiveGeneration, Manifest.Generation, Manifest.Hash,
                    ConfigurationText(Before).deltaTo(ConfigurationText(After))},
                   Source::Store);
 }
@@ -207,7 +207,7 @@
 
 void ConfigurationKeeper::receive(RouterId From,
                                   const ConfigurationAnnounce &Message) {
-  if (Message.Generation < this->InForce) {
+  if (Message.Generation < this->ActiveGeneration) {
     // The sender is behind: small steps go at once, else it must ask.
     ConfigurationSteps Answer;
     bool Found = false;
@@ -220,28 +220,29 @@
         sizeOf(ConfigurationMessage(Answer)) <= this->Settings.DatagramBytes)
       this->send(From, std::move(Answer), true);
     else
-      this->send(From, ConfigurationAnnounce{this->InForce}, true);
+      this->send(From, ConfigurationAnnounce{this->ActiveGeneration}, true);
     return;
   }
-  if (Message.Generation == this->InForce)
+  if (Message.Generation == this->ActiveGeneration)
     return;
-  this->hearOf(Message.Generation);
+  this->recordGeneration(Message.Generation);
   if (Message.Generation == this->Highest)
-    this->HighestAt = From;
-  if (!this->joining() && !this->Wanted)
-    this->wantFrom(From);
+    this->HighestHolder = From;
+  if (!this->joining() && !this->CurrentRequest)
+    this->requestFrom(From);
 }
 
-void ConfigurationKeeper::wantFrom(RouterId Peer) {
-  const Duration Wait =
-      this->InForce == 0 ? this->Settings.WholeWait : this->Settings.WantWait;
-  this->Wanted = Want{Peer, this->Now + Wait};
-  this->send(Peer, ConfigurationWant{this->InForce}, true);
+void ConfigurationKeeper::requestFrom(RouterId Peer) {
+  const Duration Wait = this->ActiveGeneration == 0
+                            ? this->Settings.SnapshotTimeout
+                            : this->Settings.RequestTimeout;
+  this->CurrentRequest = SentRequest{Peer, this->Now + Wait};
+  this->send(Peer, ConfigurationRequest{this->ActiveGeneration}, true);
 }
 
 void ConfigurationKeeper::receive(RouterId From,
-                                  const ConfigurationWant &Message) {
-  if (Message.From >= this->InForce)
+                                  const ConfigurationRequest &Message) {
+  if (Message.From >= this->ActiveGeneration)
     return;
   ConfigurationSteps Answer;
   bool Found = false;
@@ -255,45 +256,45 @@
     return;
   }
   if (this->LastWholeSent &&
-      this->Now - *this->LastWholeSent < this->Settings.WholeEvery)
+      this->Now - *this->LastWholeSent < this->Settings.MinSnapshotInterval)
     return;
   this->LastWholeSent = this->Now;
   ++this->WholesSent;
-  this->send(
-      From,
-      ConfigurationWhole{this->InForce, this->Text.hash(), this->Text.whole()},
-      false);
+  this->send(From,
+             ConfigurationSnapshot{this->ActiveGeneration, this->Text.hash(),
+                                   this->Text.fullText()},
+             false);
 }
 
 void ConfigurationKeeper::receive(RouterId From,
                                   const ConfigurationSteps &Message) {
-  if (this->Wanted && this->Wanted->Peer == From)
-    this->Wanted.reset();
+  if (this->CurrentRequest && this->CurrentRequest->Peer == From)
+    this->CurrentRequest.reset();
   for (const ConfigurationStep &Step : Message.Steps) {
     if (Step.To <= Step.From)
       return;
-    this->hearOf(Step.To);
-    if (this->InForce != 0 && Step.From == this->InForce)
+    this->recordGeneration(Step.To);
+    if (this->ActiveGeneration != 0 && Step.From == this->ActiveGeneration)
       this->adoptStep(Step, Source::Peers);
   }
 }
 
 void ConfigurationKeeper::receive(RouterId From,
-                                  const ConfigurationWhole &Message) {
-  if (this->Wanted && this->Wanted->Peer == From)
-    this->Wanted.reset();
-  this->hearOf(Message.Generation);
-  if (Message.Generation <= this->InForce || this->joining())
+                                  const ConfigurationSnapshot &Message) {
+  if (this->CurrentRequest && this->CurrentRequest->Peer == From)
+    this->CurrentRequest.reset();
+  this->recordGeneration(Message.Generation);
+  if (Message.Generation <= this->ActiveGeneration || this->joining())
     return;
-  this->adoptWhole(ConfigurationText(Message.Text), Message.Generation,
-                   Message.Hash, Source::Peers);
+  this->adoptSnapshot(ConfigurationText(Message.Text), Message.Generation,
+                      Message.Hash, Source::Peers);
 }
 
 // Putting in force.
 
 void ConfigurationKeeper::adoptStep(const ConfigurationStep &Step,
                                     Source From) {
-  PARSLEYWING_INVARIANT(Step.From == this->InForce,
+  PARSLEYWING_INVARIANT(Step.From == this->ActiveGeneration,
                         "a step begins at the generation in force");
   const ConfigurationDelta Undo = this->Text.apply(Step.Delta);
   if (this->Text.hash() != Step.Hash) {
@@ -305,14 +306,14 @@
     return;
   }
   this->keepStep(Step);
-  this->inForce(Step.To, Step.Delta, From);
+  this->activate(Step.To, Step.Delta, From);
 }
 
-void ConfigurationKeeper::adoptWhole(ConfigurationText Whole,
-                                     std::uint64_t Generation,
-                                     const TextHash &Hash, Source From) {
+void ConfigurationKeeper::adoptSnapshot(ConfigurationText Whole,
+                                        std::uint64_t Generation,
+                                        const TextHash &Hash, Source From) {
   // Before its restart this router may have had the highest it heard of.
-  if (this->InForce == 0 && Generation < this->Highest) {
+  if (this->ActiveGeneration == 0 && Generation < this->Highest) {
     ++this->StaleNews;
     return;
   }
@@ -325,26 +326,27 @@
   this->Text = std::move(Whole);
   this->Steps.clear();
   this->StepBytes = 0;
-  this->inForce(Generation, std::move(Changes), From);
+  this->activate(Generation, std::move(Changes), From);
 }
 
-void ConfigurationKeeper::inForce(std::uint64_t Generation,
-                                  ConfigurationDelta Changes, Source From) {
-  PARSLEYWING_INVARIANT(Generation > this->InForce,
+void ConfigurationKeeper::activate(std::uint64_t Generation,
+                                   ConfigurationDelta Changes, Source From) {
+  PARSLEYWING_INVARIANT(Generation > this->ActiveGeneration,
                         "the generation in force only rises");
-  PARSLEYWING_INVARIANT(this->InForce != 0 || Generation >= this->Highest,
+  PARSLEYWING_INVARIANT(this->ActiveGeneration != 0 ||
+                            Generation >= this->Highest,
                         "a start takes the highest generation heard of");
-  this->InForce = Generation;
-  this->InForceFrom = From;
-  this->InForceWithoutStore = From == Source::Peers && !this->StoreAnswers;
-  this->hearOf(Generation);
+  this->ActiveGeneration = Generation;
+  this->ActiveSource = From;
+  this->ActivatedWithoutStore = From == Source::Peers && !this->StoreAnswers;
+  this->recordGeneration(Generation);
   this->Tries = 0;
   if (this->Loading && this->Loading->Generation <= Generation)
     this->Loading.reset();
-  this->Out.emplace_back(PutInForce{
-      Generation, std::make_shared<const std::string>(this->Text.whole()),
+  this->Out.emplace_back(ActivateConfiguration{
+      Generation, std::make_shared<const std::string>(this->Text.fullText()),
       std::move(Changes)});
-  this->tellAtOnce();
+  this->announceNow();
 }
 
 void ConfigurationKeeper::keepStep(ConfigurationStep Step) {
@@ -388,13 +390,14 @@
   return Found[this->Random() % Found.size()];
 }
 
-void ConfigurationKeeper::tellAtOnce() {
+void ConfigurationKeeper::announceNow() {
   std::vector<RouterId> Found = this->others(true);
   const std::size_t Count = std::min(Found.size(), this->Settings.FanOut);
   for (std::size_t Index = 0; Index < Count; ++Index) {
     std::swap(Found[Index],
               Found[Index + this->Random() % (Found.size() - Index)]);
-    this->send(Found[Index], ConfigurationAnnounce{this->InForce}, true);
+    this->send(Found[Index], ConfigurationAnnounce{this->ActiveGeneration},
+               true);
   }
 }
 
@@ -407,7 +410,7 @@
   this->NextAnnounce = this->Now + this->Settings.AnnounceEvery;
   const bool OwnZone = this->Random() % CrossZoneEvery != 0;
   if (const auto Peer = this->randomOther(OwnZone))
-    this->send(*Peer, ConfigurationAnnounce{this->InForce}, false);
+    this->send(*Peer, ConfigurationAnnounce{this->ActiveGeneration}, false);
 }
 
 // The view and the passing of time.
@@ -454,26 +457,27 @@
     this->send(Peer, ConfigurationAnnounce{0}, true);
 }
 
-void ConfigurationKeeper::wantAgain() {
-  if (this->Wanted && this->Now < this->Wanted->Deadline)
+void ConfigurationKeeper::retryRequest() {
+  if (this->CurrentRequest && this->Now < this->CurrentRequest->Deadline)
     return;
-  if (this->Wanted) {
-    this->Wanted.reset();
+  if (this->CurrentRequest) {
+    this->CurrentRequest.reset();
     ++this->Tries;
-    this->HighestAt.reset();
-    if (this->InForce == 0)
+    this->HighestHolder.reset();
+    if (this->ActiveGeneration == 0)
       this->readStoreSoon();
   }
   const bool FromStore = this->Loading && !this->peersComeFirst();
-  if (this->InForce >= this->Highest || this->joining() || FromStore)
+  if (this->ActiveGeneration >= this->Highest || this->joining() || FromStore)
     return;
-  if (this->Tries >= this->Settings.PeerTries) {
+  if (this->Tries >= this->Settings.MaxPeerAttempts) {
     this->Tries = 0;
     this->readStoreSoon();
   }
-  const auto Peer = this->HighestAt ? this->HighestAt : this->randomOther(true);
+  const auto Peer =
+      this->HighestHolder ? this->HighestHolder : this->randomOther(true);
   if (Peer)
-    this->wantFrom(*Peer);
+    this->requestFrom(*Peer);
 }
 
 void ConfigurationKeeper::on(const Tick &) {
@@ -483,14 +487,15 @@
     this->Loading.reset();
   if (this->Loading && this->LoadingParts.empty() && !this->joining() &&
       !this->peersComeFirst()) {
-    if (this->InForce == 0 && this->Loading->Generation < this->Highest)
+    if (this->ActiveGeneration == 0 &&
+        this->Loading->Generation < this->Highest)
       this->Loading.reset();
     else
       this->requestParts();
   }
-  this->wantAgain();
+  this->retryRequest();
   const bool Isolated = this->Now - this->LastHeard >= this->Settings.Isolation;
-  const bool Alone = this->Watching || Isolated || this->InForce == 0;
+  const bool Alone = this->Watching || Isolated || this->ActiveGeneration == 0;
   if (Alone && !this->ReadPending && !this->NextRead) {
     const Duration Half = this->Settings.ReadEvery / 2;
     this->NextRead = this->Now + Half + randomUpTo(Half, this->Random);
@@ -504,11 +509,11 @@
                                                {Source::Store, "store"},
                                                {Source::Peers, "peers"}}};
   Poco::JSON::Object::Ptr Dump = new Poco::JSON::Object;
-  Dump->set("generation", this->InForce);
+  Dump->set("generation", this->ActiveGeneration);
   Dump->set("hash", toString(this->Text.hash()));
   Dump->set("sections", this->Text.sections());
-  Dump->set("from", std::string(nameOf(Names, this->InForceFrom)));
-  Dump->set("takenWithoutStore", this->InForceWithoutStore);
+  Dump->set("from", std::string(nameOf(Names, this->ActiveSource)));
+  Dump->set("takenWithoutStore", this->ActivatedWithoutStore);
   Dump->set("storeAnswers", this->StoreAnswers);
   Dump->set("highestHeardOf", this->Highest);
   Dump->set("relay", this->Watching);
--- a/src/Decision/Configuration/ConfigurationKeeper.h
+++ b/src/Decision/Configuration/ConfigurationKeeper.h
@@ -23,7 +23,7 @@
 
 using ConfigurationAction =
     std::variant<WatchManifest, StopWatching, ReadManifest, ReadParts,
-                 SendConfigurationMessage, PutInForce>;
+                 SendConfigurationMessage, ActivateConfiguration>;
 
 using ConfigurationActions = std::vector<ConfigurationAction>;
 
@@ -41,18 +41,18 @@
   /// A start listens so long for the highest generation that others know.
   Duration JoinWait = std::chrono::milliseconds(1500);
   /// Time for a peer to deliver what was wanted of it.
-  Duration WantWait = std::chrono::seconds(1);
+  Duration RequestTimeout = std::chrono::seconds(1);
   /// The same where the whole text is wanted.
-  Duration WholeWait = std::chrono::seconds(5);
+  Duration SnapshotTimeout = std::chrono::seconds(5);
   /// Tries with other routers before the store is read instead.
-  int PeerTries = 2;
+  int MaxPeerAttempts = 2;
   /// Steps kept for others, and their bytes in all.
   std::size_t KeepSteps = 256;
   std::size_t KeepStepBytes = 1U << 20U;
   /// The largest message for a datagram.
   std::size_t DatagramBytes = 1200;
   /// At most one whole text is sent to others in this time.
-  Duration WholeEvery = std::chrono::milliseconds(500);
+  Duration MinSnapshotInterval = std::chrono::milliseconds(500);
   /// As the operators' side cuts the text.
   std::size_t MaxPartBytes = 256U << 10U;
   std::uint64_t Seed = 1;
@@ -74,7 +74,7 @@
   ConfigurationActions handle(TimePoint Now, const ConfigurationEvent &Event);
 
   /// The generation in force; zero before the first.
-  std::uint64_t generation() const { return this->InForce; }
+  std::uint64_t generation() const { return this->ActiveGeneration; }
   const ConfigurationText &text() const { return this->Text; }
 
   Poco::JSON::Object::Ptr dump() const;
@@ -82,7 +82,7 @@
 private:
   enum class Source { None, Store, Peers };
   /// A wanted generation, and the router it is wanted from.
-  struct Want {
+  struct SentRequest {
     RouterId Peer;
     TimePoint Deadline;
   };
@@ -95,27 +95,27 @@
   void on(const Tick &Event);
 
   void receive(RouterId From, const ConfigurationAnnounce &Message);
-  void receive(RouterId From, const ConfigurationWant &Message);
+  void receive(RouterId From, const ConfigurationRequest &Message);
   void receive(RouterId From, const ConfigurationSteps &Message);
-  void receive(RouterId From, const ConfigurationWhole &Message);
+  void receive(RouterId From, const ConfigurationSnapshot &Message);
 
   bool joining() const;
-  void hearOf(std::uint64_t Generation);
-  void wantFrom(RouterId Peer);
-  void wantAgain();
+  void recordGeneration(std::uint64_t Generation);
+  void requestFrom(RouterId Peer);
+  void retryRequest();
   void readStoreSoon();
   void readStoreIfDue();
   bool peersComeFirst() const;
   void requestParts();
   void assemble(const std::map<std::string, std::string> &Read);
   void adoptStep(const ConfigurationStep &Step, Source From);
-  void adoptWhole(ConfigurationText Whole, std::uint64_t Generation,
-                  const TextHash &Hash, Source From);
-  void inForce(std::uint64_t Generation, ConfigurationDelta Changes,
-               Source From);
+  void adoptSnapshot(ConfigurationText Whole, std::uint64_t Generation,
+                     const TextHash &Hash, Source From);
+  void activate(std::uint64_t Generation, ConfigurationDelta Changes,
+                Source From);
   void keepStep(ConfigurationStep Step);
   void announce();
-  void tellAtOnce();
+  void announceNow();
   void checkRelay();
   bool isRelay() const;
   std::vector<RouterId> others(bool OwnZone) const;
@@ -128,18 +128,18 @@
   ConfigurationActions Out;
 
   View Current;
-  std::uint64_t InForce = 0;
+  std::uint64_t ActiveGeneration = 0;
   ConfigurationText Text;
-  Source InForceFrom = Source::None;
-  bool InForceWithoutStore = false;
+  Source ActiveSource = Source::None;
+  bool ActivatedWithoutStore = false;
   std::deque<ConfigurationStep> Steps;
   std::size_t StepBytes = 0;
 
   /// The highest generation heard of, from whomever.
   std::uint64_t Highest = 0;
-  std::optional<RouterId> HighestAt;
+  std::optional<RouterId> HighestHolder;
   std::optional<TimePoint> JoinUntil;
-  std::optional<Want> Wanted;
+  std::optional<SentRequest> CurrentRequest;
   int Tries = 0;
 
   bool Watching = false;
--- a/src/Decision/Configuration/ConfigurationMessages.h
+++ b/src/Decision/Configuration/ConfigurationMessages.h
@@ -31,7 +31,7 @@
 };
 
 /// The sender has this generation and asks for what came after it.
-struct ConfigurationWant {
+struct ConfigurationRequest {
   std::uint64_t From = 0;
 
   template <class Archive> void serialize(Archive &Ar) { Ar(From); }
@@ -45,7 +45,7 @@
 };
 
 /// A whole text, for a router that has none or is too far behind.
-struct ConfigurationWhole {
+struct ConfigurationSnapshot {
   std::uint64_t Generation = 0;
   TextHash Hash;
   std::string Text;
@@ -57,8 +57,8 @@
 
 /// What routers tell each other of the configuration.
 using ConfigurationMessage =
-    std::variant<ConfigurationAnnounce, ConfigurationWant, ConfigurationSteps,
-                 ConfigurationWhole>;
+    std::variant<ConfigurationAnnounce, ConfigurationRequest,
+                 ConfigurationSteps, ConfigurationSnapshot>;
 
 } // namespace parsleywing
 
--- a/src/Decision/Configuration/ConfigurationText.cpp
+++ b/src/Decision/Configuration/ConfigurationText.cpp
@@ -121,7 +121,7 @@
                                        : std::string_view(Place->second);
 }
 
-std::string ConfigurationText::whole() const {
+std::string ConfigurationText::fullText() const {
   std::size_t Size = 0;
   for (const auto &[Header, Text] : this->Sections)
     Size += Text.size();
--- a/src/Decision/Configuration/ConfigurationText.h
+++ b/src/Decision/Configuration/ConfigurationText.h
@@ -49,7 +49,7 @@
   explicit ConfigurationText(std::string_view File);
 
   /// The whole text, in the order of the headers. Costs a copy of all of it.
-  std::string whole() const;
+  std::string fullText() const;
 
   TextHash hash() const { return this->Sum; }
   std::size_t sections() const { return this->Sections.size(); }
--- a/src/Decision/Configuration/ConfigurationTypes.h
+++ b/src/Decision/Configuration/ConfigurationTypes.h
@@ -55,7 +55,7 @@
 };
 
 /// This generation is in force from now on; it is higher than all before.
-struct PutInForce {
+struct ActivateConfiguration {
   std::uint64_t Generation;
   std::shared_ptr<const std::string> Text;
   /// What changed since the last generation put in force; all of the text
--- a/src/Decision/Events.h
+++ b/src/Decision/Events.h
@@ -17,7 +17,7 @@
 };
 
 /// The caller closed its connection before its final answer.
-struct CallerLeft {
+struct CallerDisconnected {
   RequestId Request;
 };
 
@@ -47,7 +47,7 @@
 };
 
 /// The store of run records answered a claim, or did not in time.
-struct RunRecordAnswered {
+struct RunRecordVerdictReceived {
   RequestId Request;
   RunRecordVerdict Verdict;
 };
@@ -97,7 +97,7 @@
 
 /// New declarations are in force at this router.
 struct DeclarationsChanged {
-  DeclarationsPtr InForce;
+  DeclarationsPtr Active;
 };
 
 /// Time passed; deadlines and intervals are looked at.
@@ -105,11 +105,12 @@
 
 /// Everything that the control thread decides upon.
 using Event =
-    std::variant<RequestArrived, CallerLeft, AttemptSent, AttemptProgressed,
-                 AttemptEnded, LoadReported, ServerConditionChanged,
-                 DeclarationsChanged, RunRecordAnswered, HandOverEnded, Tick,
-                 DrainRequested, PeerPartReceived, VmListChanged, LeaseListed,
-                 ManifestRead, PartsRead, StoreFailed, ServersListed>;
+    std::variant<RequestArrived, CallerDisconnected, AttemptSent,
+                 AttemptProgressed, AttemptEnded, LoadReported,
+                 ServerConditionChanged, DeclarationsChanged,
+                 RunRecordVerdictReceived, HandOverEnded, Tick, DrainRequested,
+                 PeerPartReceived, VmListChanged, LeaseListed, ManifestRead,
+                 PartsRead, StoreFailed, ServersListed>;
 
 } // namespace parsleywing
 
--- a/src/Decision/Fairness/AccountHome.cpp
+++ b/src/Decision/Fairness/AccountHome.cpp
@@ -13,21 +13,22 @@
   return Sum;
 }
 
-PositionAnswer AccountHome::take(TimePoint Now, RouterId From, Incarnation Life,
-                                 std::uint32_t Version,
-                                 const Contribution &Said) {
+ContributionReply AccountHome::applyContribution(TimePoint Now, RouterId From,
+                                                 Incarnation Life,
+                                                 std::uint32_t Version,
+                                                 const Contribution &Said) {
   PARSLEYWING_INVARIANT(Said.Own >= 0, "contributions are never negative");
   auto [Found, New] = this->Totals.try_emplace(Said.Pair);
   Total &Pair = Found->second;
   if (New)
     Pair.Since = Now;
   Part &Counted = Pair.Parts[From];
-  if (Life > Counted.Life) {
+  if (Life > Counted.IncarnationNumber) {
     // An empty restart: what the earlier process charged stays charged.
     Pair.Base += Counted.Tokens;
     Counted = Part{Life, 0, 0};
   }
-  if (Life == Counted.Life && Version > Counted.Version) {
+  if (Life == Counted.IncarnationNumber && Version > Counted.Version) {
     Counted.Version = Version;
     Counted.Tokens = Said.Own;
     Pair.Lift = std::max(Pair.Lift, Said.Lift);
--- a/src/Decision/Fairness/AccountHome.h
+++ b/src/Decision/Fairness/AccountHome.h
@@ -18,8 +18,9 @@
 
   /// Counts the contribution unless a newer one of that process came before,
   /// and gives what the sender is to be told.
-  PositionAnswer take(TimePoint Now, RouterId From, Incarnation Life,
-                      std::uint32_t Version, const Contribution &Said);
+  ContributionReply applyContribution(TimePoint Now, RouterId From,
+                                      Incarnation Life, std::uint32_t Version,
+                                      const Contribution &Said);
 
   /// Forgets the pairs whose home is elsewhere now. If they come back, old
   /// parts would make the total too small; an empty start takes over instead.
@@ -32,7 +33,7 @@
 
 private:
   struct Part {
-    Incarnation Life = 0;
+    Incarnation IncarnationNumber = 0;
     std::uint32_t Version = 0;
     double Tokens = 0;
   };
--- a/src/Decision/Fairness/AccountLedger.cpp
+++ b/src/Decision/Fairness/AccountLedger.cpp
@@ -13,9 +13,9 @@
   return rendezvousScore(Account.Value, Service.Value);
 }
 
-AccountPosition &AccountLedger::open(AccountId Account, ServiceId Service,
-                                     double Share) {
-  AccountPosition &Position = this->Positions[pairOf(Account, Service)];
+LedgerEntry &AccountLedger::open(AccountId Account, ServiceId Service,
+                                 double Share) {
+  LedgerEntry &Position = this->Entries[pairOf(Account, Service)];
   Position.Account = Account;
   Position.Service = Service;
   if (Position.Own == 0 && Position.Others == 0)
@@ -23,20 +23,20 @@
   return Position;
 }
 
-AccountPosition *AccountLedger::find(PairId Pair) {
-  const auto Found = this->Positions.find(Pair);
-  return Found == this->Positions.end() ? nullptr : &Found->second;
+LedgerEntry *AccountLedger::find(PairId Pair) {
+  const auto Found = this->Entries.find(Pair);
+  return Found == this->Entries.end() ? nullptr : &Found->second;
 }
 
-AccountPosition &AccountLedger::at(PairId Pair) {
-  const auto Found = this->Positions.find(Pair);
-  PARSLEYWING_INVARIANT(Found != this->Positions.end(),
+LedgerEntry &AccountLedger::at(PairId Pair) {
+  const auto Found = this->Entries.find(Pair);
+  PARSLEYWING_INVARIANT(Found != this->Entries.end(),
                         "a pair with requests has a position");
   return Found->second;
 }
 
 void AccountLedger::charge(PairId Pair, double Change) {
-  AccountPosition &Position = this->at(Pair);
+  LedgerEntry &Position = this->at(Pair);
   Position.Own += Change;
   PARSLEYWING_INVARIANT(Position.Own >= -0.5,
                         "no more is refunded than was charged");
@@ -45,23 +45,24 @@
 
 void AccountLedger::reenter(PairId Pair, double VirtualTime, double MaxDebt) {
   this->raiseTo(Pair, VirtualTime);
-  AccountPosition &Position = this->at(Pair);
+  LedgerEntry &Position = this->at(Pair);
   Position.Forgiven +=
-      std::max(0.0, Position.value() - (VirtualTime + MaxDebt));
+      std::max(0.0, Position.virtualTime() - (VirtualTime + MaxDebt));
 }
 
 void AccountLedger::bound(PairId Pair, double Middle, double MaxDebt) {
   this->raiseTo(Pair, Middle - MaxDebt);
-  AccountPosition &Position = this->at(Pair);
-  Position.Forgiven += std::max(0.0, Position.value() - (Middle + MaxDebt));
+  LedgerEntry &Position = this->at(Pair);
+  Position.Forgiven +=
+      std::max(0.0, Position.virtualTime() - (Middle + MaxDebt));
 }
 
 void AccountLedger::raiseTo(PairId Pair, double Floor) {
-  AccountPosition &Position = this->at(Pair);
-  const double Missing = Floor - Position.value();
+  LedgerEntry &Position = this->at(Pair);
+  const double Missing = Floor - Position.virtualTime();
   if (Missing <= 0)
     return;
-  if (!Position.Settled) {
+  if (!Position.Confirmed) {
     Position.Provisional += Missing;
     return;
   }
@@ -72,38 +73,40 @@
 }
 
 void AccountLedger::setShare(PairId Pair, double Share) {
-  AccountPosition &Position = this->at(Pair);
-  const double Before = Position.value();
+  LedgerEntry &Position = this->at(Pair);
+  const double Before = Position.virtualTime();
   Position.Share = Share;
-  Position.Forgiven += Position.value() - Before;
+  Position.Forgiven += Position.virtualTime() - Before;
 }
 
-void AccountLedger::unsettle(PairId Pair) {
-  this->at(Pair).Settled = false;
+void AccountLedger::markUnconfirmed(PairId Pair) {
+  this->at(Pair).Confirmed = false;
   this->Changed.insert(Pair);
 }
 
-bool AccountLedger::take(TimePoint Now, RouterId Home, Incarnation Life,
-                         std::uint32_t Sequence, const PositionAnswer &Answer) {
-  AccountPosition *Position = this->find(Answer.Pair);
+bool AccountLedger::applyReply(TimePoint Now, RouterId Home, Incarnation Life,
+                               std::uint32_t Sequence,
+                               const ContributionReply &Answer) {
+  LedgerEntry *Position = this->find(Answer.Pair);
   if (Position == nullptr)
     return false;
-  const bool SameHome = Position->Home == Home && Position->HomeLife == Life;
+  const bool SameHome =
+      Position->Home == Home && Position->HomeIncarnation == Life;
   if (SameHome && Sequence <= Position->AnswerSequence)
     return false;
   Position->Home = Home;
-  Position->HomeLife = Life;
+  Position->HomeIncarnation = Life;
   Position->AnswerSequence = Sequence;
   Position->Others = Answer.Others;
-  Position->Answered = Now;
-  Position->Settled = true;
+  Position->ConfirmedAt = Now;
+  Position->Confirmed = true;
   Position->Provisional = 0;
   Position->Lift = std::max(Position->Lift, Answer.Lift);
   return true;
 }
 
 Contribution AccountLedger::contributionOf(PairId Pair) const {
-  const AccountPosition &Position = this->Positions.at(Pair);
+  const LedgerEntry &Position = this->Entries.at(Pair);
   return {Pair, std::max(0.0, Position.Own),
           static_cast<float>(Position.Others), Position.Lift};
 }
--- a/src/Decision/Fairness/AccountLedger.h
+++ b/src/Decision/Fairness/AccountLedger.h
@@ -16,7 +16,7 @@
 
 /// Where one account stands in the virtual time of one service, as this
 /// router knows it.
-struct AccountPosition {
+struct LedgerEntry {
   AccountId Account;
   ServiceId Service;
   double Share = 1;
@@ -32,15 +32,15 @@
   /// sent: added to a total that comes later, they would count twice.
   double Provisional = 0;
   /// Whether the home's word is recent enough to lift the position for good.
-  bool Settled = false;
+  bool Confirmed = false;
   /// When the home answered last.
-  TimePoint Answered;
+  TimePoint ConfirmedAt;
   /// Tokens charged for requests that are not over.
   double InFlight = 0;
   std::uint32_t RequestsInFlight = 0;
 
   /// In tokens a share.
-  double value() const {
+  double virtualTime() const {
     return (this->Own + this->Others) / this->Share + this->Lift +
            this->Provisional - this->Forgiven;
   }
@@ -49,7 +49,7 @@
 
 private:
   RouterId Home;
-  Incarnation HomeLife = 0;
+  Incarnation HomeIncarnation = 0;
   std::uint32_t AnswerSequence = 0;
 };
 
@@ -59,11 +59,11 @@
 class AccountLedger {
 public:
   /// Finds or makes the position.
-  AccountPosition &open(AccountId Account, ServiceId Service, double Share);
+  LedgerEntry &open(AccountId Account, ServiceId Service, double Share);
 
   /// Nothing where the pair never entered here.
-  AccountPosition *find(PairId Pair);
-  AccountPosition &at(PairId Pair);
+  LedgerEntry *find(PairId Pair);
+  LedgerEntry &at(PairId Pair);
 
   /// Adds to, or takes back from, what this process charged.
   void charge(PairId Pair, double Change);
@@ -83,23 +83,23 @@
   void setShare(PairId Pair, double Share);
 
   /// Takes a home's answer unless a newer one of the same home came before.
-  bool take(TimePoint Now, RouterId Home, Incarnation Life,
-            std::uint32_t Sequence, const PositionAnswer &Answer);
+  bool applyReply(TimePoint Now, RouterId Home, Incarnation Life,
+                  std::uint32_t Sequence, const ContributionReply &Answer);
 
   /// From now on the home's last word counts as old, until it answers again.
-  void unsettle(PairId Pair);
+  void markUnconfirmed(PairId Pair);
 
   Contribution contributionOf(PairId Pair) const;
 
   /// The pairs charged or lifted since the last call, in order.
   std::set<PairId> takeChanged();
 
-  const std::unordered_map<PairId, AccountPosition> &all() const {
-    return this->Positions;
+  const std::unordered_map<PairId, LedgerEntry> &all() const {
+    return this->Entries;
   }
 
 private:
-  std::unordered_map<PairId, AccountPosition> Positions;
+  std::unordered_map<PairId, LedgerEntry> Entries;
   std::set<PairId> Changed;
 };
 
--- a/src/Decision/Fairness/DigestBook.cpp
+++ b/src/Decision/Fairness/DigestTable.cpp
@@ -1,17 +1,17 @@
-#include "Decision/Fairness/DigestBook.h"
+#include "Decision/Fairness/DigestTable.h"
 
 #include <algorithm>
 
 namespace parsleywing {
 
-const DigestBook::Book *DigestBook::find(ServiceId Service) const {
-  const auto Found = this->Books.find(Service);
-  return Found == this->Books.end() ? nullptr : &Found->second;
+const DigestTable::ServiceDigests *DigestTable::find(ServiceId Service) const {
+  const auto Found = this->DigestsByService.find(Service);
+  return Found == this->DigestsByService.end() ? nullptr : &Found->second;
 }
 
-void DigestBook::take(TimePoint Now, RouterId From,
-                      const ServiceDigest &Digest) {
-  Book &Of = this->Books[ServiceId{Digest.Service}];
+void DigestTable::update(TimePoint Now, RouterId From,
+                         const ServiceDigest &Digest) {
+  ServiceDigests &Of = this->DigestsByService[ServiceId{Digest.Service}];
   const auto Found = std::ranges::find(Of.Waiting, From,
                                        [](const Entry &E) { return E.Router; });
   if (Digest.Waiting == 0) {
@@ -29,8 +29,8 @@
     *Found = New;
 }
 
-void DigestBook::dropGone(const View &Current) {
-  for (auto &[Service, Of] : this->Books)
+void DigestTable::dropGone(const View &Current) {
+  for (auto &[Service, Of] : this->DigestsByService)
     std::erase_if(Of.Waiting, [&](const Entry &E) {
       return std::ranges::none_of(Current.Members, [&](const Member &M) {
         return M.Router == E.Router;
@@ -38,35 +38,35 @@
     });
 }
 
-void DigestBook::dropOld(TimePoint Now) {
-  for (auto &[Service, Of] : this->Books)
+void DigestTable::dropOld(TimePoint Now) {
+  for (auto &[Service, Of] : this->DigestsByService)
     std::erase_if(Of.Waiting, [&](const Entry &E) {
       return Now > E.Taken + this->Lifetime;
     });
 }
 
-std::optional<DigestBook::Behind>
-DigestBook::sample(ServiceId Service, std::size_t Count,
-                   std::mt19937_64 &Random) const {
-  const Book *Of = this->find(Service);
+std::optional<DigestTable::Candidate>
+DigestTable::sample(ServiceId Service, std::size_t Count,
+                    std::mt19937_64 &Random) const {
+  const ServiceDigests *Of = this->find(Service);
   if (Of == nullptr || Of->Waiting.empty())
     return std::nullopt;
   const std::size_t Known = Of->Waiting.size();
   const bool All = Known <= Count;
-  std::optional<Behind> Best;
+  std::optional<Candidate> Best;
   for (std::size_t Drawn = 0; Drawn < std::min(Known, Count); ++Drawn) {
     const Entry &E = Of->Waiting[All ? Drawn : Random() % Known];
     if (!Best || E.Tag < Best->Tag)
-      Best = Behind{E.Router, E.Tag, E.Starved};
+      Best = Candidate{E.Router, E.Tag, E.Starved};
   }
   for (const Entry &E : Of->Waiting)
     if (E.Starved && (!Best || E.Tag < Best->Tag))
-      Best = Behind{E.Router, E.Tag, true};
+      Best = Candidate{E.Router, E.Tag, true};
   return Best;
 }
 
-void DigestBook::advance(ServiceId Service, RouterId Router, double Step) {
-  Book &Of = this->Books[Service];
+void DigestTable::advance(ServiceId Service, RouterId Router, double Step) {
+  ServiceDigests &Of = this->DigestsByService[Service];
   const auto Found = std::ranges::find(Of.Waiting, Router,
                                        [](const Entry &E) { return E.Router; });
   if (Found == Of.Waiting.end())
@@ -77,28 +77,28 @@
     Of.Waiting.erase(Found);
 }
 
-std::vector<RouterId> DigestBook::waitingAt(ServiceId Service) const {
+std::vector<RouterId> DigestTable::waitingAt(ServiceId Service) const {
   std::vector<RouterId> All;
-  if (const Book *Of = this->find(Service))
+  if (const ServiceDigests *Of = this->find(Service))
     for (const Entry &E : Of->Waiting)
       All.push_back(E.Router);
   return All;
 }
 
-bool DigestBook::anyWaiting(ServiceId Service) const {
-  const Book *Of = this->find(Service);
+bool DigestTable::anyWaiting(ServiceId Service) const {
+  const ServiceDigests *Of = this->find(Service);
   return Of != nullptr && !Of->Waiting.empty();
 }
 
-std::optional<double> DigestBook::lowest(ServiceId Service) const {
-  const Book *Of = this->find(Service);
+std::optional<double> DigestTable::lowest(ServiceId Service) const {
+  const ServiceDigests *Of = this->find(Service);
   if (Of == nullptr || Of->Waiting.empty())
     return std::nullopt;
   return std::ranges::min_element(Of->Waiting, {}, &Entry::Tag)->Tag;
 }
 
-std::optional<double> DigestBook::median(ServiceId Service) const {
-  const Book *Of = this->find(Service);
+std::optional<double> DigestTable::median(ServiceId Service) const {
+  const ServiceDigests *Of = this->find(Service);
   if (Of == nullptr || Of->Waiting.empty())
     return std::nullopt;
   std::vector<double> Tags;
@@ -110,8 +110,8 @@
   return *Middle;
 }
 
-double DigestBook::idleTime(ServiceId Service) const {
-  const Book *Of = this->find(Service);
+double DigestTable::idleTime(ServiceId Service) const {
+  const ServiceDigests *Of = this->find(Service);
   return Of == nullptr ? 0 : Of->IdleTime;
 }
 
--- a/src/Decision/Fairness/DigestBook.h
+++ b/src/Decision/Fairness/DigestTable.h
@@ -1,5 +1,5 @@
-#ifndef PARSLEYWING_DECISION_FAIRNESS_DIGESTBOOK_H
-#define PARSLEYWING_DECISION_FAIRNESS_DIGESTBOOK_H
+#ifndef PARSLEYWING_DECISION_FAIRNESS_DIGESTTABLE_H
+#define PARSLEYWING_DECISION_FAIRNESS_DIGESTTABLE_H
 
 #include "Decision/Fairness/FairMessage.h"
 #include "Decision/Membership/View.h"
@@ -19,26 +19,26 @@
 /// What this router knows of the queues of others: for each service, those
 /// routers where requests wait. Copies are advanced as slots are given, so
 /// that the same router does not look the neediest until its next digest.
-class DigestBook {
+class DigestTable {
 public:
-  explicit DigestBook(Duration TimeToLive) : Lifetime(TimeToLive) {}
+  explicit DigestTable(Duration TimeToLive) : Lifetime(TimeToLive) {}
 
-  void take(TimePoint Now, RouterId From, const ServiceDigest &Digest);
+  void update(TimePoint Now, RouterId From, const ServiceDigest &Digest);
 
   /// Forgets routers that are not in the view.
   void dropGone(const View &Current);
   /// Forgets what is too old. Costs a pass over all digests.
   void dropOld(TimePoint Now);
 
-  struct Behind {
+  struct Candidate {
     RouterId Router;
     double Tag = 0;
     bool Starved = false;
   };
   /// The lowest tag among Count routers drawn at random, and among all where
   /// nothing runs: these are few, and have no slot of their own to wait for.
-  std::optional<Behind> sample(ServiceId Service, std::size_t Count,
-                               std::mt19937_64 &Random) const;
+  std::optional<Candidate> sample(ServiceId Service, std::size_t Count,
+                                  std::mt19937_64 &Random) const;
 
   /// The router was given a slot, or one was left to it.
   void advance(ServiceId Service, RouterId Router, double Step);
@@ -53,7 +53,9 @@
   /// The highest virtual time of any router where nothing waited.
   double idleTime(ServiceId Service) const;
   /// Whether any router ever said anything of the service.
-  bool knows(ServiceId Service) const { return this->Books.contains(Service); }
+  bool knows(ServiceId Service) const {
+    return this->DigestsByService.contains(Service);
+  }
 
 private:
   struct Entry {
@@ -63,15 +65,15 @@
     bool Starved = false;
     TimePoint Taken;
   };
-  struct Book {
+  struct ServiceDigests {
     std::vector<Entry> Waiting;
     double IdleTime = 0;
   };
 
-  const Book *find(ServiceId Service) const;
+  const ServiceDigests *find(ServiceId Service) const;
 
   Duration Lifetime;
-  std::map<ServiceId, Book> Books;
+  std::map<ServiceId, ServiceDigests> DigestsByService;
 };
 
 } // namespace parsleywing
--- a/src/Decision/Fairness/FairMessage.h
+++ b/src/Decision/Fairness/FairMessage.h
@@ -43,7 +43,7 @@
 
 /// From an account's home to an entry router. It leaves out what the entry
 /// router itself contributed, so that the receiver adds its own exact figure.
-struct PositionAnswer {
+struct ContributionReply {
   PairId Pair = 0;
   double Others = 0;
   float Lift = 0;
@@ -60,10 +60,10 @@
   std::uint32_t Granted = 0;
   std::uint32_t ReturnedSeen = 0;
   /// The holder gives back what it holds above this.
-  std::uint16_t KeepAtMost = 0;
+  std::uint16_t MaxHeld = 0;
 
   template <class Archive> void serialize(Archive &Ar) {
-    Ar(this->Server, this->Granted, this->ReturnedSeen, this->KeepAtMost);
+    Ar(this->Server, this->Granted, this->ReturnedSeen, this->MaxHeld);
   }
 };
 
@@ -84,18 +84,18 @@
   std::uint32_t Sequence = 0;
   /// Low half of the receiver's incarnation; slot counters of an earlier
   /// process of that name are void.
-  std::uint32_t ToLife = 0;
+  std::uint32_t ToIncarnation = 0;
   std::vector<ServiceDigest> Digests;
   std::vector<Contribution> Contributions;
-  std::vector<PositionAnswer> Answers;
+  std::vector<ContributionReply> Replies;
   std::vector<SlotGrant> Grants;
   std::vector<SlotReport> Reports;
 
   template <class Archive> void serialize(Archive &Ar) {
-    Ar(this->Sequence, this->ToLife);
+    Ar(this->Sequence, this->ToIncarnation);
     compact(Ar, this->Digests);
     compact(Ar, this->Contributions);
-    compact(Ar, this->Answers);
+    compact(Ar, this->Replies);
     compact(Ar, this->Grants);
     compact(Ar, this->Reports);
   }
@@ -104,7 +104,7 @@
   /// the datagram's own headers.
   std::size_t bytes() const {
     return 18 + 18 * this->Digests.size() + 24 * this->Contributions.size() +
-           20 * this->Answers.size() + 18 * this->Grants.size() +
+           20 * this->Replies.size() + 18 * this->Grants.size() +
            16 * this->Reports.size();
   }
 
@@ -123,7 +123,7 @@
 /// Another router's scheduler has something to say.
 struct FairMessageReceived {
   RouterId From;
-  Incarnation Life = 0;
+  Incarnation IncarnationNumber = 0;
   FairMessage Message;
 };
 
--- a/src/Decision/Fairness/FairQueue.cpp
+++ b/src/Decision/Fairness/FairQueue.cpp
@@ -6,7 +6,8 @@
 
 namespace parsleywing {
 
-void FairQueue::push(PairId Pair, Waiting Request, double Tag, bool Capped) {
+void FairQueue::push(PairId Pair, QueuedRequest Request, double Tag,
+                     bool Capped) {
   auto [Found, New] = this->Queues.try_emplace(Pair);
   Found->second.Requests.push_back(Request);
   ++this->Count;
@@ -17,11 +18,11 @@
   this->orderOf(Found->second).emplace(Tag, Pair);
 }
 
-FairQueue::Waiting FairQueue::pop(PairId Pair) {
+FairQueue::QueuedRequest FairQueue::pop(PairId Pair) {
   const auto Found = this->Queues.find(Pair);
   PARSLEYWING_INVARIANT(Found != this->Queues.end(),
                         "a pair whose turn it is waits");
-  const Waiting First = Found->second.Requests.front();
+  const QueuedRequest First = Found->second.Requests.front();
   Found->second.Requests.pop_front();
   --this->Count;
   this->removeIfEmpty(Pair);
@@ -33,8 +34,9 @@
   if (Found == this->Queues.end())
     return false;
   const std::size_t Taken =
-      std::erase_if(Found->second.Requests,
-                    [&](const Waiting &W) { return W.Request == Request; });
+      std::erase_if(Found->second.Requests, [&](const QueuedRequest &W) {
+        return W.Request == Request;
+      });
   this->Count -= Taken;
   this->removeIfEmpty(Pair);
   return Taken > 0;
--- a/src/Decision/Fairness/FairQueue.h
+++ b/src/Decision/Fairness/FairQueue.h
@@ -19,15 +19,15 @@
 /// O(log accounts), a withdrawal O(the account's queue).
 class FairQueue {
 public:
-  struct Waiting {
+  struct QueuedRequest {
     RequestId Request;
     double Cost = 0;
   };
 
-  void push(PairId Pair, Waiting Request, double Tag, bool Capped);
+  void push(PairId Pair, QueuedRequest Request, double Tag, bool Capped);
 
   /// Takes out the first request of a pair that waits.
-  Waiting pop(PairId Pair);
+  QueuedRequest pop(PairId Pair);
 
   /// Takes out a request; false where it does not wait for this pair.
   bool withdraw(PairId Pair, RequestId Request);
@@ -58,7 +58,7 @@
 
 private:
   struct Queue {
-    std::deque<Waiting> Requests;
+    std::deque<QueuedRequest> Requests;
     double Tag = 0;
     bool Capped = false;
   };
--- a/src/Decision/Fairness/FairScheduler.cpp
+++ b/src/Decision/Fairness/FairScheduler.cpp
@@ -14,8 +14,8 @@
 } // namespace
 
 FairScheduler::FairScheduler(FairnessSettings S)
-    : Settings(S), Random(S.Seed), Home(S.HomeTakeover), Book(S.DigestLifetime),
-      Letters(S.FlushInterval) {
+    : Settings(S), Random(S.Seed), Home(S.HomeTakeover),
+      Digests(S.DigestLifetime), Outgoing(S.FlushInterval) {
   // Routers that begin together would otherwise all tell the same peers.
   this->DigestCursor = this->Random() >> 32;
 }
@@ -27,7 +27,7 @@
     this->Started = At;
   std::visit([this](const auto &E) { this->on(E); }, Event);
   this->settleAll();
-  if (this->Letters.anyUrgent())
+  if (this->Outgoing.anyUrgent())
     this->flush();
   return std::exchange(this->Pending, {});
 }
@@ -39,8 +39,8 @@
 void FairScheduler::on(const RequestQueued &Event) {
   const PairId Pair = pairOf(Event.Account, Event.Service);
   ServiceState &Service = this->Services[Event.Service];
-  AccountPosition &Position = this->Ledger.open(Event.Account, Event.Service,
-                                                this->shareOf(Event.Account));
+  LedgerEntry &Position = this->Ledger.open(Event.Account, Event.Service,
+                                            this->shareOf(Event.Account));
   if (Position.RequestsInFlight == 0 && !Service.Queue.waits(Pair))
     this->reenter(Pair, Service);
   PARSLEYWING_INVARIANT(!this->Running.contains(Event.Request),
@@ -50,7 +50,7 @@
     this->Avoided[Event.Request] = Event.Avoid;
   Service.Queue.push(
       Pair, {Event.Request, static_cast<double>(Event.EstimatedTokens)},
-      Position.value(), this->isCapped(Position));
+      Position.virtualTime(), this->isCapped(Position));
   this->Dirty.insert(Event.Service);
 }
 
@@ -83,7 +83,7 @@
   this->Running.erase(Found);
   this->charge(Request, static_cast<double>(Event.Tokens));
   this->learnCost(Request);
-  AccountPosition &Position = this->Ledger.at(Request.Pair);
+  LedgerEntry &Position = this->Ledger.at(Request.Pair);
   Position.InFlight = std::max(0.0, Position.InFlight - Request.Charged);
   --Position.RequestsInFlight;
   this->reposition(Request.Pair);
@@ -105,23 +105,23 @@
   const SlotLease *Lease = this->Slots.find(Event.Server);
   while (this->shared() && Lease != nullptr && Lease->idle() > 0 &&
          Event.Condition != ServerCondition::Usable)
-    this->giveBack(Event.Server, false);
+    this->returnSlot(Event.Server, false);
   this->refreshServer(Event.Server);
 }
 
 void FairScheduler::on(const DeclarationsChanged &Event) {
-  this->InForce = Event.InForce;
-  this->takeDeclarations();
-  this->takeOwnership();
+  this->ActiveDeclarations = Event.Active;
+  this->updateDeclarations();
+  this->updateOwnership();
 }
 
 void FairScheduler::on(const ViewChanged &Event) {
   const View Before = std::exchange(this->Current, Event.Current);
   this->Homes.clear();
-  this->Book.dropGone(this->Current);
-  this->Letters.dropGone(this->Current);
+  this->Digests.dropGone(this->Current);
+  this->Outgoing.dropGone(this->Current);
   this->Owner.dropGone(this->Current);
-  this->takeOwnership();
+  this->updateOwnership();
   this->Home.keepOnly(
       [this](PairId Pair) { return this->homeOf(Pair) == this->Current.Self; });
   this->greet(Before);
@@ -139,8 +139,8 @@
   this->sendBursts();
   if (this->Now >= this->NextDigests)
     this->sendDigests();
-  if (this->Now >= this->NextPositions)
-    this->sendPositions();
+  if (this->Now >= this->NextContributions)
+    this->sendContributions();
   if (this->Now >= this->NextResend)
     this->resend();
   this->settleAll();
@@ -148,21 +148,21 @@
 }
 
 double FairScheduler::shareOf(AccountId Account) const {
-  const auto Found = this->InForce->Accounts.find(Account);
-  return Found == this->InForce->Accounts.end()
+  const auto Found = this->ActiveDeclarations->Accounts.find(Account);
+  return Found == this->ActiveDeclarations->Accounts.end()
              ? 1
              : std::max(1U, Found->second.Share);
 }
 
-bool FairScheduler::isCapped(const AccountPosition &Position) const {
+bool FairScheduler::isCapped(const LedgerEntry &Position) const {
   return Position.RequestsInFlight > 0 &&
          Position.InFlight >= this->Settings.InFlightCap * Position.Share;
 }
 
 void FairScheduler::reposition(PairId Pair) {
-  const AccountPosition &Position = this->Ledger.at(Pair);
-  this->Services[Position.Service].Queue.reposition(Pair, Position.value(),
-                                                    this->isCapped(Position));
+  const LedgerEntry &Position = this->Ledger.at(Pair);
+  this->Services[Position.Service].Queue.reposition(
+      Pair, Position.virtualTime(), this->isCapped(Position));
 }
 
 void FairScheduler::charge(RunningRequest &Request, double Tokens) {
@@ -174,17 +174,17 @@
 }
 
 void FairScheduler::reenter(PairId Pair, ServiceState &Service) {
-  AccountPosition &Position = this->Ledger.at(Pair);
-  const bool Fresh =
-      Position.Settled && this->Now <= Position.Answered +
-                                           this->Settings.PositionInterval +
-                                           this->PositionCycle;
+  LedgerEntry &Position = this->Ledger.at(Pair);
+  const bool Fresh = Position.Confirmed &&
+                     this->Now <= Position.ConfirmedAt +
+                                      this->Settings.ContributionInterval +
+                                      this->ContributionCycle;
   if (!this->shared()) {
-    Position.Settled = true;
+    Position.Confirmed = true;
   } else if (!Fresh) {
     // Others may have charged the account meanwhile. A lift computed from the
     // old total would stay on top of what they charged.
-    this->Ledger.unsettle(Pair);
+    this->Ledger.markUnconfirmed(Pair);
     this->contribute(Pair, true);
   }
   this->Ledger.reenter(Pair, this->virtualTime(Position.Service, Service),
@@ -194,12 +194,12 @@
 double FairScheduler::virtualTime(ServiceId Id,
                                   const ServiceState &Service) const {
   const std::optional<double> Own = Service.Queue.lowestTag();
-  const std::optional<double> Known = this->Book.lowest(Id);
+  const std::optional<double> Known = this->Digests.lowest(Id);
   if (Own && Known)
     return std::min(*Own, *Known);
   if (Own || Known)
     return Own ? *Own : *Known;
-  return std::max(Service.VirtualTime, this->Book.idleTime(Id));
+  return std::max(Service.VirtualTime, this->Digests.idleTime(Id));
 }
 
 double FairScheduler::estimateOf(const ServiceState &Service,
@@ -228,9 +228,9 @@
 
 void FairScheduler::admitOne(ServiceState &Service) {
   const PairId Pair = *Service.Queue.next();
-  AccountPosition &Position = this->Ledger.at(Pair);
-  Service.VirtualTime = std::max(Service.VirtualTime, Position.value());
-  const FairQueue::Waiting First = Service.Queue.pop(Pair);
+  LedgerEntry &Position = this->Ledger.at(Pair);
+  Service.VirtualTime = std::max(Service.VirtualTime, Position.virtualTime());
+  const FairQueue::QueuedRequest First = Service.Queue.pop(Pair);
   const ServerId Server = this->serverFor(Service, First.Request);
   PARSLEYWING_INVARIANT(this->Servers.at(Server).usable(),
                         "only a usable server gets work");
@@ -280,12 +280,12 @@
   this->admit(Id, Service);
   if (this->shared()) {
     this->distribute(Id, Service);
-    this->giveBackIdle(Id, Service);
+    this->returnIdleSlots(Id, Service);
     this->distribute(Id, Service);
   }
   this->noteWaiting(Id, Service);
   if (this->shared())
-    this->want(Id, Service);
+    this->sendStarvedDigest(Id, Service);
   this->checkInvariants(Id);
 }
 
@@ -302,7 +302,7 @@
     Poco::JSON::Object::Ptr One = new Poco::JSON::Object;
     One->set("account", Position.Account.Value);
     One->set("service", Position.Service.Value);
-    One->set("position", Position.value());
+    One->set("position", Position.virtualTime());
     One->set("own-tokens", Position.Own);
     One->set("others-tokens", Position.Others);
     One->set("in-flight", Position.RequestsInFlight);
--- a/src/Decision/Fairness/FairScheduler.h
+++ b/src/Decision/Fairness/FairScheduler.h
@@ -3,7 +3,7 @@
 
 #include "Decision/Fairness/AccountHome.h"
 #include "Decision/Fairness/AccountLedger.h"
-#include "Decision/Fairness/DigestBook.h"
+#include "Decision/Fairness/DigestTable.h"
 #include "Decision/Fairness/FairQueue.h"
 #include "Decision/Fairness/FairnessSettings.h"
 #include "Decision/Fairness/FairnessTypes.h"
@@ -75,7 +75,7 @@
     double Charged = 0;
   };
   struct PeerState {
-    Incarnation Life = 0;
+    Incarnation IncarnationNumber = 0;
     std::uint32_t Newest = 0;
   };
 
@@ -93,7 +93,7 @@
   // Queues and admission.
   bool shared() const;
   double shareOf(AccountId Account) const;
-  bool isCapped(const AccountPosition &Position) const;
+  bool isCapped(const LedgerEntry &Position) const;
   void reposition(PairId Pair);
   void charge(RunningRequest &Request, double Tokens);
   void reenter(PairId Pair, ServiceState &Service);
@@ -111,45 +111,45 @@
   // Slots.
   void refreshServer(ServerId Id);
   void markDirty(const ServerState &Server);
-  void giveBack(ServerId Id, bool Urgent);
-  void giveBackIdle(ServiceId Id, ServiceState &Service);
-  bool mustGiveBack(ServerId Id, const SlotLease &Lease) const;
+  void returnSlot(ServerId Id, bool Urgent);
+  void returnIdleSlots(ServiceId Id, ServiceState &Service);
+  bool mustReturnSlot(ServerId Id, const SlotLease &Lease) const;
   bool isAhead(ServiceId Id, ServiceState &Service, double Steps);
   void passOn(ServerId Id, ServiceId Service);
   void afterRelease(ServerId Id, ServiceId Service);
   void distribute(ServiceId Id, ServiceState &Service);
-  bool giveOne(ServiceId Id, ServiceState &Service, ServerId Server);
-  void takeDeclarations();
-  void takeOwnership();
-  void takeParts();
+  bool grantOne(ServiceId Id, ServiceState &Service, ServerId Server);
+  void updateDeclarations();
+  void updateOwnership();
+  void updateEqualParts();
   void recall();
   void expireIdle();
 
   // Exchange.
   const Member *memberOf(RouterId Router) const;
-  Incarnation ownLife() const;
+  Incarnation ownIncarnation() const;
   std::vector<RouterId> peers() const;
   RouterId homeOf(PairId Pair);
-  bool mayTell(ServiceId Id) const;
+  bool maySendDigest(ServiceId Id) const;
   ServiceDigest digestOf(ServiceId Id) const;
-  void tellDigests(RouterId Peer, bool Urgent);
+  void queueDigests(RouterId Peer, bool Urgent);
   void greet(const View &Before);
   void noteWaiting(ServiceId Id, ServiceState &Service);
   void sendBursts();
-  void want(ServiceId Id, ServiceState &Service);
+  void sendStarvedDigest(ServiceId Id, ServiceState &Service);
   void sendDigests();
-  void sendPositions();
+  void sendContributions();
   void contribute(PairId Pair, bool Urgent);
-  void boundPositions();
+  void boundDebts();
   void resend();
   void flush();
-  void fill(RouterId To, const Outbox::Letter &Letter);
+  void fill(RouterId To, const Outbox::PendingMessage &Letter);
   void send(RouterId To, bool Urgent, FairMessage Message);
-  void takeDigest(RouterId From, const ServiceDigest &Digest);
-  void takeAnswer(RouterId From, Incarnation Life, std::uint32_t Sequence,
-                  const PositionAnswer &Said);
-  void takeGrant(const FairMessageReceived &Event, const SlotGrant &Grant);
-  void takeReport(const FairMessageReceived &Event, const SlotReport &Report);
+  void applyDigest(RouterId From, const ServiceDigest &Digest);
+  void applyReply(RouterId From, Incarnation Life, std::uint32_t Sequence,
+                  const ContributionReply &Said);
+  void applyGrant(const FairMessageReceived &Event, const SlotGrant &Grant);
+  void applyReport(const FairMessageReceived &Event, const SlotReport &Report);
 
   FairnessSettings Settings;
   std::mt19937_64 Random;
@@ -158,7 +158,7 @@
   TimePoint Now;
   std::optional<TimePoint> Started;
 
-  DeclarationsPtr InForce = std::make_shared<Declarations>();
+  DeclarationsPtr ActiveDeclarations = std::make_shared<Declarations>();
   View Current;
   std::map<ServiceId, ServiceState> Services;
   std::map<ServerId, ServerState> Servers;
@@ -169,17 +169,17 @@
 
   AccountLedger Ledger;
   AccountHome Home;
-  DigestBook Book;
+  DigestTable Digests;
   SlotTable Slots;
   SlotOwner Owner;
-  Outbox Letters;
+  Outbox Outgoing;
   std::unordered_map<PairId, RouterId> Homes;
   std::unordered_map<RouterId, PeerState> Peers;
   std::uint32_t Sequence = 0;
   std::size_t DigestCursor = 0;
   TimePoint NextDigests;
-  TimePoint NextPositions;
-  Duration PositionCycle{0};
+  TimePoint NextContributions;
+  Duration ContributionCycle{0};
   TimePoint NextResend;
   std::optional<TimePoint> OwnershipOpens;
 };
--- a/src/Decision/Fairness/FairnessSettings.h
+++ b/src/Decision/Fairness/FairnessSettings.h
@@ -33,18 +33,18 @@
   /// A router where requests wait and nothing of the service runs says so this
   /// often, to so many of those where requests wait as well: these have slots
   /// to free.
-  Duration WantInterval = std::chrono::milliseconds(250);
-  std::size_t WantFanout = 4;
+  Duration StarvedDigestInterval = std::chrono::milliseconds(250);
+  std::size_t StarvedDigestFanout = 4;
   /// How long a new process listens before it tells its own, still empty,
   /// virtual time to others.
-  Duration QuietStart = std::chrono::milliseconds(500);
+  Duration StartupQuietPeriod = std::chrono::milliseconds(500);
   /// A digest is not used when older than this.
   Duration DigestLifetime = std::chrono::seconds(4);
   /// How often contributions go to the homes, where the budget allows.
-  Duration PositionInterval = std::chrono::seconds(1);
+  Duration ContributionInterval = std::chrono::seconds(1);
   /// Bytes a second that contributions and answers may use at this router;
   /// the interval is stretched to stay below.
-  double PositionBytesPerSecond = 2500;
+  double ContributionBytesPerSecond = 2500;
   /// How long what is not urgent waits to share a datagram.
   Duration FlushInterval = std::chrono::milliseconds(250);
   /// What was not acknowledged for this long is sent again.
--- a/src/Decision/Fairness/Outbox.cpp
+++ b/src/Decision/Fairness/Outbox.cpp
@@ -5,9 +5,9 @@
 
 namespace parsleywing {
 
-Outbox::Letter &Outbox::to(TimePoint Now, RouterId Peer, bool Urgent) {
+Outbox::PendingMessage &Outbox::to(TimePoint Now, RouterId Peer, bool Urgent) {
   const TimePoint Due = Urgent ? Now : Now + this->Flush;
-  auto [Found, New] = this->Letters.try_emplace(Peer);
+  auto [Found, New] = this->Messages.try_emplace(Peer);
   if (New || Due < Found->second.Due)
     Found->second.Due = Due;
   Found->second.Urgent = Found->second.Urgent || Urgent;
@@ -15,19 +15,19 @@
   return Found->second;
 }
 
-std::map<RouterId, Outbox::Letter> Outbox::takeDue(TimePoint Now) {
-  std::map<RouterId, Letter> Due;
+std::map<RouterId, Outbox::PendingMessage> Outbox::takeDue(TimePoint Now) {
+  std::map<RouterId, PendingMessage> Due;
   this->Urgent = false;
-  for (auto At = this->Letters.begin(); At != this->Letters.end();) {
+  for (auto At = this->Messages.begin(); At != this->Messages.end();) {
     const auto This = At++;
     if (Now >= This->second.Due)
-      Due.insert(this->Letters.extract(This));
+      Due.insert(this->Messages.extract(This));
   }
   return Due;
 }
 
 void Outbox::dropGone(const View &Current) {
-  std::erase_if(this->Letters, [&](const auto &Entry) {
+  std::erase_if(this->Messages, [&](const auto &Entry) {
     return std::ranges::none_of(Current.Members, [&](const Member &M) {
       return M.Router == Entry.first;
     });
--- a/src/Decision/Fairness/Outbox.h
+++ b/src/Decision/Fairness/Outbox.h
@@ -19,31 +19,31 @@
   /// What is not urgent waits for `FlushInterval` to share a datagram.
   explicit Outbox(Duration FlushInterval) : Flush(FlushInterval) {}
 
-  struct Letter {
+  struct PendingMessage {
     bool Urgent = false;
     TimePoint Due;
     std::set<ServiceId> Digests;
     std::set<PairId> Contributions;
-    std::map<PairId, PositionAnswer> Answers;
+    std::map<PairId, ContributionReply> Replies;
     std::set<ServerId> Grants;
     std::set<ServerId> Reports;
   };
 
   /// The letter to this peer, begun if there is none. An urgent one leaves when
   /// the event that caused it has been handled.
-  Letter &to(TimePoint Now, RouterId Peer, bool Urgent);
+  PendingMessage &to(TimePoint Now, RouterId Peer, bool Urgent);
 
   /// Whether anything should leave at once.
   bool anyUrgent() const { return this->Urgent; }
 
   /// Takes out the letters that are urgent or due.
-  std::map<RouterId, Letter> takeDue(TimePoint Now);
+  std::map<RouterId, PendingMessage> takeDue(TimePoint Now);
 
   void dropGone(const View &Current);
 
 private:
   Duration Flush;
-  std::map<RouterId, Letter> Letters;
+  std::map<RouterId, PendingMessage> Messages;
   bool Urgent = false;
 };
 
--- a/src/Decision/Fairness/SchedulerExchange.cpp
+++ b/src/Decision/Fairness/SchedulerExchange.cpp
@@ -32,9 +32,9 @@
              : &*Found;
 }
 
-Incarnation FairScheduler::ownLife() const {
+Incarnation FairScheduler::ownIncarnation() const {
   const Member *Self = this->memberOf(this->Current.Self);
-  return Self == nullptr ? 0 : Self->Life;
+  return Self == nullptr ? 0 : Self->IncarnationNumber;
 }
 
 std::vector<RouterId> FairScheduler::peers() const {
@@ -52,9 +52,9 @@
   return Found->second;
 }
 
-bool FairScheduler::mayTell(ServiceId Id) const {
-  return this->Book.knows(Id) ||
-         this->Now >= *this->Started + this->Settings.QuietStart;
+bool FairScheduler::maySendDigest(ServiceId Id) const {
+  return this->Digests.knows(Id) ||
+         this->Now >= *this->Started + this->Settings.StartupQuietPeriod;
 }
 
 ServiceDigest FairScheduler::digestOf(ServiceId Id) const {
@@ -62,15 +62,15 @@
   const std::size_t Waiting =
       std::min<std::size_t>(Service.Queue.size(), StarvedBit - 1);
   const bool Starved = Waiting > 0 && Service.Running == 0;
-  const double Idle = std::max(Service.VirtualTime, this->Book.idleTime(Id));
+  const double Idle = std::max(Service.VirtualTime, this->Digests.idleTime(Id));
   return {Id.Value, Service.Queue.lowestTag().value_or(Idle),
           static_cast<std::uint16_t>(Waiting | (Starved ? StarvedBit : 0))};
 }
 
-void FairScheduler::tellDigests(RouterId Peer, bool Urgent) {
+void FairScheduler::queueDigests(RouterId Peer, bool Urgent) {
   for (const auto &[Id, Service] : this->Services)
-    if (this->mayTell(Id))
-      this->Letters.to(this->Now, Peer, Urgent).Digests.insert(Id);
+    if (this->maySendDigest(Id))
+      this->Outgoing.to(this->Now, Peer, Urgent).Digests.insert(Id);
 }
 
 void FairScheduler::greet(const View &Before) {
@@ -81,13 +81,14 @@
       continue;
     for (std::uint64_t Key : GreetingKeys)
       if (ownerOf(this->Current, M.Router.Value ^ Key) == this->Current.Self)
-        this->tellDigests(M.Router, true);
+        this->queueDigests(M.Router, true);
   }
 }
 
 void FairScheduler::noteWaiting(ServiceId Id, ServiceState &Service) {
   const bool Waits = !Service.Queue.empty();
-  if (Waits == Service.ToldWaiting || !this->shared() || !this->mayTell(Id))
+  if (Waits == Service.ToldWaiting || !this->shared() ||
+      !this->maySendDigest(Id))
     return;
   // A queue that comes and goes is left to the digests of each interval.
   if (this->Now < Service.LastBurst + this->Settings.DigestInterval &&
@@ -98,29 +99,31 @@
   Service.BurstLeft = this->Settings.DigestBurst;
 }
 
-void FairScheduler::want(ServiceId Id, ServiceState &Service) {
-  if (Service.Queue.empty() || Service.Running > 0 || !this->mayTell(Id) ||
-      this->Now < Service.LastWant + this->Settings.WantInterval)
+void FairScheduler::sendStarvedDigest(ServiceId Id, ServiceState &Service) {
+  if (Service.Queue.empty() || Service.Running > 0 ||
+      !this->maySendDigest(Id) ||
+      this->Now < Service.LastWant + this->Settings.StarvedDigestInterval)
     return;
   Service.LastWant = this->Now;
-  const std::vector<RouterId> All = this->Book.waitingAt(Id);
-  const std::size_t Count = std::min(this->Settings.WantFanout, All.size());
+  const std::vector<RouterId> All = this->Digests.waitingAt(Id);
+  const std::size_t Count =
+      std::min(this->Settings.StarvedDigestFanout, All.size());
   for (std::size_t Sent = 0; Sent < Count; ++Sent)
-    this->Letters.to(this->Now, All[this->DigestCursor++ % All.size()], true)
+    this->Outgoing.to(this->Now, All[this->DigestCursor++ % All.size()], true)
         .Digests.insert(Id);
 }
 
 void FairScheduler::sendBursts() {
   for (auto &[Id, Service] : this->Services) {
     this->noteWaiting(Id, Service);
-    this->want(Id, Service);
+    this->sendStarvedDigest(Id, Service);
     if (Service.BurstLeft == 0)
       continue;
     const std::vector<RouterId> All = this->peers();
     Service.BurstLeft = std::min(Service.BurstLeft, All.size());
     const std::size_t Count = std::min(BurstPerTick, Service.BurstLeft);
     for (std::size_t Sent = 0; Sent < Count; ++Sent)
-      this->Letters.to(this->Now, All[this->DigestCursor++ % All.size()], true)
+      this->Outgoing.to(this->Now, All[this->DigestCursor++ % All.size()], true)
           .Digests.insert(Id);
     Service.BurstLeft -= Count;
   }
@@ -128,17 +131,17 @@
 
 void FairScheduler::sendDigests() {
   this->NextDigests = this->Now + this->Settings.DigestInterval;
-  this->Book.dropOld(this->Now);
-  this->boundPositions();
+  this->Digests.dropOld(this->Now);
+  this->boundDebts();
   const std::vector<RouterId> All = this->peers();
   const std::size_t Count = std::min(this->Settings.DigestFanout, All.size());
   for (std::size_t Sent = 0; Sent < Count; ++Sent)
-    this->tellDigests(All[this->DigestCursor++ % All.size()], true);
+    this->queueDigests(All[this->DigestCursor++ % All.size()], true);
 }
 
-void FairScheduler::boundPositions() {
+void FairScheduler::boundDebts() {
   for (auto &[Id, Service] : this->Services) {
-    const std::optional<double> Middle = this->Book.median(Id);
+    const std::optional<double> Middle = this->Digests.median(Id);
     if (!Middle)
       continue;
     for (PairId Pair : Service.Queue.pairs()) {
@@ -148,7 +151,7 @@
   }
 }
 
-void FairScheduler::sendPositions() {
+void FairScheduler::sendContributions() {
   std::set<PairId> Due = this->Ledger.takeChanged();
   for (const auto &[Id, Service] : this->Services)
     for (PairId Pair : Service.Queue.pairs())
@@ -164,24 +167,24 @@
       static_cast<double>(Due.size()) * 44 +
       static_cast<double>(HomesTold.size()) * 2 *
           static_cast<double>(DatagramHeaderBytes + FairMessage{}.bytes());
-  const double Seconds = Bytes / this->Settings.PositionBytesPerSecond;
-  this->PositionCycle =
-      std::max(this->Settings.PositionInterval,
+  const double Seconds = Bytes / this->Settings.ContributionBytesPerSecond;
+  this->ContributionCycle =
+      std::max(this->Settings.ContributionInterval,
                Duration(static_cast<Duration::rep>(Seconds * 1e6)));
-  this->NextPositions = this->Now + this->PositionCycle;
+  this->NextContributions = this->Now + this->ContributionCycle;
 }
 
 void FairScheduler::contribute(PairId Pair, bool Urgent) {
   const RouterId At = this->homeOf(Pair);
   if (At != this->Current.Self) {
-    this->Letters.to(this->Now, At, Urgent).Contributions.insert(Pair);
+    this->Outgoing.to(this->Now, At, Urgent).Contributions.insert(Pair);
     return;
   }
   const std::uint32_t Version = ++this->Sequence;
-  const PositionAnswer Answer =
-      this->Home.take(this->Now, At, this->ownLife(), Version,
-                      this->Ledger.contributionOf(Pair));
-  this->takeAnswer(At, this->ownLife(), Version, Answer);
+  const ContributionReply Answer =
+      this->Home.applyContribution(this->Now, At, this->ownIncarnation(),
+                                   Version, this->Ledger.contributionOf(Pair));
+  this->applyReply(At, this->ownIncarnation(), Version, Answer);
 }
 
 void FairScheduler::resend() {
@@ -191,20 +194,20 @@
   for (ServerId Server : this->Slots.unacknowledged(this->Now, After)) {
     const RouterId To = this->Slots.find(Server)->Owner;
     if (To != this->Current.Self)
-      this->Letters.to(this->Now, To, false).Reports.insert(Server);
+      this->Outgoing.to(this->Now, To, false).Reports.insert(Server);
   }
   for (const SlotOwner::Due &Due : this->Owner.unacknowledged(this->Now, After))
     if (Due.Holder != this->Current.Self)
-      this->Letters.to(this->Now, Due.Holder, true).Grants.insert(Due.Server);
+      this->Outgoing.to(this->Now, Due.Holder, true).Grants.insert(Due.Server);
 }
 
 void FairScheduler::flush() {
-  for (const auto &[To, Letter] : this->Letters.takeDue(this->Now))
+  for (const auto &[To, Letter] : this->Outgoing.takeDue(this->Now))
     if (this->memberOf(To) != nullptr)
       this->fill(To, Letter);
 }
 
-void FairScheduler::fill(RouterId To, const Outbox::Letter &Letter) {
+void FairScheduler::fill(RouterId To, const Outbox::PendingMessage &Letter) {
   FairMessage Message;
   const auto Cut = [&] {
     if (Message.bytes() < this->Settings.MaxMessageBytes - 24)
@@ -220,8 +223,8 @@
     Message.Contributions.push_back(this->Ledger.contributionOf(Pair));
     Cut();
   }
-  for (const auto &[Pair, Answer] : Letter.Answers) {
-    Message.Answers.push_back(Answer);
+  for (const auto &[Pair, Answer] : Letter.Replies) {
+    Message.Replies.push_back(Answer);
     Cut();
   }
   for (ServerId Server : Letter.Grants) {
@@ -240,7 +243,7 @@
 
 void FairScheduler::send(RouterId To, bool Urgent, FairMessage Message) {
   Message.Sequence = ++this->Sequence;
-  Message.ToLife = lowHalf(this->memberOf(To)->Life);
+  Message.ToIncarnation = lowHalf(this->memberOf(To)->IncarnationNumber);
   ++this->Counted.MessagesSent;
   this->Counted.BytesSent += Message.bytes() + DatagramHeaderBytes;
   this->Pending.emplace_back(SendFairMessage{To, Urgent, std::move(Message)});
@@ -248,38 +251,40 @@
 
 void FairScheduler::on(const FairMessageReceived &Event) {
   PeerState &Peer = this->Peers[Event.From];
-  if (!this->shared() || Event.Life < Peer.Life)
+  if (!this->shared() || Event.IncarnationNumber < Peer.IncarnationNumber)
     return;
-  if (Event.Life > Peer.Life)
-    Peer = {Event.Life, 0};
+  if (Event.IncarnationNumber > Peer.IncarnationNumber)
+    Peer = {Event.IncarnationNumber, 0};
   ++this->Counted.MessagesReceived;
   const FairMessage &Message = Event.Message;
   for (const Contribution &Said : Message.Contributions)
-    this->Letters.to(this->Now, Event.From, false).Answers[Said.Pair] =
-        this->Home.take(this->Now, Event.From, Event.Life, Message.Sequence,
-                        Said);
-  for (const PositionAnswer &Said : Message.Answers)
-    this->takeAnswer(Event.From, Event.Life, Message.Sequence, Said);
+    this->Outgoing.to(this->Now, Event.From, false).Replies[Said.Pair] =
+        this->Home.applyContribution(this->Now, Event.From,
+                                     Event.IncarnationNumber, Message.Sequence,
+                                     Said);
+  for (const ContributionReply &Said : Message.Replies)
+    this->applyReply(Event.From, Event.IncarnationNumber, Message.Sequence,
+                     Said);
   // Slots and digests of a message that was overtaken are old news.
   if (Message.Sequence <= Peer.Newest)
     return;
   Peer.Newest = Message.Sequence;
   for (const ServiceDigest &Digest : Message.Digests)
-    this->takeDigest(Event.From, Digest);
-  if (Message.ToLife != lowHalf(this->ownLife()))
+    this->applyDigest(Event.From, Digest);
+  if (Message.ToIncarnation != lowHalf(this->ownIncarnation()))
     return;
   for (const SlotReport &Report : Message.Reports)
-    this->takeReport(Event, Report);
+    this->applyReport(Event, Report);
   for (const SlotGrant &Grant : Message.Grants)
-    this->takeGrant(Event, Grant);
+    this->applyGrant(Event, Grant);
 }
 
-void FairScheduler::takeDigest(RouterId From, const ServiceDigest &Digest) {
+void FairScheduler::applyDigest(RouterId From, const ServiceDigest &Digest) {
   if (this->memberOf(From) == nullptr)
     return;
   const ServiceId Id{Digest.Service};
-  const bool First = !this->Book.knows(Id);
-  this->Book.take(this->Now, From, Digest);
+  const bool First = !this->Digests.knows(Id);
+  this->Digests.update(this->Now, From, Digest);
   this->Dirty.insert(Id);
   if (!First)
     return;
@@ -292,12 +297,12 @@
   }
 }
 
-void FairScheduler::takeAnswer(RouterId From, Incarnation Life,
+void FairScheduler::applyReply(RouterId From, Incarnation Life,
                                std::uint32_t Version,
-                               const PositionAnswer &Said) {
-  const AccountPosition *Position = this->Ledger.find(Said.Pair);
-  const bool Settling = Position != nullptr && !Position->Settled;
-  if (!this->Ledger.take(this->Now, From, Life, Version, Said))
+                               const ContributionReply &Said) {
+  const LedgerEntry *Position = this->Ledger.find(Said.Pair);
+  const bool Settling = Position != nullptr && !Position->Confirmed;
+  if (!this->Ledger.applyReply(this->Now, From, Life, Version, Said))
     return;
   if (Settling)
     this->Ledger.raiseTo(Said.Pair,
@@ -306,16 +311,16 @@
   this->reposition(Said.Pair);
 }
 
-void FairScheduler::takeGrant(const FairMessageReceived &Event,
-                              const SlotGrant &Grant) {
+void FairScheduler::applyGrant(const FairMessageReceived &Event,
+                               const SlotGrant &Grant) {
   const ServerId Id{Grant.Server};
   if (!this->Servers.contains(Id))
     return;
-  this->Slots.take(this->Now, Event.From, Event.Life, Grant,
-                   2 * this->Settings.ResendInterval);
+  this->Slots.applyGrant(this->Now, Event.From, Event.IncarnationNumber, Grant,
+                         2 * this->Settings.ResendInterval);
   const SlotLease &Lease = *this->Slots.find(Id);
-  while (Lease.idle() > 0 && this->mustGiveBack(Id, Lease))
-    this->giveBack(Id, true);
+  while (Lease.idle() > 0 && this->mustReturnSlot(Id, Lease))
+    this->returnSlot(Id, true);
   // Many owners may have found this router behind by the same old digest.
   for (ServiceId Service : this->Servers[Id].Services)
     if (Lease.idle() > 0 && this->isAhead(Service, this->Services[Service],
@@ -324,14 +329,15 @@
   this->refreshServer(Id);
 }
 
-void FairScheduler::takeReport(const FairMessageReceived &Event,
-                               const SlotReport &Report) {
+void FairScheduler::applyReport(const FairMessageReceived &Event,
+                                const SlotReport &Report) {
   const ServerId Id{Report.Server};
   if (!this->Owner.owns(Id))
     return;
-  const bool CameBack = this->Owner.take(Event.From, Event.Life, Report);
+  const bool CameBack =
+      this->Owner.applyReport(Event.From, Event.IncarnationNumber, Report);
   if (CameBack || !this->Owner.agrees(Event.From, Report))
-    this->Letters.to(this->Now, Event.From, false).Grants.insert(Id);
+    this->Outgoing.to(this->Now, Event.From, false).Grants.insert(Id);
   this->refreshServer(Id);
 }
 
--- a/src/Decision/Fairness/SchedulerSlots.cpp
+++ b/src/Decision/Fairness/SchedulerSlots.cpp
@@ -33,38 +33,38 @@
   Server.ListedFree = Free;
 }
 
-void FairScheduler::giveBack(ServerId Id, bool Urgent) {
-  this->Slots.giveBack(Id);
+void FairScheduler::returnSlot(ServerId Id, bool Urgent) {
+  this->Slots.returnSlot(Id);
   ++this->Counted.SlotsReturned;
   const SlotLease &Lease = *this->Slots.find(Id);
   if (Lease.Owner == this->Current.Self)
     this->Owner.takeBackOwn(Id, this->Current.Self);
   else
-    this->Letters.to(this->Now, Lease.Owner, Urgent).Reports.insert(Id);
+    this->Outgoing.to(this->Now, Lease.Owner, Urgent).Reports.insert(Id);
   this->refreshServer(Id);
 }
 
-void FairScheduler::giveBackIdle(ServiceId Id, ServiceState &Service) {
-  const bool OthersWait = this->Book.anyWaiting(Id);
+void FairScheduler::returnIdleSlots(ServiceId Id, ServiceState &Service) {
+  const bool OthersWait = this->Digests.anyWaiting(Id);
   std::vector<ServerId> Idle;
   for (const auto &[Free, Server] : Service.Free)
     if (OthersWait || this->Slots.find(Server)->Owner == this->Current.Self)
       Idle.push_back(Server);
   for (ServerId Server : Idle)
     while (this->Slots.find(Server)->idle() > 0)
-      this->giveBack(Server, true);
+      this->returnSlot(Server, true);
 }
 
-bool FairScheduler::mustGiveBack(ServerId Id, const SlotLease &Lease) const {
+bool FairScheduler::mustReturnSlot(ServerId Id, const SlotLease &Lease) const {
   const bool Limited = this->Now < Lease.KeepUntil;
   return !this->Servers.at(Id).usable() || Lease.Owner == this->Current.Self ||
-         (Limited && Lease.held() > Lease.KeepAtMost);
+         (Limited && Lease.held() > Lease.MaxHeld);
 }
 
 bool FairScheduler::isAhead(ServiceId Id, ServiceState &Service, double Steps) {
   const std::optional<double> Own = Service.Queue.lowestTag();
   const auto Behind =
-      this->Book.sample(Id, this->Settings.SampleSize, this->Random);
+      this->Digests.sample(Id, this->Settings.SampleSize, this->Random);
   if (!Own || !Behind)
     return false;
   // Slack saves moves between routers that all have slots. One that has none
@@ -72,23 +72,23 @@
   const double Slack = Behind->Starved ? 0 : Steps * Service.MeanStep;
   if (*Own <= Behind->Tag + Slack)
     return false;
-  this->Book.advance(Id, Behind->Router, Service.MeanStep);
+  this->Digests.advance(Id, Behind->Router, Service.MeanStep);
   return true;
 }
 
 void FairScheduler::passOn(ServerId Id, ServiceId Service) {
   const SlotLease &Lease = *this->Slots.find(Id);
   // The owner decides with this router's present tag, not an old one.
-  if (this->mayTell(Service))
-    this->Letters.to(this->Now, Lease.Owner, true).Digests.insert(Service);
-  this->giveBack(Id, true);
+  if (this->maySendDigest(Service))
+    this->Outgoing.to(this->Now, Lease.Owner, true).Digests.insert(Service);
+  this->returnSlot(Id, true);
 }
 
 void FairScheduler::afterRelease(ServerId Id, ServiceId Service) {
   const SlotLease &Lease = *this->Slots.find(Id);
   if (this->shared() && Lease.idle() > 0) {
-    if (this->mustGiveBack(Id, Lease)) {
-      this->giveBack(Id, true);
+    if (this->mustReturnSlot(Id, Lease)) {
+      this->returnSlot(Id, true);
     } else if (this->isAhead(Service, this->Services[Service],
                              this->Settings.ReturnSlack)) {
       this->passOn(Id, Service);
@@ -107,22 +107,22 @@
         ++Next == Service.OwnedFree.end())
       Next = Service.OwnedFree.begin();
     const ServerId Server = *Next;
-    if (!this->giveOne(Id, Service, Server))
+    if (!this->grantOne(Id, Service, Server))
       return;
     Service.LastGiven = Server;
   }
 }
 
-bool FairScheduler::giveOne(ServiceId Id, ServiceState &Service,
-                            ServerId Server) {
+bool FairScheduler::grantOne(ServiceId Id, ServiceState &Service,
+                             ServerId Server) {
   const std::optional<double> Own = Service.Queue.lowestTag();
   const auto Other =
-      this->Book.sample(Id, this->Settings.SampleSize, this->Random);
+      this->Digests.sample(Id, this->Settings.SampleSize, this->Random);
   if (!Own && !Other)
     return false;
   ++this->Counted.SlotsGranted;
   if (Own && (!Other || *Own <= Other->Tag)) {
-    this->Owner.grant(Server, this->Current.Self, this->ownLife());
+    this->Owner.grant(Server, this->Current.Self, this->ownIncarnation());
     this->Slots.grantOwn(Server);
     this->refreshServer(Server);
     this->admit(Id, Service);
@@ -130,14 +130,14 @@
   }
   const Member *To = this->memberOf(Other->Router);
   PARSLEYWING_INVARIANT(To != nullptr, "digests of routers in the view only");
-  this->Owner.grant(Server, To->Router, To->Life);
-  this->Book.advance(Id, To->Router, Service.MeanStep);
-  this->Letters.to(this->Now, To->Router, true).Grants.insert(Server);
+  this->Owner.grant(Server, To->Router, To->IncarnationNumber);
+  this->Digests.advance(Id, To->Router, Service.MeanStep);
+  this->Outgoing.to(this->Now, To->Router, true).Grants.insert(Server);
   this->refreshServer(Server);
   return true;
 }
 
-void FairScheduler::takeDeclarations() {
+void FairScheduler::updateDeclarations() {
   for (auto &[Id, Server] : this->Servers) {
     for (ServiceId Service : Server.Services) {
       this->Services[Service].Free.erase(
@@ -148,11 +148,11 @@
     Server.Declared = false;
     Server.ListedFree = 0;
   }
-  for (const auto &[Id, Declared] : this->InForce->Servers) {
+  for (const auto &[Id, Declared] : this->ActiveDeclarations->Servers) {
     this->Servers[Id].Declared = true;
     this->Servers[Id].MaxConcurrent = Declared.MaxConcurrent;
   }
-  for (const auto &[Name, Declared] : this->InForce->Services)
+  for (const auto &[Name, Declared] : this->ActiveDeclarations->Services)
     for (ServerId Server : Declared.Servers)
       if (this->Servers.contains(Server))
         this->Servers[Server].Services.push_back(Name);
@@ -163,9 +163,9 @@
     }
 }
 
-void FairScheduler::takeOwnership() {
+void FairScheduler::updateOwnership() {
   if (!this->shared()) {
-    this->takeParts();
+    this->updateEqualParts();
     return;
   }
   const bool Alone = this->Current.Members.size() <= 1;
@@ -175,21 +175,22 @@
     const RouterId Holder = ownerOf(this->Current, Id.Value);
     const bool Mine = Holder == this->Current.Self && Server.Declared;
     const Member *Found = this->memberOf(Holder);
-    this->Slots.setOwner(Id, Holder, Found == nullptr ? 0 : Found->Life);
+    this->Slots.setOwner(Id, Holder,
+                         Found == nullptr ? 0 : Found->IncarnationNumber);
     const bool Before = this->Owner.owns(Id);
     if (Mine)
       this->Owner.add(Id, Server.MaxConcurrent, GiveFrom);
     else
       this->Owner.remove(Id);
     if (Mine && !Before)
-      this->Owner.adoptOwn(Id, {this->Current.Self, this->ownLife()},
+      this->Owner.adoptOwn(Id, {this->Current.Self, this->ownIncarnation()},
                            this->Slots.find(Id)->held());
     this->refreshServer(Id);
   }
   this->OwnershipOpens = GiveFrom;
 }
 
-void FairScheduler::takeParts() {
+void FairScheduler::updateEqualParts() {
   const auto Routers = static_cast<std::uint32_t>(
       std::max<std::size_t>(1, this->Current.Members.size()));
   for (auto &[Id, Server] : this->Servers) {
@@ -214,7 +215,7 @@
       Expired.push_back(Server);
   for (ServerId Server : Expired)
     while (this->Slots.find(Server)->idle() > 0)
-      this->giveBack(Server, false);
+      this->returnSlot(Server, false);
 }
 
 void FairScheduler::recall() {
@@ -224,7 +225,7 @@
   }
   for (const SlotOwner::Due &Due : this->Owner.recall())
     if (Due.Holder != this->Current.Self)
-      this->Letters.to(this->Now, Due.Holder, false).Grants.insert(Due.Server);
+      this->Outgoing.to(this->Now, Due.Holder, false).Grants.insert(Due.Server);
 }
 
 } // namespace parsleywing
--- a/src/Decision/Fairness/SlotOwner.cpp
+++ b/src/Decision/Fairness/SlotOwner.cpp
@@ -22,7 +22,8 @@
     OwnedServer &Owner = Entry.second;
     std::erase_if(Owner.Holders, [&](const auto &Holder) {
       const auto Same = [&](const Member &M) {
-        return M.Router == Holder.first && M.Life == Holder.second.Life;
+        return M.Router == Holder.first &&
+               M.IncarnationNumber == Holder.second.IncarnationNumber;
       };
       const bool Gone = std::ranges::none_of(Current.Members, Same);
       if (Gone)
@@ -52,10 +53,10 @@
   PARSLEYWING_INVARIANT(Owner.Out < Owner.Window.size(),
                         "no more slots are given than the window has");
   Holding &Holder = Owner.Holders[To];
-  if (Holder.Life != Life) {
+  if (Holder.IncarnationNumber != Life) {
     Owner.Out -= Holder.held();
     Holder = Holding{};
-    Holder.Life = Life;
+    Holder.IncarnationNumber = Life;
   }
   ++Holder.Granted;
   ++Owner.Out;
@@ -63,19 +64,19 @@
   this->Unacknowledged.emplace(Server, To);
 }
 
-bool SlotOwner::take(RouterId From, Incarnation Life,
-                     const SlotReport &Report) {
+bool SlotOwner::applyReport(RouterId From, Incarnation Life,
+                            const SlotReport &Report) {
   const auto Found = this->Owned.find(ServerId{Report.Server});
   if (Found == this->Owned.end() || Report.Returned > Report.GrantedSeen)
     return false;
   OwnedServer &Owner = Found->second;
   Holding &Holder = Owner.Holders[From];
-  if (Life < Holder.Life)
+  if (Life < Holder.IncarnationNumber)
     return false;
   const std::uint32_t Before = Holder.held();
-  if (Life > Holder.Life) {
+  if (Life > Holder.IncarnationNumber) {
     Holder = Holding{};
-    Holder.Life = Life;
+    Holder.IncarnationNumber = Life;
   }
   Holder.Granted = std::max(Holder.Granted, Report.GrantedSeen);
   Holder.Acknowledged = std::max(Holder.Acknowledged, Report.GrantedSeen);
@@ -113,7 +114,7 @@
   Holding &Holder = Owner.Holders[Self.Router];
   Owner.Out -= Holder.held();
   Holder = Holding{};
-  Holder.Life = Self.Life;
+  Holder.IncarnationNumber = Self.IncarnationNumber;
   Holder.Granted = Held;
   Holder.Acknowledged = Held;
   Owner.Out += Held;
@@ -125,7 +126,7 @@
     return {};
   Holding &Holder = Found->second.Holders[To];
   Holder.LastGrant = Now;
-  return {Server.Value, Holder.Granted, Holder.Returned, Holder.KeepAtMost};
+  return {Server.Value, Holder.Granted, Holder.Returned, Holder.MaxHeld};
 }
 
 std::vector<SlotOwner::Due> SlotOwner::unacknowledged(TimePoint Now,
@@ -153,13 +154,13 @@
     for (auto &[Router, Holder] : Owner.Holders) {
       const std::uint32_t Held = Holder.held();
       if (Owner.Out <= Size || Held == 0) {
-        Holder.KeepAtMost = NoLimit;
+        Holder.MaxHeld = NoLimit;
         continue;
       }
       // Each gives up its part of the excess, rounded up.
       const std::uint32_t Excess = Owner.Out - Size;
       const std::uint32_t Cut = (Held * Excess + Owner.Out - 1) / Owner.Out;
-      Holder.KeepAtMost = static_cast<std::uint16_t>(Held - Cut);
+      Holder.MaxHeld = static_cast<std::uint16_t>(Held - Cut);
       All.push_back({Server, Router});
     }
   }
--- a/src/Decision/Fairness/SlotOwner.h
+++ b/src/Decision/Fairness/SlotOwner.h
@@ -37,7 +37,7 @@
   void grant(ServerId Server, RouterId To, Incarnation Life);
 
   /// Takes a holder's counters; true where slots came back.
-  bool take(RouterId From, Incarnation Life, const SlotReport &Report);
+  bool applyReport(RouterId From, Incarnation Life, const SlotReport &Report);
 
   /// Whether the holder counts as this router does. Where not, it must be
   /// told, or slots stay out that nobody holds.
@@ -66,11 +66,11 @@
 
 private:
   struct Holding {
-    Incarnation Life = 0;
+    Incarnation IncarnationNumber = 0;
     std::uint32_t Granted = 0;
     std::uint32_t Returned = 0;
     std::uint32_t Acknowledged = 0;
-    std::uint16_t KeepAtMost = std::numeric_limits<std::uint16_t>::max();
+    std::uint16_t MaxHeld = std::numeric_limits<std::uint16_t>::max();
     TimePoint LastGrant;
 
     std::uint32_t held() const { return this->Granted - this->Returned; }
--- a/src/Decision/Fairness/SlotTable.cpp
+++ b/src/Decision/Fairness/SlotTable.cpp
@@ -11,11 +11,11 @@
   return Found == this->Leases.end() ? nullptr : &Found->second;
 }
 
-void SlotTable::take(TimePoint Now, RouterId From, Incarnation Life,
-                     const SlotGrant &Grant, Duration KeepFor) {
+void SlotTable::applyGrant(TimePoint Now, RouterId From, Incarnation Life,
+                           const SlotGrant &Grant, Duration KeepFor) {
   const ServerId Server{Grant.Server};
   SlotLease &Lease = this->Leases[Server];
-  if (Lease.Owner != From || Lease.OwnerLife != Life)
+  if (Lease.Owner != From || Lease.OwnerIncarnation != Life)
     return;
   // A grant without news is one that the owner sent again for want of an
   // acknowledgement. One with a lower count is from an owner that forgot: its
@@ -43,7 +43,7 @@
         Lease.Returned,
         std::min(Lease.ReturnedSeen,
                  Lease.Granted - std::min(Lease.InUse, Lease.Granted)));
-  Lease.KeepAtMost = Grant.KeepAtMost;
+  Lease.MaxHeld = Grant.MaxHeld;
   Lease.KeepUntil = Now + KeepFor;
   if (Lease.ReturnedSeen >= Lease.Returned && Lease.LastReport != TimePoint{})
     this->Unacknowledged.erase(Server);
@@ -56,7 +56,7 @@
   this->touch(Server, Lease);
 }
 
-void SlotTable::giveBack(ServerId Server) {
+void SlotTable::returnSlot(ServerId Server) {
   SlotLease &Lease = this->Leases[Server];
   PARSLEYWING_INVARIANT(Lease.idle() > 0, "only an idle slot is given back");
   ++Lease.Returned;
@@ -73,10 +73,10 @@
 
 void SlotTable::setOwner(ServerId Server, RouterId Owner, Incarnation Life) {
   SlotLease &Lease = this->Leases[Server];
-  if (Lease.Owner == Owner && Lease.OwnerLife == Life)
+  if (Lease.Owner == Owner && Lease.OwnerIncarnation == Life)
     return;
   Lease.Owner = Owner;
-  Lease.OwnerLife = Life;
+  Lease.OwnerIncarnation = Life;
   Lease.Granted = Lease.held();
   Lease.Returned = 0;
   Lease.ReturnedSeen = 0;
--- a/src/Decision/Fairness/SlotTable.h
+++ b/src/Decision/Fairness/SlotTable.h
@@ -15,13 +15,13 @@
 /// The slots that this router holds at one server.
 struct SlotLease {
   RouterId Owner;
-  Incarnation OwnerLife = 0;
+  Incarnation OwnerIncarnation = 0;
   std::uint32_t Granted = 0;
   std::uint32_t Returned = 0;
   std::uint32_t ReturnedSeen = 0;
   std::uint32_t InUse = 0;
   /// The owner's limit, void after KeepUntil.
-  std::uint32_t KeepAtMost = std::numeric_limits<std::uint16_t>::max();
+  std::uint32_t MaxHeld = std::numeric_limits<std::uint16_t>::max();
   TimePoint KeepUntil;
   TimePoint IdleSince;
   TimePoint LastReport;
@@ -39,14 +39,14 @@
   const SlotLease *find(ServerId Server) const;
 
   /// Takes the owner's counters. Only the highest count.
-  void take(TimePoint Now, RouterId From, Incarnation Life,
-            const SlotGrant &Grant, Duration KeepFor);
+  void applyGrant(TimePoint Now, RouterId From, Incarnation Life,
+                  const SlotGrant &Grant, Duration KeepFor);
 
   /// One more or fewer slot by this router's own decision as owner.
   void grantOwn(ServerId Server);
 
   /// Gives back one idle slot.
-  void giveBack(ServerId Server);
+  void returnSlot(ServerId Server);
 
   /// The baseline's part: a fixed number of slots.
   void setPart(ServerId Server, std::uint32_t Slots);
--- a/src/Decision/Membership/MemberList.cpp
+++ b/src/Decision/Membership/MemberList.cpp
@@ -17,8 +17,8 @@
 } // namespace
 
 MemberRumour rumourOf(const KnownMember &Member) {
-  return {Member.Record.Router, Member.Record.Life, Member.Refutation,
-          Member.Status, Member.Draining};
+  return {Member.Record.Router, Member.Record.IncarnationNumber,
+          Member.Refutation, Member.Status, Member.Draining};
 }
 
 std::uint64_t memberHash(RouterId Router, Incarnation Life, bool Draining) {
@@ -30,9 +30,11 @@
   if (Rumour.Router == this->Self)
     return RumourOutcome::AboutSelf;
   KnownMember *Known = this->mutableFind(Rumour.Router);
-  if (Known == nullptr || Rumour.Life > Known->Record.Life)
+  if (Known == nullptr ||
+      Rumour.IncarnationNumber > Known->Record.IncarnationNumber)
     return this->introduce(Now, Rumour, Record);
-  if (Rumour.Life < Known->Record.Life || !beats(Rumour, *Known))
+  if (Rumour.IncarnationNumber < Known->Record.IncarnationNumber ||
+      !beats(Rumour, *Known))
     return RumourOutcome::Stale;
   PARSLEYWING_INVARIANT(Known->Status != MemberStatus::Dead ||
                             Rumour.Refutation > Known->Refutation,
@@ -63,14 +65,15 @@
   }
   KnownMember Fresh;
   if (Known != nullptr) {
-    PARSLEYWING_INVARIANT(Rumour.Life > Known->Record.Life,
+    PARSLEYWING_INVARIANT(Rumour.IncarnationNumber >
+                              Known->Record.IncarnationNumber,
                           "incarnations never go back");
     Fresh = *Known;
     Fresh.EverHeard = false;
   }
   if (Record != nullptr)
     Fresh.Record = *Record;
-  Fresh.Record.Life = Rumour.Life;
+  Fresh.Record.IncarnationNumber = Rumour.IncarnationNumber;
   Fresh.Refutation = Rumour.Refutation;
   Fresh.Draining = Rumour.Draining;
   Fresh.Introduced = Now;
@@ -90,7 +93,7 @@
     if (Router == Record.Router || Other.Status == MemberStatus::Dead ||
         Other.Record.PeerAddress != Record.PeerAddress)
       continue;
-    if (Other.Record.Life > Record.Life)
+    if (Other.Record.IncarnationNumber > Record.IncarnationNumber)
       return false;
     this->setStatus(Now, Other, MemberStatus::Dead);
   }
@@ -105,10 +108,10 @@
   if (Member.Returns < 2)
     return;
   Duration Hold = this->Damping.FirstHold;
-  for (unsigned Step = 2;
-       Step < Member.Returns && Hold < this->Damping.LongestHold; ++Step)
+  for (unsigned Step = 2; Step < Member.Returns && Hold < this->Damping.MaxHold;
+       ++Step)
     Hold *= 2;
-  Member.HeldUntil = Now + std::min(Hold, this->Damping.LongestHold);
+  Member.HeldUntil = Now + std::min(Hold, this->Damping.MaxHold);
   this->NextRelease = this->NextRelease
                           ? std::min(*this->NextRelease, Member.HeldUntil)
                           : Member.HeldUntil;
@@ -126,7 +129,8 @@
   this->Suspects = 0;
   for (const auto &[Router, Known] : this->Members) {
     if (Known.Status != MemberStatus::Dead)
-      this->Hash += memberHash(Router, Known.Record.Life, Known.Draining);
+      this->Hash +=
+          memberHash(Router, Known.Record.IncarnationNumber, Known.Draining);
     if (Known.Status == MemberStatus::Suspect)
       ++this->Suspects;
   }
@@ -231,8 +235,8 @@
   std::vector<Member> Visible;
   for (const auto &[Router, Known] : this->Members)
     if (Known.Status != MemberStatus::Dead && Known.HeldUntil <= Now)
-      Visible.push_back(
-          {Router, Known.Record.Life, Known.Draining, Known.Record.Zone});
+      Visible.push_back({Router, Known.Record.IncarnationNumber, Known.Draining,
+                         Known.Record.Zone});
   return Visible;
 }
 
--- a/src/Decision/Membership/MemberList.h
+++ b/src/Decision/Membership/MemberList.h
@@ -30,7 +30,7 @@
 struct DampingSettings {
   Duration Window = std::chrono::minutes(2);
   Duration FirstHold = std::chrono::seconds(4);
-  Duration LongestHold = std::chrono::seconds(30);
+  Duration MaxHold = std::chrono::seconds(30);
 };
 
 /// What became of a rumour.
