--- a/src/Decision/Membership/MembershipTable.cpp
+++ b/src/Decision/Membership/MembershipTable.cpp
@@ -37,7 +37,7 @@
 const RouterRecord *recordIn(const MembershipMessage &Message, RouterId Router,
                              Incarnation Life) {
   for (const RouterRecord &Record : Message.Records)
-    if (Record.Router == Router && Record.Life == Life)
+    if (Record.Router == Router && Record.IncarnationNumber == Life)
       return &Record;
   return nullptr;
 }
@@ -58,7 +58,8 @@
       Random(this->Settings.RandomSeed) {
   const RouterRecord &Self = this->Settings.Self;
   this->Current.Self = Self.Router;
-  this->Current.Members = {{Self.Router, Self.Life, false, Self.Zone}};
+  this->Current.Members = {
+      {Self.Router, Self.IncarnationNumber, false, Self.Zone}};
 }
 
 std::vector<MembershipAction>
@@ -86,7 +87,7 @@
                          const MembershipMessageReceived &Event) {
   if (!this->acceptSender(Now, Event))
     return;
-  this->applyNews(Now, Event.Message);
+  this->applyRumours(Now, Event.Message);
   if (this->Over)
     return;
   this->compareViews(Now, Event);
@@ -97,14 +98,15 @@
 bool MembershipTable::acceptSender(TimePoint Now,
                                    const MembershipMessageReceived &Event) {
   if (Event.From == this->Settings.Self.Router) {
-    if (Event.Life > this->Settings.Self.Life)
-      this->supersede(Event.Life);
+    if (Event.IncarnationNumber > this->Settings.Self.IncarnationNumber)
+      this->supersede(Event.IncarnationNumber);
     return false;
   }
   const KnownMember *Known = this->Members.find(Event.From);
-  if (Known == nullptr || Event.Life > Known->Record.Life)
+  if (Known == nullptr ||
+      Event.IncarnationNumber > Known->Record.IncarnationNumber)
     return true;
-  if (Event.Life < Known->Record.Life) {
+  if (Event.IncarnationNumber < Known->Record.IncarnationNumber) {
     // A process that was paused while another took its name. Unless told, it
     // would believe for ever that it is the router of that name.
     if (!Event.Address.empty()) {
@@ -118,12 +120,13 @@
   return true;
 }
 
-void MembershipTable::applyNews(TimePoint Now,
-                                const MembershipMessage &Message) {
+void MembershipTable::applyRumours(TimePoint Now,
+                                   const MembershipMessage &Message) {
   const bool FromState = Message.Kind == MembershipKind::State;
   for (const MemberRumour &Rumour : Message.Rumours) {
-    this->applyRumour(Now, Rumour,
-                      recordIn(Message, Rumour.Router, Rumour.Life), FromState);
+    this->applyRumour(
+        Now, Rumour, recordIn(Message, Rumour.Router, Rumour.IncarnationNumber),
+        FromState);
     if (this->Over)
       return;
   }
@@ -134,9 +137,10 @@
 void MembershipTable::applyRumour(TimePoint Now, MemberRumour Rumour,
                                   const RouterRecord *Record, bool FromState) {
   const KnownMember *Known = this->Members.find(Rumour.Router);
-  const bool HeardLately = Known != nullptr && Known->EverHeard &&
-                           Known->Record.Life == Rumour.Life &&
-                           Now - Known->LastHeard <= this->Settings.DirectTrust;
+  const bool HeardLately =
+      Known != nullptr && Known->EverHeard &&
+      Known->Record.IncarnationNumber == Rumour.IncarnationNumber &&
+      Now - Known->LastHeard <= this->Settings.DirectTrust;
   // When two halves of a fleet meet, each believes the other dead. Were that
   // taken over, all would vanish from all views at once; as a suspicion it
   // leaves each the time to contradict.
@@ -147,7 +151,7 @@
 
   const RumourOutcome Outcome = this->Members.apply(Now, Rumour, Record);
   if (Outcome == RumourOutcome::AboutSelf)
-    return this->contradict(Rumour);
+    return this->refute(Rumour);
   if (Outcome != RumourOutcome::Adopted)
     return;
   this->spread(Rumour.Router);
@@ -157,10 +161,10 @@
         PeerAddressLearned{Rumour.Router, Known->Record.PeerAddress});
 }
 
-void MembershipTable::contradict(const MemberRumour &Rumour) {
-  if (Rumour.Life > this->Settings.Self.Life)
-    return this->supersede(Rumour.Life);
-  if (Rumour.Life < this->Settings.Self.Life) {
+void MembershipTable::refute(const MemberRumour &Rumour) {
+  if (Rumour.IncarnationNumber > this->Settings.Self.IncarnationNumber)
+    return this->supersede(Rumour.IncarnationNumber);
+  if (Rumour.IncarnationNumber < this->Settings.Self.IncarnationNumber) {
     this->spread(this->Settings.Self.Router);
     return;
   }
@@ -193,17 +197,16 @@
   }
   if (!this->DisagreedSince)
     this->DisagreedSince = Now;
-  const bool Lasting =
-      Now - *this->DisagreedSince >= this->toleratedDisagreement();
+  const bool Lasting = Now - *this->DisagreedSince >= this->maxDisagreement();
   if ((Lasting || !this->Joined) && Now >= this->NextStateRequest)
     this->requestState(Now, Event.From);
 }
 
 /// Gossip evens out what it can first: after a partition that takes longer in a
 /// large fleet, and whole states then would cost more than they bring.
-Duration MembershipTable::toleratedDisagreement() const {
-  return this->Settings.DisagreementTolerated +
-         this->Settings.ToleratedForEachMember *
+Duration MembershipTable::maxDisagreement() const {
+  return this->Settings.MaxDisagreement +
+         this->Settings.MaxDisagreementPerMember *
              static_cast<Duration::rep>(this->Members.all().size());
 }
 
@@ -211,14 +214,15 @@
                              const MembershipMessageReceived &Event) {
   const MembershipMessage &Message = Event.Message;
   const KnownMember *Sender = this->Members.find(Event.From);
-  if (Sender == nullptr || Sender->Record.Life < Event.Life)
-    this->askWho(Now, Event.Address);
+  if (Sender == nullptr ||
+      Sender->Record.IncarnationNumber < Event.IncarnationNumber)
+    this->requestIntroduction(Now, Event.Address);
   switch (Message.Kind) {
   case MembershipKind::Ping: {
     MembershipMessage Ack =
         this->message(Now, MembershipKind::Ack, Message.Number);
     const bool Introduced =
-        recordIn(Message, Event.From, Event.Life) != nullptr;
+        recordIn(Message, Event.From, Event.IncarnationNumber) != nullptr;
     if (Introduced)
       this->introduceSelf(Ack);
     if (this->Members.find(Event.From) != nullptr)
@@ -229,11 +233,11 @@
     return this->onAck(Now, Event);
   case MembershipKind::PingRequest: {
     if (this->recordOf(Message.Target) == nullptr ||
-        this->Relays.size() >= MostRelays)
+        this->ForwardedPings.size() >= MostRelays)
       return;
     MembershipMessage Ping =
         this->message(Now, MembershipKind::Ping, ++this->LastNumber);
-    this->Relays[Ping.Number] = {Event.From, Message.Number, Now};
+    this->ForwardedPings[Ping.Number] = {Event.From, Message.Number, Now};
     this->send(Message.Target, std::move(Ping), true);
     return;
   }
@@ -247,7 +251,8 @@
 
 /// News of the sender's start was lost on its way here. A ping that introduces
 /// this router is answered by an ack that introduces the other.
-void MembershipTable::askWho(TimePoint Now, const std::string &Address) {
+void MembershipTable::requestIntroduction(TimePoint Now,
+                                          const std::string &Address) {
   if (Address.empty())
     return;
   MembershipMessage Ping =
@@ -266,11 +271,11 @@
   const std::uint32_t Number = Event.Message.Number;
   if (this->Pending && this->Pending->Number == Number)
     this->Pending.reset();
-  const auto Asked = this->Relays.find(Number);
-  if (Asked == this->Relays.end())
+  const auto Asked = this->ForwardedPings.find(Number);
+  if (Asked == this->ForwardedPings.end())
     return;
-  const Relay Answered = Asked->second;
-  this->Relays.erase(Asked);
+  const ForwardedPing Answered = Asked->second;
+  this->ForwardedPings.erase(Asked);
   this->send(Answered.For,
              this->message(Now, MembershipKind::Ack, Answered.Number), true);
 }
@@ -283,7 +288,8 @@
     // The list lags: it may tell of a life long replaced, and it never
     // decides. A ping does.
     if (Known != nullptr && Known->Status == MemberStatus::Alive &&
-        (Hint.Life == 0 || Hint.Life >= Known->Record.Life) &&
+        (Hint.IncarnationNumber == 0 ||
+         Hint.IncarnationNumber >= Known->Record.IncarnationNumber) &&
         this->ProbeFirst.size() < MostContacts)
       this->ProbeFirst.push_back(Hint.Router);
   }
@@ -295,8 +301,8 @@
     // frozen, and is cut off from all others, learns of its successor here
     // alone; else both would serve under one name.
     if (Hint.Router == this->Settings.Self.Router &&
-        Hint.Life > this->Settings.Self.Life)
-      return this->supersede(Hint.Life);
+        Hint.IncarnationNumber > this->Settings.Self.IncarnationNumber)
+      return this->supersede(Hint.IncarnationNumber);
     this->considerHint(Hint);
   }
 }
@@ -305,7 +311,8 @@
   if (Hint.Router == this->Settings.Self.Router || Hint.PeerAddress.empty())
     return;
   const KnownMember *Known = this->Members.find(Hint.Router);
-  const bool News = Known == nullptr || Hint.Life > Known->Record.Life;
+  const bool News = Known == nullptr ||
+                    Hint.IncarnationNumber > Known->Record.IncarnationNumber;
   const bool Listed = std::find(this->Contacts.begin(), this->Contacts.end(),
                                 Hint.PeerAddress) != this->Contacts.end();
   if (News && !Listed && this->Contacts.size() < MostContacts)
@@ -330,7 +337,7 @@
 void MembershipTable::on(TimePoint Now, const MembershipTick &) {
   // Stopped and woken, or starved of the processor: the acks that did not
   // come in that time say nothing about the others.
-  if (this->LastTick && Now - *this->LastTick > this->Settings.LongestTickGap) {
+  if (this->LastTick && Now - *this->LastTick > this->Settings.MaxTickGap) {
     this->Pending.reset();
     this->Members.restartSuspicions(Now);
   }
@@ -350,7 +357,7 @@
   this->NextPeriod = Now + this->Settings.Period;
   this->concludeProbe(Now);
   this->Members.forgetDead(Now, this->Settings.DeadMemory);
-  std::erase_if(this->Relays, [&](const auto &Asked) {
+  std::erase_if(this->ForwardedPings, [&](const auto &Asked) {
     return Now - Asked.second.Started > RelayMemory;
   });
   this->probeDead(Now);
@@ -417,11 +424,11 @@
   if (Address.empty() || Address == this->Settings.Self.PeerAddress ||
       this->Members.knowsAliveAt(Address))
     return;
-  this->askWho(Now, Address);
+  this->requestIntroduction(Now, Address);
 }
 
 void MembershipTable::gossip(TimePoint Now) {
-  if (this->News.empty() || Now < this->NextGossip)
+  if (this->Rumours.empty() || Now < this->NextGossip)
     return;
   this->NextGossip = Now + this->Settings.GossipInterval;
   for (RouterId Peer : this->pick(this->Settings.GossipPeers, {}))
@@ -460,13 +467,13 @@
   Message.Number = Number;
   Message.ViewHash = this->viewHash();
   if (Kind != MembershipKind::State)
-    this->attachNews(Now, Message);
+    this->attachRumours(Now, Message);
   return Message;
 }
 
-void MembershipTable::attachNews(TimePoint Now, MembershipMessage &Message) {
+void MembershipTable::attachRumours(TimePoint Now, MembershipMessage &Message) {
   std::size_t Bytes = 0;
-  for (RouterId Router : this->News.take(this->Settings.RumoursPerMessage)) {
+  for (RouterId Router : this->Rumours.take(this->Settings.RumoursPerMessage)) {
     const bool IsSelf = Router == this->Settings.Self.Router;
     const KnownMember *Known = IsSelf ? nullptr : this->Members.find(Router);
     if (!IsSelf && Known == nullptr)
@@ -484,8 +491,8 @@
 }
 
 /// Whoever is doubted must hear of it first, or it could not contradict.
-void MembershipTable::attachDoubts(RouterId To,
-                                   MembershipMessage &Message) const {
+void MembershipTable::attachSuspicion(RouterId To,
+                                      MembershipMessage &Message) const {
   const KnownMember *Known = this->Members.find(To);
   if (Known != nullptr && Known->Status != MemberStatus::Alive &&
       Message.Kind != MembershipKind::State)
@@ -494,7 +501,7 @@
 
 void MembershipTable::send(RouterId To, MembershipMessage Message,
                            bool Urgent) {
-  this->attachDoubts(To, Message);
+  this->attachSuspicion(To, Message);
   const bool Bulk = Message.Kind == MembershipKind::State;
   this->Actions.push_back(
       SendMembershipMessage{To, std::move(Message), Urgent, Bulk});
@@ -529,7 +536,7 @@
   const bool RumoursDo =
       this->Joined && this->DisagreedSince && !AnyNew &&
       Now - *this->DisagreedSince <
-          this->toleratedDisagreement() + this->Settings.StateInterval;
+          this->maxDisagreement() + this->Settings.StateInterval;
   const Duration Pause =
       this->Joined ? this->Settings.StateInterval : this->Settings.Period * 2;
   this->NextStateRequest = Now + Pause;
@@ -540,7 +547,7 @@
 }
 
 void MembershipTable::spread(RouterId Router) {
-  this->News.add(Router, timesToSpread(this->Members.all().size()));
+  this->Rumours.add(Router, timesToSpread(this->Members.all().size()));
 }
 
 std::vector<RouterId> MembershipTable::pick(std::size_t Count,
@@ -560,14 +567,14 @@
 }
 
 MemberRumour MembershipTable::selfRumour() const {
-  return {this->Settings.Self.Router, this->Settings.Self.Life,
+  return {this->Settings.Self.Router, this->Settings.Self.IncarnationNumber,
           this->SelfRefutation, MemberStatus::Alive, this->SelfDraining};
 }
 
 std::uint64_t MembershipTable::viewHash() const {
-  return this->Members.hash() + memberHash(this->Settings.Self.Router,
-                                           this->Settings.Self.Life,
-                                           this->SelfDraining);
+  return this->Members.hash() +
+         memberHash(this->Settings.Self.Router,
+                    this->Settings.Self.IncarnationNumber, this->SelfDraining);
 }
 
 void MembershipTable::publishView(TimePoint Now) {
@@ -577,7 +584,8 @@
   this->PublishedDraining = this->SelfDraining;
   const RouterRecord &Self = this->Settings.Self;
   View Next{Self.Router, this->Members.visible(Now)};
-  const Member Own{Self.Router, Self.Life, this->SelfDraining, Self.Zone};
+  const Member Own{Self.Router, Self.IncarnationNumber, this->SelfDraining,
+                   Self.Zone};
   const auto Place =
       std::lower_bound(Next.Members.begin(), Next.Members.end(), Own,
                        [](const Member &Left, const Member &Right) {
@@ -598,7 +606,7 @@
   for (const auto &[Router, Known] : this->Members.all()) {
     Poco::JSON::Object::Ptr Entry = new Poco::JSON::Object;
     Entry->set("name", Known.Record.Name);
-    Entry->set("life", Known.Record.Life);
+    Entry->set("life", Known.Record.IncarnationNumber);
     Entry->set("refutation", Known.Refutation);
     Entry->set("status", std::string(nameOf(MemberStatusNames, Known.Status)));
     Entry->set("draining", Known.Draining);
@@ -609,11 +617,11 @@
   }
   Poco::JSON::Object::Ptr Dump = new Poco::JSON::Object;
   Dump->set("name", this->Settings.Self.Name);
-  Dump->set("life", this->Settings.Self.Life);
+  Dump->set("life", this->Settings.Self.IncarnationNumber);
   Dump->set("draining", this->SelfDraining);
   Dump->set("superseded", this->Over);
   Dump->set("view_size", this->Current.Members.size());
-  Dump->set("news_waiting", this->News.size());
+  Dump->set("news_waiting", this->Rumours.size());
   Dump->set("suspicions", this->Suspicions);
   Dump->set("deaths", this->Deaths);
   Dump->set("refutations", this->Refutations);
--- a/src/Decision/Membership/MembershipTable.h
+++ b/src/Decision/Membership/MembershipTable.h
@@ -41,12 +41,12 @@
   /// An unanswered seed is asked again that often.
   Duration SeedInterval = std::chrono::seconds(10);
   /// Views that differ for so long are evened out by a whole State.
-  Duration DisagreementTolerated = std::chrono::seconds(5);
-  Duration ToleratedForEachMember = std::chrono::milliseconds(15);
+  Duration MaxDisagreement = std::chrono::seconds(5);
+  Duration MaxDisagreementPerMember = std::chrono::milliseconds(15);
   /// At least so long between two requests for a State.
   Duration StateInterval = std::chrono::seconds(10);
   /// A longer gap between ticks means that this process itself stood still.
-  Duration LongestTickGap = std::chrono::seconds(1);
+  Duration MaxTickGap = std::chrono::seconds(1);
 
   DampingSettings Damping;
 };
@@ -85,7 +85,7 @@
   };
 
   /// A ping made for another router.
-  struct Relay {
+  struct ForwardedPing {
     RouterId For;
     std::uint32_t Number = 0;
     TimePoint Started;
@@ -99,15 +99,15 @@
 
   // Receiving.
   bool acceptSender(TimePoint Now, const MembershipMessageReceived &Event);
-  void applyNews(TimePoint Now, const MembershipMessage &Message);
+  void applyRumours(TimePoint Now, const MembershipMessage &Message);
   void applyRumour(TimePoint Now, MemberRumour Rumour,
                    const RouterRecord *Record, bool FromState);
-  void contradict(const MemberRumour &Rumour);
-  Duration toleratedDisagreement() const;
+  void refute(const MemberRumour &Rumour);
+  Duration maxDisagreement() const;
   void compareViews(TimePoint Now, const MembershipMessageReceived &Event);
   void answer(TimePoint Now, const MembershipMessageReceived &Event);
   void onAck(TimePoint Now, const MembershipMessageReceived &Event);
-  void askWho(TimePoint Now, const std::string &Address);
+  void requestIntroduction(TimePoint Now, const std::string &Address);
   void supersede(Incarnation By);
 
   // Time.
@@ -123,8 +123,8 @@
   // Sending.
   MembershipMessage message(TimePoint Now, MembershipKind Kind,
                             std::uint32_t Number);
-  void attachNews(TimePoint Now, MembershipMessage &Message);
-  void attachDoubts(RouterId To, MembershipMessage &Message) const;
+  void attachRumours(TimePoint Now, MembershipMessage &Message);
+  void attachSuspicion(RouterId To, MembershipMessage &Message) const;
   void send(RouterId To, MembershipMessage Message, bool Urgent);
   void sendState(TimePoint Now, const MembershipMessageReceived &Asked);
   void requestState(TimePoint Now, RouterId From);
@@ -137,7 +137,7 @@
 
   MembershipSettings Settings;
   MemberList Members;
-  RumourQueue News;
+  RumourQueue Rumours;
   std::mt19937_64 Random;
   std::vector<MembershipAction> Actions;
   View Current;
@@ -148,7 +148,7 @@
   bool Over = false;
 
   std::optional<Probe> Pending;
-  std::map<std::uint32_t, Relay> Relays;
+  std::map<std::uint32_t, ForwardedPing> ForwardedPings;
   std::vector<RouterId> ProbeOrder;
   std::vector<RouterId> ProbeFirst;  ///< Doubted by the platform's list.
   std::vector<std::string> Contacts; ///< Addresses from the platform.
--- a/src/Decision/Membership/MembershipTypes.h
+++ b/src/Decision/Membership/MembershipTypes.h
@@ -27,14 +27,14 @@
 /// Where a router process can be reached. It does not change in one life.
 struct RouterRecord {
   RouterId Router;
-  Incarnation Life = 0;
+  Incarnation IncarnationNumber = 0;
   std::uint32_t Zone = 0; ///< Hash of the availability zone's name.
   std::string Name;
   std::string PeerAddress;   ///< IP:port of its peer sockets.
   std::string CallerAddress; ///< IP:port where callers reach it.
 
   template <class Archive> void serialize(Archive &Ar) {
-    Ar(this->Router.Value, this->Life, this->Zone, this->Name,
+    Ar(this->Router.Value, this->IncarnationNumber, this->Zone, this->Name,
        this->PeerAddress, this->CallerAddress);
   }
 };
@@ -42,15 +42,15 @@
 /// A claim about a router, passed on from router to router. 22 bytes encoded.
 struct MemberRumour {
   RouterId Router;
-  Incarnation Life = 0;
+  Incarnation IncarnationNumber = 0;
   /// Raised by the router itself each time it contradicts a claim about it.
   std::uint32_t Refutation = 0;
   MemberStatus Status = MemberStatus::Alive;
   bool Draining = false;
 
   template <class Archive> void serialize(Archive &Ar) {
-    Ar(this->Router.Value, this->Life, this->Refutation, this->Status,
-       this->Draining);
+    Ar(this->Router.Value, this->IncarnationNumber, this->Refutation,
+       this->Status, this->Draining);
   }
 };
 
@@ -92,7 +92,7 @@
 /// A message came from a router process; the transport checked its origin.
 struct MembershipMessageReceived {
   RouterId From;
-  Incarnation Life = 0;
+  Incarnation IncarnationNumber = 0;
   MembershipMessage Message;
   /// IP:port it came from; empty for bulk.
   std::string Address;
@@ -101,7 +101,7 @@
 /// A router as the platform knows it. Where the life is not known it is zero.
 struct PlatformRouter {
   RouterId Router;
-  Incarnation Life = 0;
+  Incarnation IncarnationNumber = 0;
   std::string PeerAddress;
 };
 
--- a/src/Decision/Membership/View.h
+++ b/src/Decision/Membership/View.h
@@ -15,7 +15,7 @@
 /// One router as another sees it.
 struct Member {
   RouterId Router;
-  Incarnation Life = 0;
+  Incarnation IncarnationNumber = 0;
   /// It takes no new callers and owns nothing, but still finishes its work.
   bool Draining = false;
   /// The hash of its availability zone's name; equal in every process.
--- a/src/Decision/PeerPart.h
+++ b/src/Decision/PeerPart.h
@@ -19,7 +19,7 @@
 /// A part came from a router process; the transport checked its origin.
 struct PeerPartReceived {
   RouterId From;
-  Incarnation Life = 0;
+  Incarnation IncarnationNumber = 0;
   PeerPart Part;
   /// IP:port it came from; empty for bulk.
   std::string Address;
--- a/src/Decision/Request/DrainRate.cpp
+++ b/src/Decision/Request/AdmissionRate.cpp
@@ -1,4 +1,4 @@
-#include "Decision/Request/DrainRate.h"
+#include "Decision/Request/AdmissionRate.h"
 
 #include <algorithm>
 
@@ -13,7 +13,7 @@
 
 } // namespace
 
-void DrainRate::tick(TimePoint Now) {
+void AdmissionRate::tick(TimePoint Now) {
   const Duration Passed = Now - this->LastFold;
   if (Passed < FoldInterval)
     return;
@@ -24,16 +24,15 @@
   this->LastFold = Now;
 }
 
-Duration DrainRate::retryAfter(std::size_t Waiting, Jitter &Random) const {
-  const double Most =
-      std::chrono::duration<double>(this->Settings.Most).count();
+Duration AdmissionRate::retryAfter(std::size_t Waiting, Jitter &Random) const {
+  const double Most = std::chrono::duration<double>(this->Settings.Max).count();
   const double Seconds =
       this->Mean > 0 ? static_cast<double>(Waiting) / this->Mean : 0;
   const auto Wait = std::chrono::duration_cast<Duration>(
       std::chrono::duration<double>(std::min(Seconds, Most)));
   const Duration Drawn =
-      Random.spread(std::max(Wait, this->Settings.Least), 1, MostSpread);
-  return std::min(Drawn, this->Settings.Most);
+      Random.spread(std::max(Wait, this->Settings.Min), 1, MostSpread);
+  return std::min(Drawn, this->Settings.Max);
 }
 
 } // namespace parsleywing
--- a/src/Decision/Request/DrainRate.h
+++ b/src/Decision/Request/AdmissionRate.h
@@ -1,5 +1,5 @@
-#ifndef PARSLEYWING_DECISION_REQUEST_DRAINRATE_H
-#define PARSLEYWING_DECISION_REQUEST_DRAINRATE_H
+#ifndef PARSLEYWING_DECISION_REQUEST_ADMISSIONRATE_H
+#define PARSLEYWING_DECISION_REQUEST_ADMISSIONRATE_H
 
 #include "Decision/Request/Jitter.h"
 #include "Decision/Request/RequestSettings.h"
@@ -10,12 +10,12 @@
 
 /// Measures how fast waiting requests go to servers, and from it when a caller
 /// that was refused does well to come back.
-class DrainRate {
+class AdmissionRate {
 public:
-  explicit DrainRate(const RetryAfterSettings &S) : Settings(S) {}
+  explicit AdmissionRate(const RetryAfterSettings &S) : Settings(S) {}
 
   /// A waiting request went to a server.
-  void count() { ++this->Admitted; }
+  void countAdmitted() { ++this->Admitted; }
 
   /// Folds what was counted into the mean, once a second.
   void tick(TimePoint Now);
--- a/src/Decision/Request/DrainPlan.cpp
+++ b/src/Decision/Request/DrainPlan.cpp
@@ -17,7 +17,7 @@
   return std::nullopt;
 }
 
-bool DrainPlan::takeHardLimit(TimePoint Now) {
+bool DrainPlan::checkHardLimit(TimePoint Now) {
   if (!this->Started || this->LimitPassed ||
       this->Settings.HardLimit == Duration::zero() ||
       Now < *this->Started + this->Settings.HardLimit)
@@ -26,7 +26,7 @@
   return true;
 }
 
-bool DrainPlan::takeFinished(std::size_t OpenRequests) {
+bool DrainPlan::checkFinished(std::size_t OpenRequests) {
   if (!this->Started || this->Finished || OpenRequests > 0)
     return false;
   this->Finished = true;
--- a/src/Decision/Request/DrainPlan.h
+++ b/src/Decision/Request/DrainPlan.h
@@ -17,16 +17,16 @@
   /// A second order changes nothing.
   void start(TimePoint Now);
 
-  void view(View V) { this->Current = std::move(V); }
+  void setView(View V) { this->Current = std::move(V); }
 
-  bool draining() const { return this->Started.has_value(); }
+  bool isDraining() const { return this->Started.has_value(); }
 
   /// The next router to hand a request over to, in turn over those that do not
   /// drain; nothing where there is no other.
   std::optional<RouterId> nextRouter();
 
   /// True once, when the hard limit has passed.
-  bool takeHardLimit(TimePoint Now);
+  bool checkHardLimit(TimePoint Now);
 
   /// A request was cut off by the hard limit.
   void countUnfinished() { ++this->Cut; }
@@ -34,7 +34,7 @@
   std::uint64_t unfinished() const { return this->Cut; }
 
   /// True once, when the drain has been ordered and nothing is open.
-  bool takeFinished(std::size_t OpenRequests);
+  bool checkFinished(std::size_t OpenRequests);
 
 private:
   DrainSettings Settings;
--- a/src/Decision/Request/KeyMemory.cpp
+++ b/src/Decision/Request/IdempotencyKeyCache.cpp
@@ -1,26 +1,26 @@
-#include "Decision/Request/KeyMemory.h"
+#include "Decision/Request/IdempotencyKeyCache.h"
 
 #include "Runtime/Invariant.h"
 
 namespace parsleywing {
 
-std::optional<RequestOutcome> KeyMemory::find(AccountId Account,
-                                              const std::string &Key) const {
+std::optional<RequestOutcome>
+IdempotencyKeyCache::find(AccountId Account, const std::string &Key) const {
   const auto Found = this->Known.find({Account, Key});
   if (Found == this->Known.end())
     return std::nullopt;
   return Found->second;
 }
 
-void KeyMemory::open(AccountId Account, const std::string &Key) {
+void IdempotencyKeyCache::addOpen(AccountId Account, const std::string &Key) {
   const bool Added =
       this->Known.emplace(FullKey{Account, Key}, RequestOutcome::Unknown)
           .second;
   PARSLEYWING_INVARIANT(Added, "a key is open once at a router");
 }
 
-void KeyMemory::end(AccountId Account, const std::string &Key,
-                    RequestOutcome Outcome) {
+void IdempotencyKeyCache::markEnded(AccountId Account, const std::string &Key,
+                                    RequestOutcome Outcome) {
   this->Known[{Account, Key}] = Outcome;
   this->Ended.emplace_back(Account, Key);
   if (this->Ended.size() <= this->Most)
@@ -29,7 +29,7 @@
   this->Ended.pop_front();
 }
 
-void KeyMemory::forget(AccountId Account, const std::string &Key) {
+void IdempotencyKeyCache::remove(AccountId Account, const std::string &Key) {
   this->Known.erase({Account, Key});
 }
 
--- a/src/Decision/Request/KeyMemory.h
+++ b/src/Decision/Request/IdempotencyKeyCache.h
@@ -1,5 +1,5 @@
-#ifndef PARSLEYWING_DECISION_REQUEST_KEYMEMORY_H
-#define PARSLEYWING_DECISION_REQUEST_KEYMEMORY_H
+#ifndef PARSLEYWING_DECISION_REQUEST_IDEMPOTENCYKEYCACHE_H
+#define PARSLEYWING_DECISION_REQUEST_IDEMPOTENCYKEYCACHE_H
 
 #include "Decision/Request/RequestTypes.h"
 
@@ -16,22 +16,23 @@
 ///
 /// Open keys are bounded by the limit of open requests, ended ones by `Most`;
 /// the oldest is forgotten first.
-class KeyMemory {
+class IdempotencyKeyCache {
 public:
-  explicit KeyMemory(std::size_t MostEnded) : Most(MostEnded) {}
+  explicit IdempotencyKeyCache(std::size_t MostEnded) : Most(MostEnded) {}
 
   /// What a repeat of the key is to be told; nothing where the key is new.
   /// `Unknown` stands also for a request that is still open.
   std::optional<RequestOutcome> find(AccountId Account,
                                      const std::string &Key) const;
 
-  void open(AccountId Account, const std::string &Key);
+  void addOpen(AccountId Account, const std::string &Key);
 
   /// The request with the key may have run.
-  void end(AccountId Account, const std::string &Key, RequestOutcome Outcome);
+  void markEnded(AccountId Account, const std::string &Key,
+                 RequestOutcome Outcome);
 
   /// The request with the key did not run; a repeat may.
-  void forget(AccountId Account, const std::string &Key);
+  void remove(AccountId Account, const std::string &Key);
 
   std::size_t size() const { return this->Known.size(); }
 
--- a/src/Decision/Request/LoadShedder.cpp
+++ b/src/Decision/Request/LoadShedder.cpp
@@ -9,20 +9,20 @@
   const auto Declared = this->InForce->Accounts.find(Account);
   if (Found != this->Accounts.end()) {
     if (Found->second.Open >= this->Settings.MaxOpenPerAccount)
-      return {AnswerReason::AccountQueueFull, {}};
+      return {ResponseReason::AccountQueueFull, {}};
     if (Declared != this->InForce->Accounts.end() &&
         Found->second.Waits.size() >= Declared->second.MaxQueued)
-      return {AnswerReason::AccountQueueFull, {}};
+      return {ResponseReason::AccountQueueFull, {}};
   }
   if (this->Waiting >= this->Settings.MaxWaiting)
-    return this->makeRoom(Account, AnswerReason::RouterQueueFull);
+    return this->makeRoom(Account, ResponseReason::RouterQueueFull);
   if (this->Open >= this->Settings.MaxOpen)
-    return this->makeRoom(Account, AnswerReason::Overloaded);
+    return this->makeRoom(Account, ResponseReason::Overloaded);
   return {};
 }
 
 LimitDecision LoadShedder::makeRoom(AccountId Arriving,
-                                    AnswerReason Reason) const {
+                                    ResponseReason Reason) const {
   if (this->Ranked.empty())
     return {Reason, {}};
   const auto &[Load, Heaviest] = *this->Ranked.rbegin();
@@ -66,7 +66,7 @@
     this->Accounts.erase(Found);
 }
 
-void LoadShedder::declare(DeclarationsPtr Declared) {
+void LoadShedder::setDeclarations(DeclarationsPtr Declared) {
   this->InForce = std::move(Declared);
   this->Ranked.clear();
   for (const auto &[Account, Held] : this->Accounts)
--- a/src/Decision/Request/LoadShedder.h
+++ b/src/Decision/Request/LoadShedder.h
@@ -15,7 +15,7 @@
 /// What is to happen to an arriving request.
 struct LimitDecision {
   /// Why it is refused; nothing where it is let in.
-  std::optional<AnswerReason> Refused;
+  std::optional<ResponseReason> Refusal;
   /// The waiting request that makes room for it.
   std::optional<RequestId> Shed;
 };
@@ -43,10 +43,10 @@
   void remove(AccountId Account, RequestId Request);
 
   /// Takes over shares and the accounts' own limits.
-  void declare(DeclarationsPtr Declared);
+  void setDeclarations(DeclarationsPtr Declared);
 
-  std::size_t open() const { return this->Open; }
-  std::size_t waiting() const { return this->Waiting; }
+  std::size_t openCount() const { return this->Open; }
+  std::size_t waitingCount() const { return this->Waiting; }
 
 private:
   struct Account {
@@ -58,7 +58,7 @@
 
   double loadOf(AccountId Account, std::size_t Waiting) const;
   void rank(AccountId Account, std::size_t Before, std::size_t After);
-  LimitDecision makeRoom(AccountId Account, AnswerReason Reason) const;
+  LimitDecision makeRoom(AccountId Account, ResponseReason Reason) const;
 
   LimitSettings Settings;
   DeclarationsPtr InForce = std::make_shared<Declarations>();
--- a/src/Decision/Request/RequestCounters.cpp
+++ b/src/Decision/Request/RequestCounters.cpp
@@ -8,7 +8,7 @@
   for (const auto &[Outcome, Name] : RequestOutcomeNames)
     ByOutcome->set(std::string(Name), this->of(Outcome));
   Poco::JSON::Object::Ptr ByReason = new Poco::JSON::Object;
-  for (const auto &[Reason, Name] : AnswerReasonNames)
+  for (const auto &[Reason, Name] : ResponseReasonNames)
     ByReason->set(std::string(Name), this->of(Reason));
   Out->set("arrived", this->Arrived);
   Out->set("answers-by-outcome", ByOutcome);
@@ -18,12 +18,12 @@
   Out->set("resumes", this->Resumes);
   Out->set("hand-overs", this->HandOvers);
   Out->set("shed", this->Shed);
-  Out->set("stuck-attempts", this->Stuck);
+  Out->set("stuck-attempts", this->StalledAttempts);
   Out->set("dropped-events", this->DroppedEvents);
-  Out->set("cancel-grace-passed", this->GracePassed);
+  Out->set("cancel-grace-passed", this->CancelTimeouts);
   Out->set("claims", this->Claims);
   Out->set("claims-unanswered", this->ClaimsUnanswered);
-  Out->set("keys-known-here", this->KnownKeys);
+  Out->set("keys-known-here", this->KeyCacheHits);
   return Out;
 }
 
--- a/src/Decision/Request/RequestCounters.h
+++ b/src/Decision/Request/RequestCounters.h
@@ -13,7 +13,7 @@
   std::uint64_t Arrived = 0;
   /// Final answers, by outcome and by reason, in the order of their values.
   std::array<std::uint64_t, RequestOutcomeNames.size()> Outcomes{};
-  std::array<std::uint64_t, AnswerReasonNames.size()> Reasons{};
+  std::array<std::uint64_t, ResponseReasonNames.size()> Reasons{};
   std::uint64_t Attempts = 0;
   std::uint64_t Retries = 0;
   std::uint64_t Resumes = 0;
@@ -21,24 +21,24 @@
   /// Waiting requests that made room for another account's.
   std::uint64_t Shed = 0;
   /// Attempts cancelled since they stood still.
-  std::uint64_t Stuck = 0;
+  std::uint64_t StalledAttempts = 0;
   /// Events of an attempt or a request that was over, or said twice.
   std::uint64_t DroppedEvents = 0;
   /// Slots given back though the end of their attempt was never reported.
-  std::uint64_t GracePassed = 0;
+  std::uint64_t CancelTimeouts = 0;
   std::uint64_t Claims = 0;
   std::uint64_t ClaimsUnanswered = 0;
   /// Repeats of a key recognised here, without the store.
-  std::uint64_t KnownKeys = 0;
+  std::uint64_t KeyCacheHits = 0;
 
   std::uint64_t of(RequestOutcome Outcome) const {
     return this->Outcomes[static_cast<std::size_t>(Outcome)];
   }
-  std::uint64_t of(AnswerReason Reason) const {
+  std::uint64_t of(ResponseReason Reason) const {
     return this->Reasons[static_cast<std::size_t>(Reason)];
   }
 
-  void countAnswer(RequestOutcome Outcome, AnswerReason Reason) {
+  void countFinished(RequestOutcome Outcome, ResponseReason Reason) {
     ++this->Outcomes[static_cast<std::size_t>(Outcome)];
     ++this->Reasons[static_cast<std::size_t>(Reason)];
   }
--- a/src/Decision/Request/RequestSettings.h
+++ b/src/Decision/Request/RequestSettings.h
@@ -40,27 +40,27 @@
 /// How long an attempt may stand still.
 struct ProgressSettings {
   /// From the order to send to the first token.
-  Duration FirstToken = std::chrono::seconds(30);
+  Duration FirstTokenTimeout = std::chrono::seconds(30);
   /// Between two reports of progress.
-  Duration BetweenTokens = std::chrono::seconds(10);
+  Duration TokenTimeout = std::chrono::seconds(10);
   /// From the order to send to the end, for services that report no progress.
-  Duration PlainAnswer = std::chrono::seconds(120);
+  Duration PlainResponseTimeout = std::chrono::seconds(120);
   /// From a cancel until the end of the attempt is taken as never to come.
-  Duration CancelGrace = std::chrono::seconds(5);
+  Duration CancelTimeout = std::chrono::seconds(5);
 };
 
 /// Run records of requests that may not be repeated.
 struct RecordSettings {
   /// The longest wait for an answer to a claim.
-  Duration ClaimLimit = std::chrono::seconds(1);
+  Duration ClaimTimeout = std::chrono::seconds(1);
   /// Ended keys remembered here; about 150 bytes each.
-  std::size_t RememberedKeys = 20000;
+  std::size_t MaxEndedKeys = 20000;
 };
 
 /// When callers that were refused are told to come back.
 struct RetryAfterSettings {
-  Duration Least = std::chrono::seconds(1);
-  Duration Most = std::chrono::seconds(60);
+  Duration Min = std::chrono::seconds(1);
+  Duration Max = std::chrono::seconds(60);
 };
 
 /// A graceful shutdown.
--- a/src/Decision/Request/RequestState.h
+++ b/src/Decision/Request/RequestState.h
@@ -36,7 +36,7 @@
 }};
 
 /// Whether the state machine has a step from one state to the other.
-constexpr bool mayFollow(RequestState From, RequestState To) {
+constexpr bool isValidTransition(RequestState From, RequestState To) {
   using enum RequestState;
   if (To == Finished)
     return From != Finished;
--- a/src/Decision/Request/RequestTable.cpp
+++ b/src/Decision/Request/RequestTable.cpp
@@ -8,37 +8,37 @@
 
 RequestTable::RequestTable(const RequestSettings &S)
     : Settings(S), Random(S.Seed), Shedder(S.Limits), Budget(S.Retry),
-      Keys(S.Records.RememberedKeys), Rate(S.RetryAfter), Drain(S.Drain),
-      Watch(S.Progress) {}
+      Keys(S.Records.MaxEndedKeys), Rate(S.RetryAfter), Drain(S.Drain),
+      Stalls(S.Progress) {}
 
 RequestActions RequestTable::handle(TimePoint At, const RequestEvent &Event) {
   this->Now = At;
   std::visit([this](const auto &E) { this->on(E); }, Event);
-  if (this->Drain.takeFinished(this->Open.size()))
+  if (this->Drain.checkFinished(this->OpenRequests.size()))
     this->emit(DrainFinished{this->Drain.unfinished()});
-  return std::exchange(this->Out, {});
+  return std::exchange(this->PendingActions, {});
 }
 
 void RequestTable::on(const RequestArrived &Event) {
   const RequestDescription &D = Event.Description;
-  PARSLEYWING_INVARIANT(!this->Open.contains(D.Request) &&
-                            !this->Ending.contains(D.Request),
+  PARSLEYWING_INVARIANT(!this->OpenRequests.contains(D.Request) &&
+                            !this->OrphanedAttempts.contains(D.Request),
                         "a request arrives once");
   ++this->Counters.Arrived;
-  if (this->refuseRepeat(D))
+  if (this->refuseDuplicate(D))
     return;
-  if (this->Drain.draining()) {
-    this->refuse(D.Request, RequestOutcome::NotRun, AnswerReason::Draining);
+  if (this->Drain.isDraining()) {
+    this->refuse(D.Request, RequestOutcome::NotRun, ResponseReason::Draining);
     return;
   }
   if (D.Deadline <= this->Now) {
     this->refuse(D.Request, RequestOutcome::NotRun,
-                 AnswerReason::DeadlinePassed);
+                 ResponseReason::DeadlinePassed);
     return;
   }
   if (this->refuseByLimits(D))
     return;
-  RequestEntry &Request = this->Open[D.Request];
+  RequestEntry &Request = this->OpenRequests[D.Request];
   Request.Description = D;
   this->Shedder.add(D.Account, D.Request);
   this->Deadlines.set(D.Request, D.Deadline);
@@ -46,46 +46,47 @@
     this->enqueue(Request);
     return;
   }
-  this->Keys.open(D.Account, D.IdempotencyKey);
+  this->Keys.addOpen(D.Account, D.IdempotencyKey);
   if (D.RecordHeldElsewhere) {
-    Request.Record = RecordHold::Elsewhere;
+    Request.Record = RecordOwnership::HeldElsewhere;
     this->enqueue(Request);
     return;
   }
-  Request.Record = RecordHold::Asked;
+  Request.Record = RecordOwnership::ClaimPending;
   this->moveTo(Request, RequestState::Claiming);
-  this->Waits.set(D.Request, this->Now + this->Settings.Records.ClaimLimit);
+  this->StateTimers.set(D.Request,
+                        this->Now + this->Settings.Records.ClaimTimeout);
   ++this->Counters.Claims;
   this->emit(
       ClaimRunRecord{D.Request, D.Account, D.IdempotencyKey, D.Identity});
 }
 
-bool RequestTable::refuseRepeat(const RequestDescription &D) {
+bool RequestTable::refuseDuplicate(const RequestDescription &D) {
   if (D.Repeatable || D.IdempotencyKey.empty())
     return false;
   const auto Earlier = this->Keys.find(D.Account, D.IdempotencyKey);
   if (!Earlier)
     return false;
-  ++this->Counters.KnownKeys;
-  this->refuse(D.Request, *Earlier, AnswerReason::AlreadyRun);
+  ++this->Counters.KeyCacheHits;
+  this->refuse(D.Request, *Earlier, ResponseReason::AlreadyRun);
   return true;
 }
 
 bool RequestTable::refuseByLimits(const RequestDescription &D) {
   const LimitDecision Decision = this->Shedder.decide(D.Account);
-  if (Decision.Refused) {
-    this->refuse(D.Request, RequestOutcome::NotRun, *Decision.Refused);
+  if (Decision.Refusal) {
+    this->refuse(D.Request, RequestOutcome::NotRun, *Decision.Refusal);
     return true;
   }
   if (Decision.Shed) {
     ++this->Counters.Shed;
-    this->giveUp(*this->findOpen(*Decision.Shed), AnswerReason::Overloaded);
+    this->giveUp(*this->findOpen(*Decision.Shed), ResponseReason::Overloaded);
   }
   return false;
 }
 
 void RequestTable::enqueue(RequestEntry &Request) {
-  if (this->Drain.draining() && this->passOn(Request))
+  if (this->Drain.isDraining() && this->handOverOrRefuse(Request))
     return;
   this->moveTo(Request, RequestState::Queued);
   this->emit(QueueRequest{Request.Description, Request.Server});
@@ -98,7 +99,7 @@
     PARSLEYWING_INVARIANT(Request == nullptr || !Request->HasSlot,
                           "a waiting request is admitted once");
     ++this->Counters.DroppedEvents;
-    this->emit(ReleaseRequest{Event.Request, 0});
+    this->emit(ReleaseSlot{Event.Request, 0});
     return;
   }
   const RequestDescription &D = Request->Description;
@@ -107,82 +108,84 @@
   if (Request->Starts == 0) {
     this->Shedder.stopWaiting(D.Account, D.Request);
     this->Budget.countFirstAttempt(D.Account);
-    this->Rate.count();
+    this->Rate.countAdmitted();
   }
   ++Request->Starts;
   Request->Server = Event.Server;
   Request->HasSlot = true;
   Request->Tokens = 0;
-  this->beginAttempt(*Request, RequestState::Admitted);
-  Request->StartedBy = Request->Attempt;
+  this->startAttempt(*Request, RequestState::Admitted);
+  Request->OriginalAttempt = Request->Attempt;
   this->emit(StartAttempt{Event.Request, Request->Attempt, Event.Server});
 }
 
-void RequestTable::on(const CallerLeft &Event) {
+void RequestTable::on(const CallerDisconnected &Event) {
   if (RequestEntry *Request = this->findOpen(Event.Request))
-    this->giveUp(*Request, AnswerReason::CallerLeft);
+    this->giveUp(*Request, ResponseReason::CallerDisconnected);
 }
 
-void RequestTable::on(const RunRecordAnswered &Event) {
+void RequestTable::on(const RunRecordVerdictReceived &Event) {
   RequestEntry *Request = this->findOpen(Event.Request);
   if (Request == nullptr || Request->State != RequestState::Claiming) {
     ++this->Counters.DroppedEvents;
     return;
   }
-  this->Waits.clear(Event.Request);
+  this->StateTimers.clear(Event.Request);
   const RequestDescription &D = Request->Description;
   switch (Event.Verdict) {
   case RunRecordVerdict::Claimed:
-    Request->Record = RecordHold::Held;
+    Request->Record = RecordOwnership::Held;
     this->enqueue(*Request);
     return;
   case RunRecordVerdict::TakenByOther:
-    Request->Record = RecordHold::None;
-    this->Keys.forget(D.Account, D.IdempotencyKey);
-    this->finish(*Request, RequestOutcome::Unknown, AnswerReason::AlreadyRun);
+    Request->Record = RecordOwnership::None;
+    this->Keys.remove(D.Account, D.IdempotencyKey);
+    this->finish(*Request, RequestOutcome::Unknown, ResponseReason::AlreadyRun);
     return;
   case RunRecordVerdict::CompletedBefore:
-    Request->Record = RecordHold::None;
-    this->Keys.end(D.Account, D.IdempotencyKey, RequestOutcome::Completed);
-    this->finish(*Request, RequestOutcome::Completed, AnswerReason::AlreadyRun);
+    Request->Record = RecordOwnership::None;
+    this->Keys.markEnded(D.Account, D.IdempotencyKey,
+                         RequestOutcome::Completed);
+    this->finish(*Request, RequestOutcome::Completed,
+                 ResponseReason::AlreadyRun);
     return;
   case RunRecordVerdict::Unavailable:
     ++this->Counters.ClaimsUnanswered;
-    this->giveUp(*Request, AnswerReason::RecordUnavailable);
+    this->giveUp(*Request, ResponseReason::RecordUnavailable);
     return;
   }
 }
 
 void RequestTable::on(const DeclarationsChanged &Event) {
-  this->Shedder.declare(Event.InForce);
+  this->Shedder.setDeclarations(Event.Active);
 }
 
 void RequestTable::on(const Tick &) {
   this->Rate.tick(this->Now);
   while (const auto Late = this->Deadlines.takeDue(this->Now))
-    this->giveUp(*this->findOpen(*Late), AnswerReason::DeadlinePassed);
-  while (const auto Stuck = this->Watch.takeStuck(this->Now))
-    this->onStuck(*this->findOpen(*Stuck));
-  this->takeDueWaits();
-  while (const auto Silent = this->Graces.takeDue(this->Now)) {
-    ++this->Counters.GracePassed;
-    this->emit(ReleaseRequest{*Silent, this->Ending.at(*Silent).Tokens});
-    this->Ending.erase(*Silent);
+    this->giveUp(*this->findOpen(*Late), ResponseReason::DeadlinePassed);
+  while (const auto Stuck = this->Stalls.takeStalled(this->Now))
+    this->onStalled(*this->findOpen(*Stuck));
+  this->runDueTimers();
+  while (const auto Silent = this->OrphanTimers.takeDue(this->Now)) {
+    ++this->Counters.CancelTimeouts;
+    this->emit(ReleaseSlot{*Silent, this->OrphanedAttempts.at(*Silent).Tokens});
+    this->OrphanedAttempts.erase(*Silent);
   }
-  if (this->Drain.takeHardLimit(this->Now))
-    this->cutOff();
+  if (this->Drain.checkHardLimit(this->Now))
+    this->truncateOpen();
 }
 
-void RequestTable::takeDueWaits() {
-  while (const auto Due = this->Waits.takeDue(this->Now))
-    this->onWaitOver(*this->findOpen(*Due));
+void RequestTable::runDueTimers() {
+  while (const auto Due = this->StateTimers.takeDue(this->Now))
+    this->onStateTimer(*this->findOpen(*Due));
 }
 
-void RequestTable::onWaitOver(RequestEntry &Request) {
+void RequestTable::onStateTimer(RequestEntry &Request) {
   switch (Request.State) {
   case RequestState::Claiming:
     ++this->Counters.ClaimsUnanswered;
-    this->giveUp(Request, AnswerReason::RecordUnavailable);
+    this->giveUp(Request, ResponseReason::RecordUnavailable);
     return;
   case RequestState::BackingOff:
     this->enqueue(Request);
@@ -193,10 +196,11 @@
   case RequestState::Cancelling:
     // The thread that carries the attempt hangs, so a second attempt could be
     // mixed with the first in the caller's answer.
-    ++this->Counters.GracePassed;
+    ++this->Counters.CancelTimeouts;
     this->endAttempt(Request, Request.Offset);
     Request.MayHaveRun = true;
-    this->finish(Request, RequestOutcome::Unknown, AnswerReason::ServerFailed);
+    this->finish(Request, RequestOutcome::Unknown,
+                 ResponseReason::ServerFailed);
     return;
   case RequestState::Received:
   case RequestState::Queued:
@@ -210,16 +214,16 @@
 }
 
 void RequestTable::refuse(RequestId Request, RequestOutcome Outcome,
-                          AnswerReason Reason) {
+                          ResponseReason Reason) {
   const Duration RetryAfter =
       Outcome == RequestOutcome::NotRun
-          ? this->Rate.retryAfter(this->Shedder.waiting(), this->Random)
+          ? this->Rate.retryAfter(this->Shedder.waitingCount(), this->Random)
           : Duration::zero();
-  this->Counters.countAnswer(Outcome, Reason);
-  this->emit(AnswerRequest{Request, Outcome, Reason, RetryAfter});
+  this->Counters.countFinished(Outcome, Reason);
+  this->emit(FinishRequest{Request, Outcome, Reason, RetryAfter});
 }
 
-void RequestTable::giveUp(RequestEntry &Request, AnswerReason Reason) {
+void RequestTable::giveUp(RequestEntry &Request, ResponseReason Reason) {
   if (Request.InFlight)
     this->emit(CancelAttempt{Request.Description.Request, Request.Attempt});
   const bool Certain = !Request.MayHaveRun && !Request.InFlight;
@@ -229,7 +233,7 @@
 }
 
 void RequestTable::finish(RequestEntry &Request, RequestOutcome Outcome,
-                          AnswerReason Reason) {
+                          ResponseReason Reason) {
   const RequestId Id = Request.Description.Request;
   PARSLEYWING_INVARIANT(Outcome != RequestOutcome::NotRun ||
                             (!Request.MayHaveRun && !Request.InFlight),
@@ -238,43 +242,45 @@
     this->emit(WithdrawRequest{Id});
   this->moveTo(Request, RequestState::Finished);
   if (Request.InFlight && Request.HasSlot) {
-    this->Ending[Id] = EndingAttempt{Request.Attempt, Request.Tokens};
-    this->Graces.set(Id, this->Now + this->Settings.Progress.CancelGrace);
+    this->OrphanedAttempts[Id] =
+        OrphanedAttempt{Request.Attempt, Request.Tokens};
+    this->OrphanTimers.set(Id,
+                           this->Now + this->Settings.Progress.CancelTimeout);
   } else {
     this->releaseSlot(Request);
   }
-  this->settleRecord(Request, Outcome);
-  this->Watch.stop(Id);
-  this->Waits.clear(Id);
+  this->updateRunRecord(Request, Outcome);
+  this->Stalls.stop(Id);
+  this->StateTimers.clear(Id);
   this->Deadlines.clear(Id);
   this->Shedder.remove(Request.Description.Account, Id);
   const bool ComeBack =
       Outcome == RequestOutcome::NotRun ||
       (Outcome == RequestOutcome::Unknown && Request.Description.Repeatable);
   const Duration RetryAfter =
-      ComeBack && Reason != AnswerReason::CallerLeft
-          ? this->Rate.retryAfter(this->Shedder.waiting(), this->Random)
+      ComeBack && Reason != ResponseReason::CallerDisconnected
+          ? this->Rate.retryAfter(this->Shedder.waitingCount(), this->Random)
           : Duration::zero();
-  const std::size_t Erased = this->Open.erase(Id);
+  const std::size_t Erased = this->OpenRequests.erase(Id);
   PARSLEYWING_INVARIANT(Erased == 1, "a request gets one final answer");
-  this->Counters.countAnswer(Outcome, Reason);
-  this->emit(AnswerRequest{Id, Outcome, Reason, RetryAfter});
+  this->Counters.countFinished(Outcome, Reason);
+  this->emit(FinishRequest{Id, Outcome, Reason, RetryAfter});
 }
 
-void RequestTable::settleRecord(const RequestEntry &Request,
-                                RequestOutcome Outcome) {
-  if (Request.Record == RecordHold::None)
+void RequestTable::updateRunRecord(const RequestEntry &Request,
+                                   RequestOutcome Outcome) {
+  if (Request.Record == RecordOwnership::None)
     return;
   const RequestDescription &D = Request.Description;
-  const bool Ours = Request.Record != RecordHold::Elsewhere;
+  const bool Ours = Request.Record != RecordOwnership::HeldElsewhere;
   if (Outcome == RequestOutcome::NotRun) {
-    this->Keys.forget(D.Account, D.IdempotencyKey);
+    this->Keys.remove(D.Account, D.IdempotencyKey);
     if (Ours)
       this->emit(
           ReleaseRunRecord{D.Request, D.Account, D.IdempotencyKey, D.Identity});
     return;
   }
-  this->Keys.end(D.Account, D.IdempotencyKey, Outcome);
+  this->Keys.markEnded(D.Account, D.IdempotencyKey, Outcome);
   // A claimed record already says "unknown".
   if (Ours && Outcome == RequestOutcome::Completed)
     this->emit(CompleteRunRecord{D.Request, D.Account, D.IdempotencyKey,
@@ -282,14 +288,14 @@
 }
 
 void RequestTable::moveTo(RequestEntry &Request, RequestState Next) {
-  PARSLEYWING_INVARIANT(mayFollow(Request.State, Next),
+  PARSLEYWING_INVARIANT(isValidTransition(Request.State, Next),
                         "a request takes only the steps of its state machine");
   Request.State = Next;
 }
 
 RequestEntry *RequestTable::findOpen(RequestId Request) {
-  auto Found = this->Open.find(Request);
-  return Found == this->Open.end() ? nullptr : &Found->second;
+  auto Found = this->OpenRequests.find(Request);
+  return Found == this->OpenRequests.end() ? nullptr : &Found->second;
 }
 
 RequestEntry *RequestTable::findAttempt(RequestId Request,
@@ -300,28 +306,30 @@
   return Found;
 }
 
-bool RequestTable::isEnding(RequestId Request, AttemptNumber Attempt) const {
-  const auto Found = this->Ending.find(Request);
-  return Found != this->Ending.end() && Found->second.Attempt == Attempt;
+bool RequestTable::isOrphaned(RequestId Request, AttemptNumber Attempt) const {
+  const auto Found = this->OrphanedAttempts.find(Request);
+  return Found != this->OrphanedAttempts.end() &&
+         Found->second.Attempt == Attempt;
 }
 
 Poco::JSON::Object::Ptr RequestTable::dump() const {
   Poco::JSON::Object::Ptr ByState = new Poco::JSON::Object;
   for (const auto &[State, Name] : RequestStateNames) {
     const RequestState Wanted = State;
-    ByState->set(std::string(Name),
-                 std::ranges::count_if(this->Open, [&](const auto &Held) {
-                   return Held.second.State == Wanted;
-                 }));
+    ByState->set(
+        std::string(Name),
+        std::ranges::count_if(this->OpenRequests, [&](const auto &Held) {
+          return Held.second.State == Wanted;
+        }));
   }
   Poco::JSON::Object::Ptr Dump = new Poco::JSON::Object;
-  Dump->set("open", this->Open.size());
+  Dump->set("open", this->OpenRequests.size());
   Dump->set("open-by-state", ByState);
-  Dump->set("waiting", this->Shedder.waiting());
-  Dump->set("slots-awaiting-end", this->Ending.size());
+  Dump->set("waiting", this->Shedder.waitingCount());
+  Dump->set("slots-awaiting-end", this->OrphanedAttempts.size());
   Dump->set("keys-remembered", this->Keys.size());
   Dump->set("admitted-per-second", this->Rate.perSecond());
-  Dump->set("draining", this->Drain.draining());
+  Dump->set("draining", this->Drain.isDraining());
   Dump->set("counters", this->Counters.dump());
   return Dump;
 }
--- a/src/Decision/Request/RequestTable.h
+++ b/src/Decision/Request/RequestTable.h
@@ -3,14 +3,14 @@
 
 #include "Decision/Actions.h"
 #include "Decision/Events.h"
+#include "Decision/Request/AdmissionRate.h"
 #include "Decision/Request/DrainPlan.h"
-#include "Decision/Request/DrainRate.h"
-#include "Decision/Request/KeyMemory.h"
+#include "Decision/Request/IdempotencyKeyCache.h"
 #include "Decision/Request/LoadShedder.h"
-#include "Decision/Request/ProgressWatch.h"
 #include "Decision/Request/RequestCounters.h"
 #include "Decision/Request/RequestEntry.h"
 #include "Decision/Request/RetryBudget.h"
+#include "Decision/Request/StallDetector.h"
 
 #include <unordered_map>
 #include <variant>
@@ -26,17 +26,17 @@
 
 /// What the table of requests is told.
 using RequestEvent =
-    std::variant<RequestArrived, RequestAdmitted, CallerLeft, AttemptSent,
-                 AttemptProgressed, AttemptEnded, RunRecordAnswered,
-                 HandOverEnded, DeclarationsChanged, ViewChanged, Tick,
-                 DrainRequested>;
+    std::variant<RequestArrived, RequestAdmitted, CallerDisconnected,
+                 AttemptSent, AttemptProgressed, AttemptEnded,
+                 RunRecordVerdictReceived, HandOverEnded, DeclarationsChanged,
+                 ViewChanged, Tick, DrainRequested>;
 
 /// Put the request into the scheduler's queue.
 struct QueueRequest {
   RequestDescription Description;
   /// The server at which it failed last, which is the last to choose; zero
   /// where there is none.
-  ServerId Avoid;
+  ServerId AvoidServer;
 };
 
 /// Take the request out of the scheduler's queue.
@@ -51,16 +51,16 @@
 };
 
 /// Give the request's slot back, at this whole cost of the attempt.
-struct ReleaseRequest {
+struct ReleaseSlot {
   RequestId Request;
   std::uint64_t Tokens;
 };
 
 /// What the table of requests asks for.
 using RequestAction =
-    std::variant<QueueRequest, WithdrawRequest, ChargeRequest, ReleaseRequest,
+    std::variant<QueueRequest, WithdrawRequest, ChargeRequest, ReleaseSlot,
                  StartAttempt, ResumeAttempt, HandOverRequest, CancelAttempt,
-                 AnswerRequest, ClaimRunRecord, CompleteRunRecord,
+                 FinishRequest, ClaimRunRecord, CompleteRunRecord,
                  ReleaseRunRecord, DrainFinished>;
 
 using RequestActions = std::vector<RequestAction>;
@@ -78,7 +78,7 @@
   RequestActions handle(TimePoint Now, const RequestEvent &Event);
 
   /// Requests that have no final answer yet.
-  std::size_t openRequests() const { return this->Open.size(); }
+  std::size_t openRequests() const { return this->OpenRequests.size(); }
 
   const RequestCounters &counters() const { return this->Counters; }
 
@@ -86,7 +86,7 @@
 
 private:
   /// An attempt that runs on though its request has its answer.
-  struct EndingAttempt {
+  struct OrphanedAttempt {
     AttemptNumber Attempt;
     std::uint64_t Tokens;
   };
@@ -94,34 +94,34 @@
   // RequestTable.cpp: arrival, waiting, the final answer.
   void on(const RequestArrived &Event);
   void on(const RequestAdmitted &Event);
-  void on(const CallerLeft &Event);
-  void on(const RunRecordAnswered &Event);
+  void on(const CallerDisconnected &Event);
+  void on(const RunRecordVerdictReceived &Event);
   void on(const DeclarationsChanged &Event);
   void on(const Tick &Event);
-  bool refuseRepeat(const RequestDescription &Description);
+  bool refuseDuplicate(const RequestDescription &Description);
   bool refuseByLimits(const RequestDescription &Description);
   void enqueue(RequestEntry &Request);
-  void takeDueWaits();
-  void onWaitOver(RequestEntry &Request);
-  void refuse(RequestId Request, RequestOutcome Outcome, AnswerReason Reason);
-  void giveUp(RequestEntry &Request, AnswerReason Reason);
+  void runDueTimers();
+  void onStateTimer(RequestEntry &Request);
+  void refuse(RequestId Request, RequestOutcome Outcome, ResponseReason Reason);
+  void giveUp(RequestEntry &Request, ResponseReason Reason);
   void finish(RequestEntry &Request, RequestOutcome Outcome,
-              AnswerReason Reason);
-  void settleRecord(const RequestEntry &Request, RequestOutcome Outcome);
+              ResponseReason Reason);
+  void updateRunRecord(const RequestEntry &Request, RequestOutcome Outcome);
 
   // RequestTableAttempts.cpp: from the order to send to the attempt's end.
   void on(const AttemptSent &Event);
   void on(const AttemptProgressed &Event);
   void on(const AttemptEnded &Event);
-  void onEndingAttempt(const AttemptEnded &Event);
-  void onBroken(RequestEntry &Request, AttemptOutcome Outcome);
-  void onStuck(RequestEntry &Request);
-  void beginAttempt(RequestEntry &Request, RequestState Next);
+  void onOrphanEnded(const AttemptEnded &Event);
+  void onAttemptFailed(RequestEntry &Request, AttemptOutcome Outcome);
+  void onStalled(RequestEntry &Request);
+  void startAttempt(RequestEntry &Request, RequestState Next);
   void endAttempt(RequestEntry &Request, std::uint64_t Offset);
   bool mayResume(const RequestEntry &Request) const;
-  void waitToResume(RequestEntry &Request);
+  void scheduleResume(RequestEntry &Request);
   void resume(RequestEntry &Request);
-  void retry(RequestEntry &Request, AttemptOutcome Outcome);
+  void scheduleRetry(RequestEntry &Request, AttemptOutcome Outcome);
   void releaseSlot(RequestEntry &Request);
   Duration backoff(std::uint32_t Tries);
 
@@ -130,17 +130,17 @@
   void on(const DrainRequested &Event);
   void on(const HandOverEnded &Event);
   void handOverQueued();
-  bool passOn(RequestEntry &Request);
+  bool handOverOrRefuse(RequestEntry &Request);
   bool handOver(RequestEntry &Request);
-  void cutOff();
+  void truncateOpen();
 
   void moveTo(RequestEntry &Request, RequestState Next);
   RequestEntry *findOpen(RequestId Request);
   RequestEntry *findAttempt(RequestId Request, AttemptNumber Attempt);
-  bool isEnding(RequestId Request, AttemptNumber Attempt) const;
+  bool isOrphaned(RequestId Request, AttemptNumber Attempt) const;
 
   template <typename ActionType> void emit(ActionType Wanted) {
-    this->Out.emplace_back(std::move(Wanted));
+    this->PendingActions.emplace_back(std::move(Wanted));
   }
 
   RequestSettings Settings;
@@ -148,23 +148,23 @@
   Jitter Random;
   LoadShedder Shedder;
   RetryBudget Budget;
-  KeyMemory Keys;
-  DrainRate Rate;
+  IdempotencyKeyCache Keys;
+  AdmissionRate Rate;
   DrainPlan Drain;
-  ProgressWatch Watch;
+  StallDetector Stalls;
   /// The end of the caller's patience, of every open request.
   TimerQueue Deadlines;
   /// The end of what the state waits for: an answer to a claim, a backoff, the
   /// end of a cancelled attempt.
-  TimerQueue Waits;
+  TimerQueue StateTimers;
   /// The end of the grace of attempts in `Ending`.
-  TimerQueue Graces;
-  std::unordered_map<RequestId, RequestEntry> Open;
-  std::unordered_map<RequestId, EndingAttempt> Ending;
+  TimerQueue OrphanTimers;
+  std::unordered_map<RequestId, RequestEntry> OpenRequests;
+  std::unordered_map<RequestId, OrphanedAttempt> OrphanedAttempts;
 
   /// Of the event at hand.
   TimePoint Now;
-  RequestActions Out;
+  RequestActions PendingActions;
 };
 
 } // namespace parsleywing
--- a/src/Decision/Request/RequestTableAttempts.cpp
+++ b/src/Decision/Request/RequestTableAttempts.cpp
@@ -18,21 +18,21 @@
 } // namespace
 
 void RequestTable::on(const AttemptSent &Event) {
-  if (this->isEnding(Event.Request, Event.Attempt))
+  if (this->isOrphaned(Event.Request, Event.Attempt))
     return;
   RequestEntry *Request = this->findAttempt(Event.Request, Event.Attempt);
-  if (Request == nullptr || Request->SentSeen) {
+  if (Request == nullptr || Request->SentReported) {
     ++this->Counters.DroppedEvents;
     return;
   }
-  Request->SentSeen = true;
+  Request->SentReported = true;
   if (Request->State == RequestState::Admitted)
     this->moveTo(*Request, RequestState::Sent);
 }
 
 void RequestTable::on(const AttemptProgressed &Event) {
-  if (this->isEnding(Event.Request, Event.Attempt)) {
-    std::uint64_t &Tokens = this->Ending.at(Event.Request).Tokens;
+  if (this->isOrphaned(Event.Request, Event.Attempt)) {
+    std::uint64_t &Tokens = this->OrphanedAttempts.at(Event.Request).Tokens;
     Tokens = std::max(Tokens, Event.Tokens);
     this->emit(ChargeRequest{Event.Request, Tokens});
     return;
@@ -43,10 +43,10 @@
     return;
   }
   if (Request->State == RequestState::HandedOver && !Request->Progressed)
-    this->Watch.start(this->Now, Event.Request, ServiceKind::Engine);
+    this->Stalls.start(this->Now, Event.Request, ServiceKind::Engine);
   Request->Progressed = true;
   if (Request->State != RequestState::Cancelling)
-    this->Watch.progressed(this->Now, Event.Request);
+    this->Stalls.progressed(this->Now, Event.Request);
   if (Request->State == RequestState::Admitted ||
       Request->State == RequestState::Sent)
     this->moveTo(*Request, RequestState::Streaming);
@@ -56,8 +56,8 @@
 }
 
 void RequestTable::on(const AttemptEnded &Event) {
-  if (this->isEnding(Event.Request, Event.Attempt)) {
-    this->onEndingAttempt(Event);
+  if (this->isOrphaned(Event.Request, Event.Attempt)) {
+    this->onOrphanEnded(Event);
     return;
   }
   RequestEntry *Request = this->findAttempt(Event.Request, Event.Attempt);
@@ -70,33 +70,35 @@
   switch (Event.Outcome) {
   case AttemptOutcome::Completed:
     Request->MayHaveRun = true;
-    this->finish(*Request, RequestOutcome::Completed, AnswerReason::Served);
+    this->finish(*Request, RequestOutcome::Completed, ResponseReason::Served);
     return;
-  case AttemptOutcome::CallerLeft:
+  case AttemptOutcome::CallerDisconnected:
     Request->MayHaveRun = true;
-    this->finish(*Request, RequestOutcome::Unknown, AnswerReason::CallerLeft);
+    this->finish(*Request, RequestOutcome::Unknown,
+                 ResponseReason::CallerDisconnected);
     return;
   case AttemptOutcome::NotSent:
   case AttemptOutcome::Rejected:
   case AttemptOutcome::Interrupted:
   case AttemptOutcome::Cancelled:
-    this->onBroken(*Request, Event.Outcome);
+    this->onAttemptFailed(*Request, Event.Outcome);
     return;
   }
 }
 
-void RequestTable::onEndingAttempt(const AttemptEnded &Event) {
+void RequestTable::onOrphanEnded(const AttemptEnded &Event) {
   const std::uint64_t Tokens =
-      std::max(Event.Tokens, this->Ending.at(Event.Request).Tokens);
-  this->Ending.erase(Event.Request);
-  this->Graces.clear(Event.Request);
-  this->emit(ReleaseRequest{Event.Request, Tokens});
+      std::max(Event.Tokens, this->OrphanedAttempts.at(Event.Request).Tokens);
+  this->OrphanedAttempts.erase(Event.Request);
+  this->OrphanTimers.clear(Event.Request);
+  this->emit(ReleaseSlot{Event.Request, Tokens});
 }
 
-void RequestTable::onBroken(RequestEntry &Request, AttemptOutcome Outcome) {
+void RequestTable::onAttemptFailed(RequestEntry &Request,
+                                   AttemptOutcome Outcome) {
   // Two reports that contradict each other are taken at the worse one.
   const bool NeverLeft =
-      Outcome == AttemptOutcome::NotSent && !Request.SentSeen;
+      Outcome == AttemptOutcome::NotSent && !Request.SentReported;
   const bool NeverRan = Outcome == AttemptOutcome::Rejected &&
                         !Request.Progressed && Request.Offset == 0;
   const bool Certain = !Request.isResume() && (NeverLeft || NeverRan);
@@ -104,62 +106,63 @@
     Request.MayHaveRun = true;
   if (!Certain && Outcome != AttemptOutcome::Rejected &&
       this->mayResume(Request)) {
-    this->waitToResume(Request);
+    this->scheduleResume(Request);
     return;
   }
   this->releaseSlot(Request);
   const bool FromTheStart =
       Request.Description.Repeatable && Request.Offset == 0;
   if (FromTheStart || (Certain && !Request.MayHaveRun))
-    this->retry(Request, Outcome);
+    this->scheduleRetry(Request, Outcome);
   else
-    this->finish(Request, RequestOutcome::Unknown, AnswerReason::ServerFailed);
+    this->finish(Request, RequestOutcome::Unknown,
+                 ResponseReason::ServerFailed);
 }
 
-void RequestTable::onStuck(RequestEntry &Request) {
+void RequestTable::onStalled(RequestEntry &Request) {
   const RequestId Id = Request.Description.Request;
-  ++this->Counters.Stuck;
+  ++this->Counters.StalledAttempts;
   const bool MayRestart = Request.Description.Repeatable &&
                           Request.Starts < this->Settings.Retry.MaxAttempts;
   const bool MayContinue = Request.HasSlot &&
                            Request.Description.Kind == ServiceKind::Engine &&
                            Request.Resumes < this->Settings.Retry.MaxResumes;
   if (!MayRestart && !MayContinue) {
-    this->giveUp(Request, AnswerReason::ServerFailed);
+    this->giveUp(Request, ResponseReason::ServerFailed);
     return;
   }
   this->moveTo(Request, RequestState::Cancelling);
-  this->Waits.set(Id, this->Now + this->Settings.Progress.CancelGrace);
+  this->StateTimers.set(Id, this->Now + this->Settings.Progress.CancelTimeout);
   this->emit(CancelAttempt{Id, Request.Attempt});
 }
 
-void RequestTable::beginAttempt(RequestEntry &Request, RequestState Next) {
+void RequestTable::startAttempt(RequestEntry &Request, RequestState Next) {
   PARSLEYWING_INVARIANT(!Request.InFlight,
                         "a request has one attempt in flight");
   this->moveTo(Request, Next);
   ++Request.Attempt;
   ++this->Counters.Attempts;
   Request.InFlight = true;
-  Request.SentSeen = false;
+  Request.SentReported = false;
   Request.Progressed = false;
   if (Next == RequestState::Admitted)
-    this->Watch.start(this->Now, Request.Description.Request,
-                      Request.Description.Kind);
+    this->Stalls.start(this->Now, Request.Description.Request,
+                       Request.Description.Kind);
 }
 
 void RequestTable::endAttempt(RequestEntry &Request, std::uint64_t Offset) {
   Request.InFlight = false;
   Request.Offset = std::max(Request.Offset, Offset);
-  this->Watch.stop(Request.Description.Request);
-  this->Waits.clear(Request.Description.Request);
+  this->Stalls.stop(Request.Description.Request);
+  this->StateTimers.clear(Request.Description.Request);
 }
 
 bool RequestTable::mayResume(const RequestEntry &Request) const {
-  return Request.worthResuming() &&
+  return Request.isWorthResuming() &&
          Request.Resumes < this->Settings.Retry.MaxResumes;
 }
 
-void RequestTable::waitToResume(RequestEntry &Request) {
+void RequestTable::scheduleResume(RequestEntry &Request) {
   this->moveTo(Request, RequestState::Resuming);
   ++Request.Resumes;
   ++this->Counters.Resumes;
@@ -167,18 +170,20 @@
     this->resume(Request);
     return;
   }
-  this->Waits.set(Request.Description.Request,
-                  this->Now + this->backoff(Request.Resumes - 1));
+  this->StateTimers.set(Request.Description.Request,
+                        this->Now + this->backoff(Request.Resumes - 1));
 }
 
 void RequestTable::resume(RequestEntry &Request) {
   PARSLEYWING_INVARIANT(Request.HasSlot, "a resumed stream keeps its slot");
-  this->beginAttempt(Request, RequestState::Admitted);
+  this->startAttempt(Request, RequestState::Admitted);
   this->emit(ResumeAttempt{Request.Description.Request, Request.Attempt,
-                           Request.Server, Request.Offset, Request.StartedBy});
+                           Request.Server, Request.Offset,
+                           Request.OriginalAttempt});
 }
 
-void RequestTable::retry(RequestEntry &Request, AttemptOutcome Outcome) {
+void RequestTable::scheduleRetry(RequestEntry &Request,
+                                 AttemptOutcome Outcome) {
   const RequestDescription &D = Request.Description;
   const Duration Wait = this->backoff(std::max(1U, Request.Starts));
   // What never left burdens no server, and must not use up the budget when a
@@ -187,23 +192,23 @@
   const std::uint32_t Most = this->Settings.Retry.MaxAttempts;
   if (Request.Starts >= (Burdens ? Most : Most + MoreStartsWhereUnsent) ||
       this->Now + Wait >= D.Deadline) {
-    this->giveUp(Request, AnswerReason::ServerFailed);
+    this->giveUp(Request, ResponseReason::ServerFailed);
     return;
   }
-  if (Burdens && !this->Budget.take(this->Now, D.Account)) {
-    this->giveUp(Request, AnswerReason::RetryBudgetSpent);
+  if (Burdens && !this->Budget.tryAcquire(this->Now, D.Account)) {
+    this->giveUp(Request, ResponseReason::RetryBudgetSpent);
     return;
   }
   ++this->Counters.Retries;
   this->moveTo(Request, RequestState::BackingOff);
-  this->Waits.set(D.Request, this->Now + Wait);
+  this->StateTimers.set(D.Request, this->Now + Wait);
 }
 
 void RequestTable::releaseSlot(RequestEntry &Request) {
   if (!Request.HasSlot)
     return;
   Request.HasSlot = false;
-  this->emit(ReleaseRequest{Request.Description.Request, Request.Tokens});
+  this->emit(ReleaseSlot{Request.Description.Request, Request.Tokens});
 }
 
 Duration RequestTable::backoff(std::uint32_t Tries) {
--- a/src/Decision/Request/RequestTableDrain.cpp
+++ b/src/Decision/Request/RequestTableDrain.cpp
@@ -5,8 +5,8 @@
 namespace parsleywing {
 
 void RequestTable::on(const ViewChanged &Event) {
-  this->Drain.view(Event.Current);
-  if (this->Drain.draining())
+  this->Drain.setView(Event.Current);
+  if (this->Drain.isDraining())
     this->handOverQueued();
 }
 
@@ -17,19 +17,19 @@
 
 void RequestTable::handOverQueued() {
   std::vector<RequestId> Queued;
-  for (const auto &[Id, Request] : this->Open)
+  for (const auto &[Id, Request] : this->OpenRequests)
     if (Request.State == RequestState::Queued)
       Queued.push_back(Id);
   std::sort(Queued.begin(), Queued.end());
   for (RequestId Id : Queued)
-    this->passOn(*this->findOpen(Id));
+    this->handOverOrRefuse(*this->findOpen(Id));
 }
 
 /// What waits at a router that drains goes to another one or is refused. Left
 /// in the queue it would hold up the end of the process for as long as others
 /// take the slots, while its caller could be served elsewhere. False for what
 /// can only be ended here: an earlier attempt may have run.
-bool RequestTable::passOn(RequestEntry &Request) {
+bool RequestTable::handOverOrRefuse(RequestEntry &Request) {
   const bool Queued = Request.State == RequestState::Queued;
   if (this->handOver(Request)) {
     if (Queued)
@@ -38,7 +38,7 @@
   }
   if (Request.MayHaveRun)
     return false;
-  this->giveUp(Request, AnswerReason::Draining);
+  this->giveUp(Request, ResponseReason::Draining);
   return true;
 }
 
@@ -53,10 +53,10 @@
   this->Shedder.stopWaiting(D.Account, D.Request);
   ++Request.HandOvers;
   ++this->Counters.HandOvers;
-  this->beginAttempt(Request, RequestState::HandedOver);
-  Request.StartedBy = Request.Attempt;
+  this->startAttempt(Request, RequestState::HandedOver);
+  Request.OriginalAttempt = Request.Attempt;
   this->emit(HandOverRequest{D.Request, *Router, Request.Attempt,
-                             Request.Record != RecordHold::None});
+                             Request.Record != RecordOwnership::None});
   return true;
 }
 
@@ -77,23 +77,24 @@
   if (!Certain)
     Request->MayHaveRun = true;
   if (Event.Outcome == AttemptOutcome::Completed)
-    this->finish(*Request, RequestOutcome::Completed, AnswerReason::Served);
-  else if (Event.Outcome == AttemptOutcome::CallerLeft)
-    this->finish(*Request, RequestOutcome::Unknown, AnswerReason::CallerLeft);
+    this->finish(*Request, RequestOutcome::Completed, ResponseReason::Served);
+  else if (Event.Outcome == AttemptOutcome::CallerDisconnected)
+    this->finish(*Request, RequestOutcome::Unknown,
+                 ResponseReason::CallerDisconnected);
   else if (Request->Description.Repeatable && Request->Offset == 0)
-    this->retry(*Request, Event.Outcome);
+    this->scheduleRetry(*Request, Event.Outcome);
   else
-    this->giveUp(*Request, AnswerReason::ServerFailed);
+    this->giveUp(*Request, ResponseReason::ServerFailed);
 }
 
-void RequestTable::cutOff() {
+void RequestTable::truncateOpen() {
   std::vector<RequestId> Left;
-  for (const auto &[Id, Request] : this->Open)
+  for (const auto &[Id, Request] : this->OpenRequests)
     Left.push_back(Id);
   std::sort(Left.begin(), Left.end());
   for (RequestId Id : Left) {
     this->Drain.countUnfinished();
-    this->giveUp(*this->findOpen(Id), AnswerReason::Draining);
+    this->giveUp(*this->findOpen(Id), ResponseReason::Draining);
   }
 }
 
--- a/src/Decision/Request/RequestTypes.h
+++ b/src/Decision/Request/RequestTypes.h
@@ -43,12 +43,12 @@
 
 /// How one attempt at a backend server ended.
 enum class AttemptOutcome {
-  Completed,   ///< The whole answer was passed on.
-  NotSent,     ///< No byte of the request can have left this process.
-  Rejected,    ///< The server said for certain that it did not run it.
-  Interrupted, ///< It broke after the request may have left.
-  Cancelled,   ///< It was cancelled on this router's order.
-  CallerLeft,  ///< The caller closed its connection while it ran.
+  Completed,          ///< The whole answer was passed on.
+  NotSent,            ///< No byte of the request can have left this process.
+  Rejected,           ///< The server said for certain that it did not run it.
+  Interrupted,        ///< It broke after the request may have left.
+  Cancelled,          ///< It was cancelled on this router's order.
+  CallerDisconnected, ///< The caller closed its connection while it ran.
 };
 
 inline constexpr EnumNames<AttemptOutcome, 6> AttemptOutcomeNames{{
@@ -57,7 +57,7 @@
     {AttemptOutcome::Rejected, "rejected"},
     {AttemptOutcome::Interrupted, "interrupted"},
     {AttemptOutcome::Cancelled, "cancelled"},
-    {AttemptOutcome::CallerLeft, "caller-left"},
+    {AttemptOutcome::CallerDisconnected, "caller-left"},
 }};
 
 /// The final word to a caller on its request. Every answer carries it.
@@ -77,7 +77,7 @@
 }};
 
 /// Why a request got its final answer.
-enum class AnswerReason {
+enum class ResponseReason {
   Served,
   DeadlinePassed,
   AccountQueueFull,
@@ -89,22 +89,22 @@
   AlreadyRun,
   RecordUnavailable,
   Draining,
-  CallerLeft,
+  CallerDisconnected,
 };
 
-inline constexpr EnumNames<AnswerReason, 12> AnswerReasonNames{{
-    {AnswerReason::Served, "served"},
-    {AnswerReason::DeadlinePassed, "deadline-passed"},
-    {AnswerReason::AccountQueueFull, "account-queue-full"},
-    {AnswerReason::RouterQueueFull, "router-queue-full"},
-    {AnswerReason::Overloaded, "overloaded"},
-    {AnswerReason::NoServer, "no-server"},
-    {AnswerReason::ServerFailed, "server-failed"},
-    {AnswerReason::RetryBudgetSpent, "retry-budget-spent"},
-    {AnswerReason::AlreadyRun, "already-run"},
-    {AnswerReason::RecordUnavailable, "record-unavailable"},
-    {AnswerReason::Draining, "draining"},
-    {AnswerReason::CallerLeft, "caller-left"},
+inline constexpr EnumNames<ResponseReason, 12> ResponseReasonNames{{
+    {ResponseReason::Served, "served"},
+    {ResponseReason::DeadlinePassed, "deadline-passed"},
+    {ResponseReason::AccountQueueFull, "account-queue-full"},
+    {ResponseReason::RouterQueueFull, "router-queue-full"},
+    {ResponseReason::Overloaded, "overloaded"},
+    {ResponseReason::NoServer, "no-server"},
+    {ResponseReason::ServerFailed, "server-failed"},
+    {ResponseReason::RetryBudgetSpent, "retry-budget-spent"},
+    {ResponseReason::AlreadyRun, "already-run"},
+    {ResponseReason::RecordUnavailable, "record-unavailable"},
+    {ResponseReason::Draining, "draining"},
+    {ResponseReason::CallerDisconnected, "caller-left"},
 }};
 
 /// What the store of run records says to a claim.
--- a/src/Decision/Request/RetryBudget.cpp
+++ b/src/Decision/Request/RetryBudget.cpp
@@ -24,7 +24,7 @@
                   inThousandths(this->Settings.BudgetBurst));
 }
 
-bool RetryBudget::take(TimePoint Now, AccountId Account) {
+bool RetryBudget::tryAcquire(TimePoint Now, AccountId Account) {
   auto Found = this->Saved.find(Account);
   if (Found != this->Saved.end() && Found->second >= WholeRetry) {
     Found->second -= WholeRetry;
--- a/src/Decision/Request/RetryBudget.h
+++ b/src/Decision/Request/RetryBudget.h
@@ -23,7 +23,7 @@
   void countFirstAttempt(AccountId Account);
 
   /// Takes one retry; false where none is left.
-  bool take(TimePoint Now, AccountId Account);
+  bool tryAcquire(TimePoint Now, AccountId Account);
 
 private:
   void refillFloor(TimePoint Now);
--- a/src/Decision/Request/ProgressWatch.h
+++ b/src/Decision/Request/StallDetector.h
@@ -1,5 +1,5 @@
-#ifndef PARSLEYWING_DECISION_REQUEST_PROGRESSWATCH_H
-#define PARSLEYWING_DECISION_REQUEST_PROGRESSWATCH_H
+#ifndef PARSLEYWING_DECISION_REQUEST_STALLDETECTOR_H
+#define PARSLEYWING_DECISION_REQUEST_STALLDETECTOR_H
 
 #include "Decision/Declarations.h"
 #include "Decision/Request/RequestSettings.h"
@@ -12,9 +12,9 @@
 ///
 /// Progress costs one hash look-up, since it comes with every token; the timer
 /// is moved only when it runs out.
-class ProgressWatch {
+class StallDetector {
 public:
-  explicit ProgressWatch(const ProgressSettings &S) : Settings(S) {}
+  explicit StallDetector(const ProgressSettings &S) : Settings(S) {}
 
   /// Watches an attempt that was ordered now.
   void start(TimePoint Now, RequestId Request, ServiceKind Kind);
@@ -24,7 +24,7 @@
   void stop(RequestId Request);
 
   /// Takes out one request that has stood still for too long.
-  std::optional<RequestId> takeStuck(TimePoint Now);
+  std::optional<RequestId> takeStalled(TimePoint Now);
 
   std::size_t size() const { return this->Watched.size(); }
 
--- a/src/Decision/RouterCore.cpp
+++ b/src/Decision/RouterCore.cpp
@@ -20,7 +20,7 @@
 RouterCore::RouterCore(const RouterCoreSettings &S)
     : Requests(S.Requests), Scheduler(S.Fairness), Membership(S.Membership),
       Configuration(S.Configuration),
-      Servers(S.Servers, S.Membership.Self.Life),
+      Servers(S.Servers, S.Membership.Self.IncarnationNumber),
       Owners(this->Membership.view()) {}
 
 std::vector<Action> RouterCore::handle(TimePoint Now, const Event &Happened) {
@@ -58,12 +58,14 @@
   std::visit(Overloaded{
                  [&](const MembershipMessage &M) {
                    this->toMembership(Now, MembershipMessageReceived{
-                                               Received.From, Received.Life, M,
+                                               Received.From,
+                                               Received.IncarnationNumber, M,
                                                Received.Address});
                  },
                  [&](const FairMessage &M) {
-                   this->toScheduler(Now, FairMessageReceived{
-                                              Received.From, Received.Life, M});
+                   this->toScheduler(
+                       Now, FairMessageReceived{Received.From,
+                                                Received.IncarnationNumber, M});
                  },
                  [&](const ConfigurationMessage &M) {
                    this->toConfiguration(
@@ -86,7 +88,7 @@
 }
 
 void RouterCore::takeDeclarations(const DeclarationsChanged &Changed) {
-  this->InForce = Changed.InForce;
+  this->InForce = Changed.Active;
   // Servers that are declared no more would be remembered for ever.
   if (this->Owners.size() > 2 * this->InForce->Servers.size())
     this->Owners.clear();
@@ -110,9 +112,9 @@
         Overloaded{
             [&](const QueueRequest &A) {
               const RequestDescription &D = A.Description;
-              this->toScheduler(Now,
-                                RequestQueued{D.Request, D.Account, D.Service,
-                                              D.EstimatedTokens, A.Avoid});
+              this->toScheduler(Now, RequestQueued{D.Request, D.Account,
+                                                   D.Service, D.EstimatedTokens,
+                                                   A.AvoidServer});
             },
             [&](const WithdrawRequest &A) {
               this->toScheduler(Now, RequestWithdrawn{A.Request});
@@ -120,7 +122,7 @@
             [&](const ChargeRequest &A) {
               this->toScheduler(Now, RequestCharged{A.Request, A.Tokens});
             },
-            [&](const ReleaseRequest &A) {
+            [&](const ReleaseSlot &A) {
               this->toScheduler(Now, RequestReleased{A.Request, A.Tokens});
             },
             [&](HandOverRequest A) {
--- a/src/Decision/Servers/ServerConditions.cpp
+++ b/src/Decision/Servers/ServerConditions.cpp
@@ -34,7 +34,7 @@
 }
 
 void ServerConditions::on(const ServerConditionChanged &Probed) {
-  const Key SaysLeaving{Probed.Server, ServerFact::SaysLeaving};
+  const Key SaysLeaving{Probed.Server, ServerFact::ReportsLeaving};
   const Key Unreachable{Probed.Server, ServerFact::Unreachable};
   switch (Probed.Condition) {
   case ServerCondition::Failed:
@@ -92,7 +92,7 @@
 }
 
 void ServerConditions::on(const DeclarationsChanged &Changed) {
-  this->InForce = Changed.InForce;
+  this->InForce = Changed.Active;
   std::set<ServerId> Gone;
   for (const auto &[Fact, Stands] : this->Facts)
     if (!this->InForce->Servers.contains(Fact.first))
@@ -112,7 +112,7 @@
 void ServerConditions::on(const Tick &) {
   if (this->Now < this->NextExpiry)
     return;
-  this->NextExpiry = this->Now + this->Settings.RoundInterval;
+  this->NextExpiry = this->Now + this->Settings.GossipInterval;
   this->expireFailures();
 }
 
@@ -152,8 +152,8 @@
 
 void ServerConditions::learn(const Key &Fact, const ServerNotice &Notice) {
   Known &Stands = this->Facts[Fact];
-  this->ToTell.erase({this->Settings.Repeats - Stands.TellsLeft, Fact});
-  Stands = {Notice, this->Now, false, this->Settings.Repeats};
+  this->ToTell.erase({this->Settings.Transmissions - Stands.TellsLeft, Fact});
+  Stands = {Notice, this->Now, false, this->Settings.Transmissions};
   this->ToTell.emplace(0, Fact);
   if (Notice.Holds)
     this->Held.insert(Fact);
@@ -177,7 +177,7 @@
 void ServerConditions::merge(ServerId Server) {
   ServerCondition Next = ServerCondition::Usable;
   if (this->holds({Server, ServerFact::ListedLeaving}) ||
-      this->holds({Server, ServerFact::SaysLeaving}))
+      this->holds({Server, ServerFact::ReportsLeaving}))
     Next = ServerCondition::Leaving;
   else if (this->holds({Server, ServerFact::Unreachable}))
     Next = ServerCondition::Failed;
@@ -219,7 +219,7 @@
 void ServerConditions::tellNew() {
   if (this->ToTell.empty() || this->Current.Members.size() < 2)
     return;
-  this->NextRound = this->Now + this->Settings.RoundInterval;
+  this->NextRound = this->Now + this->Settings.GossipInterval;
   std::vector<Key> Chosen;
   for (const auto &[Times, Fact] : this->ToTell)
     if (Chosen.size() < this->Settings.MaxNotices)
@@ -230,9 +230,10 @@
   for (const Key &Fact : Chosen) {
     Known &Stands = this->Facts.at(Fact);
     Message.Notices.push_back(Stands.Newest);
-    this->ToTell.erase({this->Settings.Repeats - Stands.TellsLeft, Fact});
+    this->ToTell.erase({this->Settings.Transmissions - Stands.TellsLeft, Fact});
     if (--Stands.TellsLeft > 0)
-      this->ToTell.emplace(this->Settings.Repeats - Stands.TellsLeft, Fact);
+      this->ToTell.emplace(this->Settings.Transmissions - Stands.TellsLeft,
+                           Fact);
   }
   for (std::size_t Told = 0; Told < this->Settings.FanOut; ++Told)
     this->Pending.emplace_back(SendServerNotices{*this->anyOther(), Message});
--- a/src/Decision/Servers/ServerConditions.h
+++ b/src/Decision/Servers/ServerConditions.h
@@ -22,11 +22,11 @@
 struct ServerConditionsSettings {
   std::uint64_t Seed = 1;
   /// Least time between two rounds of telling others what is new.
-  Duration RoundInterval = std::chrono::milliseconds(250);
+  Duration GossipInterval = std::chrono::milliseconds(250);
   /// Other routers told in a round.
   std::size_t FanOut = 2;
   /// Rounds in which each notice is told.
-  unsigned Repeats = 6;
+  unsigned Transmissions = 6;
   /// Notices in one message.
   std::size_t MaxNotices = 12;
   /// Time between two messages that repeat what holds to one other router, for
--- a/src/Decision/Servers/ServerNotice.h
+++ b/src/Decision/Servers/ServerNotice.h
@@ -11,9 +11,9 @@
 /// itself, since the source of one knows nothing of the others: an engine
 /// answers well until its VM goes, and a list may lag behind the engine.
 enum class ServerFact : std::uint8_t {
-  ListedLeaving, ///< The platform's list says that its VM leaves.
-  SaysLeaving,   ///< It says itself that it leaves.
-  Unreachable,   ///< It does not answer its owner's probes.
+  ListedLeaving,  ///< The platform's list says that its VM leaves.
+  ReportsLeaving, ///< It says itself that it leaves.
+  Unreachable,    ///< It does not answer its owner's probes.
 };
 
 inline constexpr std::uint8_t ServerFactCount = 3;
@@ -27,17 +27,19 @@
   std::uint8_t Fact = 0; ///< A `ServerFact`.
   bool Holds = false;
   std::uint32_t Counter = 0;
-  std::uint64_t Origin = 0; ///< The router that learnt it.
-  std::uint64_t Life = 0;   ///< The incarnation of that router.
+  std::uint64_t Origin = 0;            ///< The router that learnt it.
+  std::uint64_t IncarnationNumber = 0; ///< The incarnation of that router.
 
   bool isNewerThan(const ServerNotice &Other) const {
-    return std::tie(this->Counter, this->Holds, this->Origin, this->Life) >
-           std::tie(Other.Counter, Other.Holds, Other.Origin, Other.Life);
+    return std::tie(this->Counter, this->Holds, this->Origin,
+                    this->IncarnationNumber) >
+           std::tie(Other.Counter, Other.Holds, Other.Origin,
+                    Other.IncarnationNumber);
   }
 
   template <class Archive> void serialize(Archive &Ar) {
     Ar(this->Server, this->Fact, this->Holds, this->Counter, this->Origin,
-       this->Life);
+       this->IncarnationNumber);
   }
 };
 
--- a/src/Program/CallerMetrics.cpp
+++ b/src/Program/CallerMetrics.cpp
@@ -28,7 +28,7 @@
              Counters.ConnectionsIdleClosed);
   AddCounter("callers_left_total",
              "Callers that disconnected before the final response.",
-             Counters.CallersLeft);
+             Counters.CallersDisconnected);
 }
 
 void addProblems(Metrics &Registry, const CallerCounters &Counters) {
--- a/src/Program/DeclarationsLoader.cpp
+++ b/src/Program/DeclarationsLoader.cpp
@@ -21,7 +21,8 @@
 
 void DeclarationsLoader::run() {
   while (!this->Stopping) {
-    std::optional<PutInForce> Newest = this->Pending.take(StopCheckInterval);
+    std::optional<ActivateConfiguration> Newest =
+        this->Pending.take(StopCheckInterval);
     if (!Newest)
       continue;
     bool FollowsLast = true;
@@ -33,7 +34,8 @@
   }
 }
 
-void DeclarationsLoader::update(const PutInForce &Next, bool FollowsLast) {
+void DeclarationsLoader::update(const ActivateConfiguration &Next,
+                                bool FollowsLast) {
   const std::string Label = "generation " + std::to_string(Next.Generation);
   auto Parsed = this->Updater.update(Next, FollowsLast);
   if (!Parsed) {
--- a/src/Program/DeclarationsLoader.h
+++ b/src/Program/DeclarationsLoader.h
@@ -23,15 +23,15 @@
   DeclarationsLoader(const DeclarationsLoader &) = delete;
   DeclarationsLoader &operator=(const DeclarationsLoader &) = delete;
 
-  void load(PutInForce Next) { this->Pending.put(std::move(Next)); }
+  void load(ActivateConfiguration Next) { this->Pending.put(std::move(Next)); }
 
 private:
   void run();
-  void update(const PutInForce &Next, bool FollowsLast);
+  void update(const ActivateConfiguration &Next, bool FollowsLast);
 
   std::function<void(DeclarationsPtr)> OnLoaded;
   DeclarationsUpdater Updater;
-  Mailbox<PutInForce> Pending;
+  Mailbox<ActivateConfiguration> Pending;
   std::atomic<bool> Stopping{false};
   std::thread Worker;
 };
--- a/src/Program/DeclarationsUpdater.cpp
+++ b/src/Program/DeclarationsUpdater.cpp
@@ -24,8 +24,9 @@
 
 } // namespace
 
-Result<DeclarationsPtr> DeclarationsUpdater::update(const PutInForce &Next,
-                                                    bool FollowsLast) {
+Result<DeclarationsPtr>
+DeclarationsUpdater::update(const ActivateConfiguration &Next,
+                            bool FollowsLast) {
   std::optional<AccountChanges> Changes;
   if (FollowsLast && this->LastDeclarations)
     Changes = this->accountOnlyChanges(Next);
@@ -39,8 +40,8 @@
   return this->publish(std::move(Updated));
 }
 
-std::optional<AccountChanges>
-DeclarationsUpdater::accountOnlyChanges(const PutInForce &Next) const {
+std::optional<AccountChanges> DeclarationsUpdater::accountOnlyChanges(
+    const ActivateConfiguration &Next) const {
   if (!hasPlainHeaders(Next.Changes.Changed))
     return std::nullopt;
   return readAccountChanges(*this->LastDeclarations, Next.Changes);
@@ -81,7 +82,7 @@
 }
 
 Result<DeclarationsPtr>
-DeclarationsUpdater::parseComplete(const PutInForce &Next) {
+DeclarationsUpdater::parseComplete(const ActivateConfiguration &Next) {
   // If parsing fails, the next changes refer to a text that was not applied.
   this->LastDeclarations.reset();
   this->LastChanges.reset();
--- a/src/Program/DeclarationsUpdater.h
+++ b/src/Program/DeclarationsUpdater.h
@@ -26,7 +26,8 @@
 
   /// Returns the same declarations as parsing the complete text.
   /// `FollowsLast` is true if the changes are those since the previous call.
-  Result<DeclarationsPtr> update(const PutInForce &Next, bool FollowsLast);
+  Result<DeclarationsPtr> update(const ActivateConfiguration &Next,
+                                 bool FollowsLast);
 
   /// The number of updates made without complete parsing or a copy; for tests
   /// and benchmarks.
@@ -40,10 +41,10 @@
   };
 
   std::optional<AccountChanges>
-  accountOnlyChanges(const PutInForce &Next) const;
+  accountOnlyChanges(const ActivateConfiguration &Next) const;
   bool updateKeyIndex(const AccountChanges &Changes);
   std::unique_ptr<Declarations> acquireBase();
-  Result<DeclarationsPtr> parseComplete(const PutInForce &Next);
+  Result<DeclarationsPtr> parseComplete(const ActivateConfiguration &Next);
   DeclarationsPtr publish(std::unique_ptr<Declarations> Made);
 
   std::shared_ptr<RecyclePool> Recycled;
--- a/src/Program/Orders/ServerOrder.cpp
+++ b/src/Program/Orders/ServerOrder.cpp
@@ -60,8 +60,8 @@
   this->Number = *LeaseNumber;
   this->OnProgress("holding the lease with number " +
                    std::to_string(*LeaseNumber));
-  const auto Adapters =
-      this->Client.checkReport(this->Order.Address, this->Order.Limit);
+  const auto Adapters = this->Client.fetchLoadedModels(this->Order.Address,
+                                                       this->Order.CallTimeout);
   if (!Adapters)
     return tl::unexpected<Error>(
         {ErrorCode::Unreachable,
@@ -94,7 +94,7 @@
 Result<void> ServerOrder::acquireLoadSlot(TimePoint Deadline) {
   const bool NeedsSlot =
       this->Order.Kind == OrderKind::LoadAdapter &&
-      !OrderClient::inEffect(this->Order, this->AdaptersBefore);
+      !OrderClient::isInEffect(this->Order, this->AdaptersBefore);
   if (!NeedsSlot)
     return {};
   this->OnProgress("waiting for leave to load");
@@ -118,8 +118,8 @@
 }
 
 OrderOutcome ServerOrder::sendOrder() {
-  return this->Client.give(this->Order,
-                           [this] { return this->currentPermit(); });
+  return this->Client.sendOrder(this->Order,
+                                [this] { return this->currentPermit(); });
 }
 
 /// At a server that ignores the number, an older order may have been delayed in
@@ -150,17 +150,17 @@
   const TimePoint End = this->Time.now() + this->LeaseTiming.TakeoverDelay;
   while (this->Time.now() < End) {
     std::this_thread::sleep_for(ReportPollInterval);
-    const auto Adapters =
-        this->Client.checkReport(this->Order.Address, this->Order.Limit);
-    if (Adapters && !OrderClient::inEffect(this->Order, *Adapters))
+    const auto Adapters = this->Client.fetchLoadedModels(
+        this->Order.Address, this->Order.CallTimeout);
+    if (Adapters && !OrderClient::isInEffect(this->Order, *Adapters))
       return false;
   }
   return true;
 }
 
 void ServerOrder::recordOtherChanges(ServerOrderReport &Report) {
-  const auto AdaptersAfter =
-      this->Client.checkReport(this->Order.Address, this->Order.Limit);
+  const auto AdaptersAfter = this->Client.fetchLoadedModels(
+      this->Order.Address, this->Order.CallTimeout);
   if (!AdaptersAfter)
     return;
   for (const std::string &Name : *AdaptersAfter)
--- a/src/Program/RouterLinks.cpp
+++ b/src/Program/RouterLinks.cpp
@@ -144,7 +144,7 @@
   RecordSettings.WriterId =
       this->RouterSettings.Name + "-" + std::to_string(this->IncarnationNumber);
   RecordSettings.ClaimTimeout =
-      this->RouterSettings.Core.Requests.Records.ClaimLimit;
+      this->RouterSettings.Core.Requests.Records.ClaimTimeout;
   this->RunRecords = std::make_unique<RunRecordWriter>(
       RecordSettings, storeSettings(this->RouterSettings), this->RecordBudget,
       Time);
@@ -194,13 +194,13 @@
   const RequestId Request = A.Request;
   if (!this->RunRecords) {
     this->Control.post(
-        RunRecordAnswered{Request, RunRecordVerdict::Unavailable});
+        RunRecordVerdictReceived{Request, RunRecordVerdict::Unavailable});
     return;
   }
   this->RunRecords->claim(
       A.Account, A.Key, A.Identity, [this, Request](RunVerdict Verdict) {
         this->Control.post(
-            RunRecordAnswered{Request, toRunRecordVerdict(Verdict)});
+            RunRecordVerdictReceived{Request, toRunRecordVerdict(Verdict)});
       });
 }
 
--- a/src/Program/RouterLinks.h
+++ b/src/Program/RouterLinks.h
@@ -69,7 +69,7 @@
   void on(const ClaimRunRecord &A);
   void on(const CompleteRunRecord &A);
   void on(const ReleaseRunRecord &A);
-  void on(const PutInForce &A) { this->Loader.load(A); }
+  void on(const ActivateConfiguration &A) { this->Loader.load(A); }
   void on(const WatchServers &A);
   void on(const DrainFinished &A) { this->UnfinishedRequests = A.Unfinished; }
   template <typename OtherAction> void on(const OtherAction &A);
--- a/src/Program/RouterProcess.cpp
+++ b/src/Program/RouterProcess.cpp
@@ -136,7 +136,7 @@
       [this] {
         return RouterGeneration{
             this->RouterSettings.Name, this->IncarnationNumber,
-            this->Callers.context().declarations().InForce->Generation};
+            this->Callers.context().declarations().Active->Generation};
       },
       [this](const PeerFaultOrder &Order) {
         return this->Links.setFaults(Order);
@@ -170,7 +170,7 @@
   AddGauge("configuration_generation", "Generation of the active declarations.",
            [this] {
              return static_cast<double>(
-                 this->Callers.context().declarations().InForce->Generation);
+                 this->Callers.context().declarations().Active->Generation);
            });
   AddGauge("draining", "1 while the router drains.",
            [this] { return this->Draining || this->DrainOrdered ? 1.0 : 0.0; });
@@ -207,7 +207,8 @@
   AddBackend("backend_resumes_total", "Interrupted streams that were resumed.",
              Backend.Resumes);
   AddBackend("backend_silences_total",
-             "Attempts ended because no progress was made.", Backend.Silences);
+             "Attempts ended because no progress was made.",
+             Backend.ProgressTimeouts);
   AddBackend("backend_foreign_events_total",
              "Events that belonged to another response and were dropped.",
              Backend.ForeignEvents);
@@ -261,7 +262,7 @@
   this->State.add("settings",
                   [this] { return dumpSettings(this->RouterSettings); });
   this->State.add("configuration", [this] {
-    return dumpConfiguration(*this->Callers.context().declarations().InForce);
+    return dumpConfiguration(*this->Callers.context().declarations().Active);
   });
   this->State.add("requests", this->controlThreadSource([this] {
     Poco::JSON::Object::Ptr Part = this->Control.core().requests().dump();
@@ -306,7 +307,7 @@
 bool RouterProcess::isIdle() const {
   return this->Control.openRequests() == 0 &&
          this->Control.openChannels() == 0 &&
-         this->Callers.unsentAnswers() == 0;
+         this->Callers.unsentResponses() == 0;
 }
 
 std::size_t RouterProcess::drain() {
--- a/test/Backend/ConnectionReuseTest.cpp
+++ b/test/Backend/ConnectionReuseTest.cpp
@@ -67,7 +67,7 @@
   PlainResult run(const PlainCall &Call) {
     this->Body.clear();
     PlainListener Listener;
-    Listener.Body = [this](std::string_view Piece) {
+    Listener.BodyReceived = [this](std::string_view Piece) {
       this->Body += Piece;
       return true;
     };
@@ -79,8 +79,8 @@
 private:
   static BackendSettings settings() {
     BackendSettings Settings;
-    Settings.FirstEventLimit = 3s;
-    Settings.ProbeLimit = 100ms;
+    Settings.FirstEventTimeout = 3s;
+    Settings.ProbeTimeout = 100ms;
     return Settings;
   }
 
--- a/test/Backend/EngineFixture.cpp
+++ b/test/Backend/EngineFixture.cpp
@@ -48,8 +48,8 @@
 
 EngineResult EngineFixture::run(const EngineCall &Call) {
   EngineListener Listener;
-  Listener.Sent = [this] { ++this->SentCalls; };
-  Listener.Delta = [this](const std::string &Piece, std::uint64_t) {
+  Listener.SendStarted = [this] { ++this->SentCalls; };
+  Listener.DeltaReceived = [this](const std::string &Piece, std::uint64_t) {
     this->Text += Piece;
     return true;
   };
--- a/test/Backend/EngineSilenceTest.cpp
+++ b/test/Backend/EngineSilenceTest.cpp
@@ -25,9 +25,9 @@
 
 BackendSettings shortSilence() {
   BackendSettings Settings;
-  Settings.FirstEventLimit = Silence;
-  Settings.EventGapLimit = Silence;
-  Settings.ProbeLimit = Silence;
+  Settings.FirstEventTimeout = Silence;
+  Settings.EventGapTimeout = Silence;
+  Settings.ProbeTimeout = Silence;
   Settings.Time = Clock::paused();
   return Settings;
 }
@@ -38,13 +38,14 @@
   CallOnThread(EngineFixture &F, EngineCall C)
       : Thread([this, &F, Call = std::move(C)] {
           EngineListener Listener;
-          Listener.Sent = [this] { this->WasSent = true; };
-          Listener.Delta = [this, &F](const std::string &Piece, std::uint64_t) {
+          Listener.SendStarted = [this] { this->WasSent = true; };
+          Listener.DeltaReceived = [this, &F](const std::string &Piece,
+                                              std::uint64_t) {
             F.Text += Piece;
             ++this->Pieces;
             return true;
           };
-          Listener.SetBreaker = [this](std::function<void()> B) {
+          Listener.SetCanceller = [this](std::function<void()> B) {
             std::lock_guard<std::mutex> Lock(this->Mutex);
             if (B)
               this->Breaker = std::move(B);
@@ -93,7 +94,7 @@
                           Probe Expected) {
   Clock Time = Fixture.Client.settings().Time;
   do {
-    const bool Probing = Fixture.Counters.Silences > 0;
+    const bool Probing = Fixture.Counters.ProgressTimeouts > 0;
     if (!Probing || Expected == Probe::Silent)
       Time.advance(Silence);
   } while (!eventually([&] { return Running.over(); }, milliseconds(20)));
@@ -159,7 +160,7 @@
   const EngineResult Result = endBySilence(Fixture, Running, Probe::Silent);
   Chatter.join();
   cr_expect(Result.Outcome == AttemptOutcome::Interrupted);
-  cr_expect_eq(Fixture.Counters.Silences.load(), 1);
+  cr_expect_eq(Fixture.Counters.ProgressTimeouts.load(), 1);
 }
 
 // Symptom: a dead server keeps getting work, or a well one is blamed.
@@ -188,7 +189,7 @@
 // EngineAttempt::freeSlot.
 Test(EngineSilence, ACancelEndsTheReadAtOnceAndFreesTheSlot, .timeout = 60) {
   BackendSettings Patient;
-  Patient.EventGapLimit = seconds(40);
+  Patient.EventGapTimeout = seconds(40);
   EngineFixture Fixture(Patient);
   CallOnThread Running(Fixture, Fixture.call(ManyTokens));
   cr_assert(eventually([&] { return Running.started(); }));
@@ -207,12 +208,12 @@
 Test(EngineSilence, ACallerThatLeavesFreesTheSlot, .timeout = 30) {
   EngineFixture Fixture;
   EngineListener Listener;
-  Listener.Delta = [](const std::string &, std::uint64_t Count) {
+  Listener.DeltaReceived = [](const std::string &, std::uint64_t Count) {
     return Count < 3;
   };
   const EngineResult Result =
       Fixture.Client.run(Fixture.call(ManyTokens), Listener);
-  cr_expect(Result.Outcome == AttemptOutcome::CallerLeft);
+  cr_expect(Result.Outcome == AttemptOutcome::CallerDisconnected);
   cr_expect(eventually([&] { return Fixture.Engine.running() == 0; }));
 }
 
@@ -224,7 +225,7 @@
   EngineFixture Fixture;
   std::function<void()> Kept;
   EngineListener Listener;
-  Listener.SetBreaker = [&](std::function<void()> B) {
+  Listener.SetCanceller = [&](std::function<void()> B) {
     if (B)
       Kept = std::move(B);
   };
@@ -251,8 +252,8 @@
   EngineFixture Fixture;
   EngineListener Listener;
   int Sent = 0;
-  Listener.Sent = [&] { ++Sent; };
-  Listener.SetBreaker = [](const std::function<void()> &B) {
+  Listener.SendStarted = [&] { ++Sent; };
+  Listener.SetCanceller = [](const std::function<void()> &B) {
     if (B)
       B();
   };
--- a/test/Backend/LoadPollerTest.cpp
+++ b/test/Backend/LoadPollerTest.cpp
@@ -21,9 +21,9 @@
 
   static PollSettings settings(Duration RepeatEvery) {
     PollSettings Settings;
-    Settings.RepeatEvery = RepeatEvery;
+    Settings.RepeatInterval = RepeatEvery;
     Settings.Interval = milliseconds(20);
-    Settings.Limit = milliseconds(500);
+    Settings.Timeout = milliseconds(500);
     Settings.Threads = 2;
     return Settings;
   }
--- a/test/Backend/OrderClientTest.cpp
+++ b/test/Backend/OrderClientTest.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 /// A holder whose lease has this number and lasts.
-OrderClient::AskLease holds(FencingNumber Number) {
+OrderClient::PermitProvider holds(FencingNumber Number) {
   return [Number] {
     return LeasePermit{Number,
                        Clock::steady().now() + std::chrono::seconds(30)};
@@ -37,11 +37,11 @@
   EngineFixture Fixture;
   OrderClient Client(Fixture.Counters);
   EngineOrder Order = orderFor(Fixture, FencingCheck::Ignored);
-  cr_expect(Client.give(Order, holds(1)) == OrderOutcome::Done);
+  cr_expect(Client.sendOrder(Order, holds(1)) == OrderOutcome::Done);
   cr_expect(Fixture.Engine.loadedModels().contains("swahili-v2"));
-  cr_expect(Client.give(Order, holds(1)) == OrderOutcome::AlreadyInEffect);
+  cr_expect(Client.sendOrder(Order, holds(1)) == OrderOutcome::AlreadyInEffect);
   Order.Kind = OrderKind::UnloadAdapter;
-  cr_expect(Client.give(Order, holds(1)) == OrderOutcome::Done);
+  cr_expect(Client.sendOrder(Order, holds(1)) == OrderOutcome::Done);
   cr_expect(!Fixture.Engine.loadedModels().contains("swahili-v2"));
 }
 
@@ -56,10 +56,10 @@
   OrderClient Client(Fixture.Counters);
   EngineOrder Newer = orderFor(Fixture, FencingCheck::Checked);
   Newer.Kind = OrderKind::LoadAdapter;
-  cr_expect(Client.give(Newer, holds(5)) == OrderOutcome::Done);
+  cr_expect(Client.sendOrder(Newer, holds(5)) == OrderOutcome::Done);
   EngineOrder Older = orderFor(Fixture, FencingCheck::Checked);
   Older.Kind = OrderKind::UnloadAdapter;
-  cr_expect(Client.give(Older, holds(4)) == OrderOutcome::Stale);
+  cr_expect(Client.sendOrder(Older, holds(4)) == OrderOutcome::Stale);
   cr_expect(Fixture.Engine.loadedModels().contains("swahili-v2"));
   cr_expect_eq(Fixture.Counters.StaleOrders.load(), 1);
 }
@@ -73,7 +73,7 @@
   EngineFixture Fixture;
   OrderClient Client(Fixture.Counters);
   const EngineOrder Order = orderFor(Fixture, FencingCheck::Ignored);
-  cr_expect(Client.give(Order, [] { return std::nullopt; }) ==
+  cr_expect(Client.sendOrder(Order, [] { return std::nullopt; }) ==
             OrderOutcome::LeaseLost);
   cr_expect(!Fixture.Engine.loadedModels().contains("swahili-v2"));
 }
@@ -90,7 +90,7 @@
     Faults.LoseAnswer = true;
     Fixture.Engine.setFaults(Faults);
     OrderClient Client(Fixture.Counters);
-    cr_expect(Client.give(orderFor(Fixture, Check), holds(1)) ==
+    cr_expect(Client.sendOrder(orderFor(Fixture, Check), holds(1)) ==
               OrderOutcome::Done);
   }
 }
@@ -100,5 +100,5 @@
   OrderClient Client(Fixture.Counters);
   EngineOrder Order = orderFor(Fixture, FencingCheck::Checked);
   Order.Address = "127.0.0.1:1";
-  cr_expect(Client.give(Order, holds(1)) == OrderOutcome::NotSent);
+  cr_expect(Client.sendOrder(Order, holds(1)) == OrderOutcome::NotSent);
 }
--- a/test/Backend/PlainServiceTest.cpp
+++ b/test/Backend/PlainServiceTest.cpp
@@ -15,8 +15,8 @@
 
   static BackendSettings settings() {
     BackendSettings Settings;
-    Settings.FirstEventLimit = std::chrono::milliseconds(300);
-    Settings.ProbeLimit = std::chrono::milliseconds(300);
+    Settings.FirstEventTimeout = std::chrono::milliseconds(300);
+    Settings.ProbeTimeout = std::chrono::milliseconds(300);
     return Settings;
   }
 
@@ -35,11 +35,11 @@
 
   PlainResult run(const PlainCall &Call) {
     PlainListener Listener;
-    Listener.Head = [this](int, const HeaderList &Headers) {
+    Listener.HeadReceived = [this](int, const HeaderList &Headers) {
       this->Head = Headers;
       return true;
     };
-    Listener.Body = [this](std::string_view Piece) {
+    Listener.BodyReceived = [this](std::string_view Piece) {
       this->Body += Piece;
       return true;
     };
@@ -93,7 +93,7 @@
   const PlainResult Refused = Fixture.run(Fixture.call());
   cr_expect(Refused.Outcome == AttemptOutcome::Rejected);
   cr_expect(Refused.ServerLeaving);
-  cr_expect(!Refused.AnswerBegun);
+  cr_expect(!Refused.ResponseStarted);
 }
 
 // Symptom: half a record is taken for the whole.
@@ -107,7 +107,7 @@
   Fixture.Service.setFaults(Faults);
   const PlainResult Result = Fixture.run(Fixture.call());
   cr_expect(Result.Outcome == AttemptOutcome::Interrupted);
-  cr_expect(Result.AnswerBegun);
+  cr_expect(Result.ResponseStarted);
   cr_expect(Fixture.Body == R"({"rec)");
 }
 
--- a/test/Backend/ResponseStreamCheckTest.cpp
+++ b/test/Backend/ResponseStreamCheckTest.cpp
@@ -89,8 +89,8 @@
       ResponseStreamCheck Check("a", From, Counters);
       auto Verdict = StreamVerdict::Skip;
       for (const StreamEvent &Next : disturbed()) {
-        Verdict = Check.take(Next);
-        if (Verdict == StreamVerdict::Pass)
+        Verdict = Check.processEvent(Next);
+        if (Verdict == StreamVerdict::Forward)
           Passed += Check.text();
         else if (Verdict != StreamVerdict::Skip)
           break;
--- a/test/Caller/AttemptTest.cpp
+++ b/test/Caller/AttemptTest.cpp
@@ -10,7 +10,7 @@
 /// The fixture's model, served by its engine and by a server that is gone.
 DeclarationsPtr withDeadServer(CallerFixture &Fixture) {
   const DeclarationsPtr Before =
-      Fixture.server().context().declarations().InForce;
+      Fixture.server().context().declarations().Active;
   auto Declared = std::make_shared<Declarations>(*Before);
   const auto Dead = idOf<ServerId>("dead");
   Declared->Generation = Before->Generation + 1;
--- a/test/Caller/CallerFixture.cpp
+++ b/test/Caller/CallerFixture.cpp
@@ -161,7 +161,7 @@
   if (const auto *Claim = std::get_if<ClaimRunRecord>(&Asked)) {
     ++this->Claims;
     this->Control.post(
-        RunRecordAnswered{Claim->Request, RunRecordVerdict::Claimed});
+        RunRecordVerdictReceived{Claim->Request, RunRecordVerdict::Claimed});
   }
   const auto Name = idOf<RouterId>(this->Self.Name);
   const auto *Send = std::get_if<SendToPeer>(&Asked);
--- a/test/Caller/CallerFixture.h
+++ b/test/Caller/CallerFixture.h
@@ -34,7 +34,7 @@
   std::string readUntil(const std::string &Text);
 
   /// Closes the connection.
-  void leave() { this->Socket.close(); }
+  void disconnect() { this->Socket.close(); }
 
   Poco::Net::StreamSocket &socket() { return this->Socket; }
 
--- a/test/Caller/HandOverTest.cpp
+++ b/test/Caller/HandOverTest.cpp
@@ -1,5 +1,5 @@
 #include "Caller/CallerFixture.h"
-#include "Caller/HandOverNote.h"
+#include "Caller/HandOverToken.h"
 
 #include <criterion/criterion.h>
 #include <future>
@@ -39,16 +39,16 @@
 Test(HandOverNote, HoldsForItsRequestOnly) {
   const RawRequest Request = rawRequest();
   const std::string Value =
-      writeHandOverNote({"r1-1-2.3", true}, Request, Secret);
-  const auto Note = readHandOverNote(Value, Request, Secret);
+      signHandOverToken({"r1-1-2.3", true}, Request, Secret);
+  const auto Note = verifyHandOverToken(Value, Request, Secret);
   cr_assert(Note && Note->Identity == "r1-1-2.3" && Note->RecordHeld);
   RawRequest Other = Request;
   Other.Body = R"({"batch":5})";
-  cr_assert(!readHandOverNote(Value, Other, Secret));
-  cr_assert(!readHandOverNote(Value, Request, "another-secret"));
+  cr_assert(!verifyHandOverToken(Value, Other, Secret));
+  cr_assert(!verifyHandOverToken(Value, Request, "another-secret"));
   const std::string NoSecret =
-      writeHandOverNote({"r1-1-2.3", true}, Request, "");
-  cr_assert(!readHandOverNote(NoSecret, Request, ""));
+      signHandOverToken({"r1-1-2.3", true}, Request, "");
+  cr_assert(!verifyHandOverToken(NoSecret, Request, ""));
 }
 
 // Symptom: a caller has a call run twice that may not be repeated.
@@ -60,14 +60,14 @@
   CallerFixture Fixture(fleetSettings());
   const RawRequest Request = rawRequest();
   const std::string Proved =
-      writeHandOverNote({"r9-1-2.3", true}, Request, Secret);
+      signHandOverToken({"r9-1-2.3", true}, Request, Secret);
   const std::string Answer = Fixture.exchange(withNote(Proved));
   cr_assert_eq(statusOfAnswer(Answer), 201, "%s", Answer.c_str());
   cr_assert(Answer.find("X-Request-Id: r9-1-2.3\r\n") != std::string::npos);
   cr_assert_eq(Fixture.claims(), 0);
   cr_assert_eq(Fixture.service().executions().at("r9-1-2.3.1"), 1);
   const std::string Forged =
-      writeHandOverNote({"r9-1-2.4", true}, Request, "a-guess");
+      signHandOverToken({"r9-1-2.4", true}, Request, "a-guess");
   cr_assert(
       isProblem(Fixture.exchange(withNote(Forged)), 400, "invalid-header"));
   cr_assert_eq(Fixture.service().executionsByKey().at("batch-4"), 1);
--- a/test/Caller/LimitsTest.cpp
+++ b/test/Caller/LimitsTest.cpp
@@ -188,7 +188,7 @@
   const std::string Refused = Fixture.exchange(CallerFixture::post(Good));
   cr_assert(isProblem(Refused, 503, "connection-limit"));
   cr_assert(Refused.find("Retry-After: 1") != std::string::npos);
-  First.leave();
+  First.disconnect();
   cr_assert(
       eventually([&] { return Fixture.server().openConnections() == 1; }));
   cr_assert_eq(statusOfAnswer(Fixture.exchange(CallerFixture::post(Good))),
--- a/test/Caller/PartsTest.cpp
+++ b/test/Caller/PartsTest.cpp
@@ -44,8 +44,8 @@
 }
 
 Test(Problem, AnUnknownOutcomeIsNeverAnnouncedAsNotRun) {
-  const AnswerRequest Answer{RequestId{1}, RequestOutcome::Unknown,
-                             AnswerReason::ServerFailed, Duration::zero()};
+  const FinishRequest Answer{RequestId{1}, RequestOutcome::Unknown,
+                             ResponseReason::ServerFailed, Duration::zero()};
   const Problem P = problemOf(Answer);
   cr_assert_eq(statusOf(P), Poco::Net::HTTPResponse::HTTP_BAD_GATEWAY);
   cr_assert(documentOf(P, "r1").find("\"outcome\":\"unknown\"") !=
--- a/test/Caller/WatchTest.cpp
+++ b/test/Caller/WatchTest.cpp
@@ -28,10 +28,10 @@
   RawCaller Waiting(Fixture.address());
   Waiting.send(CallerFixture::post(Long));
   cr_assert(eventually([&] { return Fixture.control().openRequests() == 2; }));
-  Waiting.leave();
+  Waiting.disconnect();
   cr_assert(eventually([&] { return Fixture.control().openRequests() == 1; }));
   cr_assert_eq(Fixture.engine().executions().size(), 1);
-  cr_assert_eq(Fixture.server().counters().CallersLeft, 1);
+  cr_assert_eq(Fixture.server().counters().CallersDisconnected, 1);
 }
 
 // Symptom: a request whose caller is gone holds its slot at the engine to its
@@ -46,7 +46,7 @@
   Running.send(CallerFixture::post(
       R"({"model":"advisory","input":"tokens=60000","max_output_tokens":60000})"));
   cr_assert(eventually([&] { return Fixture.engine().running() == 1; }));
-  Running.leave();
+  Running.disconnect();
   cr_assert(eventually([&] { return Fixture.engine().running() == 0; }));
   cr_assert_eq(Fixture.control().openRequests(), 0);
 }
@@ -70,7 +70,7 @@
   const std::string Answer = Caller.readToEnd();
   cr_assert(Answer.find("t299 ") != std::string::npos);
   cr_assert(Answer.find("\"output_text\":\"t0 t1 \"") != std::string::npos);
-  cr_assert_eq(Fixture.server().counters().CallersLeft, 0);
+  cr_assert_eq(Fixture.server().counters().CallersDisconnected, 0);
 }
 
 // Symptom: as in the first test.
@@ -87,10 +87,10 @@
   Waiting.send(CallerFixture::post(Long));
   cr_assert(eventually([&] { return Fixture.control().openRequests() == 2; }));
   Waiting.send("GET /health HTTP/1.1\r\n\r\n");
-  Waiting.leave();
+  Waiting.disconnect();
   cr_assert(eventually([&] { return Fixture.control().openRequests() == 1; }));
   cr_assert_eq(Fixture.engine().executions().size(), 1);
-  cr_assert_eq(Fixture.server().counters().CallersLeft, 1);
+  cr_assert_eq(Fixture.server().counters().CallersDisconnected, 1);
 }
 
 // Symptom: a caller that never reads holds its thread and its slot.
--- a/test/Decision/ConfigurationKeeperTest.cpp
+++ b/test/Decision/ConfigurationKeeperTest.cpp
@@ -160,7 +160,7 @@
         To, ConfigurationMessageReceived{RouterId{Index + 1}, Message.Message},
         this->MessageDelay + Duration(this->Random() % 2000));
   }
-  void perform(std::size_t Index, const PutInForce &Action) {
+  void perform(std::size_t Index, const ActivateConfiguration &Action) {
     Node &N = this->Nodes[Index];
     cr_assert_gt(Action.Generation, N.Highest);
     if (this->MayNotRevert) {
--- a/test/Decision/ConfigurationTextTest.cpp
+++ b/test/Decision/ConfigurationTextTest.cpp
@@ -21,7 +21,7 @@
 Test(ConfigurationText, doesNotDependOnTheOrderOfSections) {
   const ConfigurationText One("[a]\nx = 1\n[b]\ny = 2\n");
   const ConfigurationText Other("[b]\ny = 2\n[a]\nx = 1");
-  cr_assert_eq(One.whole(), Other.whole());
+  cr_assert_eq(One.fullText(), Other.fullText());
   cr_assert(One.hash() == Other.hash());
   cr_assert(textHashOf(toString(One.hash())) == One.hash());
 }
@@ -31,11 +31,11 @@
     ConfigurationText From(fileOf(A));
     const ConfigurationText To(fileOf(B));
     From.apply(From.deltaTo(To));
-    RC_ASSERT(From.whole() == To.whole());
+    RC_ASSERT(From.fullText() == To.fullText());
     RC_ASSERT(From.hash() == To.hash());
     std::string Joined;
     for (const std::string &Part : To.parts(64))
       Joined += Part;
-    RC_ASSERT(Joined == To.whole());
+    RC_ASSERT(Joined == To.fullText());
   }));
 }
--- a/test/Decision/FairnessFleet.cpp
+++ b/test/Decision/FairnessFleet.cpp
@@ -401,7 +401,7 @@
   const auto Seconds = [](Duration D) {
     return std::chrono::duration<double>(D).count();
   };
-  const double Exchange = Seconds(F.PositionInterval) +
+  const double Exchange = Seconds(F.ContributionInterval) +
                           2 * Seconds(F.FlushInterval) +
                           2 * Seconds(F.DigestInterval);
   const double InFlight = (SlotsAShare + 1) * this->Setup.LargestCost;
--- a/test/Decision/FairnessModulesTest.cpp
+++ b/test/Decision/FairnessModulesTest.cpp
@@ -24,10 +24,13 @@
 
 Test(AccountHome, leavesOutTheAskerAndTakesOnlyNewerVersions) {
   AccountHome Home(std::chrono::seconds(0));
-  Home.take(at(1), A, 1, 5, {9, 100, 0, 0});
-  cr_assert_eq(Home.take(at(1), B, 1, 1, {9, 30, 0, 0}).Others, 100.0);
-  cr_assert_eq(Home.take(at(1), A, 1, 4, {9, 50, 0, 0}).Others, 30.0);
-  cr_assert_eq(Home.take(at(1), B, 1, 2, {9, 30, 0, 0}).Others, 100.0);
+  Home.applyContribution(at(1), A, 1, 5, {9, 100, 0, 0});
+  cr_assert_eq(Home.applyContribution(at(1), B, 1, 1, {9, 30, 0, 0}).Others,
+               100.0);
+  cr_assert_eq(Home.applyContribution(at(1), A, 1, 4, {9, 50, 0, 0}).Others,
+               30.0);
+  cr_assert_eq(Home.applyContribution(at(1), B, 1, 2, {9, 30, 0, 0}).Others,
+               100.0);
 }
 
 // Symptom: a restarted router's account gets its service once more.
@@ -36,16 +39,20 @@
 // Seen to fail on a copy where the home does not add it to its base.
 Test(AccountHome, keepsWhatAnEarlierProcessCharged) {
   AccountHome Home(std::chrono::seconds(0));
-  Home.take(at(1), A, 1, 5, {9, 100, 0, 0});
-  cr_assert_eq(Home.take(at(2), A, 2, 1, {9, 0, 0, 0}).Others, 100.0);
-  Home.take(at(2), A, 1, 9, {9, 500, 0, 0});
-  cr_assert_eq(Home.take(at(2), A, 2, 2, {9, 0, 0, 0}).Others, 100.0);
+  Home.applyContribution(at(1), A, 1, 5, {9, 100, 0, 0});
+  cr_assert_eq(Home.applyContribution(at(2), A, 2, 1, {9, 0, 0, 0}).Others,
+               100.0);
+  Home.applyContribution(at(2), A, 1, 9, {9, 500, 0, 0});
+  cr_assert_eq(Home.applyContribution(at(2), A, 2, 2, {9, 0, 0, 0}).Others,
+               100.0);
 }
 
 Test(AccountHome, aNewHomeTakesOverWhatRoutersBelieve) {
   AccountHome Home(std::chrono::seconds(5));
-  cr_assert_eq(Home.take(at(1), A, 1, 1, {9, 40, 60, 0}).Others, 60.0);
-  cr_assert_eq(Home.take(at(1), B, 1, 1, {9, 50, 45, 0}).Others, 50.0);
+  cr_assert_eq(Home.applyContribution(at(1), A, 1, 1, {9, 40, 60, 0}).Others,
+               60.0);
+  cr_assert_eq(Home.applyContribution(at(1), B, 1, 1, {9, 50, 45, 0}).Others,
+               50.0);
 }
 
 Test(AccountLedger, liftsOnlyWhatTheHomeConfirmed) {
@@ -53,15 +60,15 @@
   const PairId Pair = pairOf(AccountId{1}, ServiceId{2});
   Ledger.open(AccountId{1}, ServiceId{2}, 2);
   Ledger.reenter(Pair, 1000, 500);
-  cr_assert_eq(Ledger.at(Pair).value(), 1000.0);
+  cr_assert_eq(Ledger.at(Pair).virtualTime(), 1000.0);
   cr_assert_eq(Ledger.contributionOf(Pair).Lift, 0.0F);
-  cr_assert(Ledger.take(at(1), A, 1, 3, {Pair, 1800, 0}));
-  cr_assert_eq(Ledger.at(Pair).value(), 900.0);
-  cr_assert(!Ledger.take(at(1), A, 1, 2, {Pair, 0, 0}));
+  cr_assert(Ledger.applyReply(at(1), A, 1, 3, {Pair, 1800, 0}));
+  cr_assert_eq(Ledger.at(Pair).virtualTime(), 900.0);
+  cr_assert(!Ledger.applyReply(at(1), A, 1, 2, {Pair, 0, 0}));
   Ledger.raiseTo(Pair, 1000);
-  cr_assert_geq(Ledger.at(Pair).value(), 1000.0);
+  cr_assert_geq(Ledger.at(Pair).virtualTime(), 1000.0);
   Ledger.reenter(Pair, 100, 500);
-  cr_assert_float_eq(Ledger.at(Pair).value(), 600, 0.01);
+  cr_assert_float_eq(Ledger.at(Pair).virtualTime(), 600, 0.01);
 }
 
 Test(AdmissionWindow, followsLateReportsAndNeverExceedsTheDeclared) {
@@ -95,12 +102,12 @@
   Owner.grant(Server, B, 7);
   const SlotGrant New = Owner.grantOf(at(1), Server, B);
   for (const SlotGrant &Grant : {New, Old, New})
-    Table.take(at(1), A, 1, Grant, std::chrono::seconds(1));
+    Table.applyGrant(at(1), A, 1, Grant, std::chrono::seconds(1));
   cr_assert_eq(Table.find(Server)->held(), 2U);
-  Table.giveBack(Server);
+  Table.returnSlot(Server);
   const SlotReport Report = Table.reportOf(at(1), Server);
-  cr_assert(Owner.take(B, 7, Report));
-  cr_assert(!Owner.take(B, 7, Report));
+  cr_assert(Owner.applyReport(B, 7, Report));
+  cr_assert(!Owner.applyReport(B, 7, Report));
   cr_assert_eq(Owner.outAt(Server), 1U);
   cr_assert_eq(Owner.freeSlots(at(1), Server), 2U);
   Owner.dropGone(View{A, {{A, 1, false}}});
@@ -111,10 +118,11 @@
   SlotOwner Owner;
   SlotTable Table;
   Table.setOwner(Server, A, 1);
-  Table.take(at(1), A, 1, {Server.Value, 2, 0, 65535}, std::chrono::seconds(1));
+  Table.applyGrant(at(1), A, 1, {Server.Value, 2, 0, 65535},
+                   std::chrono::seconds(1));
   Table.setOwner(Server, B, 1);
   Owner.add(Server, 3, at(0));
-  Owner.take(A, 1, Table.reportOf(at(1), Server));
+  Owner.applyReport(A, 1, Table.reportOf(at(1), Server));
   cr_assert_eq(Owner.freeSlots(at(1), Server), 1U);
 }
 
@@ -122,7 +130,7 @@
   FairMessage Message;
   Message.Digests.resize(2);
   Message.Contributions.resize(3);
-  Message.Answers.resize(1);
+  Message.Replies.resize(1);
   Message.Grants.resize(2);
   Message.Reports.resize(4);
   std::ostringstream Out;
--- a/test/Decision/FairnessWantTest.cpp
+++ b/test/Decision/FairnessWantTest.cpp
@@ -18,7 +18,7 @@
 FairMessage message(std::uint32_t Sequence) {
   FairMessage Empty;
   Empty.Sequence = Sequence;
-  Empty.ToLife = 1;
+  Empty.ToIncarnation = 1;
   return Empty;
 }
 
@@ -81,11 +81,11 @@
 // Symptom: such a router is not seen, as only a few routers are compared.
 // Seen to fail where only the drawn routers are compared.
 Test(FairnessWant, aRouterThatHasNoSlotIsAlwaysCompared) {
-  DigestBook Book(std::chrono::seconds(4));
+  DigestTable Book(std::chrono::seconds(4));
   for (std::uint64_t Router = 1; Router <= 30; ++Router)
-    Book.take(at(0), RouterId{Router},
-              {Service.Value, 100.0 + static_cast<double>(Router), 5});
-  Book.take(at(0), RouterId{31}, {Service.Value, 50, StarvedBit | 1});
+    Book.update(at(0), RouterId{Router},
+                {Service.Value, 100.0 + static_cast<double>(Router), 5});
+  Book.update(at(0), RouterId{31}, {Service.Value, 50, StarvedBit | 1});
   std::mt19937_64 Random(1);
   for (int Draw = 0; Draw < 20; ++Draw)
     cr_assert_eq(Book.sample(Service, 1, Random)->Router, RouterId{31});
--- a/test/Decision/MembershipNetwork.h
+++ b/test/Decision/MembershipNetwork.h
@@ -109,7 +109,7 @@
     const Router &Other = *this->Routers[Seen];
     for (const Member &Known : this->Routers[Viewer]->Table->view().Members)
       if (Known.Router == Other.id())
-        return Known.Life == Other.Life;
+        return Known.IncarnationNumber == Other.Life;
     return false;
   }
 
@@ -139,7 +139,8 @@
         return false;
       for (std::size_t Index = 0; Index < Members.size(); ++Index)
         if (Members[Index].Router != Expected[Index].Router ||
-            Members[Index].Life != Expected[Index].Life)
+            Members[Index].IncarnationNumber !=
+                Expected[Index].IncarnationNumber)
           return false;
     }
     return true;
--- a/test/Decision/RequestHarness.cpp
+++ b/test/Decision/RequestHarness.cpp
@@ -2,9 +2,9 @@
 
 namespace parsleywing::test {
 
-RequestDescription RequestHarness::describe(std::uint64_t Number,
-                                            bool Repeatable,
-                                            const std::string &Key) const {
+RequestDescription RequestHarness::makeRequest(std::uint64_t Number,
+                                               bool Repeatable,
+                                               const std::string &Key) const {
   RequestDescription D;
   D.Request = RequestId{Number};
   D.Account = Account1;
@@ -18,9 +18,9 @@
 
 void RequestHarness::admit(const RequestDescription &Description) {
   this->send(RequestArrived{Description});
-  if (this->asked<ClaimRunRecord>())
-    this->send(
-        RunRecordAnswered{Description.Request, RunRecordVerdict::Claimed});
+  if (this->action<ClaimRunRecord>())
+    this->send(RunRecordVerdictReceived{Description.Request,
+                                        RunRecordVerdict::Claimed});
   this->send(RequestAdmitted{Description.Request, Server1});
 }
 
--- a/test/Decision/RequestHarness.h
+++ b/test/Decision/RequestHarness.h
@@ -14,8 +14,8 @@
   explicit RequestHarness(const RequestSettings &S = {}) : Table(S) {}
 
   const RequestActions &send(const RequestEvent &Event) {
-    this->Asked = this->Table.handle(this->Now, Event);
-    return this->Asked;
+    this->Actions = this->Table.handle(this->Now, Event);
+    return this->Actions;
   }
 
   const RequestActions &tickAfter(Duration Step) {
@@ -24,28 +24,28 @@
   }
 
   /// The first action of this type that the last event caused.
-  template <typename ActionType> std::optional<ActionType> asked() const {
-    for (const RequestAction &Action : this->Asked)
+  template <typename ActionType> std::optional<ActionType> action() const {
+    for (const RequestAction &Action : this->Actions)
       if (const auto *Found = std::get_if<ActionType>(&Action))
         return *Found;
     return std::nullopt;
   }
 
-  template <typename ActionType> std::size_t countAsked() const {
+  template <typename ActionType> std::size_t countActions() const {
     std::size_t Count = 0;
-    for (const RequestAction &Action : this->Asked)
+    for (const RequestAction &Action : this->Actions)
       Count += std::holds_alternative<ActionType>(Action) ? 1 : 0;
     return Count;
   }
 
   /// True where the last event gave a caller this final answer.
-  bool answered(RequestOutcome Outcome, AnswerReason Reason) const {
-    const auto Answer = this->asked<AnswerRequest>();
+  bool finishedWith(RequestOutcome Outcome, ResponseReason Reason) const {
+    const auto Answer = this->action<FinishRequest>();
     return Answer && Answer->Outcome == Outcome && Answer->Reason == Reason;
   }
 
-  RequestDescription describe(std::uint64_t Number, bool Repeatable = true,
-                              const std::string &Key = "") const;
+  RequestDescription makeRequest(std::uint64_t Number, bool Repeatable = true,
+                                 const std::string &Key = "") const;
 
   /// Brings a request to its first attempt at server 1.
   void admit(const RequestDescription &Description);
@@ -57,7 +57,7 @@
   TimePoint Now;
 
 private:
-  RequestActions Asked;
+  RequestActions Actions;
 };
 
 inline constexpr ServerId Server1{1};
--- a/test/Decision/RequestPartsTest.cpp
+++ b/test/Decision/RequestPartsTest.cpp
@@ -1,10 +1,10 @@
+#include "Decision/Request/AdmissionRate.h"
 #include "Decision/Request/DrainPlan.h"
-#include "Decision/Request/DrainRate.h"
-#include "Decision/Request/KeyMemory.h"
+#include "Decision/Request/IdempotencyKeyCache.h"
 #include "Decision/Request/LoadShedder.h"
-#include "Decision/Request/ProgressWatch.h"
 #include "Decision/Request/RequestState.h"
 #include "Decision/Request/RetryBudget.h"
+#include "Decision/Request/StallDetector.h"
 #include "Decision/RequestHarness.h"
 
 #include <criterion/criterion.h>
@@ -17,7 +17,7 @@
 
 Test(RequestState, NothingFollowsTheFinalAnswer) {
   for (const auto &[State, Name] : RequestStateNames)
-    cr_assert(!mayFollow(RequestState::Finished, State));
+    cr_assert(!isValidTransition(RequestState::Finished, State));
 }
 
 Test(RetryBudget, OneAccountsFailuresTakeNoRetriesFromAnother) {
@@ -27,28 +27,28 @@
     Budget.countFirstAttempt(Account2);
   }
   const TimePoint Now;
-  while (Budget.take(Now, Account1))
+  while (Budget.tryAcquire(Now, Account1))
     continue;
-  cr_assert(Budget.take(Now, Account2));
+  cr_assert(Budget.tryAcquire(Now, Account2));
 }
 
 Test(RetryBudget, TheFloorRefillsWithTime) {
   RetryBudget Budget{RetrySettings{}};
   TimePoint Now;
-  cr_assert(Budget.take(Now, Account1));
-  cr_assert(!Budget.take(Now, Account1));
+  cr_assert(Budget.tryAcquire(Now, Account1));
+  cr_assert(!Budget.tryAcquire(Now, Account1));
   Now += seconds(1);
-  cr_assert(Budget.take(Now, Account1));
-  cr_assert(!Budget.take(Now, Account1));
+  cr_assert(Budget.tryAcquire(Now, Account1));
+  cr_assert(!Budget.tryAcquire(Now, Account1));
 }
 
 Test(KeyMemory, ForgetsTheOldestEndedKeyButNoOpenOne) {
-  KeyMemory Keys(1);
-  Keys.open(Account1, "open");
-  Keys.open(Account1, "a");
-  Keys.end(Account1, "a", RequestOutcome::Completed);
-  Keys.open(Account1, "b");
-  Keys.end(Account1, "b", RequestOutcome::Unknown);
+  IdempotencyKeyCache Keys(1);
+  Keys.addOpen(Account1, "open");
+  Keys.addOpen(Account1, "a");
+  Keys.markEnded(Account1, "a", RequestOutcome::Completed);
+  Keys.addOpen(Account1, "b");
+  Keys.markEnded(Account1, "b", RequestOutcome::Unknown);
   cr_assert(!Keys.find(Account1, "a"));
   cr_assert(Keys.find(Account1, "b") == RequestOutcome::Unknown);
   cr_assert(Keys.find(Account1, "open").has_value());
@@ -62,37 +62,39 @@
   LimitSettings S;
   S.MaxWaiting = 5;
   LoadShedder Shedder(S);
-  Shedder.declare(Declared);
+  Shedder.setDeclarations(Declared);
   for (std::uint64_t N = 1; N <= 3; ++N)
     Shedder.add(Account1, RequestId{N});
   Shedder.add(Account2, RequestId{4});
   Shedder.add(Account2, RequestId{5});
   cr_assert(Shedder.decide(Account1).Shed == RequestId{5});
-  cr_assert(Shedder.decide(Account2).Refused == AnswerReason::RouterQueueFull);
+  cr_assert(Shedder.decide(Account2).Refusal ==
+            ResponseReason::RouterQueueFull);
   Shedder.remove(Account2, RequestId{5});
-  cr_assert(!Shedder.decide(Account2).Refused);
+  cr_assert(!Shedder.decide(Account2).Refusal);
 }
 
 Test(LoadShedder, AnAccountsOwnLimitsComeFirst) {
   auto Declared = std::make_shared<Declarations>();
   Declared->Accounts[Account1].MaxQueued = 1;
   LoadShedder Shedder{LimitSettings{}};
-  Shedder.declare(Declared);
+  Shedder.setDeclarations(Declared);
   Shedder.add(Account1, RequestId{1});
-  cr_assert(Shedder.decide(Account1).Refused == AnswerReason::AccountQueueFull);
-  cr_assert(!Shedder.decide(Account2).Refused);
+  cr_assert(Shedder.decide(Account1).Refusal ==
+            ResponseReason::AccountQueueFull);
+  cr_assert(!Shedder.decide(Account2).Refusal);
   Shedder.stopWaiting(Account1, RequestId{1});
-  cr_assert(!Shedder.decide(Account1).Refused);
+  cr_assert(!Shedder.decide(Account1).Refusal);
 }
 
 Test(DrainRate, SaysWhenTheQueueWillHaveDrained) {
-  DrainRate Rate{RetryAfterSettings{}};
+  AdmissionRate Rate{RetryAfterSettings{}};
   Jitter Random(7);
   TimePoint Now;
   for (int Second = 0; Second < 60; ++Second) {
     Now += seconds(1);
     for (int N = 0; N < 10; ++N)
-      Rate.count();
+      Rate.countAdmitted();
     Rate.tick(Now);
   }
   const Duration Wait = Rate.retryAfter(100, Random);
@@ -102,16 +104,16 @@
 }
 
 Test(ProgressWatch, MovesItsTimerOnlyWhenItRunsOut) {
-  ProgressWatch Watch{ProgressSettings{}};
+  StallDetector Watch{ProgressSettings{}};
   TimePoint Now;
   Watch.start(Now, RequestId{1}, ServiceKind::Engine);
   for (int N = 0; N < 10; ++N) {
     Now += seconds(9);
     Watch.progressed(Now, RequestId{1});
-    cr_assert(!Watch.takeStuck(Now));
+    cr_assert(!Watch.takeStalled(Now));
   }
   Now += seconds(10);
-  cr_assert(Watch.takeStuck(Now) == RequestId{1});
+  cr_assert(Watch.takeStalled(Now) == RequestId{1});
   cr_assert_eq(Watch.size(), 0U);
 }
 
@@ -119,10 +121,10 @@
   DrainPlan Plan{DrainSettings{}};
   View V = viewOf({2, 3, 4});
   V.Members[2].Draining = true;
-  Plan.view(V);
+  Plan.setView(V);
   cr_assert(Plan.nextRouter() == RouterId{2});
   cr_assert(Plan.nextRouter() == RouterId{4});
   cr_assert(Plan.nextRouter() == RouterId{2});
-  Plan.view(viewOf({}));
+  Plan.setView(viewOf({}));
   cr_assert(!Plan.nextRouter());
 }
--- a/test/Decision/RequestRandomTest.cpp
+++ b/test/Decision/RequestRandomTest.cpp
@@ -1,4 +1,4 @@
-#include "Decision/RequestWorld.h"
+#include "Decision/RequestSimulation.h"
 
 #include <criterion/criterion.h>
 #include <csignal>
@@ -40,7 +40,7 @@
     const auto Steps = *rc::gen::inRange<std::uint64_t>(100, 3000);
     CurrentSeed = Seed;
     CurrentSteps = Steps;
-    RequestWorld World(Seed);
+    RequestSimulation World(Seed);
     for (std::uint64_t N = 0; N < Steps && World.violation().empty(); ++N)
       World.step();
     if (World.violation().empty())
--- a/test/Decision/RequestRecordTest.cpp
+++ b/test/Decision/RequestRecordTest.cpp
@@ -19,56 +19,60 @@
 // Cause: an attempt before the claim of the run record was answered.
 Test(RequestRecord, NothingIsQueuedBeforeItsRecordIsClaimed) {
   RequestHarness H;
-  H.send(RequestArrived{H.describe(1, false, "k")});
-  cr_assert_eq(H.asked<ClaimRunRecord>().value().Identity, "r1-1-1");
-  cr_assert(!H.asked<QueueRequest>());
-  H.send(RunRecordAnswered{First, RunRecordVerdict::TakenByOther});
-  cr_assert(H.answered(RequestOutcome::Unknown, AnswerReason::AlreadyRun));
+  H.send(RequestArrived{H.makeRequest(1, false, "k")});
+  cr_assert_eq(H.action<ClaimRunRecord>().value().Identity, "r1-1-1");
+  cr_assert(!H.action<QueueRequest>());
+  H.send(RunRecordVerdictReceived{First, RunRecordVerdict::TakenByOther});
+  cr_assert(
+      H.finishedWith(RequestOutcome::Unknown, ResponseReason::AlreadyRun));
 }
 
 Test(RequestRecord, AStoreThatIsAwayRefusesBeforeThePromise) {
   RequestHarness H;
-  H.send(RequestArrived{H.describe(1, false, "k")});
+  H.send(RequestArrived{H.makeRequest(1, false, "k")});
   H.tickAfter(seconds(1));
-  cr_assert(
-      H.answered(RequestOutcome::NotRun, AnswerReason::RecordUnavailable));
-  cr_assert(H.asked<AnswerRequest>().value().RetryAfter >= seconds(1));
+  cr_assert(H.finishedWith(RequestOutcome::NotRun,
+                           ResponseReason::RecordUnavailable));
+  cr_assert(H.action<FinishRequest>().value().RetryAfter >= seconds(1));
   // The claim may still take effect: it is taken back.
-  cr_assert(H.asked<ReleaseRunRecord>().has_value());
-  H.send(RunRecordAnswered{First, RunRecordVerdict::Claimed});
-  cr_assert(!H.asked<QueueRequest>());
+  cr_assert(H.action<ReleaseRunRecord>().has_value());
+  H.send(RunRecordVerdictReceived{First, RunRecordVerdict::Claimed});
+  cr_assert(!H.action<QueueRequest>());
   cr_assert_eq(H.Table.counters().DroppedEvents, 1U);
 }
 
 Test(RequestRecord, ARepeatHereIsRecognisedWithoutTheStore) {
   RequestHarness H;
-  H.admit(H.describe(1, false, "k"));
-  H.send(RequestArrived{H.describe(2, false, "k")});
-  cr_assert(H.answered(RequestOutcome::Unknown, AnswerReason::AlreadyRun));
+  H.admit(H.makeRequest(1, false, "k"));
+  H.send(RequestArrived{H.makeRequest(2, false, "k")});
+  cr_assert(
+      H.finishedWith(RequestOutcome::Unknown, ResponseReason::AlreadyRun));
   H.send(AttemptEnded{First, 1, AttemptOutcome::Completed, 3, 3});
-  cr_assert(H.asked<CompleteRunRecord>().has_value());
-  H.send(RequestArrived{H.describe(3, false, "k")});
-  cr_assert(H.answered(RequestOutcome::Completed, AnswerReason::AlreadyRun));
-  cr_assert(!H.asked<ClaimRunRecord>());
+  cr_assert(H.action<CompleteRunRecord>().has_value());
+  H.send(RequestArrived{H.makeRequest(3, false, "k")});
+  cr_assert(
+      H.finishedWith(RequestOutcome::Completed, ResponseReason::AlreadyRun));
+  cr_assert(!H.action<ClaimRunRecord>());
 }
 
 Test(RequestRecord, WhatDidNotRunMayBeRepeated) {
   RequestHarness H;
-  H.send(RequestArrived{H.describe(1, false, "k")});
-  H.send(RunRecordAnswered{First, RunRecordVerdict::Claimed});
+  H.send(RequestArrived{H.makeRequest(1, false, "k")});
+  H.send(RunRecordVerdictReceived{First, RunRecordVerdict::Claimed});
   H.tickAfter(std::chrono::minutes(5));
-  cr_assert(H.answered(RequestOutcome::NotRun, AnswerReason::DeadlinePassed));
-  cr_assert(H.asked<ReleaseRunRecord>().has_value());
-  H.send(RequestArrived{H.describe(2, false, "k")});
-  cr_assert(H.asked<ClaimRunRecord>().has_value());
+  cr_assert(
+      H.finishedWith(RequestOutcome::NotRun, ResponseReason::DeadlinePassed));
+  cr_assert(H.action<ReleaseRunRecord>().has_value());
+  H.send(RequestArrived{H.makeRequest(2, false, "k")});
+  cr_assert(H.action<ClaimRunRecord>().has_value());
 }
 
 Test(RequestRecord, AnUnknownOutcomeKeepsItsRecord) {
   RequestHarness H;
-  H.admit(H.describe(1, false, "k"));
-  H.send(CallerLeft{First});
-  cr_assert(!H.asked<ReleaseRunRecord>());
-  cr_assert(!H.asked<CompleteRunRecord>());
+  H.admit(H.makeRequest(1, false, "k"));
+  H.send(CallerDisconnected{First});
+  cr_assert(!H.action<ReleaseRunRecord>());
+  cr_assert(!H.action<CompleteRunRecord>());
 }
 
 // Symptom: callers fail whenever a router is replaced. Sequence: a drain with
@@ -76,47 +80,49 @@
 Test(RequestDrain, FinishesWhatRunsAndHandsOverWhatWaits) {
   RequestHarness H;
   H.send(ViewChanged{viewOf({2})});
-  H.stream(H.describe(1), 1);
-  H.send(RequestArrived{H.describe(2)});
+  H.stream(H.makeRequest(1), 1);
+  H.send(RequestArrived{H.makeRequest(2)});
   H.send(DrainRequested{});
-  cr_assert_eq(H.asked<HandOverRequest>().value().Router, RouterId{2});
-  cr_assert_eq(H.asked<HandOverRequest>().value().Request, Second);
-  cr_assert(H.asked<WithdrawRequest>().has_value());
-  cr_assert(!H.asked<CancelAttempt>());
-  H.send(RequestArrived{H.describe(3)});
-  cr_assert(H.answered(RequestOutcome::NotRun, AnswerReason::Draining));
-  cr_assert(H.asked<AnswerRequest>().value().RetryAfter >= seconds(1));
+  cr_assert_eq(H.action<HandOverRequest>().value().Router, RouterId{2});
+  cr_assert_eq(H.action<HandOverRequest>().value().Request, Second);
+  cr_assert(H.action<WithdrawRequest>().has_value());
+  cr_assert(!H.action<CancelAttempt>());
+  H.send(RequestArrived{H.makeRequest(3)});
+  cr_assert(H.finishedWith(RequestOutcome::NotRun, ResponseReason::Draining));
+  cr_assert(H.action<FinishRequest>().value().RetryAfter >= seconds(1));
   H.send(HandOverEnded{Second, 1, AttemptOutcome::Completed});
-  cr_assert(H.answered(RequestOutcome::Completed, AnswerReason::Served));
+  cr_assert(H.finishedWith(RequestOutcome::Completed, ResponseReason::Served));
   H.send(AttemptEnded{First, 1, AttemptOutcome::Completed, 2, 2});
-  cr_assert_eq(H.asked<DrainFinished>().value().Unfinished, 0U);
+  cr_assert_eq(H.action<DrainFinished>().value().Unfinished, 0U);
 }
 
 Test(RequestDrain, AClaimedRequestIsHandedOverWithItsRecord) {
   RequestHarness H;
   H.send(ViewChanged{viewOf({2, 3})});
-  H.send(RequestArrived{H.describe(1, false, "k")});
+  H.send(RequestArrived{H.makeRequest(1, false, "k")});
   H.send(DrainRequested{});
-  H.send(RunRecordAnswered{First, RunRecordVerdict::Claimed});
-  cr_assert(H.asked<HandOverRequest>().value().RecordHeld);
+  H.send(RunRecordVerdictReceived{First, RunRecordVerdict::Claimed});
+  cr_assert(H.action<HandOverRequest>().value().RecordHeld);
   H.send(HandOverEnded{First, 1, AttemptOutcome::Rejected});
-  cr_assert_eq(H.asked<HandOverRequest>().value().Router, RouterId{3});
+  cr_assert_eq(H.action<HandOverRequest>().value().Router, RouterId{3});
   H.send(HandOverEnded{First, 1, AttemptOutcome::Completed});
-  cr_assert(!H.asked<AnswerRequest>());
+  cr_assert(!H.action<FinishRequest>());
   H.send(HandOverEnded{First, 2, AttemptOutcome::Interrupted});
-  cr_assert(H.answered(RequestOutcome::Unknown, AnswerReason::ServerFailed));
-  cr_assert(!H.asked<ReleaseRunRecord>());
+  cr_assert(
+      H.finishedWith(RequestOutcome::Unknown, ResponseReason::ServerFailed));
+  cr_assert(!H.action<ReleaseRunRecord>());
 }
 
 Test(RequestDrain, AReceivedHandOverLeavesTheRecordToItsHolder) {
   RequestHarness H;
-  RequestDescription D = H.describe(1, false, "k");
+  RequestDescription D = H.makeRequest(1, false, "k");
   D.RecordHeldElsewhere = true;
   H.send(RequestArrived{D});
-  cr_assert(H.asked<QueueRequest>().has_value());
+  cr_assert(H.action<QueueRequest>().has_value());
   H.tickAfter(std::chrono::minutes(5));
-  cr_assert(H.answered(RequestOutcome::NotRun, AnswerReason::DeadlinePassed));
-  cr_assert(!H.asked<ReleaseRunRecord>());
+  cr_assert(
+      H.finishedWith(RequestOutcome::NotRun, ResponseReason::DeadlinePassed));
+  cr_assert(!H.action<ReleaseRunRecord>());
 }
 
 // Symptom: a router that is to be replaced holds requests that it can neither
@@ -127,17 +133,17 @@
     RequestHarness H;
     if (!Alone)
       H.send(ViewChanged{viewOf({2})});
-    H.send(RequestArrived{H.describe(1, false, "k")});
-    H.send(RunRecordAnswered{First, RunRecordVerdict::Claimed});
+    H.send(RequestArrived{H.makeRequest(1, false, "k")});
+    H.send(RunRecordVerdictReceived{First, RunRecordVerdict::Claimed});
     H.send(DrainRequested{});
     for (AttemptNumber Offer = 1; !Alone && Offer <= 3; ++Offer) {
-      cr_assert(!H.asked<AnswerRequest>());
+      cr_assert(!H.action<FinishRequest>());
       H.send(HandOverEnded{First, Offer, AttemptOutcome::NotSent});
     }
-    cr_assert(H.answered(RequestOutcome::NotRun, AnswerReason::Draining));
-    cr_assert(H.asked<AnswerRequest>().value().RetryAfter >= seconds(1));
-    cr_assert(H.asked<ReleaseRunRecord>().has_value());
-    cr_assert_eq(H.asked<DrainFinished>().value().Unfinished, 0U);
+    cr_assert(H.finishedWith(RequestOutcome::NotRun, ResponseReason::Draining));
+    cr_assert(H.action<FinishRequest>().value().RetryAfter >= seconds(1));
+    cr_assert(H.action<ReleaseRunRecord>().has_value());
+    cr_assert_eq(H.action<DrainFinished>().value().Unfinished, 0U);
   }
 }
 
@@ -149,29 +155,29 @@
 Test(RequestDrain, WhatWasHandedOverIsNotHandedOn) {
   RequestHarness H;
   H.send(ViewChanged{viewOf({2})});
-  RequestDescription D = H.describe(1);
+  RequestDescription D = H.makeRequest(1);
   D.HandedOver = true;
   H.send(RequestArrived{D});
   H.send(DrainRequested{});
-  cr_assert(!H.asked<HandOverRequest>());
-  cr_assert(H.answered(RequestOutcome::NotRun, AnswerReason::Draining));
+  cr_assert(!H.action<HandOverRequest>());
+  cr_assert(H.finishedWith(RequestOutcome::NotRun, ResponseReason::Draining));
 }
 
 Test(RequestDrain, ARetryThatMayHaveRunIsEndedHere) {
   RequestHarness H;
-  H.admit(H.describe(1));
+  H.admit(H.makeRequest(1));
   H.send(AttemptSent{First, 1});
   H.send(AttemptEnded{First, 1, AttemptOutcome::Interrupted, 0, 0});
   H.send(DrainRequested{});
   H.tickAfter(seconds(2));
-  cr_assert(!H.asked<AnswerRequest>());
+  cr_assert(!H.action<FinishRequest>());
   H.send(RequestAdmitted{First, Server1});
-  cr_assert(H.asked<StartAttempt>().has_value());
+  cr_assert(H.action<StartAttempt>().has_value());
 }
 
 Test(RequestDrain, TheHardLimitCutsOffAndCounts) {
   RequestHarness H;
-  RequestDescription D = H.describe(1);
+  RequestDescription D = H.makeRequest(1);
   D.Deadline = H.Now + std::chrono::hours(1);
   H.stream(D, 1);
   H.send(DrainRequested{});
@@ -183,6 +189,6 @@
   cr_assert_eq(H.Table.openRequests(), 1U);
   H.tickAfter(std::chrono::minutes(1));
   cr_assert_eq(H.Table.openRequests(), 0U);
-  cr_assert(H.answered(RequestOutcome::Unknown, AnswerReason::Draining));
-  cr_assert_eq(H.asked<DrainFinished>().value().Unfinished, 1U);
+  cr_assert(H.finishedWith(RequestOutcome::Unknown, ResponseReason::Draining));
+  cr_assert_eq(H.action<DrainFinished>().value().Unfinished, 1U);
 }
--- a/test/Decision/RequestWorld.cpp
+++ b/test/Decision/RequestSimulation.cpp
@@ -1,4 +1,4 @@
-#include "Decision/RequestWorld.h"
+#include "Decision/RequestSimulation.h"
 
 #include "Runtime/Overloaded.h"
 
@@ -20,30 +20,30 @@
 
 } // namespace
 
-RequestWorld::RequestWorld(std::uint64_t Seed) : Random(Seed) {
+RequestSimulation::RequestSimulation(std::uint64_t Seed) : Random(Seed) {
   this->Routers.resize(RouterCount);
   for (std::size_t N = 0; N < RouterCount; ++N)
     this->replace(N);
 }
 
-bool RequestWorld::chance(int Percent) {
+bool RequestSimulation::chance(int Percent) {
   return this->below(100) < static_cast<std::size_t>(Percent);
 }
 
-std::size_t RequestWorld::below(std::size_t Limit) {
+std::size_t RequestSimulation::below(std::size_t Limit) {
   return this->Random() % Limit;
 }
 
-template <typename Map> auto RequestWorld::anyOf(Map &Of) {
+template <typename Map> auto RequestSimulation::anyOf(Map &Of) {
   return std::next(Of.begin(), static_cast<long>(this->below(Of.size())));
 }
 
-void RequestWorld::fail(const std::string &What) {
+void RequestSimulation::fail(const std::string &What) {
   if (this->Violation.empty())
     this->Violation = What;
 }
 
-void RequestWorld::step() {
+void RequestSimulation::step() {
   const std::size_t Which = this->below(200);
   if (Which < 8)
     this->callerCalls();
@@ -69,7 +69,7 @@
     this->StoreDown = !this->StoreDown;
 }
 
-void RequestWorld::settle() {
+void RequestSimulation::settle() {
   for (int Second = 0; Second < 200; ++Second) {
     while (std::ranges::any_of(
         this->Requests, [](const auto &R) { return !R.second.Mail.empty(); }))
@@ -84,14 +84,14 @@
       this->fail("a slot was never given back");
 }
 
-void RequestWorld::tell(std::size_t Router, const RequestEvent &Event) {
+void RequestSimulation::tell(std::size_t Router, const RequestEvent &Event) {
   const RequestActions Wanted =
       this->Routers[Router].Table->handle(this->Now, Event);
   for (const RequestAction &Action : Wanted)
     this->carryOut(Router, Action);
 }
 
-void RequestWorld::carryOut(std::size_t At, const RequestAction &Wanted) {
+void RequestSimulation::carryOut(std::size_t At, const RequestAction &Wanted) {
   Router &R = this->Routers[At];
   std::visit(
       Overloaded{
@@ -103,7 +103,7 @@
             if (!R.Slots.contains(A.Request))
               this->fail("a charge without a slot");
           },
-          [&](const ReleaseRequest &A) {
+          [&](const ReleaseSlot &A) {
             if (R.Slots.erase(A.Request) != 1)
               this->fail("a slot was given back twice");
           },
@@ -116,7 +116,7 @@
           },
           [&](const ResumeAttempt &A) {
             Held &H = this->Requests.at(A.Request);
-            const StreamIndex From = H.Streams.at(A.StartedBy);
+            const StreamIndex From = H.Streams.at(A.OriginalAttempt);
             if (A.Offset != this->Calls[H.Of].Passed.size() ||
                 this->Streams[From].Server != A.Server)
               this->fail("a stream was resumed elsewhere");
@@ -131,20 +131,20 @@
             if (H.Doing && H.Doing->Attempt == A.Attempt)
               H.Doing->Cancelled = true;
           },
-          [&](const AnswerRequest &A) { this->answer(A); },
+          [&](const FinishRequest &A) { this->answer(A); },
           [&](const DrainFinished &) { this->replace(At); },
           [&](const auto &A) { this->StoreOrders[A.Request].push_back(A); },
       },
       Wanted);
 }
 
-void RequestWorld::answer(const AnswerRequest &Answer) {
+void RequestSimulation::answer(const FinishRequest &Answer) {
   Held &H = this->Requests.at(Answer.Request);
   Call &C = this->Calls[H.Of];
   if (H.Answered)
     this->fail("a request got two final answers");
   H.Answered = true;
-  const bool Served = Answer.Reason == AnswerReason::Served;
+  const bool Served = Answer.Reason == ResponseReason::Served;
   if (Served && C.Passed.size() != PiecesOfAnswer)
     this->fail("an answer that is not whole was told as whole");
   if (Answer.Outcome == RequestOutcome::NotRun && !H.Parent) {
@@ -161,8 +161,8 @@
     C.Answered = true;
 }
 
-void RequestWorld::answerParent(RequestId ChildId, const Held &Child,
-                                RequestOutcome Outcome) {
+void RequestSimulation::answerParent(RequestId ChildId, const Held &Child,
+                                     RequestOutcome Outcome) {
   auto Found = this->Requests.find(*Child.Parent);
   if (Found == this->Requests.end() || !Found->second.Doing ||
       Found->second.Doing->Child != ChildId)
@@ -175,7 +175,7 @@
   this->end(Found->first, Found->second, Ended);
 }
 
-void RequestWorld::callerCalls() {
+void RequestSimulation::callerCalls() {
   Call C;
   RequestDescription &D = C.Asked;
   D.Account = AccountId{this->below(2)};
@@ -190,8 +190,9 @@
   this->arrive(this->below(RouterCount), this->Calls.size() - 1, {}, false);
 }
 
-void RequestWorld::arrive(std::size_t At, CallIndex Of,
-                          std::optional<RequestId> Parent, bool RecordHeld) {
+void RequestSimulation::arrive(std::size_t At, CallIndex Of,
+                               std::optional<RequestId> Parent,
+                               bool RecordHeld) {
   RequestDescription &D = this->Calls[Of].Asked;
   D.Request = RequestId{this->NextRequest++};
   D.RecordHeldElsewhere = RecordHeld;
@@ -202,15 +203,15 @@
   this->tell(At, RequestArrived{D});
 }
 
-void RequestWorld::callerLeaves() {
+void RequestSimulation::callerLeaves() {
   if (this->Requests.empty())
     return;
   const auto Chosen = this->anyOf(this->Requests);
   if (!Chosen->second.Parent)
-    Chosen->second.Mail.emplace_back(CallerLeft{Chosen->first});
+    Chosen->second.Mail.emplace_back(CallerDisconnected{Chosen->first});
 }
 
-void RequestWorld::admitOne() {
+void RequestSimulation::admitOne() {
   const std::size_t At = this->below(RouterCount);
   Router &R = this->Routers[At];
   if (R.Queue.empty())
@@ -222,7 +223,7 @@
   this->tell(At, RequestAdmitted{Request, ServerId{1 + this->below(3)}});
 }
 
-void RequestWorld::deliverMail() {
+void RequestSimulation::deliverMail() {
   if (!this->Doubled.empty() && this->chance(30)) {
     const auto Chosen = this->anyOf(this->Doubled);
     const auto [At, Event] = *Chosen;
@@ -244,7 +245,7 @@
   this->tell(H.Router, Event);
 }
 
-void RequestWorld::moveTraffic() {
+void RequestSimulation::moveTraffic() {
   std::vector<RequestId> Busy;
   for (const auto &[Id, H] : this->Requests)
     if (H.Doing)
@@ -259,7 +260,7 @@
     this->flow(Id, H);
 }
 
-void RequestWorld::connect(RequestId Id, Held &H) {
+void RequestSimulation::connect(RequestId Id, Held &H) {
   Traffic &T = *H.Doing;
   if (T.Cancelled || this->chance(15)) {
     this->end(Id, H, AttemptOutcome::NotSent);
@@ -280,13 +281,13 @@
   H.Mail.emplace_back(AttemptSent{Id, T.Attempt});
 }
 
-void RequestWorld::connectHandOver(RequestId Id, Held &H) {
+void RequestSimulation::connectHandOver(RequestId Id, Held &H) {
   H.Doing->Child = RequestId{this->NextRequest};
   const bool Keyed = !this->Calls[H.Of].Asked.IdempotencyKey.empty();
   this->arrive(1 - H.Router, H.Of, Id, Keyed);
 }
 
-void RequestWorld::flow(RequestId Id, Held &H) {
+void RequestSimulation::flow(RequestId Id, Held &H) {
   Traffic &T = *H.Doing;
   if (T.Cancelled || this->chance(5)) {
     const bool Hangs = T.Cancelled && this->chance(10);
@@ -295,7 +296,7 @@
     if (T.Child) {
       const auto Child = this->Requests.find(*T.Child);
       if (Child != this->Requests.end())
-        Child->second.Mail.emplace_back(CallerLeft{Child->first});
+        Child->second.Mail.emplace_back(CallerDisconnected{Child->first});
     }
     if (Hangs)
       H.Doing.reset();
@@ -314,13 +315,13 @@
     this->end(Id, H, AttemptOutcome::Completed);
 }
 
-void RequestWorld::passOn(RequestId Id, Held &H) {
+void RequestSimulation::passOn(RequestId Id, Held &H) {
   const auto Parent =
       H.Parent ? this->Requests.find(*H.Parent) : this->Requests.end();
   const bool Linked = Parent != this->Requests.end() && Parent->second.Doing &&
                       Parent->second.Doing->Child == Id;
   if (H.Parent && !Linked) {
-    this->end(Id, H, AttemptOutcome::CallerLeft);
+    this->end(Id, H, AttemptOutcome::CallerDisconnected);
     return;
   }
   std::vector<StreamIndex> &Passed = this->Calls[H.Of].Passed;
@@ -333,7 +334,7 @@
         *H.Parent, Parent->second.Doing->Attempt, Passed.size()});
 }
 
-void RequestWorld::end(RequestId Id, Held &H, AttemptOutcome Outcome) {
+void RequestSimulation::end(RequestId Id, Held &H, AttemptOutcome Outcome) {
   const std::size_t Offset = this->Calls[H.Of].Passed.size();
   const AttemptNumber Attempt = H.Doing->Attempt;
   if (H.Doing->Does == Traffic::Kind::HandOver)
@@ -343,7 +344,7 @@
   H.Doing.reset();
 }
 
-void RequestWorld::moveServer() {
+void RequestSimulation::moveServer() {
   std::vector<StreamIndex> Moving;
   for (StreamIndex N = 0; N < this->Streams.size(); ++N) {
     const Stream &S = this->Streams[N];
@@ -375,7 +376,7 @@
     this->fail("two calls with one idempotency key ran");
 }
 
-void RequestWorld::moveStore() {
+void RequestSimulation::moveStore() {
   if (this->StoreOrders.empty())
     return;
   const auto Chosen = this->anyOf(this->StoreOrders);
@@ -405,7 +406,7 @@
              Order);
 }
 
-void RequestWorld::claim(const ClaimRunRecord &O) {
+void RequestSimulation::claim(const ClaimRunRecord &O) {
   const Record &R =
       this->Records.try_emplace({O.Account, O.Key}, Record{O.Identity})
           .first->second;
@@ -418,10 +419,11 @@
     Verdict = RunRecordVerdict::Unavailable; // The reply was lost.
   const auto Asking = this->Requests.find(O.Request);
   if (Asking != this->Requests.end())
-    Asking->second.Mail.emplace_back(RunRecordAnswered{O.Request, Verdict});
+    Asking->second.Mail.emplace_back(
+        RunRecordVerdictReceived{O.Request, Verdict});
 }
 
-void RequestWorld::restart(std::size_t At) {
+void RequestSimulation::restart(std::size_t At) {
   std::vector<RequestId> Gone;
   for (auto &[Id, H] : this->Requests) {
     if (H.Router != At)
@@ -440,7 +442,7 @@
   this->replace(At);
 }
 
-void RequestWorld::drain(std::size_t At) {
+void RequestSimulation::drain(std::size_t At) {
   if (this->Routers[1 - At].Draining)
     return;
   this->Routers[At].Draining = true;
@@ -448,11 +450,11 @@
   this->tell(At, DrainRequested{});
 }
 
-void RequestWorld::replace(std::size_t At) {
+void RequestSimulation::replace(std::size_t At) {
   RequestSettings S;
   S.Seed = this->Random();
   S.Limits.MaxWaiting = 3;
-  S.Records.RememberedKeys = 2;
+  S.Records.MaxEndedKeys = 2;
   ++this->Life;
   std::erase_if(this->Doubled, [&](const auto &D) { return D.first == At; });
   std::erase_if(this->Requests, [&](const auto &R) {
@@ -468,7 +470,7 @@
     this->tell(1 - At, ViewChanged{viewFor(1 - At, false)});
 }
 
-void RequestWorld::passTime(Duration Step) {
+void RequestSimulation::passTime(Duration Step) {
   this->Now += Step;
   for (std::size_t N = 0; N < RouterCount; ++N)
     this->tell(N, Tick{});
--- a/test/Decision/RequestWorld.h
+++ b/test/Decision/RequestSimulation.h
@@ -1,5 +1,5 @@
-#ifndef PARSLEYWING_TEST_DECISION_REQUESTWORLD_H
-#define PARSLEYWING_TEST_DECISION_REQUESTWORLD_H
+#ifndef PARSLEYWING_TEST_DECISION_REQUESTSIMULATION_H
+#define PARSLEYWING_TEST_DECISION_REQUESTSIMULATION_H
 
 #include "Decision/Request/RequestTable.h"
 
@@ -15,9 +15,9 @@
 /// and the backend servers, in which everything that may go wrong does so at
 /// random. It counts executions at the servers and notes the first promise
 /// that was broken. The same seed gives the same run.
-class RequestWorld {
+class RequestSimulation {
 public:
-  explicit RequestWorld(std::uint64_t Seed);
+  explicit RequestSimulation(std::uint64_t Seed);
 
   /// One thing happens.
   void step();
@@ -104,7 +104,7 @@
   void carryOut(std::size_t Router, const RequestAction &Wanted);
   void arrive(std::size_t Router, CallIndex Of, std::optional<RequestId> Parent,
               bool RecordHeld);
-  void answer(const AnswerRequest &Answer);
+  void answer(const FinishRequest &Answer);
   void answerParent(RequestId ChildId, const Held &Child,
                     RequestOutcome Outcome);
 
--- a/test/Decision/RequestTableTest.cpp
+++ b/test/Decision/RequestTableTest.cpp
@@ -27,19 +27,21 @@
 // sent is still on its way. Cause: "admitted" taken for "not sent".
 Test(RequestTable, AnAdmittedRequestIsNeverToldAsNotRunBeforeItsEnd) {
   RequestHarness H;
-  H.admit(H.describe(1));
+  H.admit(H.makeRequest(1));
   H.tickAfter(std::chrono::minutes(6));
-  cr_assert(H.answered(RequestOutcome::Unknown, AnswerReason::DeadlinePassed));
-  cr_assert(H.asked<CancelAttempt>().has_value());
+  cr_assert(
+      H.finishedWith(RequestOutcome::Unknown, ResponseReason::DeadlinePassed));
+  cr_assert(H.action<CancelAttempt>().has_value());
 }
 
 Test(RequestTable, AWaitingRequestIsGivenUpAtOnceWhenItsDeadlinePasses) {
   RequestHarness H;
-  H.send(RequestArrived{H.describe(1)});
+  H.send(RequestArrived{H.makeRequest(1)});
   H.tickAfter(std::chrono::minutes(5));
-  cr_assert(H.answered(RequestOutcome::NotRun, AnswerReason::DeadlinePassed));
-  cr_assert(H.asked<WithdrawRequest>().has_value());
-  cr_assert(H.asked<AnswerRequest>().value().RetryAfter >= seconds(1));
+  cr_assert(
+      H.finishedWith(RequestOutcome::NotRun, ResponseReason::DeadlinePassed));
+  cr_assert(H.action<WithdrawRequest>().has_value());
+  cr_assert(H.action<FinishRequest>().value().RetryAfter >= seconds(1));
 }
 
 // Symptom: a contract is drafted twice.
@@ -47,22 +49,23 @@
 // what may not be repeated.
 Test(RequestTable, WhatMayNotBeRepeatedIsResumedAndNeverStartedAgain) {
   RequestHarness H;
-  H.admit(H.describe(1, false));
+  H.admit(H.makeRequest(1, false));
   H.send(AttemptSent{First, 1});
   H.send(AttemptEnded{First, 1, AttemptOutcome::Interrupted, 0});
-  cr_assert_eq(H.asked<ResumeAttempt>().value().StartedBy, 1U);
+  cr_assert_eq(H.action<ResumeAttempt>().value().OriginalAttempt, 1U);
   H.send(AttemptEnded{First, 2, AttemptOutcome::Rejected, 0});
-  cr_assert(H.answered(RequestOutcome::Unknown, AnswerReason::ServerFailed));
+  cr_assert(
+      H.finishedWith(RequestOutcome::Unknown, ResponseReason::ServerFailed));
   cr_assert_eq(H.Table.openRequests(), 0U);
 }
 
 Test(RequestTable, WhatMayNotBeRepeatedIsTriedElsewhereIfItCertainlyDidNotRun) {
   RequestHarness H;
-  H.admit(H.describe(1, false));
+  H.admit(H.makeRequest(1, false));
   H.send(AttemptSent{First, 1});
   H.send(AttemptEnded{First, 1, AttemptOutcome::Rejected, 0});
   H.tickAfter(LongBackoff);
-  cr_assert_eq(H.asked<QueueRequest>().value().Avoid, Server1);
+  cr_assert_eq(H.action<QueueRequest>().value().AvoidServer, Server1);
 }
 
 // Symptom: "not run" after a whole run. Sequence: sent, then an end as "not
@@ -70,25 +73,26 @@
 // believed.
 Test(RequestTable, ContradictingReportsAreTakenAtTheWorse) {
   RequestHarness H;
-  RequestDescription D = H.describe(1, false);
+  RequestDescription D = H.makeRequest(1, false);
   D.Kind = ServiceKind::Plain;
   H.admit(D);
   H.send(AttemptSent{First, 1});
   H.send(AttemptEnded{First, 1, AttemptOutcome::NotSent, 0});
-  cr_assert(H.answered(RequestOutcome::Unknown, AnswerReason::ServerFailed));
+  cr_assert(
+      H.finishedWith(RequestOutcome::Unknown, ResponseReason::ServerFailed));
 }
 
 Test(RequestTable, ARepeatableRequestIsRetriedAwayFromTheFailedServer) {
   RequestHarness H;
-  H.admit(H.describe(1));
+  H.admit(H.makeRequest(1));
   H.send(AttemptSent{First, 1});
   H.send(AttemptEnded{First, 1, AttemptOutcome::Interrupted, 0});
-  cr_assert(H.asked<ReleaseRequest>().has_value());
-  cr_assert(!H.asked<AnswerRequest>());
+  cr_assert(H.action<ReleaseSlot>().has_value());
+  cr_assert(!H.action<FinishRequest>());
   H.tickAfter(LongBackoff);
-  cr_assert_eq(H.asked<QueueRequest>().value().Avoid, Server1);
+  cr_assert_eq(H.action<QueueRequest>().value().AvoidServer, Server1);
   H.send(RequestAdmitted{First, Server2});
-  cr_assert_eq(H.asked<StartAttempt>().value().Attempt, 2U);
+  cr_assert_eq(H.action<StartAttempt>().value().Attempt, 2U);
 }
 
 // Symptom: "not run" though the first attempt ran. Sequence: attempt 1 breaks,
@@ -98,110 +102,116 @@
   RequestSettings S;
   S.Retry.MaxAttempts = 2;
   RequestHarness H(S);
-  H.admit(H.describe(1));
+  H.admit(H.makeRequest(1));
   H.send(AttemptEnded{First, 1, AttemptOutcome::Interrupted, 0});
   H.tickAfter(LongBackoff);
   H.send(RequestAdmitted{First, Server2});
   H.send(AttemptEnded{First, 2, AttemptOutcome::Rejected, 0});
-  cr_assert(H.answered(RequestOutcome::Unknown, AnswerReason::ServerFailed));
+  cr_assert(
+      H.finishedWith(RequestOutcome::Unknown, ResponseReason::ServerFailed));
 }
 
 // Symptom: an answer with its beginning twice. Sequence: the stream breaks
 // after 5 pieces were passed on. Cause: a start anew in place of a resumption.
 Test(RequestTable, ABrokenStreamGoesOnFromTheOffsetPassedOn) {
   RequestHarness H;
-  H.stream(H.describe(1), 7);
+  H.stream(H.makeRequest(1), 7);
   H.send(AttemptEnded{First, 1, AttemptOutcome::Interrupted, 7, 5});
-  cr_assert_eq(H.asked<ResumeAttempt>().value().Offset, 5U);
-  cr_assert_eq(H.asked<ResumeAttempt>().value().Server, Server1);
-  cr_assert(!H.asked<ReleaseRequest>());
+  cr_assert_eq(H.action<ResumeAttempt>().value().Offset, 5U);
+  cr_assert_eq(H.action<ResumeAttempt>().value().Server, Server1);
+  cr_assert(!H.action<ReleaseSlot>());
   H.send(AttemptEnded{First, 2, AttemptOutcome::Completed, 9, 9});
-  cr_assert(H.answered(RequestOutcome::Completed, AnswerReason::Served));
+  cr_assert(H.finishedWith(RequestOutcome::Completed, ResponseReason::Served));
 }
 
 Test(RequestTable, AStreamThatCannotBeResumedIsToldAsIncomplete) {
   RequestHarness H;
-  H.stream(H.describe(1), 7);
+  H.stream(H.makeRequest(1), 7);
   H.send(AttemptEnded{First, 1, AttemptOutcome::Interrupted, 7, 5});
   for (AttemptNumber Try = 2; H.Table.openRequests() > 0; ++Try) {
     cr_assert_leq(Try, 5U);
     H.send(AttemptEnded{First, Try, AttemptOutcome::NotSent, 7, 5});
-    if (!H.asked<AnswerRequest>())
+    if (!H.action<FinishRequest>())
       H.tickAfter(LongBackoff);
   }
-  cr_assert(H.answered(RequestOutcome::Unknown, AnswerReason::ServerFailed));
+  cr_assert(
+      H.finishedWith(RequestOutcome::Unknown, ResponseReason::ServerFailed));
 }
 
 // Symptom: a caller waits for good. Sequence: the open connection goes silent.
 // Cause: only the connection watched, not the progress on it.
 Test(RequestTable, ASilentStreamIsCutAndResumed) {
   RequestHarness H;
-  H.stream(H.describe(1), 3);
+  H.stream(H.makeRequest(1), 3);
   H.tickAfter(seconds(9));
-  cr_assert(!H.asked<CancelAttempt>());
+  cr_assert(!H.action<CancelAttempt>());
   H.tickAfter(seconds(1));
-  cr_assert(H.asked<CancelAttempt>().has_value());
-  cr_assert(!H.asked<AnswerRequest>());
+  cr_assert(H.action<CancelAttempt>().has_value());
+  cr_assert(!H.action<FinishRequest>());
   H.send(AttemptEnded{First, 1, AttemptOutcome::Cancelled, 3, 3});
-  cr_assert_eq(H.asked<ResumeAttempt>().value().Offset, 3U);
+  cr_assert_eq(H.action<ResumeAttempt>().value().Offset, 3U);
 }
 
 Test(RequestTable, AHopelessSilentAttemptIsAnsweredAtOnceAndKeepsItsSlot) {
   RequestHarness H;
-  RequestDescription D = H.describe(1, false);
+  RequestDescription D = H.makeRequest(1, false);
   D.Kind = ServiceKind::Plain;
   H.admit(D);
   H.tickAfter(seconds(120));
-  cr_assert(H.answered(RequestOutcome::Unknown, AnswerReason::ServerFailed));
-  cr_assert(!H.asked<ReleaseRequest>());
+  cr_assert(
+      H.finishedWith(RequestOutcome::Unknown, ResponseReason::ServerFailed));
+  cr_assert(!H.action<ReleaseSlot>());
   H.send(AttemptEnded{First, 1, AttemptOutcome::Cancelled, 4});
-  cr_assert_eq(H.asked<ReleaseRequest>().value().Tokens, 4U);
-  cr_assert(!H.asked<AnswerRequest>());
+  cr_assert_eq(H.action<ReleaseSlot>().value().Tokens, 4U);
+  cr_assert(!H.action<FinishRequest>());
 }
 
 Test(RequestTable, ASlotComesBackWhenTheEndOfItsAttemptIsNeverReported) {
   RequestHarness H;
-  H.stream(H.describe(1), 3);
-  H.send(CallerLeft{First});
-  cr_assert(H.asked<CancelAttempt>().has_value());
-  cr_assert(H.answered(RequestOutcome::Unknown, AnswerReason::CallerLeft));
+  H.stream(H.makeRequest(1), 3);
+  H.send(CallerDisconnected{First});
+  cr_assert(H.action<CancelAttempt>().has_value());
+  cr_assert(H.finishedWith(RequestOutcome::Unknown,
+                           ResponseReason::CallerDisconnected));
   H.tickAfter(seconds(5));
-  cr_assert_eq(H.asked<ReleaseRequest>().value().Tokens, 3U);
+  cr_assert_eq(H.action<ReleaseSlot>().value().Tokens, 3U);
   H.send(AttemptEnded{First, 1, AttemptOutcome::Cancelled, 3});
-  cr_assert(!H.asked<ReleaseRequest>());
+  cr_assert(!H.action<ReleaseSlot>());
   cr_assert_eq(H.Table.counters().DroppedEvents, 1U);
 }
 
 Test(RequestTable, LateAndDoubledEventsAreDroppedAndCounted) {
   RequestHarness H;
-  H.admit(H.describe(1));
+  H.admit(H.makeRequest(1));
   H.send(AttemptSent{First, 1});
   H.send(AttemptSent{First, 1});
   H.send(AttemptEnded{First, 1, AttemptOutcome::Interrupted, 0});
   H.send(AttemptEnded{First, 1, AttemptOutcome::Completed, 0});
   H.send(AttemptProgressed{First, 1, 5});
-  cr_assert(!H.asked<AnswerRequest>());
+  cr_assert(!H.action<FinishRequest>());
   cr_assert_eq(H.Table.counters().DroppedEvents, 3U);
 }
 
 Test(RequestTable, AnAdmissionThatCrossedAWithdrawalGivesItsSlotBack) {
   RequestHarness H;
-  H.send(RequestArrived{H.describe(1)});
-  H.send(CallerLeft{First});
-  cr_assert(H.asked<WithdrawRequest>().has_value());
-  cr_assert(H.answered(RequestOutcome::NotRun, AnswerReason::CallerLeft));
+  H.send(RequestArrived{H.makeRequest(1)});
+  H.send(CallerDisconnected{First});
+  cr_assert(H.action<WithdrawRequest>().has_value());
+  cr_assert(H.finishedWith(RequestOutcome::NotRun,
+                           ResponseReason::CallerDisconnected));
   H.send(RequestAdmitted{First, Server1});
-  cr_assert(H.asked<ReleaseRequest>().has_value());
-  cr_assert(!H.asked<StartAttempt>());
+  cr_assert(H.action<ReleaseSlot>().has_value());
+  cr_assert(!H.action<StartAttempt>());
 }
 
 Test(RequestTable, RetriesStopWhenTheBudgetIsSpent) {
   RequestHarness H;
   std::size_t Spent = 0;
   for (std::uint64_t N = 1; N <= 100; ++N) {
-    H.admit(H.describe(N));
+    H.admit(H.makeRequest(N));
     H.send(AttemptEnded{RequestId{N}, 1, AttemptOutcome::Interrupted, 0});
-    Spent += H.answered(RequestOutcome::Unknown, AnswerReason::RetryBudgetSpent)
+    Spent += H.finishedWith(RequestOutcome::Unknown,
+                            ResponseReason::RetryBudgetSpent)
                  ? 1
                  : 0;
   }
@@ -216,14 +226,15 @@
   S.Limits.MaxWaiting = 3;
   RequestHarness H(S);
   for (std::uint64_t N = 1; N <= 3; ++N)
-    H.send(RequestArrived{H.describe(N)});
-  H.send(RequestArrived{H.describe(4)});
-  cr_assert(H.answered(RequestOutcome::NotRun, AnswerReason::RouterQueueFull));
-  RequestDescription Other = H.describe(5);
+    H.send(RequestArrived{H.makeRequest(N)});
+  H.send(RequestArrived{H.makeRequest(4)});
+  cr_assert(
+      H.finishedWith(RequestOutcome::NotRun, ResponseReason::RouterQueueFull));
+  RequestDescription Other = H.makeRequest(5);
   Other.Account = Account2;
   H.send(RequestArrived{Other});
-  cr_assert_eq(H.asked<AnswerRequest>().value().Request, RequestId{3});
-  cr_assert(H.answered(RequestOutcome::NotRun, AnswerReason::Overloaded));
-  cr_assert(H.asked<AnswerRequest>().value().RetryAfter >= seconds(1));
-  cr_assert(H.asked<QueueRequest>().has_value());
+  cr_assert_eq(H.action<FinishRequest>().value().Request, RequestId{3});
+  cr_assert(H.finishedWith(RequestOutcome::NotRun, ResponseReason::Overloaded));
+  cr_assert(H.action<FinishRequest>().value().RetryAfter >= seconds(1));
+  cr_assert(H.action<QueueRequest>().has_value());
 }
--- a/test/Decision/ServerConditionsTest.cpp
+++ b/test/Decision/ServerConditionsTest.cpp
@@ -47,13 +47,13 @@
     RouterRecord &Self = Settings.Membership.Self;
     Self.Name = "r" + std::to_string(Number);
     Self.Router = idOf<RouterId>(Self.Name);
-    Self.Life = ++this->LastLife;
+    Self.IncarnationNumber = ++this->LastLife;
     Self.PeerAddress = "10.0.0." + std::to_string(Number) + ":7400";
     Settings.Membership.Seeds = {"10.0.0.0:7400", "10.0.0.1:7400"};
     Settings.Membership.RandomSeed = this->Random();
     Settings.Servers.Seed = this->Random();
     this->Routers[Number] = std::make_unique<RouterCore>(Settings);
-    this->Lives[Number] = Self.Life;
+    this->Lives[Number] = Self.IncarnationNumber;
     this->give(Number, DeclarationsChanged{declared()});
   }
 
--- a/test/Peer/PeerTransportTest.cpp
+++ b/test/Peer/PeerTransportTest.cpp
@@ -30,7 +30,7 @@
   cr_assert(eventually([&] { return Pair.RightInbox.size() == 5; }));
   cr_assert_eq(numberOf(Pair.RightInbox.at(4)), 4);
   cr_assert_eq(Pair.RightInbox.at(0).From.Value, 1);
-  cr_assert_eq(Pair.RightInbox.at(0).Life, 1);
+  cr_assert_eq(Pair.RightInbox.at(0).IncarnationNumber, 1);
   cr_assert_eq(Pair.RightInbox.at(0).Address, Pair.Left->address());
   cr_assert_eq(Pair.Left->counters().DatagramsOut.load(), 1);
 }
--- a/test/Platform/ConfigurationStoreTest.cpp
+++ b/test/Platform/ConfigurationStoreTest.cpp
@@ -57,7 +57,7 @@
   const auto Read = Store.read();
   cr_assert(Read.has_value());
   cr_assert_eq(Read->Manifest.Operator, "asha");
-  cr_assert_eq(Read->Text, ConfigurationText(fileOf(2000, 2)).whole());
+  cr_assert_eq(Read->Text, ConfigurationText(fileOf(2000, 2)).fullText());
   cr_assert_gt(Read->Manifest.Parts.size(), 4U);
 }
 
@@ -76,7 +76,7 @@
   cr_assert_eq(Conflict->Current.Operator, "neema");
   cr_assert_eq(Conflict->ChangesSinceBase.size(), 2U);
   cr_assert_eq(Conflict->ChangesSinceBase[0].Operator, "juma");
-  cr_assert_eq(Store.read()->Text, ConfigurationText(fileOf(3, 3)).whole());
+  cr_assert_eq(Store.read()->Text, ConfigurationText(fileOf(3, 3)).fullText());
 }
 
 // Guards against accepting two files under the same generation: many operators
@@ -186,7 +186,7 @@
                  static_cast<std::uint64_t>(Round));
   cr_assert_leq(F.Store.peek("config/parts/").Entries.size(), 4U);
   cr_assert_leq(F.Store.peek("config/history/").Entries.size(), 8U);
-  cr_assert_eq(Store.read()->Text, ConfigurationText(fileOf(3, 16)).whole());
+  cr_assert_eq(Store.read()->Text, ConfigurationText(fileOf(3, 16)).fullText());
 }
 
 // Guards against an active configuration that references a missing part, which
@@ -219,7 +219,7 @@
   cr_assert_eq(acceptedGeneration(Outcome), 2U);
   const auto Read = Store.read();
   cr_assert(Read.has_value());
-  cr_assert_eq(Read->Text, ConfigurationText(fileOf(3, 1)).whole());
+  cr_assert_eq(Read->Text, ConfigurationText(fileOf(3, 1)).fullText());
 }
 
 // Operators apply concurrently while every fourth generation removes old parts.
--- a/test/Process/OrderTest.cpp
+++ b/test/Process/OrderTest.cpp
@@ -89,14 +89,14 @@
     Call.Path = Path;
     Call.Body = Body;
     Call.Headers = {{FencingHeader, std::to_string(Number)}};
-    Call.Limit = std::chrono::seconds(10);
+    Call.Timeout = std::chrono::seconds(10);
     const auto Answer = runShortCall(Call);
     return Answer ? Answer->Status : 0;
   }
 
   bool hasAdapter() const {
     BackendCounters Counters;
-    const auto Report = OrderClient(Counters).checkReport(
+    const auto Report = OrderClient(Counters).fetchLoadedModels(
         this->Engine, std::chrono::seconds(10));
     cr_assert(Report.has_value());
     return Report->contains("a");
--- a/test/Program/DeclarationsUpdaterTest.cpp
+++ b/test/Program/DeclarationsUpdaterTest.cpp
@@ -68,9 +68,10 @@
     for (int Edit = 1; Edit <= Edits; ++Edit) {
       edit(File);
       const ConfigurationText Next(textOf(File));
-      const PutInForce Change{static_cast<std::uint64_t>(Edit),
-                              std::make_shared<const std::string>(Next.whole()),
-                              Text.deltaTo(Next)};
+      const ActivateConfiguration Change{
+          static_cast<std::uint64_t>(Edit),
+          std::make_shared<const std::string>(Next.fullText()),
+          Text.deltaTo(Next)};
       Text = Next;
       if (oneIn(10)) {
         FollowsLast = false;
