--- a/test/Gateway/CachedPartsReaderTest.cpp
+++ b/test/Gateway/CachedPartsReaderTest.cpp
@@ -13,87 +13,87 @@
 
 using Socket = Poco::Net::StreamSocket;
 
-void answer(Socket &To, const std::string &Status, const std::string &Body) {
-  sendText(To, "HTTP/1.1 " + Status + "\r\nContent-Length: " +
-                   std::to_string(Body.size()) + "\r\n\r\n" + Body);
+void respond(Socket &S, const std::string &Status, const std::string &Body) {
+  sendText(S, "HTTP/1.1 " + Status + "\r\nContent-Length: " +
+                  std::to_string(Body.size()) + "\r\n\r\n" + Body);
 }
 
-GatewayServer listed(const std::string &Id, const std::string &Address) {
-  GatewayServer Made;
-  Made.Id = Id;
-  Made.Address = Poco::Net::SocketAddress(Address);
-  return Made;
+GatewayServer makeServer(const std::string &Id, const std::string &Address) {
+  GatewayServer Server;
+  Server.Id = Id;
+  Server.Address = Poco::Net::SocketAddress(Address);
+  return Server;
 }
 
-/// A reader on a loop of its own.
+/// A reader with its own event loop.
 struct Fixture {
   Fixture()
       : Loop(Clock::steady()), Pool(Loop),
-        Subject(Loop, Format, Pool, Measured) {
+        Subject(Loop, Format, Pool, MetricsRegistry) {
     this->Subject.start(
-        [this](const GatewayServer &From, const CachedParts &K) {
-          this->Told[From.Id] = K.Parts.size();
+        [this](const GatewayServer &Server, const CachedParts &Cached) {
+          this->PartCounts[Server.Id] = Cached.Parts.size();
         });
   }
 
-  void run(Duration For) {
-    this->Loop.after(For, [this] { this->Loop.stop(); });
+  void run(Duration Time) {
+    this->Loop.after(Time, [this] { this->Loop.stop(); });
     this->Loop.run();
   }
 
   EventLoop Loop;
   WireFormat Format = platformWireFormat();
-  Metrics Measured;
+  Metrics MetricsRegistry;
   UpstreamPool Pool;
   CachedPartsReader Subject;
-  std::map<std::string, std::size_t> Told;
+  std::map<std::string, std::size_t> PartCounts;
 };
 
-const std::string Two = R"({"held":[["","a",10,"m"],["","b",20,"m"]]})";
+const std::string TwoParts = R"({"held":[["","a",10,"m"],["","b",20,"m"]]})";
 
 } // namespace
 
-Test(KeptPartsReader, asksOneEngineAfterTheOtherAndEachOnce) {
+Test(CachedPartsReader, queriesEachEngineOnce) {
   ScriptedServer Engine([](Socket &S, const std::string &) {
-    answer(S, "200 OK", Two);
+    respond(S, "200 OK", TwoParts);
     return true;
   });
   Fixture F;
-  F.Subject.query(listed("e1", Engine.address()));
-  F.Subject.query(listed("e1", Engine.address()));
-  F.Subject.query(listed("e2", Engine.address()));
+  F.Subject.query(makeServer("e1", Engine.address()));
+  F.Subject.query(makeServer("e1", Engine.address()));
+  F.Subject.query(makeServer("e2", Engine.address()));
   F.run(300ms);
-  cr_assert_eq(F.Told.size(), 2U);
-  cr_assert_eq(F.Told["e1"], 2U);
+  cr_assert_eq(F.PartCounts.size(), 2U);
+  cr_assert_eq(F.PartCounts["e1"], 2U);
   cr_assert_eq(Engine.requests().size(), 2U);
 }
 
-// Symptom: an allocator never learns what its engines keep. Sequence: one of
-// them is silent, refuses, or tells nonsense. Cause: the others waited behind
-// it.
-Test(KeptPartsReader, anEngineThatDoesNotTellHoldsNoOtherUp) {
+// Guards against an allocator that never learns the contents of its engines'
+// caches, because an engine that is silent, refuses the query or sends invalid
+// data blocks the queries to the others.
+Test(CachedPartsReader, failedQueryDoesNotBlockOthers) {
   ScriptedServer Silent([](Socket &, const std::string &) { return true; });
   ScriptedServer Refusing([](Socket &S, const std::string &) {
-    answer(S, "429 Too Many Requests", "");
+    respond(S, "429 Too Many Requests", "");
     return true;
   });
   ScriptedServer Nonsense([](Socket &S, const std::string &) {
-    answer(S, "200 OK", "{\"held\"");
+    respond(S, "200 OK", "{\"held\"");
     return true;
   });
   ScriptedServer Breaking([](Socket &, const std::string &) { return false; });
   ScriptedServer Good([](Socket &S, const std::string &) {
-    answer(S, "200 OK", Two);
+    respond(S, "200 OK", TwoParts);
     return true;
   });
   Fixture F;
-  F.Subject.query(listed("silent", Silent.address()));
-  F.Subject.query(listed("refusing", Refusing.address()));
-  F.Subject.query(listed("nonsense", Nonsense.address()));
-  F.Subject.query(listed("breaking", Breaking.address()));
-  F.Subject.query(listed("gone", "127.0.0.1:1"));
-  F.Subject.query(listed("good", Good.address()));
+  F.Subject.query(makeServer("silent", Silent.address()));
+  F.Subject.query(makeServer("refusing", Refusing.address()));
+  F.Subject.query(makeServer("nonsense", Nonsense.address()));
+  F.Subject.query(makeServer("breaking", Breaking.address()));
+  F.Subject.query(makeServer("gone", "127.0.0.1:1"));
+  F.Subject.query(makeServer("good", Good.address()));
   F.run(1500ms);
-  cr_assert_eq(F.Told.size(), 1U);
-  cr_assert_eq(F.Told["good"], 2U);
+  cr_assert_eq(F.PartCounts.size(), 1U);
+  cr_assert_eq(F.PartCounts["good"], 2U);
 }
--- a/test/Gateway/CallerSessionTest.cpp
+++ b/test/Gateway/CallerSessionTest.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-HttpHead plainAnswer() {
+HttpHead okHead() {
   HttpHead Head;
   Head.Status = 200;
   Head.Reason = "OK";
@@ -20,13 +20,11 @@
 
 } // namespace
 
-// Symptom: a caller's whole request gets neither an answer nor a refusal,
-// beside a flood at its router. Sequence: the router stands still for a moment;
-// a request comes on a connection that has been idle; the router then closes
-// idle connections to make room, before it reads. Cause: idle was what had not
-// been read. Fails without the look at unread bytes.
-Test(CallerSession,
-     aRequestThatIsNotReadYetIsAnsweredBeforeItsConnectionCloses) {
+// Guards against a complete request that gets no response during a flood. The
+// loop is blocked while a request arrives on an idle connection, and the router
+// then closes idle connections to make room before it reads from them. Fails if
+// a connection with unread bytes in the kernel counts as idle.
+Test(CallerSession, respondsToUnreadRequestBeforeClosingConnection) {
   EventLoop Loop(Clock::steady());
   Poco::Net::ServerSocket Listening(Poco::Net::SocketAddress("127.0.0.1:0"));
   Poco::Net::StreamSocket Caller;
@@ -39,13 +37,13 @@
       [&Requests](const std::shared_ptr<CallerSession> &From,
                   const IncomingRequest &) {
         ++Requests;
-        From->sendResponse(plainAnswer(), "served");
+        From->sendResponse(okHead(), "served");
       },
       [](CallerSession *) {});
   Session->start();
   const std::string Request = "GET /a HTTP/1.1\r\nHost: h\r\n\r\n";
   Caller.sendBytes(Request.data(), static_cast<int>(Request.size()));
-  // The bytes are with the system; the loop has not turned.
+  // The kernel holds the bytes; the loop has not run yet.
   std::this_thread::sleep_for(20ms);
   Session->closeWhenIdle();
   Loop.after(200ms, [&Loop] { Loop.stop(); });
@@ -54,7 +52,8 @@
   Caller.setReceiveTimeout(Poco::Timespan(1, 0));
   std::array<char, 512> Buffer{};
   const int Count = Caller.receiveBytes(Buffer.data(), Buffer.size());
-  const std::string Got(Buffer.data(), static_cast<std::size_t>(Count));
-  cr_assert_neq(Got.find("200 OK"), std::string::npos, "%s", Got.c_str());
-  cr_assert_neq(Got.find("Connection: close"), std::string::npos);
+  const std::string Received(Buffer.data(), static_cast<std::size_t>(Count));
+  cr_assert_neq(Received.find("200 OK"), std::string::npos, "%s",
+                Received.c_str());
+  cr_assert_neq(Received.find("Connection: close"), std::string::npos);
 }
--- a/test/Gateway/CrashFixture.cpp
+++ b/test/Gateway/CrashFixture.cpp
@@ -6,13 +6,13 @@
 
 namespace {
 
-constexpr auto SlowTime = std::chrono::milliseconds(300);
+constexpr auto SlowDuration = std::chrono::milliseconds(300);
 
-/// Whether the router ends the connection within this time.
-bool endsWithin(Poco::Net::StreamSocket &Connection,
-                std::chrono::milliseconds Time) {
-  const auto Until = std::chrono::steady_clock::now() + Time;
-  while (std::chrono::steady_clock::now() < Until)
+/// Whether the router closes the connection within this time.
+bool closesWithin(Poco::Net::StreamSocket &Connection,
+                  std::chrono::milliseconds Time) {
+  const auto Deadline = std::chrono::steady_clock::now() + Time;
+  while (std::chrono::steady_clock::now() < Deadline)
     if (Connection.poll(Poco::Timespan(1000), Poco::Net::Socket::SELECT_READ))
       return true;
   return false;
@@ -25,30 +25,29 @@
 } // namespace
 
 CrashFixture::CrashFixture(std::size_t RouterCount, std::size_t ServerCount,
-                           std::chrono::milliseconds BackAfter)
-    : Downtime(BackAfter) {
+                           std::chrono::milliseconds Down)
+    : Downtime(Down) {
   for (std::size_t I = 0; I < ServerCount; ++I)
     this->Servers.push_back(std::make_unique<ScriptedServer>(
         [this, I](Poco::Net::StreamSocket &S, const std::string &Request) {
           return this->serve(I, S, Request);
         }));
-  auto Places = std::make_shared<RouterList>();
+  auto Endpoints = std::make_shared<RouterList>();
   for (std::size_t I = 0; I < RouterCount; ++I) {
-    auto Made = std::make_unique<FrontFixture>();
-    Made->Settings.Name = "r" + std::to_string(I);
-    Made->Settings.PeerAddress = freeLoopbackAddress();
-    (*Places)[Made->Settings.Name] = {Made->Settings.PeerAddress, 1};
+    auto Router = std::make_unique<FrontFixture>();
+    Router->Settings.Name = "r" + std::to_string(I);
+    Router->Settings.PeerAddress = freeLoopbackAddress();
+    (*Endpoints)[Router->Settings.Name] = {Router->Settings.PeerAddress, 1};
     for (const auto &Each : this->Servers)
-      Made->addServer(*Each);
-    this->RouterFixtures.push_back(std::move(Made));
+      Router->addServer(*Each);
+    this->RouterFixtures.push_back(std::move(Router));
   }
   for (const auto &Each : this->RouterFixtures)
-    Each->Routers = Places;
+    Each->Routers = Endpoints;
 }
 
-void CrashFixture::start(std::size_t Routers) {
-  for (std::size_t I = 0; I < std::min(Routers, this->RouterFixtures.size());
-       ++I)
+void CrashFixture::start(std::size_t Count) {
+  for (std::size_t I = 0; I < std::min(Count, this->RouterFixtures.size()); ++I)
     this->startRouter(I);
 }
 
@@ -58,9 +57,9 @@
 
 void CrashFixture::restartServers() {
   ++this->StartedMs;
-  for (const auto &Front : this->RouterFixtures)
+  for (const auto &Router : this->RouterFixtures)
     for (std::size_t I = 0; I < this->Servers.size(); ++I)
-      Front->restartServer("s" + std::to_string(I), this->StartedMs);
+      Router->restartServer("s" + std::to_string(I), this->StartedMs);
 }
 
 bool CrashFixture::serve(std::size_t Server, Poco::Net::StreamSocket &S,
@@ -71,7 +70,7 @@
                "\r\nResponse-Seal: s\r\nTransfer-Encoding: chunked\r\n\r\n"
                "2\r\nok\r\n");
   if (Body.starts_with(CrashPrefix)) {
-    if (!endsWithin(S, this->CrashDelay))
+    if (!closesWithin(S, this->CrashDelay))
       this->Servers.at(Server)->crash(this->Downtime);
     return false;
   }
@@ -80,7 +79,7 @@
     return false;
   }
   if (Body.starts_with(SlowPrefix))
-    std::this_thread::sleep_for(SlowTime);
+    std::this_thread::sleep_for(SlowDuration);
   sendText(S, "0\r\n\r\n");
   return true;
 }
--- a/test/Gateway/CrashFixture.h
+++ b/test/Gateway/CrashFixture.h
@@ -12,27 +12,28 @@
 
 namespace parsleywing::test {
 
-/// Routers of one fleet before servers that crash where a body says so.
+/// Routers of one fleet in front of servers that crash on request bodies with
+/// `CrashPrefix`.
 class CrashFixture {
 public:
-  /// A server that crashes stays away for so long.
+  /// `Down` is the time after which a crashed server listens again.
   CrashFixture(std::size_t Routers, std::size_t Servers,
-               std::chrono::milliseconds BackAfter);
+               std::chrono::milliseconds Down);
 
-  /// Starts all routers, or the first so many; the others with `startRouter`.
-  void start(std::size_t Routers = std::numeric_limits<std::size_t>::max());
+  /// Starts the first `Count` routers; `startRouter` starts the others.
+  void start(std::size_t Count = std::numeric_limits<std::size_t>::max());
   void startRouter(std::size_t Number);
 
-  /// All servers have been started anew, and the routers have heard of it.
+  /// Publishes a restart of all servers to the routers.
   void restartServers();
 
-  /// One attempt of a caller at a router; the whole answer.
+  /// Sends one request of a caller to a router; returns the complete response.
   std::string call(std::size_t Router, const std::string &Path,
                    const std::string &Body);
 
-  /// Servers that have crashed, each time counted.
+  /// Total number of server crashes.
   std::size_t crashCount() const;
-  /// How often the body has reached a server.
+  /// How often a request with this body has reached a server.
   std::size_t receivedCount(const std::string &Body) const;
 
   FrontFixture &router(std::size_t Number) {
@@ -42,15 +43,16 @@
     return *this->Servers.at(Number);
   }
 
-  /// Begins the body of a request that crashes its server, unless its
-  /// connection ends before.
+  /// Body prefix of a request that crashes its server after `CrashDelay`,
+  /// unless its connection ends before.
   static constexpr const char *CrashPrefix = "crash";
-  /// Begins the body of one that takes 300 ms at a server.
+  /// Body prefix of a request that takes 300 ms.
   static constexpr const char *SlowPrefix = "slow";
-  /// Begins the body of one whose connection its server resets, three times.
+  /// Body prefix of a request whose connection is reset by its server, three
+  /// times in all.
   static constexpr const char *ResetPrefix = "reset";
 
-  /// From the begin of an answer to the crash.
+  /// Time from the start of the response to the crash.
   std::atomic<std::chrono::milliseconds> CrashDelay{
       std::chrono::milliseconds(20)};
 
--- a/test/Gateway/CrashingRequestTest.cpp
+++ b/test/Gateway/CrashingRequestTest.cpp
@@ -9,85 +9,90 @@
 
 namespace {
 
-/// Sends to servers that a request may cause once it has crashed three.
-constexpr std::size_t AllowedBehindThird = 3;
-constexpr std::size_t Third = 3;
-/// Between two repeats of a caller.
-constexpr auto RepeatPause = 100ms;
-/// Longer than any crash takes to be known at all routers.
-constexpr auto NewsTime = 1s;
-
-/// Repeats the request at one router after the other.
-void repeat(CrashFixture &Fleet, std::size_t Routers, std::size_t Times,
-            const std::string &Path, const std::string &Body) {
+/// Attempts that may still reach servers after the request has crashed three.
+constexpr std::size_t AllowedExtraAttempts = 3;
+/// Crashes after which a request is refused.
+constexpr std::size_t CrashesToRefuse = 3;
+/// Pause between two retries of a caller.
+constexpr auto RetryPause = 100ms;
+/// Longer than it takes until all routers know of a crash.
+constexpr auto PropagationTime = 1s;
+
+/// Sends the request `Times` times, to each router in turn.
+void sendRepeatedly(CrashFixture &Fleet, std::size_t Routers, std::size_t Times,
+                    const std::string &Path, const std::string &Body) {
   for (std::size_t I = 0; I < Times; ++I) {
     Fleet.call(I % Routers, Path, Body);
-    std::this_thread::sleep_for(RepeatPause);
+    std::this_thread::sleep_for(RetryPause);
   }
 }
 
-bool isServed(const std::string &Answer) {
-  return Answer.starts_with("HTTP/1.1 200") && Answer.ends_with("\r\n\r\nok");
+bool isServed(const std::string &Response) {
+  return Response.starts_with("HTTP/1.1 200") &&
+         Response.ends_with("\r\n\r\nok");
 }
 
-bool isRefused(const std::string &Answer) {
-  return Answer.starts_with("HTTP/1.1 503");
+bool isRefused(const std::string &Response) {
+  return Response.starts_with("HTTP/1.1 503");
 }
 
 } // namespace
 
-// Guards against repeats at other routers that crash server after server.
-Test(CrashingRequest, isNotSentOnAndOnThoughItsRepeatsComeAtOtherRouters,
-     .timeout = 60) {
+// Guards against a request that crashes one server after another because its
+// caller retries at other routers.
+Test(CrashingRequest, isRefusedIfRetriedAtOtherRouters, .timeout = 60) {
   CrashFixture Fleet(3, 12, 60s);
   Fleet.start();
-  repeat(Fleet, 3, 12, "/safe/x", "crash");
-  cr_assert_geq(Fleet.receivedCount("crash"), Third);
-  cr_assert_leq(Fleet.receivedCount("crash"), Third + AllowedBehindThird);
+  sendRepeatedly(Fleet, 3, 12, "/safe/x", "crash");
+  cr_assert_geq(Fleet.receivedCount("crash"), CrashesToRefuse);
+  cr_assert_leq(Fleet.receivedCount("crash"),
+                CrashesToRefuse + AllowedExtraAttempts);
 }
 
-// Guards against the same where attempts run once and servers come back.
-Test(CrashingRequest,
-     isNotSentOnAndOnThoughServersAreBackAndEachAttemptRunsOnce,
+// Guards against the same if the request may run only once per attempt and the
+// crashed servers restart.
+Test(CrashingRequest, isRefusedIfServersRestartAndEachAttemptRunsOnce,
      .timeout = 60) {
   CrashFixture Fleet(3, 4, 200ms);
   Fleet.start();
   for (int Round = 0; Round < 5; ++Round) {
-    repeat(Fleet, 3, 3, "/unsafe/x", "crash");
+    sendRepeatedly(Fleet, 3, 3, "/unsafe/x", "crash");
     std::this_thread::sleep_for(300ms);
     Fleet.restartServers();
   }
-  cr_assert_geq(Fleet.receivedCount("crash"), Third);
-  cr_assert_leq(Fleet.receivedCount("crash"), Third + AllowedBehindThird);
+  cr_assert_geq(Fleet.receivedCount("crash"), CrashesToRefuse);
+  cr_assert_leq(Fleet.receivedCount("crash"),
+                CrashesToRefuse + AllowedExtraAttempts);
 }
 
-// Guards against a caller that waits for nothing, or is told what is not true.
-Test(CrashingRequest, isRefusedAtOnceAsNotRunAndNotInvitedBack, .timeout = 60) {
+// The refusal must be immediate, state that the request has not run, and not
+// suggest a retry.
+Test(CrashingRequest, isRefusedAtOnceWithoutRetryAfter, .timeout = 60) {
   CrashFixture Fleet(2, 6, 60s);
   Fleet.start();
-  repeat(Fleet, 2, 6, "/unsafe/x", "crash");
+  sendRepeatedly(Fleet, 2, 6, "/unsafe/x", "crash");
   const std::size_t Before = Fleet.receivedCount("crash");
-  const auto Asked = std::chrono::steady_clock::now();
-  const std::string Answer = Fleet.call(0, "/unsafe/x", "crash");
-  cr_assert_lt(std::chrono::steady_clock::now() - Asked, 100ms);
-  cr_assert(isRefused(Answer), "%s", Answer.c_str());
-  cr_assert_eq(fieldOf(Answer, "Retry-After"), "");
+  const auto Start = std::chrono::steady_clock::now();
+  const std::string Response = Fleet.call(0, "/unsafe/x", "crash");
+  cr_assert_lt(std::chrono::steady_clock::now() - Start, 100ms);
+  cr_assert(isRefused(Response), "%s", Response.c_str());
+  cr_assert_eq(fieldOf(Response, "Retry-After"), "");
   cr_assert_eq(Fleet.receivedCount("crash"), Before);
   cr_assert_eq(Fleet.router(0).metrics().find("reason=\"crashes-servers\"} 0"),
                std::string::npos);
 }
 
-// Guards against other requests of the same caller refused with it.
-Test(CrashingRequest, leavesOtherRequestsOfItsCallerAlone, .timeout = 60) {
+// Guards against refusing other requests of the same caller.
+Test(CrashingRequest, doesNotAffectOtherRequestsOfItsCaller, .timeout = 60) {
   CrashFixture Fleet(2, 6, 60s);
   Fleet.start();
-  repeat(Fleet, 2, 6, "/unsafe/x", "crash");
+  sendRepeatedly(Fleet, 2, 6, "/unsafe/x", "crash");
   for (const char *Body : {"sound", "CRASH", ""})
     cr_assert(isServed(Fleet.call(1, "/unsafe/x", Body)), "%s", Body);
 }
 
-// Guards against a reset connection taken for a crash.
-Test(CrashingRequest, isNotOneWhoseConnectionsWereReset, .timeout = 60) {
+// Guards against taking a reset connection for a crash.
+Test(CrashingRequest, resetConnectionsAreNoCrashes, .timeout = 60) {
   CrashFixture Fleet(1, 6, 60s);
   Fleet.start();
   for (int I = 0; I < 3; ++I)
@@ -97,8 +102,8 @@
                 std::string::npos);
 }
 
-// Guards against a crash that is read out of a server's leaving.
-Test(CrashingRequest, isNotOneWhoseServerLeftTheListAndLives, .timeout = 60) {
+// Guards against taking the removal of a live server from the list for a crash.
+Test(CrashingRequest, removedServersAreNoCrashes, .timeout = 60) {
   CrashFixture Fleet(1, 2, 60s);
   Fleet.start();
   Fleet.call(0, "/unsafe/x", "reset");
@@ -109,30 +114,33 @@
                 std::string::npos);
 }
 
-// Guards against a request refused for being at servers that another crashed.
-Test(CrashingRequest, isNotOneThatWasInHandBesideIt, .timeout = 60) {
+// Guards against refusing a request that was only active on servers that
+// another request crashed.
+Test(CrashingRequest, concurrentRequestsAreNotRefused, .timeout = 60) {
   CrashFixture Fleet(2, 12, 60s);
   Fleet.start();
-  auto Slow = std::async(std::launch::async, [&Fleet] {
-    std::string Answer;
-    for (int I = 0; I < 6 && !isServed(Answer); ++I)
-      Answer = Fleet.call(1, "/safe/x", "slow");
-    return Answer;
+  auto SlowCall = std::async(std::launch::async, [&Fleet] {
+    std::string Response;
+    for (int I = 0; I < 6 && !isServed(Response); ++I)
+      Response = Fleet.call(1, "/safe/x", "slow");
+    return Response;
   });
   for (int I = 0; I < 5; ++I)
     Fleet.call(0, "/unsafe/x", "crash");
-  cr_assert(isServed(Slow.get()));
-  cr_assert_leq(Fleet.receivedCount("crash"), Third + AllowedBehindThird);
+  cr_assert(isServed(SlowCall.get()));
+  cr_assert_leq(Fleet.receivedCount("crash"),
+                CrashesToRefuse + AllowedExtraAttempts);
 }
 
-// Guards against servers lost to sends older than the third crash.
-Test(CrashingRequest, isTakenBackFromServersThatHaveNotCrashedYet,
+// Guards against losing more servers to attempts that were started before the
+// third crash.
+Test(CrashingRequest, isCancelledAtServersThatHaveNotCrashedYet,
      .timeout = 60) {
   CrashFixture Fleet(2, 8, 60s);
   Fleet.start();
   Fleet.CrashDelay = 600ms;
   std::vector<std::future<std::string>> Calls;
-  // The last begins before the first crash and would end behind the third.
+  // The last call starts before the first crash and would end after the third.
   for (const auto Pause : {100ms, 100ms, 300ms, 0ms}) {
     Calls.push_back(std::async(std::launch::async, [&Fleet] {
       return Fleet.call(0, "/unsafe/x", "crash");
@@ -141,38 +149,39 @@
   }
   for (auto &Each : Calls)
     Each.wait();
-  std::this_thread::sleep_for(NewsTime);
+  std::this_thread::sleep_for(PropagationTime);
   cr_assert_eq(Fleet.receivedCount("crash"), 4U);
-  cr_assert_eq(Fleet.crashCount(), Third);
+  cr_assert_eq(Fleet.crashCount(), CrashesToRefuse);
 }
 
-// Guards against a router that begins, or was killed, and knows of nothing.
-Test(CrashingRequest, isRefusedByARouterThatStartsLater, .timeout = 60) {
+// Guards against a router that has just started, or restarted after a kill, and
+// does not know of earlier crashes.
+Test(CrashingRequest, isRefusedByRouterThatStartsLater, .timeout = 60) {
   CrashFixture Fleet(3, 8, 60s);
   Fleet.start(2);
-  repeat(Fleet, 2, 6, "/unsafe/x", "crash");
+  sendRepeatedly(Fleet, 2, 6, "/unsafe/x", "crash");
   const std::size_t Before = Fleet.receivedCount("crash");
   Fleet.startRouter(2);
-  std::this_thread::sleep_for(NewsTime);
+  std::this_thread::sleep_for(PropagationTime);
   cr_assert(isRefused(Fleet.call(2, "/unsafe/x", "crash")));
   cr_assert_eq(Fleet.receivedCount("crash"), Before);
 }
 
-// Guards against a router that was cut off from the others during the crashes.
-Test(CrashingRequest, isRefusedByARouterThatWasCutOffOnceItIsInTouch,
-     .timeout = 60) {
+// Guards against a router that was disconnected from the others during the
+// crashes.
+Test(CrashingRequest, isRefusedByRouterAfterItReconnects, .timeout = 60) {
   CrashFixture Fleet(3, 8, 60s);
-  const auto Whole = Fleet.router(0).Routers;
-  auto Cut = std::make_shared<parsleywing::RouterList>(*Whole);
-  // Nobody receives what is told there.
-  Cut->at("r2").Address = freeLoopbackAddress();
+  const auto FullList = Fleet.router(0).Routers;
+  auto PartialList = std::make_shared<parsleywing::RouterList>(*FullList);
+  // Nothing receives the messages that are sent to this address.
+  PartialList->at("r2").Address = freeLoopbackAddress();
   for (const std::size_t Router : {0U, 1U})
-    Fleet.router(Router).Routers = Cut;
+    Fleet.router(Router).Routers = PartialList;
   Fleet.start();
-  repeat(Fleet, 2, 6, "/unsafe/x", "crash");
+  sendRepeatedly(Fleet, 2, 6, "/unsafe/x", "crash");
   const std::size_t Before = Fleet.receivedCount("crash");
   for (const std::size_t Router : {0U, 1U})
-    Fleet.router(Router).setRouters(Whole);
+    Fleet.router(Router).setRouters(FullList);
   std::this_thread::sleep_for(3s);
   cr_assert(isRefused(Fleet.call(2, "/unsafe/x", "crash")));
   cr_assert_eq(Fleet.receivedCount("crash"), Before);
--- a/test/Gateway/FrontFixture.cpp
+++ b/test/Gateway/FrontFixture.cpp
@@ -11,20 +11,20 @@
 namespace {
 
 GatewayRoute route(const std::string &Prefix, RequestKind Kind) {
-  GatewayRoute Made;
-  Made.Name = Prefix;
-  Made.Host = "h";
-  Made.Prefix = Prefix;
-  Made.Kind = Kind;
-  Made.Targets = {{"plain", 1}};
-  Made.Timeout = 2s;
-  Made.LatencyObjective = 150ms;
-  Made.MaxRuns = 2;
-  return Made;
+  GatewayRoute Route;
+  Route.Name = Prefix;
+  Route.Host = "h";
+  Route.Prefix = Prefix;
+  Route.Kind = Kind;
+  Route.Targets = {{"plain", 1}};
+  Route.Timeout = 2s;
+  Route.LatencyObjective = 150ms;
+  Route.MaxRuns = 2;
+  return Route;
 }
 
-/// Whether the text is a whole answer, as far as its framing tells.
-bool isWhole(const std::string &Text) {
+/// Whether the text is a complete response by its framing.
+bool isComplete(const std::string &Text) {
   const std::size_t Length = headLength(Text);
   if (Length == 0)
     return false;
@@ -63,12 +63,12 @@
 }
 
 void FrontFixture::addServer(ScriptedServer &Server) {
-  GatewayServer Listed;
-  Listed.Id = "s" + std::to_string(this->Servers->size());
-  Listed.Service = "plain";
-  Listed.Address = Poco::Net::SocketAddress(Server.address());
-  Listed.Slots = 4;
-  this->Servers->emplace(Listed.Id, Listed);
+  GatewayServer Entry;
+  Entry.Id = "s" + std::to_string(this->Servers->size());
+  Entry.Service = "plain";
+  Entry.Address = Poco::Net::SocketAddress(Server.address());
+  Entry.Slots = 4;
+  this->Servers->emplace(Entry.Id, Entry);
 }
 
 void FrontFixture::start(Duration ProofAge) {
@@ -78,28 +78,28 @@
   cr_assert(Opened.has_value());
   this->publish(ProofAge);
   this->LoopThread = std::thread([this] { this->Front->run(); });
-  // The view is taken between two rounds of the loop.
+  // The loop applies the view between two iterations.
   std::this_thread::sleep_for(150ms);
 }
 
 void FrontFixture::restartServer(const std::string &Id,
                                  std::int64_t StartedMs) {
-  auto Listed = std::make_shared<ServerList>(*this->Servers);
-  Listed->at(Id).StartedMs = StartedMs;
-  this->Servers = std::move(Listed);
+  auto NewServers = std::make_shared<ServerList>(*this->Servers);
+  NewServers->at(Id).StartedMs = StartedMs;
+  this->Servers = std::move(NewServers);
   this->publish(Duration::zero());
   std::this_thread::sleep_for(150ms);
 }
 
 void FrontFixture::removeServer(const std::string &Id) {
-  auto Listed = std::make_shared<ServerList>(*this->Servers);
-  Listed->erase(Id);
-  this->Servers = std::move(Listed);
+  auto NewServers = std::make_shared<ServerList>(*this->Servers);
+  NewServers->erase(Id);
+  this->Servers = std::move(NewServers);
   this->publish(Duration::zero());
 }
 
-void FrontFixture::setRouters(std::shared_ptr<const RouterList> Listed) {
-  this->Routers = std::move(Listed);
+void FrontFixture::setRouters(std::shared_ptr<const RouterList> List) {
+  this->Routers = std::move(List);
   this->publish(Duration::zero());
   std::this_thread::sleep_for(150ms);
 }
@@ -119,11 +119,11 @@
 
 void FrontFixture::blockLoopOnMetrics(Duration Time) {
   this->Settings.OperatorAddress = freeLoopbackAddress();
-  this->MetricsRegistry.callback(MetricKind::Gauge,
-                                 {"standstill", "A pause.", ""}, [Time] {
-                                   std::this_thread::sleep_for(Time);
-                                   return 0.0;
-                                 });
+  this->MetricsRegistry.callback(
+      MetricKind::Gauge, {"standstill", "Blocks the loop.", ""}, [Time] {
+        std::this_thread::sleep_for(Time);
+        return 0.0;
+      });
 }
 
 Poco::Net::StreamSocket FrontFixture::connect() const {
@@ -136,20 +136,20 @@
 std::string FrontFixture::call(const std::string &Request) {
   Poco::Net::StreamSocket Socket = this->connect();
   sendText(Socket, Request);
-  std::string Answer;
+  std::string Response;
   std::array<char, 4096> Buffer{};
   this->ConnectionReset = false;
   try {
-    while (!isWhole(Answer)) {
+    while (!isComplete(Response)) {
       const int Count = Socket.receiveBytes(Buffer.data(), Buffer.size());
       if (Count <= 0)
         break;
-      Answer.append(Buffer.data(), static_cast<std::size_t>(Count));
+      Response.append(Buffer.data(), static_cast<std::size_t>(Count));
     }
   } catch (const Poco::Exception &) {
     this->ConnectionReset = true;
   }
-  return Answer;
+  return Response;
 }
 
 std::string FrontFixture::request(const std::string &Path,
--- a/test/Gateway/FrontFixture.h
+++ b/test/Gateway/FrontFixture.h
@@ -13,8 +13,8 @@
 
 namespace parsleywing::test {
 
-/// A router's traffic in this process, before scripted servers, with a view of
-/// the fleet that the test makes.
+/// A router's front in this process, in front of scripted servers, with a fleet
+/// view that the test defines.
 class FrontFixture {
 public:
   FrontFixture();
@@ -22,24 +22,24 @@
   FrontFixture(const FrontFixture &) = delete;
   FrontFixture &operator=(const FrontFixture &) = delete;
 
-  /// Adds a server of the service "plain" (also behind /stream/).
+  /// Adds a server of the service "plain", which serves all routes.
   void addServer(ScriptedServer &Server);
 
-  /// Puts the view in force and waits until the router serves it.
+  /// Starts the router, publishes the view and waits until it is active.
   void start(Duration ProofAge = Duration::zero());
 
-  /// The server's entry tells of a new start of its process.
+  /// Publishes a new start time of the server's process.
   void restartServer(const std::string &Id, std::int64_t StartedMs);
 
-  /// The server is listed no more.
+  /// Publishes a list without the server.
   void removeServer(const std::string &Id);
 
-  /// Other routers are listed from now on.
-  void setRouters(std::shared_ptr<const RouterList> Listed);
+  /// Publishes another list of routers.
+  void setRouters(std::shared_ptr<const RouterList> List);
 
-  /// The whole answer's bytes to a request's bytes; what came until the router
-  /// closed the connection or the answer was whole. `Reset` is set where the
-  /// connection broke.
+  /// Sends the bytes of a request and returns the bytes received until the
+  /// response was complete or the connection ended. Sets `ConnectionReset` if
+  /// the connection was reset.
   std::string call(const std::string &Request);
   bool ConnectionReset = false;
 
@@ -52,14 +52,14 @@
 
   GatewayConfiguration Configuration;
   GatewaySettings Settings;
-  /// The listed routers, this one included; null where it is alone.
+  /// The listed routers including this one; null if there are no others.
   std::shared_ptr<const RouterList> Routers;
   GatewayFront &front() { return *this->Front; }
-  /// What the router's metrics show now.
+  /// The router's metrics in text form.
   std::string metrics() const { return this->MetricsRegistry.render(); }
 
-  /// The router stands still for so long as it answers its operators next.
-  /// Before `start`, once.
+  /// Blocks the router's loop for this time while it renders the metrics for
+  /// operators. Call once, before `start`.
   void blockLoopOnMetrics(Duration Time);
 
 private:
--- a/test/Gateway/FrontTest.cpp
+++ b/test/Gateway/FrontTest.cpp
@@ -12,7 +12,8 @@
 
 using Socket = Poco::Net::StreamSocket;
 
-std::string whole(const std::string &Body, const std::string &Fields = "") {
+std::string okResponse(const std::string &Body,
+                       const std::string &Fields = "") {
   return "HTTP/1.1 200 OK\r\nRequest-Id: r1\r\nResponse-Seal: s\r\n" + Fields +
          "Content-Length: " + std::to_string(Body.size()) + "\r\n\r\n" + Body;
 }
@@ -40,35 +41,35 @@
   return Count;
 }
 
-bool starts(const std::string &Text, const std::string &With) {
-  return Text.starts_with(With);
+bool startsWith(const std::string &Text, const std::string &Prefix) {
+  return Text.starts_with(Prefix);
 }
 
 } // namespace
 
-Test(GatewayFront, passesARequestAndItsAnswer) {
+Test(GatewayFront, forwardsRequestAndResponse) {
   ScriptedServer Server([](Socket &S, const std::string &) {
-    sendText(S, whole("hello"));
+    sendText(S, okResponse("hello"));
     return true;
   });
   FrontFixture F;
   F.addServer(Server);
   F.start();
-  const std::string Answer = F.call(FrontFixture::request("/safe/x?y"));
-  cr_assert(starts(Answer, "HTTP/1.1 200"), "%s", Answer.c_str());
-  cr_assert(Answer.ends_with("hello"));
-  cr_assert_eq(fieldOf(Answer, "Response-Seal"), "s");
+  const std::string Response = F.call(FrontFixture::request("/safe/x?y"));
+  cr_assert(startsWith(Response, "HTTP/1.1 200"), "%s", Response.c_str());
+  cr_assert(Response.ends_with("hello"));
+  cr_assert_eq(fieldOf(Response, "Response-Seal"), "s");
   const std::string Sent = Server.requests().at(0);
-  cr_assert(starts(Sent, "GET /safe/x?y HTTP/1.1"));
+  cr_assert(startsWith(Sent, "GET /safe/x?y HTTP/1.1"));
   cr_assert_eq(fieldOf(Sent, "Tenant-Id"), "acc");
   cr_assert_eq(fieldOf(Sent, "Expect-Instance"), "s0");
   cr_assert_eq(fieldOf(Sent, "Authorization"), "");
 }
 
-// Symptom: a booking is made twice. Sequence: the server reads the request and
-// its connection breaks; the router sends the request to another server.
-// Cause: a broken connection taken for "not run".
-Test(GatewayFront, anUnsafeRequestIsSentOnceThoughItsServerBreaksOff) {
+// Guards against running an unsafe request twice: its server reads it, the
+// connection breaks, and the router takes that for "not run" and sends the
+// request to another server.
+Test(GatewayFront, unsafeRequestIsNotRetriedAfterBrokenConnection) {
   const auto Break = [](Socket &, const std::string &) { return false; };
   ScriptedServer One(Break);
   ScriptedServer Other(Break);
@@ -76,12 +77,12 @@
   F.addServer(One);
   F.addServer(Other);
   F.start();
-  const std::string Answer = F.call(FrontFixture::request("/unsafe/x"));
-  cr_assert(starts(Answer, "HTTP/1.1 502"), "%s", Answer.c_str());
+  const std::string Response = F.call(FrontFixture::request("/unsafe/x"));
+  cr_assert(startsWith(Response, "HTTP/1.1 502"), "%s", Response.c_str());
   cr_assert_eq(requestsAt({&One, &Other}), 1U);
 }
 
-Test(GatewayFront, whatAServerSaysItDidNotRunGoesToAnother) {
+Test(GatewayFront, requestThatServerDidNotRunIsRetried) {
   const auto Refuse = [](Socket &S, const std::string &) {
     sendText(S, "HTTP/1.1 503 Service Unavailable\r\nNot-Executed: 1\r\n"
                 "Content-Length: 0\r\n\r\n");
@@ -93,16 +94,17 @@
   F.addServer(One);
   F.addServer(Other);
   F.start();
-  const std::string Answer = F.call(FrontFixture::request("/unsafe/x"));
-  cr_assert(starts(Answer, "HTTP/1.1 503"), "%s", Answer.c_str());
-  cr_assert_neq(fieldOf(Answer, "Retry-After"), "");
+  const std::string Response = F.call(FrontFixture::request("/unsafe/x"));
+  cr_assert(startsWith(Response, "HTTP/1.1 503"), "%s", Response.c_str());
+  cr_assert_neq(fieldOf(Response, "Retry-After"), "");
   cr_assert_eq(requestsAt({&One, &Other}), 2U);
 }
 
-// Symptom: a caller that is told "not run" sends again what has run. Sequence:
-// something behind the server answers 503 without its word. Cause: the status
-// was passed on, and to callers it is a promise.
-Test(GatewayFront, aBare503IsNotPassedOnAsAPromise) {
+// Guards against a caller that retries a request that has run: something behind
+// the server responds with 503 but without the statement that the request has
+// not run. To callers the router's 503 promises just that, so the status must
+// not be forwarded.
+Test(GatewayFront, plain503IsNotForwarded) {
   ScriptedServer Server([](Socket &S, const std::string &) {
     sendText(S, "HTTP/1.1 503 Service Unavailable\r\nRequest-Id: r1\r\n"
                 "Content-Length: 0\r\n\r\n");
@@ -111,18 +113,19 @@
   FrontFixture F;
   F.addServer(Server);
   F.start();
-  cr_assert(starts(F.call(FrontFixture::request("/unsafe/x")), "HTTP/1.1 502"));
+  cr_assert(
+      startsWith(F.call(FrontFixture::request("/unsafe/x")), "HTTP/1.1 502"));
   cr_assert_eq(Server.requests().size(), 1U);
 }
 
-Test(GatewayFront, aSafeRequestIsRepeatedAfterAFailure) {
+Test(GatewayFront, safeRequestIsRetriedAfterFailure) {
   std::atomic<int> Count{0};
   const auto FailOnce = [&Count](Socket &S, const std::string &) {
     if (Count++ == 0)
       sendText(S, "HTTP/1.1 500 No\r\nRequest-Id: r1\r\nResponse-Seal: s\r\n"
                   "Content-Length: 0\r\n\r\n");
     else
-      sendText(S, whole("good"));
+      sendText(S, okResponse("good"));
     return true;
   };
   ScriptedServer One(FailOnce);
@@ -134,13 +137,13 @@
   cr_assert(F.call(FrontFixture::request("/safe/x")).ends_with("good"));
 }
 
-// Symptom: a caller gets 502 though its server was about to answer. Sequence:
-// the server is slow to begin; the fleet has no repeat left. Cause: the request
-// was broken off at the server before that was looked up.
-Test(GatewayFront, aSlowAnswerIsWaitedForWhereNoRepeatIsLeft) {
+// Guards against a 502 although the server was about to respond: the server is
+// slow to start its response, and the router aborts the attempt before it
+// checks whether a retry is left.
+Test(GatewayFront, slowResponseIsAwaitedIfNoRetryIsLeft) {
   ScriptedServer Server([](Socket &S, const std::string &) {
     std::this_thread::sleep_for(900ms);
-    sendText(S, whole("late"));
+    sendText(S, okResponse("late"));
     return true;
   });
   FrontFixture F;
@@ -148,19 +151,20 @@
   F.Settings.Retries.Slack = 0;
   F.addServer(Server);
   F.start();
-  const std::string Answer = F.call(FrontFixture::request("/safe/x"));
-  cr_assert(starts(Answer, "HTTP/1.1 200"), "%s", Answer.c_str());
+  const std::string Response = F.call(FrontFixture::request("/safe/x"));
+  cr_assert(startsWith(Response, "HTTP/1.1 200"), "%s", Response.c_str());
   cr_assert_eq(Server.requests().size(), 1U);
 }
 
-// Symptom: a caller gets another one's answer. Sequence: a faulty server sends
-// a second answer to a request late, where the next answer on the connection
-// is due. Cause: answers were taken in order, without a look at their identity.
-Test(GatewayFront, anAnswerToAnotherRequestIsDropped) {
+// Guards against giving a caller the response to another request: a faulty
+// server sends a second response to an earlier request when the next response
+// on the connection is due. Responses must be matched by request ID, not by
+// order.
+Test(GatewayFront, responseToAnotherRequestIsDropped) {
   ScriptedServer Server([](Socket &S, const std::string &) {
     sendText(S, "HTTP/1.1 200 OK\r\nRequest-Id: r0\r\nResponse-Seal: s\r\n"
                 "Content-Length: 5\r\n\r\nwrong" +
-                    whole("right"));
+                    okResponse("right"));
     return true;
   });
   FrontFixture F;
@@ -169,7 +173,7 @@
   cr_assert(F.call(FrontFixture::request("/unsafe/x")).ends_with("right"));
 }
 
-Test(GatewayFront, aSuccessWithoutReceiptOrCutShortIsNoSuccess) {
+Test(GatewayFront, successWithoutReceiptOrTruncatedBecomes502) {
   for (const char *Text :
        {"HTTP/1.1 200 OK\r\nRequest-Id: r1\r\nContent-Length: 2\r\n\r\nok",
         "HTTP/1.1 200 OK\r\nRequest-Id: r1\r\nResponse-Seal: s\r\n"
@@ -182,15 +186,15 @@
     FrontFixture F;
     F.addServer(Server);
     F.start();
-    const std::string Answer = F.call(FrontFixture::request("/unsafe/x"));
-    cr_assert(starts(Answer, "HTTP/1.1 502"), "%s", Answer.c_str());
+    const std::string Response = F.call(FrontFixture::request("/unsafe/x"));
+    cr_assert(startsWith(Response, "HTTP/1.1 502"), "%s", Response.c_str());
   }
 }
 
-// Symptom: a reader sees half an event, one twice, or one missing. Sequence:
-// the server dies in the middle of event 3. Cause: the next server was asked
-// to begin anew, or pieces of events were passed on.
-Test(GatewayFront, aBrokenStreamGoesOnBehindTheLastWholeEvent) {
+// Guards against partial, duplicate or missing events for the caller: the
+// server dies in the middle of event 3. The next server must resume after the
+// last complete event, and partial events must not be forwarded.
+Test(GatewayFront, brokenStreamResumesAfterLastCompleteEvent) {
   const auto Script = [](Socket &S, const std::string &Request) {
     const std::string Last = fieldOf(Request, "Last-Event-Id");
     if (Last.empty()) {
@@ -207,18 +211,18 @@
   F.addServer(One);
   F.addServer(Other);
   F.start();
-  const std::string Answer = F.call(FrontFixture::request("/stream/x"));
-  const std::size_t Length = headLength(Answer);
+  const std::string Response = F.call(FrontFixture::request("/stream/x"));
+  const std::size_t Length = headLength(Response);
   BodyDecoder Body({BodyFraming::Chunked, 0});
   std::string Events;
-  Body.feed(Answer.substr(Length), Events);
+  Body.feed(Response.substr(Length), Events);
   cr_assert(Body.complete());
   cr_assert_eq(Events, event(1) + event(2) + event(3) + event(4), "%s",
                Events.c_str());
   cr_assert_eq(requestsAt({&One, &Other}), 2U);
 }
 
-Test(GatewayFront, aStreamThatMayNotBeResumedIsCutAndNotEnded) {
+Test(GatewayFront, brokenStreamIsTruncatedIfNotResumable) {
   const auto Script = [](Socket &S, const std::string &) {
     sendText(S, StreamHead + chunk(event(1)));
     return false;
@@ -229,14 +233,14 @@
   F.addServer(One);
   F.addServer(Other);
   F.start();
-  const std::string Answer = F.call(FrontFixture::request("/once/x"));
-  cr_assert_not(Answer.ends_with("0\r\n\r\n"), "%s", Answer.c_str());
+  const std::string Response = F.call(FrontFixture::request("/once/x"));
+  cr_assert_not(Response.ends_with("0\r\n\r\n"), "%s", Response.c_str());
   cr_assert_eq(requestsAt({&One, &Other}), 1U);
 }
 
-// Symptom: servers work for callers that have left. Cause: the connection to
-// the server stayed open.
-Test(GatewayFront, aLeavingCallerStopsItsServer) {
+// Guards against servers that keep working for disconnected callers because the
+// connection to the server stays open.
+Test(GatewayFront, disconnectedCallerStopsItsServer) {
   std::atomic<bool> Stopped{false};
   ScriptedServer Server([&Stopped](Socket &S, const std::string &) {
     std::array<char, 16> Buffer{};
@@ -256,7 +260,8 @@
   {
     Socket Caller = F.connect();
     sendText(Caller, FrontFixture::request("/unsafe/x"));
-    // A caller that leaves before its request was passed on stops nothing.
+    // The caller must not disconnect before the server has received the
+    // request.
     for (int I = 0; I < 200 && Server.requests().empty(); ++I)
       std::this_thread::sleep_for(10ms);
     cr_assert_eq(Server.requests().size(), 1U);
@@ -265,102 +270,107 @@
   cr_assert(Stopped.load());
 }
 
-// Symptom: a caller's key that was taken away still works at a router that is
-// cut off; or proper callers are told 404 there for routes that exist by now.
-// Cause: what the router knew was not dated.
-Test(GatewayFront, anOldConfigurationDecidesNothingForGood) {
+// Guards against a disconnected router with an outdated configuration that
+// accepts revoked keys or responds with 404 for routes that have been added
+// since. It must refuse such requests.
+Test(GatewayFront, outdatedConfigurationOnlyRefuses) {
   ScriptedServer Server([](Socket &S, const std::string &) {
-    sendText(S, whole("hello"));
+    sendText(S, okResponse("hello"));
     return true;
   });
   FrontFixture F;
   F.addServer(Server);
   F.start(6s);
-  cr_assert(starts(F.call(FrontFixture::request("/safe/x")), "HTTP/1.1 503"));
-  cr_assert(starts(F.call(FrontFixture::request("/none/x")), "HTTP/1.1 503"));
+  cr_assert(
+      startsWith(F.call(FrontFixture::request("/safe/x")), "HTTP/1.1 503"));
+  cr_assert(
+      startsWith(F.call(FrontFixture::request("/none/x")), "HTTP/1.1 503"));
   cr_assert_eq(Server.requests().size(), 0U);
 }
 
-// Symptom: hundreds of requests were refused, and only counting log lines tells
-// why. Cause: one counter for all reasons.
-Test(GatewayFront, refusalsAreCountedByTheirReason) {
+// Guards against a single counter for all refusals: when hundreds of requests
+// were refused, the reasons could only be found by counting log lines.
+Test(GatewayFront, refusalsAreCountedByReason) {
   FrontFixture F;
   F.start(5s);
-  cr_assert(starts(F.call(FrontFixture::request("/safe/x")), "HTTP/1.1 503"));
-  cr_assert(starts(F.call(FrontFixture::request("/no/x")), "HTTP/1.1 503"));
-  // Counted behind the answer, on the router's thread.
+  cr_assert(
+      startsWith(F.call(FrontFixture::request("/safe/x")), "HTTP/1.1 503"));
+  cr_assert(startsWith(F.call(FrontFixture::request("/no/x")), "HTTP/1.1 503"));
+  // Refusals are counted after the response, on the router's thread.
   std::this_thread::sleep_for(200ms);
-  const std::string Shown = F.metrics();
+  const std::string MetricsText = F.metrics();
   for (const char *Line :
        {"requests_refused_total{reason=\"keys-may-be-revoked\"} 1",
         "requests_refused_total{reason=\"route-may-be-new\"} 1",
         "requests_refused_total{reason=\"no-room-in-time\"} 0"})
-    cr_assert_neq(Shown.find(Line), std::string::npos, "%s in %s", Line,
-                  Shown.c_str());
+    cr_assert_neq(MetricsText.find(Line), std::string::npos, "%s in %s", Line,
+                  MetricsText.c_str());
 }
 
-Test(GatewayFront, aFreshConfigurationDenies) {
+Test(GatewayFront, currentConfigurationRejectsInvalidRequests) {
   ScriptedServer Server([](Socket &S, const std::string &) {
-    sendText(S, whole("hello"));
+    sendText(S, okResponse("hello"));
     return true;
   });
   FrontFixture F;
   F.addServer(Server);
   F.start();
-  cr_assert(starts(F.call(FrontFixture::request("/none/x")), "HTTP/1.1 404"));
-  std::string Unknown = FrontFixture::request("/safe/x");
-  Unknown.replace(Unknown.find("Token key"), 9, "Token kex");
-  cr_assert(starts(F.call(Unknown), "HTTP/1.1 401"));
   cr_assert(
-      starts(F.call("GET /safe/ HTTP/1.1\r\nHost: h\r\n\r\n"), "HTTP/1.1 400"));
+      startsWith(F.call(FrontFixture::request("/none/x")), "HTTP/1.1 404"));
+  std::string UnknownKey = FrontFixture::request("/safe/x");
+  UnknownKey.replace(UnknownKey.find("Token key"), 9, "Token kex");
+  cr_assert(startsWith(F.call(UnknownKey), "HTTP/1.1 401"));
+  cr_assert(startsWith(F.call("GET /safe/ HTTP/1.1\r\nHost: h\r\n\r\n"),
+                       "HTTP/1.1 400"));
   cr_assert_eq(Server.requests().size(), 0U);
 }
 
-// Symptom: a request hidden in another one's body runs. Cause: two lengths.
-Test(GatewayFront, aRequestWithTwoLengthsIsRefused) {
+// Guards against request smuggling: a request with two body lengths may hide
+// another one in its body.
+Test(GatewayFront, requestWithTwoLengthsIsRejected) {
   ScriptedServer Server([](Socket &S, const std::string &) {
-    sendText(S, whole("hello"));
+    sendText(S, okResponse("hello"));
     return true;
   });
   FrontFixture F;
   F.addServer(Server);
   F.start();
-  const std::string Answer = F.call(FrontFixture::request(
+  const std::string Response = F.call(FrontFixture::request(
       "/safe/x", "Content-Length: 4\r\nTransfer-Encoding: chunked\r\n"));
-  cr_assert(starts(Answer, "HTTP/1.1 400"));
-  cr_assert_eq(fieldOf(Answer, "Connection"), "close");
+  cr_assert(startsWith(Response, "HTTP/1.1 400"));
+  cr_assert_eq(fieldOf(Response, "Connection"), "close");
   cr_assert_eq(Server.requests().size(), 0U);
 }
 
-// Symptom: a router that stops cuts answers. Sequence: a stop signal comes
-// while a request runs. Cause: connections were closed with the signal.
-Test(GatewayFront, aDrainFinishesWhatRunsAndThenEnds) {
+// Guards against truncated responses at shutdown: a stop signal that arrives
+// while a request is running must not close its connection.
+Test(GatewayFront, drainFinishesRunningRequests) {
   ScriptedServer Server([](Socket &S, const std::string &) {
     std::this_thread::sleep_for(400ms);
-    sendText(S, whole("hello"));
+    sendText(S, okResponse("hello"));
     return true;
   });
   FrontFixture F;
   F.addServer(Server);
   F.start();
-  std::string Answer;
+  std::string Response;
   std::thread Caller(
-      [&] { Answer = F.call(FrontFixture::request("/unsafe/x")); });
+      [&] { Response = F.call(FrontFixture::request("/unsafe/x")); });
   std::this_thread::sleep_for(150ms);
   F.front().drain();
   Caller.join();
-  cr_assert(Answer.ends_with("hello"), "%s", Answer.c_str());
-  cr_assert_eq(fieldOf(Answer, "Connection"), "close");
+  cr_assert(Response.ends_with("hello"), "%s", Response.c_str());
+  cr_assert_eq(fieldOf(Response, "Connection"), "close");
   cr_assert_not(F.front().ready());
 }
 
-// Symptom: whole requests get neither an answer nor a refusal. Sequence: a
-// flood of callers takes all places; the next ones are accepted and closed
-// unread. Cause: a caller too many was closed in place of being refused.
-Test(GatewayFront, aCallerTooManyIsRefusedWithAnAnswer) {
+// Guards against complete requests that get neither a response nor a refusal:
+// when a flood of callers has reached the connection limit, further connections
+// must be refused with a response, not closed unread.
+Test(GatewayFront, callerAboveLimitIsRefusedWithResponse) {
   ScriptedServer Server([](Socket &S, const std::string &) {
     std::this_thread::sleep_for(600ms);
-    sendText(S, whole("hello"));
+    sendText(S, okResponse("hello"));
     return true;
   });
   FrontFixture F;
@@ -373,18 +383,18 @@
     sendText(Busy.back(), FrontFixture::request("/unsafe/x"));
   }
   std::this_thread::sleep_for(100ms);
-  const std::string Answer = F.call(FrontFixture::request("/unsafe/y"));
-  cr_assert(starts(Answer, "HTTP/1.1 503"), "%s", Answer.c_str());
-  cr_assert_eq(fieldOf(Answer, "Connection"), "close");
-  cr_assert_neq(fieldOf(Answer, "Retry-After"), "");
+  const std::string Response = F.call(FrontFixture::request("/unsafe/y"));
+  cr_assert(startsWith(Response, "HTTP/1.1 503"), "%s", Response.c_str());
+  cr_assert_eq(fieldOf(Response, "Connection"), "close");
+  cr_assert_neq(fieldOf(Response, "Retry-After"), "");
 }
 
-// Symptom: requests on new connections get no answer while a router is full.
-// Sequence: a caller connects; its request is on the way; room is made for
-// others. Cause: a connection without a request so far counted as idle.
-Test(GatewayFront, aConnectionThatHasSentNothingYetIsNotClosedForOthers) {
+// Guards against closing a new connection to make room for others while its
+// first request is on the way: a connection without any request so far must not
+// count as idle.
+Test(GatewayFront, newConnectionIsNotClosedForOthers) {
   ScriptedServer Server([](Socket &S, const std::string &) {
-    sendText(S, whole("hello"));
+    sendText(S, okResponse("hello"));
     return true;
   });
   FrontFixture F;
@@ -399,15 +409,14 @@
   std::array<char, 512> Buffer{};
   const int Count = First.receiveBytes(Buffer.data(), Buffer.size());
   cr_assert_gt(Count, 0);
-  cr_assert(starts(std::string(Buffer.data(), 12), "HTTP/1.1 200"));
+  cr_assert(startsWith(std::string(Buffer.data(), 12), "HTTP/1.1 200"));
 }
 
-// Symptom: a booking fails though its server is there. Sequence: the server
-// restarts under its identity; the router sends the next request over a
-// connection to the earlier process. Cause: kept connections belonged to an
-// identity, not to a process.
-Test(GatewayFront, noRequestGoesOverAConnectionToAnEarlierProcess) {
-  // The earlier process serves the first request and reads no other.
+// Guards against a failed request although its server is up: the server
+// restarts with the same ID, and the router sends the next request over a
+// pooled connection to the earlier process.
+Test(GatewayFront, connectionToEarlierProcessIsNotReused) {
+  // The earlier process serves the first request and reads no others.
   std::atomic<int> EarlierPort{0};
   ScriptedServer Server([&EarlierPort](Socket &S, const std::string &) {
     const int Port = S.peerAddress().port();
@@ -415,7 +424,7 @@
     const bool IsFirst = EarlierPort.compare_exchange_strong(None, Port);
     if (!IsFirst && EarlierPort == Port)
       return false;
-    sendText(S, whole("hello"));
+    sendText(S, okResponse("hello"));
     return true;
   });
   FrontFixture F;
@@ -423,31 +432,32 @@
   F.start();
   cr_assert(F.call(FrontFixture::request("/unsafe/1")).ends_with("hello"));
   F.restartServer("s0", 1000);
-  const std::string Answer = F.call(FrontFixture::request("/unsafe/2"));
-  cr_assert(starts(Answer, "HTTP/1.1 200"), "%s", Answer.c_str());
+  const std::string Response = F.call(FrontFixture::request("/unsafe/2"));
+  cr_assert(startsWith(Response, "HTTP/1.1 200"), "%s", Response.c_str());
 }
 
-// Symptom: a caller is held to its deadline for an answer that nobody makes.
-// Sequence: a server is cut off with a request and restarts; the connection
-// stays open, and the new process answers others. Cause: a server that is heard
-// was taken to be at work on the request.
-Test(GatewayFront, aRequestThatItsServersRestartLostEndsBeforeItsTime) {
+// Guards against a caller that waits until its deadline for a response that
+// never comes: a server becomes unreachable with an active request and
+// restarts, the connection stays open, and the new process serves other
+// requests. Activity of the new process must not count as work on the lost
+// request.
+Test(GatewayFront, requestLostByServerRestartEndsBeforeDeadline) {
   ScriptedServer Server([](Socket &S, const std::string &Request) {
     if (Request.find("/unsafe/lost") != std::string::npos)
       return true;
-    sendText(S, whole("hello"));
+    sendText(S, okResponse("hello"));
     return true;
   });
   FrontFixture F;
   F.addServer(Server);
   F.start();
-  std::string Answer;
-  const auto Began = std::chrono::steady_clock::now();
-  Duration Took{};
-  std::thread Caller([&F, &Answer, &Took, Began] {
-    Answer = F.call(FrontFixture::request("/unsafe/lost"));
-    Took = std::chrono::duration_cast<Duration>(
-        std::chrono::steady_clock::now() - Began);
+  std::string Response;
+  const auto Start = std::chrono::steady_clock::now();
+  Duration ResponseTime{};
+  std::thread Caller([&F, &Response, &ResponseTime, Start] {
+    Response = F.call(FrontFixture::request("/unsafe/lost"));
+    ResponseTime = std::chrono::duration_cast<Duration>(
+        std::chrono::steady_clock::now() - Start);
   });
   std::this_thread::sleep_for(100ms);
   F.restartServer("s0", 1000);
@@ -457,11 +467,11 @@
     std::this_thread::sleep_for(50ms);
   }
   Caller.join();
-  cr_assert(starts(Answer, "HTTP/1.1 502"), "%s", Answer.c_str());
-  cr_assert_lt(Took, 1500ms);
+  cr_assert(startsWith(Response, "HTTP/1.1 502"), "%s", Response.c_str());
+  cr_assert_lt(ResponseTime, 1500ms);
 }
 
-Test(GatewayFront, aRouteTimeoutEndsTheWait) {
+Test(GatewayFront, routeTimeoutEndsRequest) {
   ScriptedServer Server([](Socket &, const std::string &) {
     std::this_thread::sleep_for(1s);
     return false;
@@ -471,26 +481,26 @@
     Route.Timeout = 300ms;
   F.addServer(Server);
   F.start();
-  const auto Begun = std::chrono::steady_clock::now();
-  const std::string Answer = F.call(FrontFixture::request("/unsafe/x"));
-  cr_assert(starts(Answer, "HTTP/1.1 504"), "%s", Answer.c_str());
-  cr_assert(std::chrono::steady_clock::now() - Begun < 700ms);
+  const auto Start = std::chrono::steady_clock::now();
+  const std::string Response = F.call(FrontFixture::request("/unsafe/x"));
+  cr_assert(startsWith(Response, "HTTP/1.1 504"), "%s", Response.c_str());
+  cr_assert(std::chrono::steady_clock::now() - Start < 700ms);
 }
 
-// Guards against connections that lose bytes without a trace for an operator.
-Test(GatewayFront, bytesBehindTheEndOfAConnectionAreCounted) {
+// Guards against connections that lose bytes unnoticed by operators.
+Test(GatewayFront, bytesAfterEndOfConnectionAreCounted) {
   ScriptedServer Server([](Socket &S, const std::string &) {
-    sendText(S, whole("hello"));
+    sendText(S, okResponse("hello"));
     return true;
   });
   FrontFixture F;
   F.addServer(Server);
   F.start();
-  const std::string Last =
+  const std::string LastRequest =
       FrontFixture::request("/safe/x", "Connection: close\r\n");
   {
     Socket Caller = F.connect();
-    sendText(Caller, Last);
+    sendText(Caller, LastRequest);
     std::this_thread::sleep_for(200ms);
     sendText(Caller, FrontFixture::request("/safe/y"));
     std::this_thread::sleep_for(100ms);
--- a/test/Gateway/ScriptedServer.cpp
+++ b/test/Gateway/ScriptedServer.cpp
@@ -34,13 +34,13 @@
   return this->Requests;
 }
 
-void ScriptedServer::crash(std::chrono::milliseconds BackAfter) {
+void ScriptedServer::crash(std::chrono::milliseconds Downtime) {
   const std::lock_guard<std::mutex> Lock(this->Mutex);
   if (this->DownUntil)
     return;
   ++this->Crashes;
-  this->DownUntil = std::chrono::steady_clock::now() + BackAfter;
-  // Those that wait to connect find nobody at once.
+  this->DownUntil = std::chrono::steady_clock::now() + Downtime;
+  // Pending connection attempts fail at once.
   ::shutdown(this->Listening.impl()->sockfd(), SHUT_RDWR);
   for (const Poco::Net::StreamSocket &Each : this->OpenConnections)
     ::shutdown(Each.impl()->sockfd(), SHUT_RDWR);
@@ -55,22 +55,21 @@
                                Poco::Net::Socket::SELECT_READ))
         this->startWorker(this->Listening.acceptConnection());
     } catch (const Poco::Exception &) {
-      // Shut down by a crash.
+      // The listening socket was shut down by `crash`.
     }
   }
 }
 
-/// Returns once the server listens.
 void ScriptedServer::waitForRestart() {
-  std::optional<std::chrono::steady_clock::time_point> Until;
+  std::optional<std::chrono::steady_clock::time_point> RestartAt;
   {
     const std::lock_guard<std::mutex> Lock(this->Mutex);
-    Until = this->DownUntil;
+    RestartAt = this->DownUntil;
   }
-  if (!Until)
+  if (!RestartAt)
     return;
   this->Listening.close();
-  while (!this->Stopping && std::chrono::steady_clock::now() < *Until)
+  while (!this->Stopping && std::chrono::steady_clock::now() < *RestartAt)
     std::this_thread::sleep_for(std::chrono::microseconds(PollMicroseconds));
   if (this->Stopping)
     return;
@@ -92,7 +91,7 @@
     try {
       this->serve(Connection);
     } catch (const Poco::Exception &) {
-      // The router has closed the connection; its test sees that.
+      // The router has closed the connection, which the test notices itself.
     }
     const std::lock_guard<std::mutex> Lock(this->Mutex);
     std::erase(this->OpenConnections, Connection);
@@ -100,18 +99,18 @@
 }
 
 void ScriptedServer::serve(Poco::Net::StreamSocket Connection) {
-  std::string In;
+  std::string Input;
   std::array<char, 4096> Buffer{};
   while (!this->Stopping) {
-    const std::size_t Length = headLength(In);
+    const std::size_t Length = headLength(Input);
     if (Length > 0) {
-      const auto Head = parseRequestHead(In.substr(0, Length));
+      const auto Head = parseRequestHead(Input.substr(0, Length));
       BodyDecoder Body(requestBodyLength(*Head).value());
       std::string Payload;
-      const std::size_t Used = Body.feed(In.substr(Length), Payload);
+      const std::size_t Used = Body.feed(Input.substr(Length), Payload);
       if (Body.complete()) {
-        const std::string Request = In.substr(0, Length) + Payload;
-        In.erase(0, Length + Used);
+        const std::string Request = Input.substr(0, Length) + Payload;
+        Input.erase(0, Length + Used);
         {
           const std::lock_guard<std::mutex> Lock(this->Mutex);
           this->Requests.push_back(Request);
@@ -127,7 +126,7 @@
     const int Count = Connection.receiveBytes(Buffer.data(), Buffer.size());
     if (Count <= 0)
       return;
-    In.append(Buffer.data(), static_cast<std::size_t>(Count));
+    Input.append(Buffer.data(), static_cast<std::size_t>(Count));
   }
 }
 
@@ -143,8 +142,8 @@
   const std::size_t At = Text.find(Start);
   if (At == std::string::npos)
     return {};
-  const std::size_t From = At + Start.size();
-  return Text.substr(From, Text.find("\r\n", From) - From);
+  const std::size_t Begin = At + Start.size();
+  return Text.substr(Begin, Text.find("\r\n", Begin) - Begin);
 }
 
 } // namespace parsleywing::test
--- a/test/Gateway/ScriptedServer.h
+++ b/test/Gateway/ScriptedServer.h
@@ -14,11 +14,11 @@
 
 namespace parsleywing::test {
 
-/// A server whose every byte a test chooses: it reads one request after the
-/// other and has the test's function answer it on the raw connection.
+/// A server whose responses the test defines byte by byte: for each request
+/// that it reads, the test's function writes to the raw connection.
 class ScriptedServer {
 public:
-  /// Answers one request; false closes the connection.
+  /// Responds to one request; false closes the connection.
   using Script = std::function<bool(Poco::Net::StreamSocket &Connection,
                                     const std::string &Request)>;
 
@@ -29,20 +29,21 @@
 
   std::string address() const { return this->ListenAddress.toString(); }
 
-  /// Ends like a process that crashes: all connections at once, and new ones
-  /// are refused until it listens again at its address, after `BackAfter`. For
-  /// its script too.
-  void crash(std::chrono::milliseconds BackAfter);
+  /// Simulates a crash of the process: closes all connections at once and
+  /// refuses new ones until it listens again at the same address, after
+  /// `Downtime`. The script may call this too.
+  void crash(std::chrono::milliseconds Downtime);
 
   /// How often it has crashed.
   std::size_t crashCount() const { return this->Crashes; }
 
-  /// The requests read so far, heads and bodies.
+  /// The requests received so far, each with head and body.
   std::vector<std::string> requests();
 
 private:
   void accept();
   void startWorker(const Poco::Net::StreamSocket &Connection);
+  /// Returns once the server listens.
   void waitForRestart();
   void serve(Poco::Net::StreamSocket Connection);
 
@@ -52,7 +53,7 @@
   std::atomic<bool> Stopping{false};
   std::atomic<std::size_t> Crashes{0};
   std::mutex Mutex;
-  /// Not listening until then.
+  /// Set after a crash, until the server listens again.
   std::optional<std::chrono::steady_clock::time_point> DownUntil;
   std::vector<Poco::Net::StreamSocket> OpenConnections;
   std::vector<std::string> Requests;
@@ -60,10 +61,10 @@
   std::thread Acceptor;
 };
 
-/// Sends all bytes of a text.
 void sendText(Poco::Net::StreamSocket &Connection, const std::string &Text);
 
-/// The value of a field of a request's or answer's text; empty where absent.
+/// The value of a header field in the text of a request or response; empty if
+/// absent.
 std::string fieldOf(const std::string &Text, const std::string &Name);
 
 } // namespace parsleywing::test
