--- a/bench/GatewayTryBench.cpp
+++ b/bench/GatewayTryBench.cpp
@@ -8,9 +8,9 @@
 #include <ctime>
 #include <thread>
 
-// What a caller's try costs the thread of a router that carries the traffic:
-// its processor time, without that of the caller and of the server. Log lines
-// go where the product writes them; send them away with `2>/dev/null`.
+// Measures the CPU time that one caller request costs the router's event loop
+// thread, without the CPU time of the caller and the server. Log lines go to
+// the product's log target; discard them with `2>/dev/null`.
 
 namespace {
 
@@ -20,10 +20,10 @@
 constexpr const char *Service = "plain";
 
 GatewayConfiguration configuration() {
-  GatewayConfiguration Made;
-  Made.Version = 1;
-  Made.HasAccounts = true;
-  Made.AccountOfKey["key"] = "acc";
+  GatewayConfiguration Configuration;
+  Configuration.Version = 1;
+  Configuration.HasAccounts = true;
+  Configuration.AccountOfKey["key"] = "acc";
   GatewayRoute Route;
   Route.Name = "stream";
   Route.Host = "h";
@@ -32,9 +32,9 @@
   Route.Targets = {{Service, 1}};
   Route.Timeout = 4s;
   Route.LatencyObjective = 500ms;
-  Made.Routes = {Route};
-  Made.Services[Service].Name = Service;
-  return Made;
+  Configuration.Routes = {Route};
+  Configuration.Services[Service].Name = Service;
+  return Configuration;
 }
 
 /// A router without a server.
@@ -44,7 +44,7 @@
     this->Settings.Name = "router";
     this->Settings.CallerAddress = test::freeLoopbackAddress();
     this->Front = std::make_unique<GatewayFront>(this->Settings, this->Format,
-                                                 this->Measured);
+                                                 this->MetricsRegistry);
     if (!this->Front->open())
       std::abort();
     auto Servers = std::make_shared<ServerList>();
@@ -54,32 +54,32 @@
     View->Servers = Servers;
     View->ProvenAt = Clock::sinceBoot().now() + 1h;
     this->Front->updateView(View);
-    this->Worker = std::thread([this] { this->Front->run(); });
+    this->LoopThread = std::thread([this] { this->Front->run(); });
     std::this_thread::sleep_for(150ms);
   }
 
   ~Router() {
     this->Front->stop();
-    this->Worker.join();
+    this->LoopThread.join();
   }
 
   Router(const Router &) = delete;
   Router &operator=(const Router &) = delete;
 
-  /// Processor seconds of the thread that serves.
-  double used() {
+  /// CPU seconds used by the event loop thread.
+  double cpuSeconds() {
     clockid_t Id{};
     timespec Used{};
-    if (pthread_getcpuclockid(this->Worker.native_handle(), &Id) != 0 ||
+    if (pthread_getcpuclockid(this->LoopThread.native_handle(), &Id) != 0 ||
         clock_gettime(Id, &Used) != 0)
       std::abort();
-    constexpr double Billionth = 1e-9;
+    constexpr double SecondsPerNanosecond = 1e-9;
     return static_cast<double>(Used.tv_sec) +
-           Billionth * static_cast<double>(Used.tv_nsec);
+           SecondsPerNanosecond * static_cast<double>(Used.tv_nsec);
   }
 
-  /// Sends a request on a connection of its own and reads to its end.
-  void tryOnce(const std::string &Request) const {
+  /// Sends a request on a new connection and reads the response.
+  void sendOnce(const std::string &Request) const {
     Poco::Net::StreamSocket Socket{
         Poco::Net::SocketAddress(this->Settings.CallerAddress)};
     Socket.sendBytes(Request.data(), static_cast<int>(Request.size()));
@@ -91,9 +91,9 @@
 private:
   GatewaySettings Settings;
   WireFormat Format = platformWireFormat();
-  Metrics Measured;
+  Metrics MetricsRegistry;
   std::unique_ptr<GatewayFront> Front;
-  std::thread Worker;
+  std::thread LoopThread;
 };
 
 std::string streamRequest() {
@@ -106,22 +106,23 @@
          std::to_string(Body.size()) + "\r\n\r\n" + Body;
 }
 
-void measure(benchmark::State &State, Router &Serving) {
+void measure(benchmark::State &State, Router &Target) {
   const std::string Request = streamRequest();
-  const double Before = Serving.used();
+  const double Before = Target.cpuSeconds();
   while (State.KeepRunning())
-    Serving.tryOnce(Request);
-  constexpr double Million = 1e6;
-  State.counters["router_us"] = Million * (Serving.used() - Before) /
+    Target.sendOnce(Request);
+  constexpr double MicrosecondsPerSecond = 1e6;
+  State.counters["router_us"] = MicrosecondsPerSecond *
+                                (Target.cpuSeconds() - Before) /
                                 static_cast<double>(State.iterations());
 }
 
-/// No server is listed: refused as soon as it is read.
-void refusedTry(benchmark::State &State) {
-  Router Serving;
-  measure(State, Serving);
+/// A refusal right after the request has been read, since no server is listed.
+void refusedRequest(benchmark::State &State) {
+  Router Target;
+  measure(State, Target);
 }
-BENCHMARK(refusedTry)->Unit(benchmark::kMicrosecond);
+BENCHMARK(refusedRequest)->Unit(benchmark::kMicrosecond);
 
 } // namespace
 
