--- a/test/Gateway/ConnectionEndTest.cpp
+++ b/test/Gateway/ConnectionEndTest.cpp
@@ -200,8 +200,9 @@
 // neither a response nor a refusal, only a normal close of their connection
 // 0.2 s after the request. The loop is blocked with all caller connections in
 // use, requests wait unread on idle connections, and the router closes those to
-// make room. The connection must be closed without reading, so that the caller
-// sees a reset.
+// make room. A check for unread bytes before a close that keeps reading still
+// lost some requests, so the connection must be closed without reading: the
+// caller then sees a reset.
 Test(ConnectionEnd, requestDuringCloseOfIdleConnectionStaysUnread) {
   ScriptedServer Server([](Socket &S, const std::string &) {
     sendText(S, okResponse("hello"));
--- a/test/Gateway/CrashingRequestTest.cpp
+++ b/test/Gateway/CrashingRequestTest.cpp
@@ -66,7 +66,7 @@
 }
 
 // The refusal must be immediate, state that the request has not run, and not
-// suggest a sendRepeatedly.
+// suggest a retry.
 Test(CrashingRequest, isRefusedAtOnceWithoutRetryAfter, .timeout = 60) {
   CrashFixture Fleet(2, 6, 60s);
   Fleet.start();
