--- a/test/Gateway/FakeStore.h
+++ b/test/Gateway/FakeStore.h
@@ -16,77 +16,80 @@
 
 using namespace std::chrono_literals;
 
-/// A store that a test can change, turn off and rob of its history.
+/// A store whose state, reachability and history a test controls.
 struct FakeStore {
   std::mutex Mutex;
   std::int64_t Version = 1;
   Revision CurrentRevision = 10;
   std::vector<StoredServer> Servers;
-  /// Another one, so that the router does not look for others at its start.
+  /// Lists another router, so that the tested one does not retry its lists at
+  /// the start.
   std::vector<StoredRouter> Routers{{"other", "127.0.0.1:1", 1, 1}};
   std::vector<EvacuatedZone> EvacuatedZones;
   bool Unreachable = false;
   bool HistoryCompacted = false;
-  /// The store's revision as reads of the configuration tell it.
+  /// The store's revision as reported by reads of the configuration.
   Revision StoreRevision = 0;
-  /// What a call for changes that does not wait is told.
+  /// Changes returned by calls for changes that do not wait.
   std::vector<FleetChange> UnwatchedChanges;
-  /// What stale reads are behind by: they tell the state before the last
-  /// change.
+  /// Whether stale reads return the configuration before the last change.
   std::atomic<bool> ReplicasLag{false};
-  /// Waiting calls hang.
+  /// Whether calls that wait for changes hang.
   std::atomic<bool> WatchHangs{false};
   std::atomic<int> ConfigurationReads{0};
-  /// Of the configuration and the lists, those at the full price.
+  /// Linearizable reads of the configuration and the lists.
   std::atomic<int> LinearizableReads{0};
   std::atomic<int> ServerReads{0};
   std::atomic<int> Watches{0};
   std::atomic<int> Registrations{0};
-  /// The lease that was renewed last, and one that has ended.
+  /// The lease that was renewed last, and one that has expired.
   std::atomic<LeaseId> RenewedLease{0};
   std::atomic<LeaseId> EndedLease{0};
   std::atomic<int> Unregistrations{0};
 
-  void countRead(ReadConsistency Age) {
-    if (Age == ReadConsistency::Linearizable)
+  void countRead(ReadConsistency Consistency) {
+    if (Consistency == ReadConsistency::Linearizable)
       ++this->LinearizableReads;
   }
 
   FleetSource source() {
-    FleetSource Made;
-    Made.Configuration = [this](Revision, ReadConsistency Age)
+    FleetSource Source;
+    Source.Configuration = [this](Revision, ReadConsistency Consistency)
         -> Result<std::optional<StoredConfiguration>> {
       ++this->ConfigurationReads;
-      this->countRead(Age);
+      this->countRead(Consistency);
       const std::lock_guard<std::mutex> Lock(this->Mutex);
       if (this->Unreachable)
-        return failure(ErrorCode::TimedOut, "away");
-      const bool Lags = Age == ReadConsistency::AllowStale && this->ReplicasLag;
+        return failure(ErrorCode::TimedOut, "unreachable");
+      const bool Lags =
+          Consistency == ReadConsistency::AllowStale && this->ReplicasLag;
       auto Read = std::make_shared<GatewayConfiguration>();
       Read->Version = this->Version - (Lags ? 1 : 0);
       return std::optional(StoredConfiguration{
           Read, this->CurrentRevision - (Lags ? 1 : 0), this->StoreRevision});
     };
-    Made.Servers = [this](ReadConsistency Age) -> Result<StoredServers> {
+    Source.Servers =
+        [this](ReadConsistency Consistency) -> Result<StoredServers> {
       ++this->ServerReads;
-      this->countRead(Age);
+      this->countRead(Consistency);
       const std::lock_guard<std::mutex> Lock(this->Mutex);
       if (this->Unreachable)
-        return failure(ErrorCode::TimedOut, "away");
+        return failure(ErrorCode::TimedOut, "unreachable");
       return StoredServers{this->Servers, this->CurrentRevision};
     };
-    Made.Routers = [this](ReadConsistency Age) -> Result<StoredRouters> {
-      this->countRead(Age);
+    Source.Routers =
+        [this](ReadConsistency Consistency) -> Result<StoredRouters> {
+      this->countRead(Consistency);
       const std::lock_guard<std::mutex> Lock(this->Mutex);
       return StoredRouters{this->Routers, this->CurrentRevision};
     };
-    Made.Evacuations =
-        [this](ReadConsistency Age) -> Result<StoredEvacuations> {
-      this->countRead(Age);
+    Source.Evacuations =
+        [this](ReadConsistency Consistency) -> Result<StoredEvacuations> {
+      this->countRead(Consistency);
       const std::lock_guard<std::mutex> Lock(this->Mutex);
       return StoredEvacuations{this->EvacuatedZones, this->CurrentRevision};
     };
-    Made.Changes = [this](Revision, Duration Wait) -> Result<FleetChanges> {
+    Source.Changes = [this](Revision, Duration Wait) -> Result<FleetChanges> {
       ++this->Watches;
       if (Wait == Duration::zero())
         return FleetChanges{this->UnwatchedChanges, this->StoreRevision};
@@ -95,31 +98,31 @@
       std::this_thread::sleep_for(20ms);
       const std::lock_guard<std::mutex> Lock(this->Mutex);
       if (this->Unreachable)
-        return failure(ErrorCode::TimedOut, "away");
+        return failure(ErrorCode::TimedOut, "unreachable");
       if (std::exchange(this->HistoryCompacted, false))
-        return failure(ErrorCode::NotFound, "gone");
+        return failure(ErrorCode::NotFound, "compacted");
       return FleetChanges{{}, this->CurrentRevision};
     };
-    Made.Register = [this](const StoredRouter &, Duration) -> Result<LeaseId> {
+    Source.Register = [this](const StoredRouter &,
+                             Duration) -> Result<LeaseId> {
       ++this->Registrations;
       return LeaseId{1};
     };
-    Made.Renew = [this](LeaseId Lease) -> Result<void> {
+    Source.Renew = [this](LeaseId Lease) -> Result<void> {
       this->RenewedLease = Lease;
       if (this->EndedLease == Lease)
-        return failure(ErrorCode::NotFound, "ended");
+        return failure(ErrorCode::NotFound, "expired");
       return {};
     };
-    Made.Unregister = [this](LeaseId) -> Result<void> {
+    Source.Unregister = [this](LeaseId) -> Result<void> {
       ++this->Unregistrations;
       return {};
     };
-    return Made;
+    return Source;
   }
 };
 
-/// A feed over such a store, of a router of this role; a relay or a follower
-/// where only that is said.
+/// A feed over a `FakeStore`, for a router of the given role.
 struct FeedFixture {
   explicit FeedFixture(bool Relay = true,
                        const std::function<void(FakeStore &)> &Before = {})
@@ -147,23 +150,25 @@
     return this->LastView;
   }
 
-  /// Waits until the view is as wanted; false after three seconds.
-  template <typename Wanted> bool eventually(Wanted Is) {
+  /// Waits until the predicate holds for the view. Returns false after three
+  /// seconds.
+  template <typename Predicate> bool eventually(Predicate Matches) {
     for (int Try = 0; Try < 300; ++Try) {
       const auto View = this->view();
-      if (View != nullptr && Is(*View))
+      if (View != nullptr && Matches(*View))
         return true;
       std::this_thread::sleep_for(10ms);
     }
     return false;
   }
 
-  /// A relay that knows all up to this revision proves that again and again.
-  void receiveProofsFor(Duration Time, Revision SeenAt) const {
+  /// Simulates a relay that repeatedly proves that it has all changes up to
+  /// this revision.
+  void receiveProofsFor(Duration Time, Revision SeenRevision) const {
     const TimePoint Until = Clock::sinceBoot().now() + Time;
     while (Clock::sinceBoot().now() < Until) {
       this->Feed->onRelayMessage(
-          RelayStatus{Clock::sinceBoot().now(), 10, SeenAt, 0});
+          RelayStatus{Clock::sinceBoot().now(), 10, SeenRevision, 0});
       std::this_thread::sleep_for(50ms);
     }
   }
@@ -176,7 +181,7 @@
   std::unique_ptr<FleetFeed> Feed;
 };
 
-/// How old the proof of a view is.
+/// The age of a view's proof.
 inline Duration age(const FleetView &View) {
   return Clock::sinceBoot().now() - View.ProvenAt;
 }
--- a/test/Gateway/FleetExchangeTest.cpp
+++ b/test/Gateway/FleetExchangeTest.cpp
@@ -11,368 +11,384 @@
 
 namespace {
 
-StoredServer server(const std::string &Id, Revision At) {
-  GatewayServer Made;
-  Made.Id = Id;
-  Made.Service = "service";
-  Made.Address = Poco::Net::SocketAddress("127.0.0.1:80");
-  Made.Zone = "zone";
-  Made.Slots = 7;
-  return {Made, At};
+StoredServer server(const std::string &Id, Revision ModRevision) {
+  GatewayServer Server;
+  Server.Id = Id;
+  Server.Service = "service";
+  Server.Address = Poco::Net::SocketAddress("127.0.0.1:80");
+  Server.Zone = "zone";
+  Server.Slots = 7;
+  return {Server, ModRevision};
 }
 
-/// A relay and a router that hears of the fleet from it.
-struct Pair {
-  Pair()
+/// A relay and a router that follows it.
+struct RelayAndFollower {
+  RelayAndFollower()
       : Fleet(Clock::steady()), Small(Fleet.add("small", 0.01)),
         Large(Fleet.add("large", 10)),
-        Asking(Fleet.Loop, Small, 1, RelayTimes::of({})),
+        Follower(Fleet.Loop, Small, 1, RelayTimes::of({})),
         Relay(Fleet.Loop, Large, 2, RelayTimes::of({})) {
     cr_assert(Small.open([this](const RouterMessage &Message,
                                 const Poco::Net::SocketAddress &From) {
-      if (const auto *Told = std::get_if<FleetStatus>(&Message))
-        this->Asking.onStatus(*Told, From);
-      else if (!this->loses())
-        this->Asking.onUpdate(std::get<FleetUpdate>(Message));
+      if (const auto *Status = std::get_if<FleetStatus>(&Message))
+        this->Follower.onStatus(*Status, From);
+      else if (!this->dropsUpdate())
+        this->Follower.onUpdate(std::get<FleetUpdate>(Message));
     }));
     cr_assert(Large.open([this](const RouterMessage &Message,
                                 const Poco::Net::SocketAddress &From) {
       this->Relay.onStatusRequest(std::get<FleetStatusRequest>(Message), From);
     }));
     this->Fleet.publishList();
-    StoredServers Nothing;
-    Nothing.ReadRevision = 1;
-    this->Known.applyServers(Nothing, {});
-    this->Heard.applyServers(Nothing, {});
+    StoredServers Empty;
+    Empty.ReadRevision = 1;
+    this->RelayState.applyServers(Empty, {});
+    this->FollowerState.applyServers(Empty, {});
   }
 
-  /// Puts the books in force at both.
-  void showViews() {
-    this->Relay.updateView(std::make_shared<FleetView>(this->Known.view()));
-    this->Asking.updateView(std::make_shared<FleetView>(this->Heard.view()));
+  /// Passes the current states to both exchanges.
+  void updateViews() {
+    this->Relay.updateView(
+        std::make_shared<FleetView>(this->RelayState.view()));
+    this->Follower.updateView(
+        std::make_shared<FleetView>(this->FollowerState.view()));
   }
 
-  /// Lets the router ask and take what it is told until this holds, or for two
-  /// seconds.
+  /// Runs the follower until the condition holds, for at most two seconds.
+  /// Returns whether it held.
   template <typename Condition> bool runUntil(Condition Holds) {
-    bool Held = false;
-    this->Asking.start([&](const RelayMessage &Told) {
-      this->take(Told);
-      Held = Held || Holds();
-      if (Held)
+    bool HasHeld = false;
+    this->Follower.start([&](const RelayMessage &Message) {
+      this->receive(Message);
+      HasHeld = HasHeld || Holds();
+      if (HasHeld)
         this->Fleet.Loop.stop();
     });
     this->Fleet.Loop.after(2s, [this] { this->Fleet.Loop.stop(); });
     this->Fleet.Loop.run();
-    return Held;
+    return HasHeld;
   }
 
-  void take(const RelayMessage &Told) {
-    if (const auto *Word = std::get_if<RelayStatus>(&Told)) {
-      this->LastWord = *Word;
+  void receive(const RelayMessage &Message) {
+    if (const auto *Status = std::get_if<RelayStatus>(&Message)) {
+      this->LastStatus = *Status;
       return;
     }
-    const auto &News = std::get<RelayUpdate>(Told);
-    ++this->NewsCame;
-    if (News.AfterRevision > this->Heard.seenRevision())
+    const auto &Update = std::get<RelayUpdate>(Message);
+    ++this->UpdatesReceived;
+    if (Update.AfterRevision > this->FollowerState.seenRevision())
       return;
-    for (const FleetChange &Each : News.Changes)
-      this->Heard.applyChange(Each, {});
-    this->Heard.recordSeenRevision(News.ToRevision);
-    this->Asking.updateView(std::make_shared<FleetView>(this->Heard.view()));
+    for (const FleetChange &Each : Update.Changes)
+      this->FollowerState.applyChange(Each, {});
+    this->FollowerState.recordSeenRevision(Update.ToRevision);
+    this->Follower.updateView(
+        std::make_shared<FleetView>(this->FollowerState.view()));
   }
 
-  bool loses() {
-    if (this->ToLose == 0)
+  bool dropsUpdate() {
+    if (this->UpdatesToDrop == 0)
       return false;
-    --this->ToLose;
+    --this->UpdatesToDrop;
     return true;
   }
 
   LoopbackRouters Fleet;
   RouterExchange &Small;
   RouterExchange &Large;
-  FleetExchange Asking;
+  FleetExchange Follower;
   FleetExchange Relay;
-  FleetState Known;
-  FleetState Heard;
-  std::optional<RelayStatus> LastWord;
-  int NewsCame = 0;
-  /// Messages with changes that do not arrive.
-  int ToLose = 0;
+  FleetState RelayState;
+  FleetState FollowerState;
+  std::optional<RelayStatus> LastStatus;
+  int UpdatesReceived = 0;
+  /// Number of update messages to drop.
+  int UpdatesToDrop = 0;
 };
 
 } // namespace
 
-// Symptom: a key that was taken away works for too long at a router that hears
-// of changes by its relay. Cause: the proof was dated by the answer's arrival.
+// A revoked key must not keep working for too long at a follower. The relay's
+// proof was dated by the arrival of the status message.
 Test(FleetExchange, aProofIsNeverNewerThanTheRelaysOwn) {
   for (const Duration Age : {Duration(400ms), Duration(3s)}) {
-    Pair P;
+    RelayAndFollower P;
     const TimePoint Before = Clock::sinceBoot().now();
-    P.Known.recordProof(Before - Age);
-    P.showViews();
-    cr_assert(P.runUntil([&P] { return P.LastWord.has_value(); }));
-    const Duration Told = Before - P.LastWord->ProvenAt;
-    cr_expect_geq(Told.count(), (Age - 5ms).count());
+    P.RelayState.recordProof(Before - Age);
+    P.updateViews();
+    cr_assert(P.runUntil([&P] { return P.LastStatus.has_value(); }));
+    const Duration ProofAge = Before - P.LastStatus->ProvenAt;
+    cr_expect_geq(ProofAge.count(), (Age - 5ms).count());
   }
 }
 
-Test(FleetExchange, tellsAllChangesBehindWhatTheOtherHasSeen) {
-  Pair P;
-  constexpr Revision Many = 25;
-  for (Revision At = 2; At < 2 + Many; ++At)
-    P.Known.applyChange(FleetChange(server("s" + std::to_string(At), At)), {});
-  P.Known.applyChange(FleetChange(RemovedServer{"s2", 40}), {});
-  P.Known.applyChange(FleetChange(StoredRouter{"r", "127.0.0.1:1", 0.5, 41}),
-                      {});
-  P.Known.recordSeenRevision(50);
-  P.showViews();
-  cr_assert(P.runUntil([&P] { return P.Heard.seenRevision() == 50; }));
-  const FleetView Same = P.Known.view();
-  const FleetView Got = P.Heard.view();
-  cr_assert_eq(Got.Servers->size(), Many - 1);
-  for (const auto &[Id, Listed] : *Same.Servers) {
-    const GatewayServer &Came = Got.Servers->at(Id);
-    cr_expect_eq(Came.Service, Listed.Service);
-    cr_expect_eq(Came.Address, Listed.Address);
-    cr_expect_eq(Came.Zone, Listed.Zone);
-    cr_expect_eq(Came.Slots, Listed.Slots);
+Test(FleetExchange, sendsAllChangesAfterTheFollowersRevision) {
+  RelayAndFollower P;
+  constexpr Revision ServerCount = 25;
+  for (Revision ModRevision = 2; ModRevision < 2 + ServerCount; ++ModRevision)
+    P.RelayState.applyChange(
+        FleetChange(server("s" + std::to_string(ModRevision), ModRevision)),
+        {});
+  P.RelayState.applyChange(FleetChange(RemovedServer{"s2", 40}), {});
+  P.RelayState.applyChange(
+      FleetChange(StoredRouter{"r", "127.0.0.1:1", 0.5, 41}), {});
+  P.RelayState.recordSeenRevision(50);
+  P.updateViews();
+  cr_assert(P.runUntil([&P] { return P.FollowerState.seenRevision() == 50; }));
+  const FleetView Expected = P.RelayState.view();
+  const FleetView Received = P.FollowerState.view();
+  cr_assert_eq(Received.Servers->size(), ServerCount - 1);
+  for (const auto &[Id, Listed] : *Expected.Servers) {
+    const GatewayServer &Copy = Received.Servers->at(Id);
+    cr_expect_eq(Copy.Service, Listed.Service);
+    cr_expect_eq(Copy.Address, Listed.Address);
+    cr_expect_eq(Copy.Zone, Listed.Zone);
+    cr_expect_eq(Copy.Slots, Listed.Slots);
   }
-  cr_expect_eq(Got.RouterEndpoints->at("r").Cores, 0.5);
+  cr_expect_eq(Received.RouterEndpoints->at("r").Cores, 0.5);
 }
 
-// Symptom: a router sends requests to a server that has gone. Sequence: the
-// datagram that tells of the server is lost, the next one arrives. Cause: what
-// had been sent counted as known.
-Test(FleetExchange, changesThatWereLostComeAgain) {
-  Pair P;
-  for (Revision At = 2; At < 40; ++At)
-    P.Known.applyChange(FleetChange(server("s" + std::to_string(At), At)), {});
-  P.Known.recordSeenRevision(40);
-  P.ToLose = 2;
-  P.showViews();
-  cr_assert(P.runUntil([&P] { return P.Heard.seenRevision() == 40; }));
-  cr_expect_eq(P.Heard.view().Servers->size(), 38);
+// A router must not send requests to a removed server. The datagram with the
+// change was lost and the next one arrived, but all changes that were sent
+// counted as known.
+Test(FleetExchange, resendsLostChanges) {
+  RelayAndFollower P;
+  for (Revision ModRevision = 2; ModRevision < 40; ++ModRevision)
+    P.RelayState.applyChange(
+        FleetChange(server("s" + std::to_string(ModRevision), ModRevision)),
+        {});
+  P.RelayState.recordSeenRevision(40);
+  P.UpdatesToDrop = 2;
+  P.updateViews();
+  cr_assert(P.runUntil([&P] { return P.FollowerState.seenRevision() == 40; }));
+  cr_expect_eq(P.FollowerState.view().Servers->size(), 38);
 }
 
-// Symptom: some of the servers of a lost zone get requests on and on. Sequence:
-// their entries go in one step of the store, more than one message holds; the
-// second message is lost. Cause: the first one made the step's revision known.
-Test(FleetExchange, changesOfOneRevisionAreKnownOnlyAllTogether) {
-  Pair P;
-  for (Revision At = 2; At < 27; ++At) {
-    P.Known.applyChange(FleetChange(server("s" + std::to_string(At), At)), {});
-    P.Heard.applyChange(FleetChange(server("s" + std::to_string(At), At)), {});
+// Servers of a lost zone must not keep getting requests. Their entries were
+// deleted in one revision with more changes than fit into a message, the second
+// message was lost, and the first one alone marked the revision as seen.
+Test(FleetExchange, aRevisionIsSeenOnlyWithAllOfItsChanges) {
+  RelayAndFollower P;
+  for (Revision ModRevision = 2; ModRevision < 27; ++ModRevision) {
+    P.RelayState.applyChange(
+        FleetChange(server("s" + std::to_string(ModRevision), ModRevision)),
+        {});
+    P.FollowerState.applyChange(
+        FleetChange(server("s" + std::to_string(ModRevision), ModRevision)),
+        {});
   }
-  P.Heard.recordSeenRevision(30);
-  for (Revision At = 2; At < 27; ++At)
-    P.Known.applyChange(
-        FleetChange(RemovedServer{"s" + std::to_string(At), 35}), {});
-  P.Known.recordSeenRevision(36);
-  P.showViews();
-  P.ToLose = 0;
+  P.FollowerState.recordSeenRevision(30);
+  for (Revision ModRevision = 2; ModRevision < 27; ++ModRevision)
+    P.RelayState.applyChange(
+        FleetChange(RemovedServer{"s" + std::to_string(ModRevision), 35}), {});
+  P.RelayState.recordSeenRevision(36);
+  P.updateViews();
+  P.UpdatesToDrop = 0;
   cr_assert(P.runUntil([&P] {
-    if (P.NewsCame == 1)
-      P.ToLose = 1;
-    return P.Heard.seenRevision() == 36;
+    if (P.UpdatesReceived == 1)
+      P.UpdatesToDrop = 1;
+    return P.FollowerState.seenRevision() == 36;
   }));
-  cr_expect(P.Heard.view().Servers->empty());
+  cr_expect(P.FollowerState.view().Servers->empty());
 }
 
-// Symptom: a change is in force half a second later at routers with a relay.
-// Cause: it was told only in answer to a question.
-Test(FleetExchange, changesAreToldAtOnceToWhoAskedLately) {
-  Pair P;
-  P.showViews();
-  TimePoint Changed{};
+// Followers must not apply changes half a second late, as they did when changes
+// were sent only in reply to a request.
+Test(FleetExchange, pushesChangesToRecentFollowers) {
+  RelayAndFollower P;
+  P.updateViews();
+  TimePoint ChangedAt{};
   P.Fleet.Loop.after(100ms, [&] {
-    P.Known.applyChange(FleetChange(server("s", 5)), {});
-    P.Known.recordSeenRevision(5);
-    Changed = P.Fleet.Loop.clock().now();
-    P.Relay.updateView(std::make_shared<FleetView>(P.Known.view()));
+    P.RelayState.applyChange(FleetChange(server("s", 5)), {});
+    P.RelayState.recordSeenRevision(5);
+    ChangedAt = P.Fleet.Loop.clock().now();
+    P.Relay.updateView(std::make_shared<FleetView>(P.RelayState.view()));
   });
-  cr_assert(P.runUntil([&P] { return P.Heard.seenRevision() == 5; }));
-  const Duration After = P.Fleet.Loop.clock().now() - Changed;
-  cr_expect_lt(After.count(), Duration(200ms).count());
+  cr_assert(P.runUntil([&P] { return P.FollowerState.seenRevision() == 5; }));
+  const Duration Delay = P.Fleet.Loop.clock().now() - ChangedAt;
+  cr_expect_lt(Delay.count(), Duration(200ms).count());
 }
 
-// Symptom: requests reach a server 2.04 s after its word that it leaves.
-// Sequence: the datagram with that word is lost on its way from the relay.
-// Cause: lost changes came only with the next question, 2 s apart.
-Test(FleetExchange, changesThatWereLostAreAskedForAtTheNextWord) {
-  Pair P;
-  P.showViews();
-  TimePoint Changed{};
+// Requests must not reach a server 2.04 s after it started to drain. The
+// relay's datagram with that change was lost, and lost changes were resent only
+// with the next request; requests are 2 s apart.
+Test(FleetExchange, requestsLostChangesAfterTheNextStatus) {
+  RelayAndFollower P;
+  P.updateViews();
+  TimePoint ChangedAt{};
   P.Fleet.Loop.after(100ms, [&] {
-    P.ToLose = 1;
-    P.Known.applyChange(FleetChange(server("s", 5)), {});
-    P.Known.recordSeenRevision(5);
-    Changed = P.Fleet.Loop.clock().now();
-    P.Relay.updateView(std::make_shared<FleetView>(P.Known.view()));
+    P.UpdatesToDrop = 1;
+    P.RelayState.applyChange(FleetChange(server("s", 5)), {});
+    P.RelayState.recordSeenRevision(5);
+    ChangedAt = P.Fleet.Loop.clock().now();
+    P.Relay.updateView(std::make_shared<FleetView>(P.RelayState.view()));
   });
   P.Fleet.Loop.after(300ms, [&] {
-    P.Known.recordProof(Clock::sinceBoot().now());
-    P.Relay.updateView(std::make_shared<FleetView>(P.Known.view()));
+    P.RelayState.recordProof(Clock::sinceBoot().now());
+    P.Relay.updateView(std::make_shared<FleetView>(P.RelayState.view()));
   });
-  cr_assert(P.runUntil([&P] { return P.Heard.seenRevision() == 5; }));
-  const Duration After = P.Fleet.Loop.clock().now() - Changed;
-  cr_expect_lt(After.count(), Duration(450ms).count());
+  cr_assert(P.runUntil([&P] { return P.FollowerState.seenRevision() == 5; }));
+  const Duration Delay = P.Fleet.Loop.clock().now() - ChangedAt;
+  cr_expect_lt(Delay.count(), Duration(450ms).count());
 }
 
-// Symptom: a router lacks servers for good. Sequence: it was away for longer
-// than its relay remembers. Cause: it was told the relay's latest changes as if
+// A router must not lack servers permanently. After it was unreachable for
+// longer than its relay's history, it received the relay's latest changes as if
 // nothing were missing before them.
-Test(FleetExchange, aRelayThatLacksTheChangesSaysSo) {
-  Pair P;
-  StoredServers Later;
-  Later.ReadRevision = 100;
-  FleetState Young;
-  Young.applyServers(Later, {});
-  P.Known = Young;
-  P.Known.applyChange(FleetChange(server("s", 105)), {});
-  P.Known.recordSeenRevision(105);
-  P.showViews();
-  cr_assert(P.runUntil([&P] { return P.LastWord.has_value(); }));
-  cr_expect_eq(P.NewsCame, 0);
-  cr_expect_eq(P.LastWord->CompactRevision, 100);
-  cr_expect_eq(P.LastWord->SeenRevision, 105);
+Test(FleetExchange, aRelayReportsTheStartOfItsHistory) {
+  RelayAndFollower P;
+  StoredServers LaterList;
+  LaterList.ReadRevision = 100;
+  FleetState Restarted;
+  Restarted.applyServers(LaterList, {});
+  P.RelayState = Restarted;
+  P.RelayState.applyChange(FleetChange(server("s", 105)), {});
+  P.RelayState.recordSeenRevision(105);
+  P.updateViews();
+  cr_assert(P.runUntil([&P] { return P.LastStatus.has_value(); }));
+  cr_expect_eq(P.UpdatesReceived, 0);
+  cr_expect_eq(P.LastStatus->CompactRevision, 100);
+  cr_expect_eq(P.LastStatus->SeenRevision, 105);
 }
 
-Test(FleetExchange, aDistrustedRelayIsReplaced) {
-  Pair P;
-  P.showViews();
-  cr_assert(P.runUntil([&P] { return P.LastWord.has_value(); }));
-  cr_assert(P.Asking.role() == RelayRole::Follower);
-  P.Asking.switchRelay();
+Test(FleetExchange, switchesToAnotherRelay) {
+  RelayAndFollower P;
+  P.updateViews();
+  cr_assert(P.runUntil([&P] { return P.LastStatus.has_value(); }));
+  cr_assert(P.Follower.role() == RelayRole::Follower);
+  P.Follower.switchRelay();
   P.Fleet.Loop.after(700ms, [&P] { P.Fleet.Loop.stop(); });
-  P.LastWord.reset();
+  P.LastStatus.reset();
   P.runUntil([] { return false; });
-  cr_expect(P.Asking.role() == RelayRole::Relay);
+  cr_expect(P.Follower.role() == RelayRole::Relay);
 }
 
 namespace {
 
-/// A small router before the relays of two clusters.
+/// A small router and the relays of two clusters.
 struct TwoClusters {
   TwoClusters()
       : Fleet(Clock::steady()), Small(Fleet.add("small", 0.01)),
-        Asking(Fleet.Loop, Small, 1, RelayTimes::of({})) {
-    // Five, so that two of them are the first of one cluster each.
+        Follower(Fleet.Loop, Small, 1, RelayTimes::of({})) {
+    // Five large routers, so that two of them are the relays of the clusters.
     for (const std::string Name :
          {"large1", "large2", "large3", "large4", "large5"})
       this->Relays.push_back(std::make_unique<FleetExchange>(
           Fleet.Loop, Fleet.add(Name, 100), this->Relays.size() + 2,
           RelayTimes::of({})));
-    // Fifty routers make two clusters; these are listed only.
+    // More than 48 routers form two clusters; these are listed but do not run.
     for (int Number = 0; Number < 50; ++Number)
       Fleet.Endpoints["idle" + std::to_string(Number)] = {"127.0.0.1:9", 0.001};
     cr_assert(Small.open([this](const RouterMessage &Message,
                                 const Poco::Net::SocketAddress &From) {
-      if (const auto *Told = std::get_if<FleetStatus>(&Message))
-        this->Asking.onStatus(*Told, From);
+      if (const auto *Status = std::get_if<FleetStatus>(&Message))
+        this->Follower.onStatus(*Status, From);
     }));
     for (std::size_t Each = 0; Each < this->Relays.size(); ++Each)
       cr_assert(Fleet.Exchanges[Each + 1]->open(
           [this, Each](const RouterMessage &Message,
                        const Poco::Net::SocketAddress &From) {
-            if (const auto *Asked = std::get_if<FleetStatusRequest>(&Message))
-              this->Relays[Each]->onStatusRequest(*Asked, From);
+            if (const auto *Request = std::get_if<FleetStatusRequest>(&Message))
+              this->Relays[Each]->onStatusRequest(*Request, From);
           }));
     Fleet.publishList();
-    show(this->Asking, {});
+    setView(this->Follower, {});
   }
 
-  void show(FleetExchange &To, TimePoint Proven) const {
+  void setView(FleetExchange &To, TimePoint ProvenAt) const {
     auto View = std::make_shared<FleetView>();
     View->RouterEndpoints = std::make_shared<RouterList>(this->Fleet.Endpoints);
-    View->ProvenAt = Proven;
+    View->ProvenAt = ProvenAt;
     To.updateView(View);
   }
 
-  /// All but the one that is cut off prove five times a second.
+  /// Lets all relays but the disconnected one prove five times a second.
   void prove() {
     for (std::size_t Each = 0; Each < this->Relays.size(); ++Each) {
       const std::string Name = "large" + std::to_string(Each + 1);
-      if (this->teller(Name) != this->CutOff)
-        show(*this->Relays[Each], Clock::sinceBoot().now());
+      if (this->senderHash(Name) != this->DisconnectedRelay)
+        setView(*this->Relays[Each], Clock::sinceBoot().now());
     }
     this->Fleet.Loop.after(200ms, [this] { this->prove(); });
   }
 
-  std::uint64_t teller(const std::string &Name) const {
+  std::uint64_t senderHash(const std::string &Name) const {
     return hashName(this->Fleet.Endpoints.at(Name).Address);
   }
 
   LoopbackRouters Fleet;
   RouterExchange &Small;
-  FleetExchange Asking;
+  FleetExchange Follower;
   std::vector<std::unique_ptr<FleetExchange>> Relays;
-  /// Who tells of old proofs only; 0 for none.
-  std::uint64_t CutOff = 0;
+  /// The sender hash of the relay without new proofs; 0 for none.
+  std::uint64_t DisconnectedRelay = 0;
 };
 
 } // namespace
 
-// Symptom: all routers of a cluster read the store for themselves for seconds,
-// 1,000 calls. Sequence: the store turns their relay away, and serves the
-// relays of the other clusters. Cause: a router asked no other relay before it
-// had shown twice by own reads that the store can be reached. Fails without
-// `FleetExchange::askOthers`.
-Test(FleetExchange, theRelayOfAnotherClusterTakesThePlaceOfOneWithoutTheStore) {
+// The routers of a cluster must not read the store themselves for seconds,
+// which cost 1,000 calls. The store rejected their relay and served the relays
+// of the other clusters, but a router asked no other relay before two own reads
+// had reached the store. Fails without `FleetExchange::requestOtherStatuses`.
+Test(FleetExchange, aRelayOfAnotherClusterSubstitutesForADisconnectedOne) {
   TwoClusters T;
   T.prove();
-  std::optional<TimePoint> LastOfOwn;
+  std::optional<TimePoint> LastOwnProof;
   std::optional<Duration> Gap;
-  T.Asking.start([&](const RelayMessage &Told) {
-    const auto *Word = std::get_if<RelayStatus>(&Told);
-    if (Word == nullptr || !Word->IsOwnRelay)
+  T.Follower.start([&](const RelayMessage &Message) {
+    const auto *Status = std::get_if<RelayStatus>(&Message);
+    if (Status == nullptr || !Status->IsOwnRelay)
       return;
-    if (T.CutOff == 0) {
-      T.CutOff = Word->SenderHash;
-      LastOfOwn = Word->ProvenAt;
-    } else if (Word->SenderHash != T.CutOff) {
-      Gap = Word->ProvenAt - *LastOfOwn;
+    if (T.DisconnectedRelay == 0) {
+      T.DisconnectedRelay = Status->SenderHash;
+      LastOwnProof = Status->ProvenAt;
+    } else if (Status->SenderHash != T.DisconnectedRelay) {
+      Gap = Status->ProvenAt - *LastOwnProof;
       T.Fleet.Loop.stop();
     }
   });
   T.Fleet.Loop.after(4s, [&] { T.Fleet.Loop.stop(); });
   T.Fleet.Loop.run();
   cr_assert(Gap.has_value());
-  // Before the router would read for itself.
+  // Before the router would read the store itself.
   cr_expect(*Gap < RelayTimes::of({}).MaxProofAge);
-  cr_expect(T.Asking.role() == RelayRole::Follower);
+  cr_expect(T.Follower.role() == RelayRole::Follower);
 }
 
-// Symptom: a relay of 38 routers sends 5.7 MB a second, most of it to other
-// zones. Sequence: a zone is lost; a router that lacks hundreds of changes asks
-// again while they come. Cause: each question was answered with all of them.
-// Fails without SendAgainInterval: 36 messages.
-Test(FleetExchange, whatIsOnItsWayIsNotSentWithEachQuestion) {
-  Pair P;
-  for (Revision At = 2; At < 32; ++At)
-    P.Known.applyChange(FleetChange(server("s" + std::to_string(At), At)), {});
-  P.Known.recordSeenRevision(32);
-  P.showViews();
+// A relay of 38 routers sent 5.7 MB per second, most of it to other zones.
+// After the loss of a zone, followers that lacked hundreds of changes repeated
+// their requests while the changes arrived, and each request was answered with
+// all of them. Fails without `ResendInterval`, with 36 messages.
+Test(FleetExchange, doesNotResendPendingChangesWithEachRequest) {
+  RelayAndFollower P;
+  for (Revision ModRevision = 2; ModRevision < 32; ++ModRevision)
+    P.RelayState.applyChange(
+        FleetChange(server("s" + std::to_string(ModRevision), ModRevision)),
+        {});
+  P.RelayState.recordSeenRevision(32);
+  P.updateViews();
   const Poco::Net::SocketAddress Small(P.Fleet.Endpoints.at("small").Address);
   for (std::uint64_t Number = 100; Number < 110; ++Number)
     P.Relay.onStatusRequest({{1, Number}, 1}, Small);
   cr_assert_not(P.runUntil([] { return false; }));
-  cr_expect_eq(P.Heard.seenRevision(), 32);
-  cr_expect_leq(P.NewsCame, 9, "%d messages", P.NewsCame);
+  cr_expect_eq(P.FollowerState.seenRevision(), 32);
+  cr_expect_leq(P.UpdatesReceived, 9, "%d messages", P.UpdatesReceived);
 }
 
-// Symptom: a router that lacks the changes of a lost zone stays behind for
-// seconds, and its relay sends them again and again. Sequence: a thousand
-// datagrams come at once. Cause: the system's buffer holds some hundred.
-Test(FleetExchange, whatARouterLacksComesInPartsThatItCanTake) {
-  Pair P;
-  for (Revision At = 2; At < 6002; ++At)
-    P.Known.applyChange(FleetChange(server("s" + std::to_string(At), At)), {});
-  P.Known.recordSeenRevision(6002);
-  P.showViews();
-  cr_assert(P.runUntil([&P] { return P.Heard.seenRevision() == 6002; }));
-  cr_expect_eq(P.Heard.view().Servers->size(), 6000U);
-  // 600 messages of ten, each twice at most: a loop that is late asks again.
-  cr_expect_leq(P.NewsCame, 1200, "%d messages", P.NewsCame);
+// A follower that lacks the changes of a lost zone must not stay behind for
+// seconds while its relay resends them. A thousand datagrams were sent at once,
+// and the socket buffer holds about a hundred.
+Test(FleetExchange, sendsManyChangesInPartsThatFitTheBuffer) {
+  RelayAndFollower P;
+  for (Revision ModRevision = 2; ModRevision < 6002; ++ModRevision)
+    P.RelayState.applyChange(
+        FleetChange(server("s" + std::to_string(ModRevision), ModRevision)),
+        {});
+  P.RelayState.recordSeenRevision(6002);
+  P.updateViews();
+  cr_assert(
+      P.runUntil([&P] { return P.FollowerState.seenRevision() == 6002; }));
+  cr_expect_eq(P.FollowerState.view().Servers->size(), 6000U);
+  // 600 messages of ten changes, each at most twice: a late event loop repeats
+  // its request.
+  cr_expect_leq(P.UpdatesReceived, 1200, "%d messages", P.UpdatesReceived);
 }
--- a/test/Gateway/FleetFeedCallsTest.cpp
+++ b/test/Gateway/FleetFeedCallsTest.cpp
@@ -7,28 +7,28 @@
 
 namespace {
 
-/// A word of a relay that has reached the store at this moment.
-RelayStatus wordAt(TimePoint Proven, std::uint64_t Teller,
-                   Revision Configuration, Revision Seen) {
-  RelayStatus Word;
-  Word.ProvenAt = Proven;
-  Word.ConfigurationRevision = Configuration;
-  Word.SeenRevision = Seen;
-  Word.ReadsStore = true;
-  Word.SenderHash = Teller;
-  Word.IsOwnRelay = Teller == 1;
-  return Word;
+/// The status of a relay that reached the store at this time.
+RelayStatus statusAt(TimePoint ProvenAt, std::uint64_t Sender,
+                     Revision Configuration, Revision Seen) {
+  RelayStatus Status;
+  Status.ProvenAt = ProvenAt;
+  Status.ConfigurationRevision = Configuration;
+  Status.SeenRevision = Seen;
+  Status.ReadsStore = true;
+  Status.SenderHash = Sender;
+  Status.IsOwnRelay = Sender == 1;
+  return Status;
 }
 
 TimePoint now() { return Clock::sinceBoot().now(); }
 
 } // namespace
 
-// Symptom: a start of 195 routers costs 1,900 calls on the store. Sequence:
-// each reads the configuration and both lists, though its relay proves the one
-// and tells what lacks in the others. Cause: all reads were of the newest
-// state. Fails with `ReadAge::Newest` in `listAge`.
-Test(FleetFeedCalls, aRouterThatStartsMakesNoPlainRead) {
+// The start of 195 routers cost 1,900 calls on the store: each used
+// linearizable reads for the configuration and both lists, although its relay
+// proves the former and sends what the latter lack. Fails with
+// `ReadConsistency::Linearizable` in `nextListConsistency`.
+Test(FleetFeedCalls, aStartingFollowerMakesNoLinearizableRead) {
   FeedFixture F(false);
   F.receiveProofsFor(1500ms, 10);
   cr_expect_eq(F.Store.LinearizableReads, 0);
@@ -37,9 +37,9 @@
   cr_expect(age(*F.view()) < 500ms);
 }
 
-// Symptom: keys are refused, or an old configuration counts as the newest.
-// Sequence: the copy from which a router reads a new configuration is behind.
-// Cause: a stale read was taken for the newest state.
+// A stale read must not count as the newest configuration. Otherwise keys are
+// refused, or an old configuration counts as proven, if the replica that a
+// router reads a new configuration from lags behind.
 Test(FleetFeedCalls, aStaleConfigurationIsReadAgainAndProvesNothing) {
   FeedFixture F(false);
   cr_assert(F.eventually(
@@ -50,34 +50,34 @@
     F.Store.Version = 2;
     F.Store.CurrentRevision = 11;
   }
-  const TimePoint Told = now();
-  F.Feed->onRelayMessage(wordAt(Told, 1, 11, 10));
-  cr_expect(F.view()->ProvenAt < Told);
+  const TimePoint AnnouncedAt = now();
+  F.Feed->onRelayMessage(statusAt(AnnouncedAt, 1, 11, 10));
+  cr_expect(F.view()->ProvenAt < AnnouncedAt);
   cr_assert(F.eventually(
       [](const FleetView &View) { return View.Configuration->Version == 2; }));
-  cr_expect(F.view()->ProvenAt >= Told);
+  cr_expect(F.view()->ProvenAt >= AnnouncedAt);
   cr_expect_eq(F.Store.LinearizableReads, 1);
-  // A fifth of the bound on a configuration, and the read.
-  cr_expect(now() - Told < 900ms);
+  // A fifth of the bound on a configuration, plus the read.
+  cr_expect(now() - AnnouncedAt < 900ms);
 }
 
-// Symptom: an outage of the store of 6 s costs 1,600 calls of 195 routers, each
-// in vain. Sequence: several relays answer and have no new proof. Cause: each
-// router tried for itself, its watch and its proof both.
-// Fails where `RelayTrust::storeSeemsAway` says no: four calls.
-Test(FleetFeedCalls, anOutageThatTheRelaysTellOfCostsOneTry) {
+// An outage of the store of 6 s cost 195 routers 1,600 failed calls. Several
+// relays answered without a new proof, but the watcher and the prover of each
+// router tried the store themselves. Fails with four calls if
+// `RelayTrust::storeSeemsUnreachable` returns false.
+Test(FleetFeedCalls, anOutageReportedByTheRelaysCostsOneCall) {
   FeedFixture F(false);
   F.receiveProofsFor(700ms, 10);
-  const TimePoint Lost = now();
+  const TimePoint OutageStart = now();
   {
     const std::lock_guard<std::mutex> Lock(F.Store.Mutex);
     F.Store.Unreachable = true;
   }
   const int Before = F.Store.ConfigurationReads + F.Store.ServerReads;
   const int Watches = F.Store.Watches;
-  while (now() - Lost < 5s) {
-    for (const std::uint64_t Teller : {1U, 2U, 3U, 4U})
-      F.Feed->onRelayMessage(wordAt(Lost, Teller, 10, 10));
+  while (now() - OutageStart < 5s) {
+    for (const std::uint64_t Sender : {1U, 2U, 3U, 4U})
+      F.Feed->onRelayMessage(statusAt(OutageStart, Sender, 10, 10));
     std::this_thread::sleep_for(100ms);
   }
   const int Calls = F.Store.ConfigurationReads + F.Store.ServerReads - Before;
@@ -85,12 +85,11 @@
   cr_expect_eq(F.Store.Watches, Watches);
 }
 
-// Symptom: a router that the store turns away alone calls it with each word of
-// its relay. Sequence: a configuration changes while the store refuses this
-// router, and serves the relays. Cause: a relay's new proof ended the wait
-// behind a failed call, as at the end of an outage.
-// Fails without `FailedAlone`: some twenty calls a second.
-Test(FleetFeedCalls, aRouterThatIsTurnedAwayAloneWaitsEverLonger) {
+// If the store rejects one router and serves the relays, that router must not
+// call the store with each status of its relay. When a configuration changed in
+// the meantime, each new proof of a relay ended the backoff as at the end of an
+// outage. Fails without `FailedAlone`, with about twenty calls per second.
+Test(FleetFeedCalls, aRouterRejectedAloneBacksOff) {
   FeedFixture F(false);
   F.receiveProofsFor(700ms, 10);
   {
@@ -98,18 +97,18 @@
     F.Store.Unreachable = true;
   }
   const int Before = F.Store.ConfigurationReads;
-  const TimePoint Begin = now();
-  while (now() - Begin < 4s) {
-    F.Feed->onRelayMessage(wordAt(now(), 1, 11, 10));
+  const TimePoint Start = now();
+  while (now() - Start < 4s) {
+    F.Feed->onRelayMessage(statusAt(now(), 1, 11, 10));
     std::this_thread::sleep_for(50ms);
   }
   cr_expect_leq(F.Store.ConfigurationReads - Before, 6);
 }
 
-// Symptom: a restart of 195 routers costs two calls each for leases and
-// entries. Sequence: the entry of the earlier process still stands. Cause: a
-// new lease and a new entry were written in its place.
-Test(FleetFeedCalls, theEntryOfTheEarlierProcessIsKept) {
+// A restart of 195 routers cost two calls each for leases and entries: a new
+// lease and a new entry were written although the entry of the earlier process
+// still existed.
+Test(FleetFeedCalls, adoptsTheEntryOfTheEarlierProcess) {
   FeedFixture F(true, [](FakeStore &Store) {
     Store.Routers.push_back({"r", "127.0.0.1:9", 1, 2, 77});
   });
@@ -120,32 +119,32 @@
   cr_expect_eq(F.Store.RenewedLease, 77);
 }
 
-// Symptom: for over 3 s routers that reach the store use an old configuration
-// and servers that have left. Sequence: the store turns a third of the fleet
-// away, all relays among them; they say that they do not reach it. Cause:
-// everybody took their word for it. Fails without FleetFeed::takesRelaysWord.
-Test(FleetFeedCalls, aScoutLooksForItselfWhateverTheRelaysSay) {
+// Routers that reach the store must not use an old configuration and removed
+// servers for over 3 s. The store rejected a third of the fleet including all
+// relays, and every router accepted the relays' report of an outage. Fails
+// without the check of the role in `FleetFeed::acceptsOutageReport`.
+Test(FleetFeedCalls, aVerifierReadsTheStoreWhateverTheRelaysReport) {
   FeedFixture F(RelayRole::Verifier);
   F.receiveProofsFor(300ms, 10);
-  const TimePoint Lost = now();
+  const TimePoint OutageStart = now();
   const int Before = F.Store.ConfigurationReads;
   const int Watches = F.Store.Watches;
-  while (now() - Lost < 4s) {
-    for (const std::uint64_t Teller : {1U, 2U, 3U, 4U})
-      F.Feed->onRelayMessage(wordAt(Lost, Teller, 10, 10));
+  while (now() - OutageStart < 4s) {
+    for (const std::uint64_t Sender : {1U, 2U, 3U, 4U})
+      F.Feed->onRelayMessage(statusAt(OutageStart, Sender, 10, 10));
     std::this_thread::sleep_for(100ms);
   }
-  cr_expect_gt((F.view()->ProvenAt - Lost).count(), Duration(2800ms).count());
+  cr_expect_gt((F.view()->ProvenAt - OutageStart).count(),
+               Duration(2800ms).count());
   cr_expect_geq(F.Store.ConfigurationReads - Before, 3);
-  // And it reads the changes that nobody tells it.
+  // It also reads the changes, which no relay sends.
   cr_expect_gt(F.Store.Watches, Watches);
 }
 
-// Symptom: a router stands idle as a relay and allocator, listed nowhere, for
-// up to 6 s. Sequence: it takes the lease of its earlier process over; the end
-// of that lease, sent by the earlier process, reaches the store only now.
-// Cause: the loss was seen at the next renewal.
-Test(FleetFeedCalls, anEntryThatVanishesIsWrittenAgainAtOnce) {
+// A router must not be unlisted, and idle as a relay and allocator, for up to
+// 6 s. It adopted the lease of its earlier process, whose request to end that
+// lease reached the store late, and noticed the loss at the next renewal only.
+Test(FleetFeedCalls, rewritesItsRemovedEntryAtOnce) {
   FeedFixture F(true, [](FakeStore &Store) {
     Store.Routers.push_back({"r", "127.0.0.1:9", 1, 2, 77});
   });
@@ -158,11 +157,11 @@
   cr_expect_eq(F.Store.Registrations, 1);
 }
 
-// Symptom: 195 routers that start together each take themselves for a relay.
-// Cause: the list that each reads first is empty.
-Test(FleetFeedCalls, aRouterThatFindsNoOtherListsItselfAndLooksAgain) {
+// If 195 routers start together, each reads an empty list first and would
+// consider itself a relay.
+Test(FleetFeedCalls, aRouterThatFindsNoOtherRegistersAndRetriesTheLists) {
   FeedFixture F(true, [](FakeStore &Store) { Store.Routers.clear(); });
-  // The feed registers on its own thread.
+  // The feed registers on its prover thread.
   for (int Try = 0; Try < 1000 && F.Store.Registrations == 0; ++Try)
     std::this_thread::sleep_for(10ms);
   cr_expect_eq(F.Store.Registrations, 1);
@@ -176,15 +175,15 @@
   cr_expect_eq(F.Store.Registrations, 1);
 }
 
-Test(FleetFeedCalls, callsAreCountedByWhatTheyAreFor) {
+Test(FleetFeedCalls, callsAreCountedByPurpose) {
   FeedFixture F(false);
   F.receiveProofsFor(700ms, 10);
   const std::string Text = F.MetricsRegistry.render();
-  for (const char *Wanted :
+  for (const char *Line :
        {"parsleywing_fleet_store_calls_total{cause=\"list\"} 3",
         "parsleywing_fleet_store_calls_total{cause=\"configuration\"} 1",
         "parsleywing_fleet_store_calls_total{cause=\"proof\"} 0",
         "parsleywing_fleet_store_calls_total{cause=\"registration\"} 2",
         "parsleywing_fleet_store_cheap_calls_total 4"})
-    cr_expect(Text.find(Wanted) != std::string::npos, "%s", Wanted);
+    cr_expect(Text.find(Line) != std::string::npos, "%s", Line);
 }
--- a/test/Gateway/FleetFeedTest.cpp
+++ b/test/Gateway/FleetFeedTest.cpp
@@ -5,7 +5,7 @@
 using namespace parsleywing;
 using namespace parsleywing::test;
 
-Test(FleetFeed, readsAndProvesAgainAndAgain) {
+Test(FleetFeed, renewsItsProof) {
   FeedFixture F;
   cr_assert(F.eventually(
       [](const FleetView &View) { return View.Configuration != nullptr; }));
@@ -13,9 +13,9 @@
   cr_assert(age(*F.view()) < 1200ms);
 }
 
-// Symptom: a key that was taken away works on at a router that cannot reach the
-// store. Cause: a call that failed, or a wait without news, counted as a proof.
-Test(FleetFeed, aStoreThatIsAwayProvesNothing) {
+// A revoked key must not keep working at a router that cannot reach the store.
+// A failed call, or a watch without changes, counted as a proof.
+Test(FleetFeed, anUnreachableStoreProvesNothing) {
   FeedFixture F;
   cr_assert(F.eventually(
       [](const FleetView &View) { return View.Configuration != nullptr; }));
@@ -28,10 +28,10 @@
   cr_assert_not_null(F.view()->Configuration);
 }
 
-// Symptom: a server that left while the store dropped its history gets requests
-// for ever. Sequence: the watch is told that the history is gone. Cause: it
-// went on from the newest revision, past the change.
-Test(FleetFeed, everythingIsReadAnewWhenTheHistoryIsGone) {
+// A server that was removed while the store compacted its history must not get
+// requests forever. The watch continued from the newest revision and missed the
+// change.
+Test(FleetFeed, reloadsEverythingIfTheHistoryIsCompacted) {
   FeedFixture F;
   {
     const std::lock_guard<std::mutex> Lock(F.Store.Mutex);
@@ -52,9 +52,9 @@
       [](const FleetView &View) { return View.Servers->empty(); }));
 }
 
-// Symptom: the calls on the store grow with the fleet. Cause: each router read
-// the configuration for itself.
-Test(FleetFeed, aProofOfARelayTakesThePlaceOfAnOwnRead) {
+// The number of calls on the store must not grow with the fleet, which it did
+// when each router read the configuration.
+Test(FleetFeed, aProofOfARelayReplacesAnOwnRead) {
   FeedFixture F(false);
   cr_assert(F.eventually(
       [](const FleetView &View) { return View.Configuration != nullptr; }));
@@ -68,7 +68,7 @@
   cr_assert(age(*F.view()) < 500ms);
 }
 
-Test(FleetFeed, aProofOfAnotherConfigurationCountsForNothing) {
+Test(FleetFeed, ignoresAProofOfAnotherConfiguration) {
   FeedFixture F(false);
   cr_assert(F.eventually(
       [](const FleetView &View) { return View.Configuration != nullptr; }));
@@ -83,10 +83,10 @@
   cr_assert(F.view()->ProvenAt == Proven);
 }
 
-// Symptom: while routers are stopped in turn, requests at the others wait for
-// 0.2 s. Sequence: the allocator drains and ends; its entry lapses seconds
-// later. Cause: the entry was left to its lease.
-Test(FleetFeed, aLeavingRouterTakesItsEntryBackAtOnce) {
+// Requests must not wait for 0.2 s while routers are stopped one after the
+// other. The entry of an allocator that had stopped was left to its lease and
+// lapsed seconds later.
+Test(FleetFeed, aLeavingRouterRemovesItsEntryAtOnce) {
   FeedFixture F;
   cr_assert(F.eventually(
       [](const FleetView &View) { return View.Configuration != nullptr; }));
@@ -96,7 +96,7 @@
   cr_assert_eq(F.Store.Unregistrations, 1);
 }
 
-Test(FleetFeed, aRouterThatStaysBehindItsRelayReadsForItself) {
+Test(FleetFeed, aRouterThatStaysBehindItsRelayReadsTheLists) {
   FeedFixture F(false);
   cr_assert(F.eventually(
       [](const FleetView &View) { return View.Configuration != nullptr; }));
@@ -108,9 +108,9 @@
   cr_assert_gt(F.Store.ServerReads, Before);
 }
 
-// Symptom: calls on the store grow with the fleet, 200 a second with 85
-// routers. Cause: each router waited in the store for every change.
-Test(FleetFeed, aRouterWithARelayTakesChangesFromItAlone) {
+// The number of calls on the store must not grow with the fleet. With a watch
+// of every router, 85 routers made 200 calls per second.
+Test(FleetFeed, aFollowerReceivesChangesFromItsRelayOnly) {
   FeedFixture F(false);
   cr_assert(F.eventually(
       [](const FleetView &View) { return View.SeenRevision == 10; }));
@@ -120,7 +120,7 @@
   GatewayServer Server;
   Server.Id = "s";
   F.Feed->onRelayMessage(RelayUpdate{10, 20, {StoredServer{Server, 15}}});
-  // Behind a gap: what lies between was lost and comes again.
+  // After a gap: the changes in between were lost and are sent again.
   F.Feed->onRelayMessage(RelayUpdate{25, 30, {RemovedServer{"s", 28}}});
   cr_assert(F.eventually(
       [](const FleetView &View) { return View.SeenRevision == 20; }));
@@ -130,25 +130,24 @@
   cr_expect_eq(F.Store.Watches, Watches);
 }
 
-// Symptom: requests reach a server more than two seconds after it said that it
-// leaves. Sequence: the relay is cut off from the store, and answers; the
-// server leaves. Cause: a router left its relay only once its own proofs had
-// shown twice that the store can be reached.
-Test(FleetFeed, aRelayThatProvesNothingNewIsNotReliedOn) {
+// Requests must not reach a server more than two seconds after it started to
+// drain. If the relay answered but was disconnected from the store, a router
+// left it only after two own proofs.
+Test(FleetFeed, doesNotRelyOnARelayWithoutANewProof) {
   FeedFixture F(false);
   cr_assert(F.eventually(
       [](const FleetView &View) { return View.SeenRevision == 10; }));
   F.receiveProofsFor(200ms, 10);
-  const TimePoint CutOff = Clock::sinceBoot().now();
+  const TimePoint DisconnectedAt = Clock::sinceBoot().now();
   const int Watches = F.Store.Watches;
-  while (Clock::sinceBoot().now() - CutOff < 1600ms) {
-    F.Feed->onRelayMessage(RelayStatus{CutOff, 10, 10, 0});
+  while (Clock::sinceBoot().now() - DisconnectedAt < 1600ms) {
+    F.Feed->onRelayMessage(RelayStatus{DisconnectedAt, 10, 10, 0});
     std::this_thread::sleep_for(50ms);
   }
   cr_expect_gt(F.Store.Watches, Watches);
 }
 
-Test(FleetFeed, whatTheRelayCannotTellIsRead) {
+Test(FleetFeed, reloadsIfTheRelaysHistoryIsTooShort) {
   FeedFixture F(false);
   cr_assert(F.eventually(
       [](const FleetView &View) { return View.SeenRevision == 10; }));
@@ -165,7 +164,7 @@
 
 Test(FleetFeed, aNewerConfigurationOfTheRelayIsReadAtOnce) {
   FeedFixture F(false);
-  // The lists and the configuration are read on two threads.
+  // Two threads read the lists and the configuration.
   cr_assert(F.eventually([](const FleetView &View) {
     return View.SeenRevision == 10 && View.Configuration != nullptr;
   }));
@@ -182,12 +181,12 @@
                Duration(200ms).count());
 }
 
-// Symptom: an outage of the store of 8 s costs as many calls as the whole day
-// beside it. Sequence: every router asks again a quarter of a second after each
-// failure. Cause: waits that did not grow.
-Test(FleetFeed, aStoreThatIsAwayIsAskedEverMoreRarely) {
+// An outage of the store of 8 s must not cost as many calls as the rest of the
+// day. Every router retried a quarter of a second after each failure, without
+// backoff.
+Test(FleetFeed, backsOffFromAnUnreachableStore) {
   FeedFixture F(false);
-  // The lists and the configuration are read on two threads.
+  // Two threads read the lists and the configuration.
   cr_assert(F.eventually([](const FleetView &View) {
     return View.SeenRevision == 10 && View.Configuration != nullptr;
   }));
@@ -202,11 +201,10 @@
   cr_expect_geq(Calls, 1);
 }
 
-// Symptom: requests reach a server seconds after it said that it leaves, while
-// the store is well. Sequence: the way to the store was silent for a while; the
-// waiting call that was on it goes on waiting. Cause: a watch without an answer
-// counted as a store without changes.
-Test(FleetFeed, aWatchThatHangsIsNoticed) {
+// Requests must not reach a server seconds after it started to drain while the
+// store is healthy. After the connection to the store had silently lost data,
+// the pending watch call kept waiting and looked like a store without changes.
+Test(FleetFeed, detectsAWatchThatHangs) {
   FeedFixture F;
   cr_assert(F.eventually(
       [](const FleetView &View) { return View.SeenRevision == 10; }));
@@ -226,11 +224,10 @@
   F.Store.WatchHangs = false;
 }
 
-// Symptom: requests reach a server for 1.7 s after its entry was removed.
-// Sequence: the relay was cut off from the store a moment ago, this router was
-// not; the server leaves. Cause: the relay's doubt whether the entry had only
-// lapsed was passed on.
-Test(FleetFeed, aRemovalThatARelayTellsIsInForceAtOnce) {
+// Requests must not reach a server for 1.7 s after its entry was removed. If
+// the relay had just been disconnected from the store and this router had not,
+// the relay's grace period for lapsed entries delayed the removal here too.
+Test(FleetFeed, appliesARemovalSentByARelayAtOnce) {
   FeedFixture F(false);
   cr_assert(F.eventually(
       [](const FleetView &View) { return View.SeenRevision == 10; }));
@@ -241,11 +238,10 @@
   cr_expect(F.view()->Servers->empty());
 }
 
-// Symptom: long after an outage requests still reach servers that have gone.
-// Sequence: a call of a router with a relay fails; the store is back, and the
-// router hears everything from its relay. Cause: only a call of its own ended
-// the outage for it.
-Test(FleetFeed, anOutageIsOverOnceTheRelayHasReachedTheStore) {
+// Requests must not reach removed servers long after an outage. A call of a
+// follower failed; once the store was back, the follower received everything
+// from its relay, but only a call of its own ended the outage.
+Test(FleetFeed, anOutageEndsWhenTheRelayReachesTheStore) {
   FeedFixture F(false);
   cr_assert(F.eventually(
       [](const FleetView &View) { return View.SeenRevision == 10; }));
@@ -262,11 +258,11 @@
   cr_expect(F.view()->Servers->empty());
 }
 
-// Symptom: routers refuse keys for up to 5 s after the store is back. Sequence:
-// it is away for seconds; a configuration is accepted as it returns. Cause: the
-// relay's proof is of another configuration, and the router's own next try was
-// still as far off as in the outage.
-Test(FleetFeed, aStoreThatTheRelayHasReachedAgainIsReadAtOnce) {
+// Routers must not refuse keys for up to 5 s after the store has recovered. If
+// a configuration was accepted during the recovery, the relay's proof was for
+// another configuration, and the router's own retry still used the backoff of
+// the outage.
+Test(FleetFeed, readsTheStoreAtOnceWhenTheRelayReachesItAgain) {
   FeedFixture F(false);
   cr_assert(F.eventually(
       [](const FleetView &View) { return View.SeenRevision == 10; }));
@@ -287,32 +283,31 @@
   cr_expect(age(*F.view()) < 600ms);
 }
 
-// Symptom: all routers of a cluster refuse keys while the store is well.
-// Sequence: their relay is cut off from the store, and answers. Cause: a relay
-// was left only when it was silent.
-Test(FleetFeed, aRelayWithoutTheStoreIsDistrusted) {
+// The routers of a cluster must not refuse keys while the store is healthy. A
+// relay that was disconnected from the store but answered was not switched.
+Test(FleetFeed, switchesARelayThatIsDisconnectedFromTheStore) {
   FeedFixture F(false);
   cr_assert(F.eventually(
       [](const FleetView &View) { return View.SeenRevision == 10; }));
-  const TimePoint CutOff = Clock::sinceBoot().now();
+  const TimePoint DisconnectedAt = Clock::sinceBoot().now();
   for (int Round = 0; Round < 50 && F.RelaySwitches == 0; ++Round) {
-    F.Feed->onRelayMessage(RelayStatus{CutOff, 10, 10, 0});
+    F.Feed->onRelayMessage(RelayStatus{DisconnectedAt, 10, 10, 0});
     std::this_thread::sleep_for(100ms);
   }
   cr_expect_geq(F.RelaySwitches, 1);
   cr_expect(age(*F.view()) < 3s);
 }
 
-// Symptom: requests wait for a router that knows no servers yet. Cause: it was
-// listed, and so chosen to allocate, before it had read the fleet.
-Test(FleetFeed, aRouterIsListedOnceItKnowsTheFleet) {
+// Requests must not wait for a router that does not know the servers yet. It
+// registered, and so became an allocator, before it had read the fleet.
+Test(FleetFeed, aRouterRegistersOnceItKnowsTheFleet) {
   FakeStore Store;
   Store.Unreachable = true;
-  Metrics Measured;
+  Metrics Registry;
   FleetFeed::Options Options;
   Options.RouterName = "r";
   FleetFeed Feed(
-      Options, [&] { return Store.source(); }, Measured,
+      Options, [&] { return Store.source(); }, Registry,
       [](const std::shared_ptr<const FleetView> &) {});
   std::this_thread::sleep_for(600ms);
   cr_expect_eq(Store.Registrations, 0);
--- a/test/Gateway/LoopbackRouters.h
+++ b/test/Gateway/LoopbackRouters.h
@@ -10,7 +10,7 @@
 
 namespace parsleywing::test {
 
-/// Some routers of one process each, on one loop.
+/// Router exchanges on loopback addresses that share one event loop.
 struct LoopbackRouters {
   explicit LoopbackRouters(Clock C) : Loop(std::move(C)) {}
 
--- a/test/Gateway/RelayTrustTest.cpp
+++ b/test/Gateway/RelayTrustTest.cpp
@@ -7,12 +7,12 @@
 
 namespace {
 
-RelayStatus word(std::uint64_t Teller, TimePoint Proven) {
-  RelayStatus Word;
-  Word.SenderHash = Teller;
-  Word.ProvenAt = Proven;
-  Word.ReadsStore = true;
-  return Word;
+RelayStatus status(std::uint64_t Sender, TimePoint ProvenAt) {
+  RelayStatus Status;
+  Status.SenderHash = Sender;
+  Status.ProvenAt = ProvenAt;
+  Status.ReadsStore = true;
+  return Status;
 }
 
 const TimePoint Start{1h};
@@ -30,42 +30,42 @@
 
 Test(RelayTrust, oneNewProofIsEnough) {
   RelayTrust Trust(RelayTimes::of({}));
-  Trust.recordStatus(word(1, Start), Start);
-  for (const std::uint64_t Teller : {2U, 3U, 4U})
-    Trust.recordStatus(word(Teller, Start), Start + 2s);
+  Trust.recordStatus(status(1, Start), Start);
+  for (const std::uint64_t Sender : {2U, 3U, 4U})
+    Trust.recordStatus(status(Sender, Start), Start + 2s);
   cr_expect_not(Trust.isFresh(Start + 2s));
   cr_expect(Trust.storeSeemsUnreachable(Start + 2s) == false,
-            "the first relay was not heard of late");
-  Trust.recordStatus(word(1, Start), Start + 2s);
+            "the first relay has sent no recent status");
+  Trust.recordStatus(status(1, Start), Start + 2s);
   cr_expect(Trust.storeSeemsUnreachable(Start + 2s));
-  Trust.recordStatus(word(5, Start + 2s), Start + 2s);
+  Trust.recordStatus(status(5, Start + 2s), Start + 2s);
   cr_expect(Trust.isFresh(Start + 2s));
   cr_expect_not(Trust.storeSeemsUnreachable(Start + 2s));
 }
 
-// Symptom: requests reach a server that left, at all routers of a small fleet.
-// Sequence: its one relay is cut off from the store, and says so. Cause: one
-// relay without the store was taken for an outage.
-Test(RelayTrust, oneRelayAloneIsNoOutage) {
+// The routers of a small fleet must not send requests to a removed server. Its
+// only relay reported that it was disconnected from the store, and that counted
+// as an outage.
+Test(RelayTrust, oneRelayAloneIndicatesNoOutage) {
   RelayTrust Trust(RelayTimes::of({}));
-  Trust.recordStatus(word(1, Start), Start + 3s);
+  Trust.recordStatus(status(1, Start), Start + 3s);
   cr_expect_not(Trust.storeSeemsUnreachable(Start + 3s));
 }
 
-// Symptom: routers use a configuration for over 3 s too long, though the store
-// answers them. Sequence: the store turns a third of the fleet away, both
-// relays among them. Cause: their two words were taken for an outage.
-Test(RelayTrust, theRelaysOfASmallFleetAloneAreNoOutage) {
+// Routers must not use a configuration for over 3 s too long while the store
+// answers them. The store rejected a third of the fleet including both relays,
+// and two reports counted as an outage.
+Test(RelayTrust, theRelaysOfASmallFleetAloneIndicateNoOutage) {
   RelayTrust Trust(RelayTimes::of({}));
-  for (const std::uint64_t Teller : {1U, 2U, 3U})
-    Trust.recordStatus(word(Teller, Start), Start + 3s);
+  for (const std::uint64_t Sender : {1U, 2U, 3U})
+    Trust.recordStatus(status(Sender, Start), Start + 3s);
   cr_expect_not(Trust.storeSeemsUnreachable(Start + 3s));
 }
 
-Test(RelayTrust, whoHearsFromOthersIsNoWitness) {
+Test(RelayTrust, followersAreNoWitnesses) {
   RelayTrust Trust(RelayTimes::of({}));
-  for (const std::uint64_t Teller : {1U, 2U, 3U, 4U, 5U}) {
-    RelayStatus Follower = word(Teller, Start);
+  for (const std::uint64_t Sender : {1U, 2U, 3U, 4U, 5U}) {
+    RelayStatus Follower = status(Sender, Start);
     Follower.ReadsStore = false;
     Trust.recordStatus(Follower, Start + 3s);
   }
--- a/test/Gateway/RouterExchangeTest.cpp
+++ b/test/Gateway/RouterExchangeTest.cpp
@@ -11,10 +11,10 @@
 
 void ignore(const RouterMessage &, const Poco::Net::SocketAddress &) {}
 
-/// A key whose first router is another than this one.
-std::uint64_t keyOfAnother(RouterExchange &Of) {
+/// A key whose first router is not the given one.
+std::uint64_t keyOfOtherRouter(RouterExchange &Exchange) {
   std::uint64_t Key = 1;
-  while (Of.firstFor(Key) == Of.self())
+  while (Exchange.firstFor(Key) == Exchange.self())
     ++Key;
   return Key;
 }
@@ -44,11 +44,10 @@
   cr_expect_gt(Large, Keys * 95 / 100);
 }
 
-// Symptom: requests wait for an allocator that has gone, or a router that was
-// slow for a moment never allocates again. Sequence: a router does not answer;
-// two seconds pass. Cause: the remembered order was not looked for anew when a
-// suspicion began or ended.
-Test(RouterExchange, asksASuspectedRouterAgainAfterAWhile) {
+// Requests must not wait for an allocator that has stopped, and a router that
+// was briefly slow must allocate again. The cached first router was not
+// recomputed when a suspicion started, or ended after two seconds.
+Test(RouterExchange, aSuspicionEndsAfterAWhile) {
   Clock Time = Clock::paused();
   LoopbackRouters Fleet(Time);
   RouterExchange &Self = Fleet.add("r1", 1);
@@ -56,18 +55,18 @@
   for (const char *Name : {"r2", "r3"})
     cr_assert(Fleet.add(Name, 1).open(ignore));
   Fleet.publishList();
-  const std::uint64_t Key = keyOfAnother(Self);
+  const std::uint64_t Key = keyOfOtherRouter(Self);
   const std::string First = Self.firstFor(Key);
   Self.suspect(First);
   cr_expect_neq(Self.firstFor(Key), First);
-  // A new list does not clear it of suspicion.
+  // A new list does not end the suspicion.
   Fleet.publishList();
   cr_expect_neq(Self.firstFor(Key), First);
   Time.advance(2s);
   cr_expect_eq(Self.firstFor(Key), First);
 }
 
-Test(RouterExchange, aRouterThatStopsIsFirstForNothing) {
+Test(RouterExchange, aLeavingRouterIsFirstForNoKey) {
   LoopbackRouters Fleet(Clock::paused());
   RouterExchange &Self = Fleet.add("r1", 1);
   cr_assert(Self.open(ignore));
@@ -78,16 +77,16 @@
     cr_assert_eq(Self.firstFor(Key), "r2");
 }
 
-Test(RouterExchange, datagramsReachTheRouterOfTheName) {
+Test(RouterExchange, datagramsReachTheNamedRouter) {
   LoopbackRouters Fleet(Clock::steady());
   RouterExchange &Self = Fleet.add("r1", 1);
   RouterExchange &Other = Fleet.add("r2", 1);
-  std::vector<RouterMessage> Came;
+  std::vector<RouterMessage> Received;
   cr_assert(Self.open(ignore));
   cr_assert(Other.open(
       [&](const RouterMessage &Message, const Poco::Net::SocketAddress &) {
-        Came.push_back(Message);
-        if (Came.size() == 7)
+        Received.push_back(Message);
+        if (Received.size() == 7)
           Fleet.Loop.stop();
       }));
   Fleet.publishList();
@@ -96,24 +95,23 @@
   Self.send("gone", AllocationQueued{{1, 8}});
   Fleet.Loop.after(5s, [&] { Fleet.Loop.stop(); });
   Fleet.Loop.run();
-  cr_assert_eq(Came.size(), 7);
-  cr_expect_eq(std::get<AllocationQueued>(Came[6]).Id.Number, 7U);
+  cr_assert_eq(Received.size(), 7);
+  cr_expect_eq(std::get<AllocationQueued>(Received[6]).Id.Number, 7U);
 }
 
-// Symptom: the requests of the busiest router are allocated for 10 s by routers
-// that know no engine. Sequence: a flood leaves it few turns of its loop; the
-// answers to its asks wait in the socket, up to a number of them is read in
-// each turn, and those beyond are read 0.5 s late or lost. Cause: it took their
-// allocators to be away.
-// Fails with 64 datagrams in a turn.
-Test(RouterExchange, allThatWaitsIsReadInOneTurn) {
+// The requests of the busiest router must not be allocated for 10 s by routers
+// that know no engine. Under a flood its event loop had few turns, each of
+// which read a limited number of replies. The rest were read 0.5 s late or
+// lost, so the router considered their allocators unreachable. Fails with 64
+// datagrams per turn.
+Test(RouterExchange, readsAllPendingDatagramsInOneTurn) {
   constexpr int Datagrams = 150;
   LoopbackRouters Fleet(Clock::steady());
   RouterExchange &Self = Fleet.add("r1", 1);
   RouterExchange &Other = Fleet.add("r2", 1);
-  int Came = 0;
+  int Received = 0;
   int Turn = 0;
-  std::set<int> TurnsWithAny;
+  std::set<int> TurnsWithDatagrams;
   std::function<void()> CountTurn = [&] {
     ++Turn;
     Fleet.Loop.after(Duration::zero(), CountTurn);
@@ -121,8 +119,8 @@
   cr_assert(Self.open(ignore));
   cr_assert(
       Other.open([&](const RouterMessage &, const Poco::Net::SocketAddress &) {
-        TurnsWithAny.insert(Turn);
-        if (++Came == Datagrams)
+        TurnsWithDatagrams.insert(Turn);
+        if (++Received == Datagrams)
           Fleet.Loop.stop();
       }));
   Fleet.publishList();
@@ -134,6 +132,6 @@
   CountTurn();
   Fleet.Loop.after(5s, [&] { Fleet.Loop.stop(); });
   Fleet.Loop.run();
-  cr_assert_eq(Came, Datagrams);
-  cr_expect_eq(TurnsWithAny.size(), 1);
+  cr_assert_eq(Received, Datagrams);
+  cr_expect_eq(TurnsWithDatagrams.size(), 1);
 }
