--- a/src/Gateway/FleetExchange.h
+++ b/src/Gateway/FleetExchange.h
@@ -73,8 +73,9 @@
 ///
 /// The store may reject all relays of a fleet and serve the other routers: both
 /// relays of 63 routers were once rejected along with a third of the fleet. The
-/// followers took their reports for an outage and used a configuration for 3 s
-/// too long. Eight more routers, the verifiers, therefore check for themselves.
+/// followers treated that as an outage of the store and used a configuration
+/// for 3 s too long. Eight more routers, the verifiers, therefore check for
+/// themselves.
 ///
 /// A relay pushes proofs and changes to the routers that asked it recently, and
 /// resends changes with each of their requests until they have them.
