--- a/src/Placement/FleetView.h
+++ b/src/Placement/FleetView.h
@@ -101,7 +101,7 @@
   GatewayLimits Limits;
   /// Maps each API key to the name of its client account.
   std::unordered_map<std::string, std::string> AccountOfKey;
-  /// Whether requests need a key. False if no accounts are configured.
+  /// Whether accounts are configured, so that requests need a key.
   bool HasAccounts = false;
 
   /// The route of the host with the longest prefix that matches the path, or
@@ -142,8 +142,8 @@
 struct RouterEndpoint {
   std::string Address;
   double Cores = 1;
-  /// The revision at which the router's entry was created. It changes if the
-  /// router was removed from the list and listed again.
+  /// The revision of the router's entry in the store. A router that was removed
+  /// from the list and listed again has another revision.
   std::int64_t ListedRevision = 0;
   std::string Zone{};
 };
--- a/test/Soak/KeepAliveConnection.h
+++ b/test/Soak/KeepAliveConnection.h
@@ -20,10 +20,10 @@
 
 inline constexpr EnumNames<CallEnd, 5> CallEndNames{{
     {CallEnd::NotSent, "not-sent"},
-    {CallEnd::Complete, "whole"},
+    {CallEnd::Complete, "complete"},
     {CallEnd::Reset, "reset"},
     {CallEnd::Closed, "closed"},
-    {CallEnd::TimedOut, "late"},
+    {CallEnd::TimedOut, "timed-out"},
 }};
 
 /// The result of a request for its caller.
