--- a/lab/Play.cpp
+++ b/lab/Play.cpp
@@ -15,24 +15,26 @@
 
 namespace {
 
-/// A late answer's part of the payoff, and what a size is worth.
-constexpr double LatePart = 0.3;
-constexpr double FixedPart = 0.3;
-constexpr double SizePart = 0.7;
-constexpr double MostTimesMean = 4;
+/// The share of the payoff that a late response earns, and the weights of the
+/// payoff's fixed and size-dependent terms.
+constexpr double LatePayoffShare = 0.3;
+constexpr double FixedPayoff = 0.3;
+constexpr double SizePayoff = 0.7;
+constexpr double MaxRelativeSize = 4;
 
 constexpr Milliseconds TickInterval = 5;
-constexpr Milliseconds TellInterval = 250;
-/// As the router does it: what is late already waits a quarter of its time,
-/// half a second at most.
-constexpr double LateWaitPart = 0.25;
-constexpr Milliseconds LongestLateWait = 500;
-/// The least time that a request needs; who has less left does not come back.
-constexpr Milliseconds LeastTime = 50;
+constexpr Milliseconds ReportInterval = 250;
+/// The router's rule: a request that is already late waits for at most a
+/// quarter of its remaining time, and no longer than half a second.
+constexpr double LateWaitShare = 0.25;
+constexpr Milliseconds MaxLateWait = 500;
+/// Minimum time that a request needs. A refused caller that has less time left
+/// does not retry.
+constexpr Milliseconds MinAttemptTime = 50;
 
 constexpr const char *ServiceName = "engines";
 
-TimePoint momentOf(Milliseconds Time) {
+TimePoint toTimePoint(Milliseconds Time) {
   return TimePoint(Duration(static_cast<Duration::rep>(Time * 1000)));
 }
 
@@ -40,310 +42,344 @@
   return "e" + std::to_string(Index);
 }
 
-/// What a call is worth beside the mean of its class.
-double payoffOf(const RequestClass &Class, const Call &Made) {
+/// The payoff of a call, which depends on its prompt size relative to the mean
+/// of its class.
+double payoffOf(const RequestClass &Class, const Call &TheCall) {
   double Mean = Class.MeanOwnTokens;
-  for (const SharedPartLevel &Link : Class.SharedLevels)
-    Mean += Link.MeanTokens;
-  const double Size = std::min(Made.PromptTokens / Mean, MostTimesMean);
-  return FixedPart + SizePart * Size;
+  for (const SharedPartLevel &Level : Class.SharedLevels)
+    Mean += Level.MeanTokens;
+  const double Size = std::min(TheCall.PromptTokens / Mean, MaxRelativeSize);
+  return FixedPayoff + SizePayoff * Size;
 }
 
-class Table {
+/// A discrete event simulation of one policy.
+class Simulation {
 public:
-  Table(const Scenario &P, std::uint64_t Seed, const Policy &B)
-      : Played(P), By(B), Calls(generateCalls(P, Seed)), Random(Seed),
-        Engines(P.Engines, Engine(P.Parameters)), Loads(P.Engines, 0) {
+  Simulation(const Scenario &S, std::uint64_t Seed, const Policy &P)
+      : Setup(S), SelectedPolicy(P), Calls(generateCalls(S, Seed)),
+        Random(Seed), Engines(S.Engines, Engine(S.Parameters)),
+        OpenRequests(S.Engines, 0) {
     this->States.resize(this->Calls.size());
-    if (const auto *Chosen = std::get_if<AllocatorPolicy>(&this->By))
-      this->makeAllocator(*Chosen);
+    if (const auto *UsedPolicy =
+            std::get_if<AllocatorPolicy>(&this->SelectedPolicy))
+      this->makeAllocator(*UsedPolicy);
   }
 
-  SimulationResult play() {
-    for (std::size_t I = 0; I < this->Calls.size(); ++I)
-      this->at(this->Calls[I].At, [this, I] { this->ask(I); });
-    if (this->Shared) {
-      this->at(TickInterval, [this] { this->tick(); });
-      this->at(TellInterval, [this] { this->tell(); });
+  SimulationResult run() {
+    for (std::size_t CallIndex = 0; CallIndex < this->Calls.size(); ++CallIndex)
+      this->schedule(this->Calls[CallIndex].At,
+                     [this, CallIndex] { this->startAttempt(CallIndex); });
+    if (this->SharedAllocator) {
+      this->schedule(TickInterval, [this] { this->tick(); });
+      this->schedule(ReportInterval, [this] { this->reportActiveGrants(); });
     }
     while (!this->Events.empty()) {
       const Event Next = this->Events.top();
       this->Events.pop();
       this->Now = Next.At;
-      Next.Do();
+      Next.Action();
     }
     return this->result();
   }
 
 private:
-  enum class End { None, OnTime, Late, Refused, Left };
+  enum class End { None, OnTime, Late, Refused, Disconnected };
 
   struct CallState {
     std::uint32_t Attempts = 0;
     End Ended = End::None;
-    std::optional<std::size_t> AtEngine;
-    std::optional<Milliseconds> FirstAfter;
-    Milliseconds AskedAt = 0;
+    std::optional<std::size_t> EngineIndex;
+    std::optional<Milliseconds> TimeToFirstToken;
+    Milliseconds StartedAt = 0;
   };
 
   struct Event {
     Milliseconds At = 0;
     std::uint64_t Order = 0;
-    std::function<void()> Do;
+    std::function<void()> Action;
     friend bool operator<(const Event &Left, const Event &Right) {
       return std::tie(Left.At, Left.Order) > std::tie(Right.At, Right.Order);
     }
   };
 
-  void at(Milliseconds When, std::function<void()> Do) {
-    this->Events.push({When, ++this->LastOrder, std::move(Do)});
+  void schedule(Milliseconds Time, std::function<void()> Action) {
+    this->Events.push({Time, ++this->LastOrder, std::move(Action)});
   }
 
-  void makeAllocator(const AllocatorPolicy &Chosen) {
-    auto Listed = std::make_shared<ServerList>();
-    for (std::size_t I = 0; I < this->Engines.size(); ++I) {
+  void makeAllocator(const AllocatorPolicy &UsedPolicy) {
+    auto Servers = std::make_shared<ServerList>();
+    for (std::size_t EngineIndex = 0; EngineIndex < this->Engines.size();
+         ++EngineIndex) {
       GatewayServer Server;
-      Server.Id = engineName(I);
+      Server.Id = engineName(EngineIndex);
       Server.Service = ServiceName;
-      Server.Slots = this->Played.Parameters.Slots;
-      Listed->emplace(Server.Id, Server);
-      this->IndexOf[hashName(Server.Id)] = I;
+      Server.Slots = this->Setup.Parameters.Slots;
+      Servers->emplace(Server.Id, Server);
+      this->EngineByHash[hashName(Server.Id)] = EngineIndex;
     }
-    GatewayService Stated;
-    Stated.Name = ServiceName;
-    Stated.KvCapacityTokens = this->Played.Parameters.MemoryTokens;
-    Stated.KvBytesPerToken = 1;
-    Stated.LinkBytesPerMs = this->Played.Parameters.FetchTokensPerMs;
-    this->Configuration.Services[ServiceName] = Stated;
+    GatewayService Service;
+    Service.Name = ServiceName;
+    Service.KvCapacityTokens = this->Setup.Parameters.MemoryTokens;
+    Service.KvBytesPerToken = 1;
+    Service.LinkBytesPerMs = this->Setup.Parameters.FetchTokensPerMs;
+    this->Configuration.Services[ServiceName] = Service;
     this->Configuration.Limits.TokensPerSecond =
-        this->Played.StatedTokensPerSecond;
-    this->Shared = std::make_unique<Allocator>(Chosen.Choices);
-    this->Shared->setServers(Listed, &this->Configuration,
-                             ServerGroups(*Listed));
+        this->Setup.StatedTokensPerSecond;
+    this->SharedAllocator = std::make_unique<Allocator>(UsedPolicy.Options);
+    this->SharedAllocator->setServers(Servers, &this->Configuration,
+                                      ServerGroups(*Servers));
   }
 
-  const RequestClass &classOf(std::size_t I) const {
-    return this->Played.Classes[this->Calls[I].Class];
+  const RequestClass &classOf(std::size_t CallIndex) const {
+    return this->Setup.Classes[this->Calls[CallIndex].Class];
   }
-  Milliseconds age(std::size_t I) const {
-    return this->Now - this->Calls[I].At;
+  Milliseconds elapsed(std::size_t CallIndex) const {
+    return this->Now - this->Calls[CallIndex].At;
   }
-  static CorrelationId idOf(std::size_t I, std::uint32_t Attempt) {
-    return {Attempt, I};
+  static CorrelationId correlationIdOf(std::size_t CallIndex,
+                                       std::uint32_t Attempt) {
+    return {Attempt, CallIndex};
   }
 
-  /// A caller sends its first or a further attempt.
-  void ask(std::size_t I) {
-    CallState &State = this->States[I];
+  /// Starts the first or the second attempt of a call.
+  void startAttempt(std::size_t CallIndex) {
+    CallState &State = this->States[CallIndex];
     ++State.Attempts;
-    State.AskedAt = this->Now;
-    const Milliseconds Left = this->classOf(I).TimeLimit - this->age(I);
+    State.StartedAt = this->Now;
+    const Milliseconds TimeLeft =
+        this->classOf(CallIndex).TimeLimit - this->elapsed(CallIndex);
     if (State.Attempts == 1)
-      this->at(this->Now + Left, [this, I] { this->leave(I); });
+      this->schedule(this->Now + TimeLeft,
+                     [this, CallIndex] { this->disconnect(CallIndex); });
     std::visit(
         Overloaded{
-            [this, I](const AllocatorPolicy &) { this->askAllocator(I); },
-            [this, I](const LeastLoadedPolicy &) {
-              const auto Least =
-                  std::min_element(this->Loads.begin(), this->Loads.end());
-              this->send(I, Least - this->Loads.begin(), 0);
+            [this, CallIndex](const AllocatorPolicy &) {
+              this->requestAllocation(CallIndex);
             },
-            [this, I](const TwoChoicesPolicy &) {
-              const std::size_t One = this->drawEngine();
-              const std::size_t Other = this->drawEngine();
-              this->send(I, this->Loads[Other] < this->Loads[One] ? Other : One,
-                         0);
+            [this, CallIndex](const LeastLoadedPolicy &) {
+              const auto LeastLoaded = std::min_element(
+                  this->OpenRequests.begin(), this->OpenRequests.end());
+              this->sendToEngine(CallIndex,
+                                 LeastLoaded - this->OpenRequests.begin(), 0);
             },
-            [this, I](const HomePolicy &) {
-              const PromptPart *Part = sharedPart(this->Calls[I].Parts);
-              const std::uint64_t Key = Part == nullptr ? I : Part->Id;
-              this->send(I, rendezvousScore(Key, 0) % this->Engines.size(), 0);
+            [this, CallIndex](const TwoChoicesPolicy &) {
+              const std::size_t First = this->randomEngine();
+              const std::size_t Second = this->randomEngine();
+              this->sendToEngine(CallIndex,
+                                 this->OpenRequests[Second] <
+                                         this->OpenRequests[First]
+                                     ? Second
+                                     : First,
+                                 0);
+            },
+            [this, CallIndex](const HomePolicy &) {
+              const PromptPart *Part = sharedPart(this->Calls[CallIndex].Parts);
+              const std::uint64_t Key = Part == nullptr ? CallIndex : Part->Id;
+              this->sendToEngine(
+                  CallIndex, rendezvousScore(Key, 0) % this->Engines.size(), 0);
             },
         },
-        this->By);
+        this->SelectedPolicy);
   }
 
-  std::size_t drawEngine() {
-    boost::random::uniform_int_distribution<std::size_t> Which(
+  std::size_t randomEngine() {
+    boost::random::uniform_int_distribution<std::size_t> Distribution(
         0, this->Engines.size() - 1);
-    return Which(this->Random);
+    return Distribution(this->Random);
   }
 
-  void askAllocator(std::size_t I) {
-    const Call &Made = this->Calls[I];
-    AllocationRequest Ask;
-    Ask.Id = idOf(I, this->States[I].Attempts);
-    Ask.Service = hashName(ServiceName);
-    Ask.Account = Made.Account + 1;
-    Ask.Parts = Made.Parts;
-    Ask.PromptTokens = Made.PromptTokens;
-    Ask.OutputTokens = Made.OutputTokens;
-    const Milliseconds OnTime = this->classOf(I).Objective - this->age(I);
-    const Milliseconds Left = this->classOf(I).TimeLimit - this->age(I);
-    Ask.ObjectiveLeftMs = static_cast<std::int32_t>(OnTime);
-    Ask.MaxWaitMs = static_cast<std::int32_t>(
-        OnTime > 0 ? OnTime : std::min(Left * LateWaitPart, LongestLateWait));
-    this->at(this->Now + this->Played.OneWayDelay, [this, Ask] {
-      this->Shared->handle(Ask, momentOf(this->Now));
-      this->takeAnswers();
+  void requestAllocation(std::size_t CallIndex) {
+    const Call &TheCall = this->Calls[CallIndex];
+    AllocationRequest Request;
+    Request.Id = correlationIdOf(CallIndex, this->States[CallIndex].Attempts);
+    Request.Service = hashName(ServiceName);
+    Request.Account = TheCall.Account + 1;
+    Request.Parts = TheCall.Parts;
+    Request.PromptTokens = TheCall.PromptTokens;
+    Request.OutputTokens = TheCall.OutputTokens;
+    const Milliseconds ObjectiveLeft =
+        this->classOf(CallIndex).Objective - this->elapsed(CallIndex);
+    const Milliseconds TimeLeft =
+        this->classOf(CallIndex).TimeLimit - this->elapsed(CallIndex);
+    Request.ObjectiveLeftMs = static_cast<std::int32_t>(ObjectiveLeft);
+    Request.MaxWaitMs = static_cast<std::int32_t>(
+        ObjectiveLeft > 0 ? ObjectiveLeft
+                          : std::min(TimeLeft * LateWaitShare, MaxLateWait));
+    this->schedule(this->Now + this->Setup.OneWayDelay, [this, Request] {
+      this->SharedAllocator->handle(Request, toTimePoint(this->Now));
+      this->processReplies();
     });
   }
 
-  void takeAnswers() {
-    for (const RouterMessage &Each : this->Shared->takeReplies())
+  void processReplies() {
+    for (const RouterMessage &Each : this->SharedAllocator->takeReplies())
       std::visit(Overloaded{
-                     [this](const AllocationGrant &M) { this->onGranted(M); },
-                     [this](const AllocationRefusal &M) { this->onRefused(M); },
+                     [this](const AllocationGrant &M) { this->onGrant(M); },
+                     [this](const AllocationRefusal &M) { this->onRefusal(M); },
                      [](const auto &) {},
                  },
                  Each);
   }
 
-  void onGranted(const AllocationGrant &Granted) {
-    const std::size_t I = Granted.Id.Number;
-    if (this->States[I].Ended != End::None) {
-      this->Shared->handle(GrantEnded{Granted.Id, ServerVerdict::Healthy},
-                           momentOf(this->Now));
+  void onGrant(const AllocationGrant &Grant) {
+    const std::size_t CallIndex = Grant.Id.Number;
+    if (this->States[CallIndex].Ended != End::None) {
+      this->SharedAllocator->handle(
+          GrantEnded{Grant.Id, ServerVerdict::Healthy}, toTimePoint(this->Now));
       return;
     }
     std::uint64_t Fetchable = 0;
-    if (Granted.FetchSource != 0)
+    if (Grant.FetchSource != 0)
       Fetchable =
-          this->Engines[this->IndexOf.at(Granted.FetchSource)].cachedTokens(
-              this->Calls[I].Parts);
-    this->send(I, this->IndexOf.at(Granted.Server), Fetchable);
+          this->Engines[this->EngineByHash.at(Grant.FetchSource)].cachedTokens(
+              this->Calls[CallIndex].Parts);
+    this->sendToEngine(CallIndex, this->EngineByHash.at(Grant.Server),
+                       Fetchable);
   }
 
-  void onRefused(const AllocationRefusal &Refused) {
-    const std::size_t I = Refused.Id.Number;
-    CallState &State = this->States[I];
+  void onRefusal(const AllocationRefusal &Refusal) {
+    const std::size_t CallIndex = Refusal.Id.Number;
+    CallState &State = this->States[CallIndex];
     if (State.Ended != End::None)
       return;
-    this->RefusalTimes.push_back(this->Now + this->Played.OneWayDelay -
-                                 State.AskedAt);
-    const Milliseconds Left = this->classOf(I).TimeLimit - this->age(I);
+    this->RefusalTimes.push_back(this->Now + this->Setup.OneWayDelay -
+                                 State.StartedAt);
+    const Milliseconds TimeLeft =
+        this->classOf(CallIndex).TimeLimit - this->elapsed(CallIndex);
     const Milliseconds Wait =
-        std::min<Milliseconds>(Refused.RetryAfterMs, Left / 3);
-    if (State.Attempts > 1 || Left < LeastTime) {
+        std::min<Milliseconds>(Refusal.RetryAfterMs, TimeLeft / 3);
+    if (State.Attempts > 1 || TimeLeft < MinAttemptTime) {
       State.Ended = End::Refused;
       return;
     }
-    this->at(this->Now + Wait, [this, I] {
-      if (this->States[I].Ended == End::None)
-        this->ask(I);
+    this->schedule(this->Now + Wait, [this, CallIndex] {
+      if (this->States[CallIndex].Ended == End::None)
+        this->startAttempt(CallIndex);
     });
   }
 
-  void send(std::size_t I, std::size_t To, std::uint64_t Fetchable) {
-    this->States[I].AtEngine = To;
-    ++this->Loads[To];
-    const Call &Made = this->Calls[I];
-    const EngineRequest Work{idOf(I, this->States[I].Attempts), Made.Parts,
-                             Made.PromptTokens, Made.OutputTokens, Fetchable};
-    this->Sent.insert(I);
-    this->at(this->Now + this->Played.OneWayDelay, [this, I, To, Work] {
-      if (this->States[I].Ended != End::None)
+  void sendToEngine(std::size_t CallIndex, std::size_t EngineIndex,
+                    std::uint64_t Fetchable) {
+    this->States[CallIndex].EngineIndex = EngineIndex;
+    ++this->OpenRequests[EngineIndex];
+    const Call &TheCall = this->Calls[CallIndex];
+    const EngineRequest Request{
+        correlationIdOf(CallIndex, this->States[CallIndex].Attempts),
+        TheCall.Parts, TheCall.PromptTokens, TheCall.OutputTokens, Fetchable};
+    this->ActiveCalls.insert(CallIndex);
+    this->schedule(this->Now + this->Setup.OneWayDelay, [this, CallIndex,
+                                                         EngineIndex, Request] {
+      if (this->States[CallIndex].Ended != End::None)
         return;
-      const bool WasIdle = !this->Engines[To].nextStepAt();
-      this->Engines[To].submit(Work, this->Now);
+      const bool WasIdle = !this->Engines[EngineIndex].nextStepAt();
+      this->Engines[EngineIndex].submit(Request, this->Now);
       if (WasIdle)
-        this->scheduleStep(To);
+        this->scheduleStep(EngineIndex);
     });
   }
 
-  void scheduleStep(std::size_t Which) {
-    const auto Next = this->Engines[Which].nextStepAt();
+  void scheduleStep(std::size_t EngineIndex) {
+    const auto Next = this->Engines[EngineIndex].nextStepAt();
     if (!Next)
       return;
-    this->at(*Next, [this, Which] {
-      for (const EngineEvent &Each : this->Engines[Which].step())
-        this->onNews(Each);
-      this->scheduleStep(Which);
+    this->schedule(*Next, [this, EngineIndex] {
+      for (const EngineEvent &Each : this->Engines[EngineIndex].step())
+        this->onEngineEvent(Each);
+      this->scheduleStep(EngineIndex);
     });
   }
 
-  void onNews(const EngineEvent &News) {
-    const std::size_t I = News.Id.Number;
-    CallState &State = this->States[I];
+  void onEngineEvent(const EngineEvent &Progress) {
+    const std::size_t CallIndex = Progress.Id.Number;
+    CallState &State = this->States[CallIndex];
     if (State.Ended != End::None)
       return;
-    if (News.IsFirstToken) {
-      State.FirstAfter = this->age(I) + this->Played.OneWayDelay;
-      if (this->Shared)
-        this->Shared->handle(GrantStarted{News.Id}, momentOf(this->Now));
+    if (Progress.IsFirstToken) {
+      State.TimeToFirstToken =
+          this->elapsed(CallIndex) + this->Setup.OneWayDelay;
+      if (this->SharedAllocator)
+        this->SharedAllocator->handle(GrantStarted{Progress.Id},
+                                      toTimePoint(this->Now));
       return;
     }
-    const bool OnTime = *State.FirstAfter <= this->classOf(I).Objective;
-    this->finish(I, OnTime ? End::OnTime : End::Late);
+    const bool OnTime =
+        *State.TimeToFirstToken <= this->classOf(CallIndex).Objective;
+    this->finish(CallIndex, OnTime ? End::OnTime : End::Late);
   }
 
-  void leave(std::size_t I) {
-    CallState &State = this->States[I];
+  void disconnect(std::size_t CallIndex) {
+    CallState &State = this->States[CallIndex];
     if (State.Ended != End::None)
       return;
-    if (State.AtEngine)
-      this->Engines[*State.AtEngine].cancel(idOf(I, State.Attempts));
-    if (this->Shared)
-      this->Shared->handle(AllocationCancelled{idOf(I, State.Attempts)},
-                           momentOf(this->Now));
-    this->finish(I, End::Left);
+    if (State.EngineIndex)
+      this->Engines[*State.EngineIndex].cancel(
+          correlationIdOf(CallIndex, State.Attempts));
+    if (this->SharedAllocator)
+      this->SharedAllocator->handle(
+          AllocationCancelled{correlationIdOf(CallIndex, State.Attempts)},
+          toTimePoint(this->Now));
+    this->finish(CallIndex, End::Disconnected);
   }
 
-  void finish(std::size_t I, End How) {
-    CallState &State = this->States[I];
-    State.Ended = How;
-    this->Sent.erase(I);
-    if (!State.AtEngine)
+  void finish(std::size_t CallIndex, End Ended) {
+    CallState &State = this->States[CallIndex];
+    State.Ended = Ended;
+    this->ActiveCalls.erase(CallIndex);
+    if (!State.EngineIndex)
       return;
-    --this->Loads[*State.AtEngine];
-    if (!this->Shared)
+    --this->OpenRequests[*State.EngineIndex];
+    if (!this->SharedAllocator)
       return;
-    this->Shared->handle(
-        GrantEnded{idOf(I, State.Attempts), ServerVerdict::Healthy},
-        momentOf(this->Now));
-    this->Shared->tick(momentOf(this->Now));
-    this->takeAnswers();
+    this->SharedAllocator->handle(
+        GrantEnded{correlationIdOf(CallIndex, State.Attempts),
+                   ServerVerdict::Healthy},
+        toTimePoint(this->Now));
+    this->SharedAllocator->tick(toTimePoint(this->Now));
+    this->processReplies();
   }
 
   void tick() {
-    this->Shared->tick(momentOf(this->Now));
-    this->takeAnswers();
-    if (!this->over())
-      this->at(this->Now + TickInterval, [this] { this->tick(); });
+    this->SharedAllocator->tick(toTimePoint(this->Now));
+    this->processReplies();
+    if (!this->isDone())
+      this->schedule(this->Now + TickInterval, [this] { this->tick(); });
   }
 
-  /// Routers tell of what they have at engines.
-  void tell() {
-    for (const std::size_t I : this->Sent) {
-      const CallState &State = this->States[I];
-      const std::uint32_t Unread = State.FirstAfter ? 0 : 1;
-      this->Shared->handle(GrantActive{idOf(I, State.Attempts),
-                                       hashName(engineName(*State.AtEngine)),
-                                       Unread, this->Calls[I].OutputTokens},
-                           momentOf(this->Now));
+  /// Reports the active grants to the allocator, as the routers do.
+  void reportActiveGrants() {
+    for (const std::size_t CallIndex : this->ActiveCalls) {
+      const CallState &State = this->States[CallIndex];
+      const std::uint32_t PrefillTokens = State.TimeToFirstToken ? 0 : 1;
+      this->SharedAllocator->handle(
+          GrantActive{correlationIdOf(CallIndex, State.Attempts),
+                      hashName(engineName(*State.EngineIndex)), PrefillTokens,
+                      this->Calls[CallIndex].OutputTokens},
+          toTimePoint(this->Now));
     }
-    if (!this->over())
-      this->at(this->Now + TellInterval, [this] { this->tell(); });
+    if (!this->isDone())
+      this->schedule(this->Now + ReportInterval,
+                     [this] { this->reportActiveGrants(); });
   }
 
-  bool over() const {
-    return this->Now > this->Played.Length && this->Sent.empty() &&
-           this->Shared->queuedRequests() == 0;
+  bool isDone() const {
+    return this->Now > this->Setup.Length && this->ActiveCalls.empty() &&
+           this->SharedAllocator->queuedRequests() == 0;
   }
 
   SimulationResult result() const {
     SimulationResult Result;
-    for (std::size_t I = 0; I < this->Calls.size(); ++I) {
-      const Call &Made = this->Calls[I];
-      const RequestClass &Class = this->classOf(I);
-      this->count(I, Result.Total);
-      this->count(I, Result.ByClass[Class.Name]);
-      this->count(I, Result.ByAccount[Made.Account]);
-      if (this->isLarge(I))
-        this->count(I, Result.LargestByClass[Class.Name]);
-      const CallState &State = this->States[I];
+    for (std::size_t CallIndex = 0; CallIndex < this->Calls.size();
+         ++CallIndex) {
+      const Call &TheCall = this->Calls[CallIndex];
+      const RequestClass &Class = this->classOf(CallIndex);
+      this->count(CallIndex, Result.Total);
+      this->count(CallIndex, Result.ByClass[Class.Name]);
+      this->count(CallIndex, Result.ByAccount[TheCall.Account]);
+      if (this->isLargest(CallIndex))
+        this->count(CallIndex, Result.LargestByClass[Class.Name]);
+      const CallState &State = this->States[CallIndex];
       if (State.Ended == End::OnTime || State.Ended == End::Late)
-        Result.FirstTokens.push_back(*State.FirstAfter);
+        Result.FirstTokens.push_back(*State.TimeToFirstToken);
     }
     std::sort(Result.FirstTokens.begin(), Result.FirstTokens.end());
     Result.RefusalTimes = this->RefusalTimes;
@@ -361,134 +397,138 @@
     return Result;
   }
 
-  /// Whether the call is of the largest tenth of its class.
-  bool isLarge(std::size_t I) const {
-    const auto Known = this->LargeFrom.find(this->Calls[I].Class);
-    if (Known != this->LargeFrom.end())
-      return this->Calls[I].PromptTokens >= Known->second;
+  /// Whether the call is in the tenth of its class with the largest prompts.
+  bool isLargest(std::size_t CallIndex) const {
+    const auto Found = this->LargeThresholds.find(this->Calls[CallIndex].Class);
+    if (Found != this->LargeThresholds.end())
+      return this->Calls[CallIndex].PromptTokens >= Found->second;
     std::vector<std::uint32_t> Sizes;
     for (const Call &Each : this->Calls)
-      if (Each.Class == this->Calls[I].Class)
+      if (Each.Class == this->Calls[CallIndex].Class)
         Sizes.push_back(Each.PromptTokens);
     std::sort(Sizes.begin(), Sizes.end());
-    this->LargeFrom[this->Calls[I].Class] = Sizes[Sizes.size() * 9 / 10];
-    return this->isLarge(I);
+    this->LargeThresholds[this->Calls[CallIndex].Class] =
+        Sizes[Sizes.size() * 9 / 10];
+    return this->isLargest(CallIndex);
   }
 
-  void count(std::size_t I, Outcomes &Into) const {
-    const double Payoff = payoffOf(this->classOf(I), this->Calls[I]);
-    ++Into.Calls;
-    Into.PossiblePayoff += Payoff;
-    switch (this->States[I].Ended) {
+  void count(std::size_t CallIndex, Outcomes &Outcome) const {
+    const double Payoff =
+        payoffOf(this->classOf(CallIndex), this->Calls[CallIndex]);
+    ++Outcome.Calls;
+    Outcome.PossiblePayoff += Payoff;
+    switch (this->States[CallIndex].Ended) {
     case End::OnTime:
-      ++Into.OnTime;
-      Into.EarnedPayoff += Payoff;
+      ++Outcome.OnTime;
+      Outcome.EarnedPayoff += Payoff;
       return;
     case End::Late:
-      ++Into.Late;
-      Into.EarnedPayoff += Payoff * LatePart;
+      ++Outcome.Late;
+      Outcome.EarnedPayoff += Payoff * LatePayoffShare;
       return;
     case End::Refused:
-      ++Into.Refused;
+      ++Outcome.Refused;
       return;
     case End::None:
-    case End::Left:
-      ++Into.CallerDisconnected;
+    case End::Disconnected:
+      ++Outcome.CallerDisconnected;
       return;
     }
   }
 
-  const Scenario &Played;
-  const Policy &By;
+  const Scenario &Setup;
+  const Policy &SelectedPolicy;
   std::vector<Call> Calls;
   boost::random::mt19937_64 Random;
   std::vector<Engine> Engines;
-  /// Requests that were sent to each engine and have not ended.
-  std::vector<std::uint32_t> Loads;
+  /// Number of requests that were sent to each engine and have not ended.
+  std::vector<std::uint32_t> OpenRequests;
   std::vector<CallState> States;
-  std::set<std::size_t> Sent;
+  std::set<std::size_t> ActiveCalls;
   std::vector<Milliseconds> RefusalTimes;
   GatewayConfiguration Configuration;
-  std::unique_ptr<Allocator> Shared;
-  std::map<std::uint64_t, std::size_t> IndexOf;
+  std::unique_ptr<Allocator> SharedAllocator;
+  std::map<std::uint64_t, std::size_t> EngineByHash;
   std::priority_queue<Event> Events;
   std::uint64_t LastOrder = 0;
   Milliseconds Now = 0;
-  mutable std::map<std::size_t, std::uint32_t> LargeFrom;
+  mutable std::map<std::size_t, std::uint32_t> LargeThresholds;
 };
 
 } // namespace
 
 double SimulationResult::worstAccountsWorth() const {
   std::vector<double> Worths;
-  for (const auto &[Account, Had] : this->ByAccount)
-    Worths.push_back(Had.worth());
+  for (const auto &[Account, Outcome] : this->ByAccount)
+    Worths.push_back(Outcome.worth());
   std::sort(Worths.begin(), Worths.end());
-  const std::size_t Worst = std::max<std::size_t>(Worths.size() / 10, 1);
+  const std::size_t WorstCount = std::max<std::size_t>(Worths.size() / 10, 1);
   if (Worths.empty())
     return 1;
-  return std::accumulate(Worths.begin(),
-                         Worths.begin() + static_cast<std::ptrdiff_t>(Worst),
-                         0.0) /
-         static_cast<double>(Worst);
+  return std::accumulate(
+             Worths.begin(),
+             Worths.begin() + static_cast<std::ptrdiff_t>(WorstCount), 0.0) /
+         static_cast<double>(WorstCount);
 }
 
 namespace {
 
-/// The time below which this part of sorted times lies.
-Milliseconds timeAt(const std::vector<Milliseconds> &Times, double Part) {
+/// The quantile `Fraction` of ascending times.
+Milliseconds quantileOf(const std::vector<Milliseconds> &Times,
+                        double Fraction) {
   if (Times.empty())
     return 0;
-  const auto Index =
-      static_cast<std::size_t>(Part * static_cast<double>(Times.size() - 1));
+  const auto Index = static_cast<std::size_t>(
+      Fraction * static_cast<double>(Times.size() - 1));
   return Times[Index];
 }
 
 } // namespace
 
-Milliseconds SimulationResult::firstTokenQuantile(double Part) const {
-  return timeAt(this->FirstTokens, Part);
+Milliseconds SimulationResult::firstTokenQuantile(double Fraction) const {
+  return quantileOf(this->FirstTokens, Fraction);
 }
 
-Milliseconds SimulationResult::refusalTimeQuantile(double Part) const {
-  return timeAt(this->RefusalTimes, Part);
+Milliseconds SimulationResult::refusalTimeQuantile(double Fraction) const {
+  return quantileOf(this->RefusalTimes, Fraction);
 }
 
-SimulationResult simulate(const Scenario &Played, std::uint64_t Seed,
-                          const Policy &By) {
-  return Table(Played, Seed, By).play();
+SimulationResult simulate(const Scenario &Setup, std::uint64_t Seed,
+                          const Policy &SelectedPolicy) {
+  return Simulation(Setup, Seed, SelectedPolicy).run();
 }
 
-double worthUpperBound(const Scenario &Played, std::uint64_t Seed) {
-  struct Item {
+double worthUpperBound(const Scenario &Setup, std::uint64_t Seed) {
+  struct CallCost {
     double Payoff = 0;
-    double Time = 0;
+    double EngineTime = 0;
   };
-  std::vector<Item> Items;
-  double Asked = 0;
-  for (const Call &Made : generateCalls(Played, Seed)) {
-    const RequestClass &Class = Played.Classes[Made.Class];
-    const double Own = Made.Parts.back().Tokens;
-    const double Payoff = payoffOf(Class, Made);
-    Items.push_back(
-        {Payoff, Own / Played.Parameters.PrefillTokensPerMs +
-                     Made.OutputTokens * Played.Parameters.StepTimePerRequest});
-    Asked += Payoff;
+  std::vector<CallCost> Costs;
+  double PossiblePayoff = 0;
+  for (const Call &TheCall : generateCalls(Setup, Seed)) {
+    const RequestClass &Class = Setup.Classes[TheCall.Class];
+    const double OwnTokens = TheCall.Parts.back().Tokens;
+    const double Payoff = payoffOf(Class, TheCall);
+    Costs.push_back({Payoff, OwnTokens / Setup.Parameters.PrefillTokensPerMs +
+                                 TheCall.OutputTokens *
+                                     Setup.Parameters.StepTimePerRequest});
+    PossiblePayoff += Payoff;
   }
-  std::sort(Items.begin(), Items.end(),
-            [](const Item &Left, const Item &Right) {
-              return Left.Payoff * Right.Time > Right.Payoff * Left.Time;
+  std::sort(Costs.begin(), Costs.end(),
+            [](const CallCost &Left, const CallCost &Right) {
+              return Left.Payoff * Right.EngineTime >
+                     Right.Payoff * Left.EngineTime;
             });
-  double Left = Played.Engines * Played.Length;
-  double Earned = 0;
-  for (const Item &Each : Items) {
-    const double Part = std::min(1.0, Left / Each.Time);
-    Earned += Each.Payoff * Part;
-    Left -= Each.Time * Part;
-    if (Left <= 0)
+  double TimeLeft = Setup.Engines * Setup.Length;
+  double EarnedPayoff = 0;
+  for (const CallCost &Each : Costs) {
+    const double Fraction = std::min(1.0, TimeLeft / Each.EngineTime);
+    EarnedPayoff += Each.Payoff * Fraction;
+    TimeLeft -= Each.EngineTime * Fraction;
+    if (TimeLeft <= 0)
       break;
   }
-  return Earned / Asked;
+  return EarnedPayoff / PossiblePayoff;
 }
 
 } // namespace parsleywing::lab
