--- a/src/Loop/ByteChannel.cpp
+++ b/src/Loop/ByteChannel.cpp
@@ -13,20 +13,21 @@
 
 namespace {
 
-constexpr std::size_t ReadBytes = 64U << 10U;
+constexpr std::size_t ReadBufferBytes = 64U << 10U;
 
-// Reads and sends go past the library, and each is told not to wait: to make a
-// socket of the library so costs two calls of the system a connection.
+// Reads and sends bypass Poco and pass MSG_DONTWAIT on each call: making a Poco
+// socket non-blocking would cost two more system calls per connection.
 
-/// How long a connection waits for the peer's close behind its own end.
-constexpr Duration FinishLimit = std::chrono::seconds(2);
+/// How long a connection waits for the peer to close after shutting down its
+/// own sending side.
+constexpr Duration PeerCloseTimeout = std::chrono::seconds(2);
 
-/// How long a finished connection may take to send what waits, however slowly
-/// its peer takes it.
-constexpr Duration SendingLimit = std::chrono::seconds(60);
+/// How long a finished connection may take to send its buffered bytes, even if
+/// the peer keeps accepting some.
+constexpr Duration FinishTimeout = std::chrono::seconds(60);
 
-/// How long a peer may take none of the bytes that wait for it.
-constexpr Duration TakingLimit = std::chrono::seconds(15);
+/// How long a peer may accept none of the buffered bytes.
+constexpr Duration StallTimeout = std::chrono::seconds(15);
 
 } // namespace
 
@@ -38,7 +39,8 @@
     Channel->start();
     return Channel;
   } catch (const Poco::Exception &) {
-    // Its peer may have reset it already; the socket closes with its owner.
+    // The peer may have reset the connection already. The socket closes when
+    // its owner releases it.
     return nullptr;
   }
 }
@@ -52,14 +54,14 @@
     Channel->start();
     return Channel;
   } catch (const Poco::Exception &) {
-    // The caller takes null as "no connection", like a refused one.
+    // The caller handles null like a refused connection.
     return nullptr;
   }
 }
 
 ByteChannel::ByteChannel(EventLoop &L, const Poco::Net::StreamSocket &S,
-                         bool NotYetConnected)
-    : Loop(L), Socket(S), Connecting(NotYetConnected) {}
+                         bool IsConnecting)
+    : Loop(L), Socket(S), Connecting(IsConnecting) {}
 
 void ByteChannel::start() {
   this->Socket.setNoDelay(true);
@@ -86,7 +88,8 @@
 }
 
 void ByteChannel::onConnected() {
-  // A loop that was late may find the peer's end behind the connection's begin.
+  // If the loop was delayed, the peer may already have closed the connection
+  // after accepting it.
   if (this->Socket.impl()->socketError() != 0 || !this->inputIdle()) {
     this->onPeerEnd(ChannelEnd::Reset);
     return;
@@ -98,15 +101,15 @@
 }
 
 void ByteChannel::readAvailable() {
-  static thread_local std::array<char, ReadBytes> Buffer;
+  static thread_local std::array<char, ReadBufferBytes> Buffer;
   std::optional<ChannelEnd> End;
-  std::size_t Filled = 0;
-  while (Filled < Buffer.size() && !End) {
+  std::size_t ReceivedBytes = 0;
+  while (ReceivedBytes < Buffer.size() && !End) {
     const ::ssize_t Count =
-        ::recv(this->Socket.impl()->sockfd(), Buffer.data() + Filled,
-               Buffer.size() - Filled, MSG_DONTWAIT);
+        ::recv(this->Socket.impl()->sockfd(), Buffer.data() + ReceivedBytes,
+               Buffer.size() - ReceivedBytes, MSG_DONTWAIT);
     if (Count > 0)
-      Filled += static_cast<std::size_t>(Count);
+      ReceivedBytes += static_cast<std::size_t>(Count);
     else if (Count == 0)
       End = ChannelEnd::Finished;
     else if (errno == EAGAIN || errno == EWOULDBLOCK)
@@ -116,9 +119,9 @@
   }
   this->PeerClosed = End.has_value();
   if (this->Finishing)
-    this->DiscardedBytes += Filled;
-  else if (Filled > 0 && this->Listener.Received)
-    this->Listener.Received({Buffer.data(), Filled});
+    this->DiscardedBytes += ReceivedBytes;
+  else if (ReceivedBytes > 0 && this->Listener.Received)
+    this->Listener.Received({Buffer.data(), ReceivedBytes});
   if (End)
     this->onPeerEnd(*End);
 }
@@ -136,17 +139,17 @@
 }
 
 ByteChannel::PendingInput ByteChannel::peekInput() const {
-  char First = 0;
-  const ::ssize_t Count = ::recv(this->Socket.impl()->sockfd(), &First,
-                                 sizeof(First), MSG_PEEK | MSG_DONTWAIT);
+  char FirstByte = 0;
+  const ::ssize_t Count = ::recv(this->Socket.impl()->sockfd(), &FirstByte,
+                                 sizeof(FirstByte), MSG_PEEK | MSG_DONTWAIT);
   if (Count > 0)
     return PendingInput::Bytes;
-  const bool Nothing = Count < 0 && (errno == EAGAIN || errno == EWOULDBLOCK);
-  return Nothing ? PendingInput::None : PendingInput::End;
+  const bool IsEmpty = Count < 0 && (errno == EAGAIN || errno == EWOULDBLOCK);
+  return IsEmpty ? PendingInput::None : PendingInput::End;
 }
 
-/// Whether the peer's system has confirmed all that was sent: a reset would
-/// destroy the rest on its way.
+/// Whether the peer has acknowledged everything that was sent. A reset would
+/// destroy unacknowledged bytes in flight.
 bool ByteChannel::allAcknowledged() const {
   return unacknowledgedBytes(this->Socket.impl()->sockfd()) == 0;
 }
@@ -166,8 +169,8 @@
                this->SendBuffer.size(), MSG_NOSIGNAL | MSG_DONTWAIT);
     if (Count < 0 && errno == EINTR)
       continue;
-    // The read side reports the end with what the peer still sent, also where
-    // reading was paused.
+    // The read side reports the error after delivering what the peer has sent,
+    // so reading is resumed if it was paused.
     if (Count < 0 && errno != EAGAIN && errno != EWOULDBLOCK) {
       this->SendBuffer.clear();
       this->ReadingPaused = false;
@@ -179,8 +182,8 @@
   }
 }
 
-/// Only from here on does the peer's close count as late: until now it had no
-/// end to answer.
+/// The limit for the peer's close starts here, because the peer cannot respond
+/// to the end of the stream earlier.
 void ByteChannel::shutdownSend() {
   this->SendShutDown = true;
   try {
@@ -189,22 +192,23 @@
     this->release();
     return;
   }
-  this->releaseAfter(FinishLimit);
+  this->releaseAfter(PeerCloseTimeout);
 }
 
-void ByteChannel::releaseAfter(Duration Limit) {
+void ByteChannel::releaseAfter(Duration Timeout) {
   this->Loop.cancel(this->FinishTimer);
   this->FinishTimer = this->Loop.after(
-      Limit, [Self = this->shared_from_this()] { Self->release(); });
+      Timeout, [Self = this->shared_from_this()] { Self->release(); });
 }
 
 void ByteChannel::startStallTimer() {
   if (this->Closed || this->SendBuffer.empty() || this->StallTimer != 0)
     return;
-  this->StallTimer = this->Loop.after(
-      TakingLimit, [Self = this->shared_from_this(), Before = this->SentBytes] {
+  this->StallTimer =
+      this->Loop.after(StallTimeout, [Self = this->shared_from_this(),
+                                      SentBefore = this->SentBytes] {
         Self->StallTimer = 0;
-        if (Self->SentBytes == Before && !Self->SendBuffer.empty())
+        if (Self->SentBytes == SentBefore && !Self->SendBuffer.empty())
           Self->onPeerEnd(ChannelEnd::Reset);
         else
           Self->startStallTimer();
@@ -237,7 +241,7 @@
     return;
   this->Finishing = true;
   this->ReadingPaused = false;
-  this->releaseAfter(SendingLimit);
+  this->releaseAfter(FinishTimeout);
   this->flush();
 }
 
@@ -262,17 +266,17 @@
   try {
     this->Socket.setLinger(true, 0);
   } catch (const Poco::Exception &) {
-    // The connection is gone already; the close is all that is left.
+    // The connection has failed already and only needs to be closed.
   }
 }
 
-void ByteChannel::onPeerEnd(ChannelEnd How) {
+void ByteChannel::onPeerEnd(ChannelEnd End) {
   if (this->Closed)
     return;
-  const bool Tell = !this->Finishing && this->Listener.Ended;
+  const bool ShouldNotify = !this->Finishing && this->Listener.Ended;
   this->release();
-  if (Tell)
-    this->Listener.Ended(How);
+  if (ShouldNotify)
+    this->Listener.Ended(End);
 }
 
 void ByteChannel::release() {
@@ -288,8 +292,8 @@
   this->Loop.remove(this->Socket);
   this->Socket.close();
   this->SendBuffer.clear();
-  if (const auto Tell = std::exchange(this->ReleaseCallback, {}))
-    Tell(Loss);
+  if (const auto Callback = std::exchange(this->ReleaseCallback, {}))
+    Callback(Loss);
 }
 
 ChannelLoss ByteChannel::lossAtRelease() const {
@@ -310,7 +314,7 @@
   try {
     return this->Socket.peerAddress().toString();
   } catch (const Poco::Exception &) {
-    // The peer has reset the connection.
+    // The peer has reset the connection, so the system has no address.
     return {};
   }
 }
--- a/src/Loop/ByteChannel.h
+++ b/src/Loop/ByteChannel.h
@@ -13,21 +13,21 @@
 
 /// How the peer ended a connection.
 enum class ChannelEnd {
-  Finished, ///< It closed in order: all it sent has come.
-  Reset,    ///< It broke: bytes may be missing.
+  Finished, ///< Orderly close: everything the peer sent has been received.
+  Reset,    ///< The connection broke: bytes may be missing.
 };
 
-/// What a connection lost as it was released.
+/// Data that was lost when a connection was released.
 struct ChannelLoss {
-  /// Bytes that were written and that the system had not taken, where the peer
-  /// had not ended the connection before.
+  /// Bytes that were written but not yet accepted by the system, unless the
+  /// peer had already closed the connection.
   std::size_t UnsentBytes = 0;
-  /// Bytes that came behind `finish` and were told nobody.
+  /// Bytes that were received after `finish` and discarded.
   std::size_t DiscardedBytes = 0;
-  /// Bytes of the peer waited in the system.
+  /// Received bytes were still in the system's receive buffer.
   bool HasUnreadInput = false;
-  /// The peer's IP and port where anything was lost; empty where the system
-  /// does not know them any more.
+  /// The peer's IP and port if anything was lost; empty if the system no longer
+  /// knows them.
   std::string PeerAddress;
 
   bool any() const {
@@ -35,91 +35,94 @@
   }
 };
 
-/// What a connection tells its owner, on the loop's thread. Nothing is told
-/// after `close`, `finish` or `abort`.
+/// Callbacks of a connection to its owner, called on the loop's thread. None is
+/// called after `close`, `finish` or `abort`.
 struct ChannelListener {
   std::function<void()> Connected;
   std::function<void(std::string_view)> Received;
   std::function<void(ChannelEnd)> Ended;
-  /// All that was written has been taken by the system.
+  /// The system has accepted everything that was written.
   std::function<void()> Drained;
 };
 
-/// One TCP connection on an event loop. Writes are buffered without a bound;
-/// the owner looks at `unsent` and stops its source. A peer that takes none of
-/// what waits for 15 s is given up, as if it had reset the connection.
-/// Wherever a connection ends while bytes still wait, its peer sees a reset:
-/// what it has must not look whole. The loop keeps the object alive until the
-/// connection is closed.
+/// One TCP connection on an event loop. The write buffer is unbounded; the
+/// owner checks `unsent` and pauses its source. If the peer accepts no buffered
+/// bytes for 15 s, the connection is treated as reset by the peer. If a
+/// connection ends with buffered bytes, the peer sees a reset, so that it
+/// cannot mistake a truncated response for a complete one. The loop keeps the
+/// object alive until the connection is closed.
 class ByteChannel : public std::enable_shared_from_this<ByteChannel> {
 public:
-  /// Takes over an accepted connection. Null where it is of no use any more.
+  /// Wraps an accepted connection. Null if the connection has already failed.
   static std::shared_ptr<ByteChannel>
   fromAccepted(EventLoop &Loop, const Poco::Net::StreamSocket &Socket);
 
-  /// Begins to connect; `Connected` or `Ended` tells the outcome. Null where
-  /// the system refuses at once (no descriptor left, no way there).
+  /// Starts connecting; `Connected` or `Ended` reports the outcome. Null if the
+  /// system call fails immediately (no free descriptor, no route).
   static std::shared_ptr<ByteChannel>
   connect(EventLoop &Loop, const Poco::Net::SocketAddress &Address);
 
   ByteChannel(EventLoop &L, const Poco::Net::StreamSocket &S,
-              bool NotYetConnected);
+              bool IsConnecting);
   ByteChannel(const ByteChannel &) = delete;
   ByteChannel &operator=(const ByteChannel &) = delete;
 
-  void setListener(ChannelListener Wanted) {
-    this->Listener = std::move(Wanted);
+  void setListener(ChannelListener NewListener) {
+    this->Listener = std::move(NewListener);
   }
 
-  /// Called once as the connection is released, by whichever side, with what it
-  /// lost. Costs a call of the system then.
-  void setReleaseCallback(std::function<void(const ChannelLoss &)> Told) {
-    this->ReleaseCallback = std::move(Told);
+  /// Sets the callback that is called once when the connection is released, by
+  /// either side, with the data that was lost. It costs one system call at
+  /// release.
+  void setReleaseCallback(std::function<void(const ChannelLoss &)> Callback) {
+    this->ReleaseCallback = std::move(Callback);
   }
 
-  /// Sends what the system takes at once and keeps the rest.
+  /// Sends what the system accepts immediately and buffers the rest.
   void write(std::string_view Bytes);
 
   std::size_t unsent() const { return this->SendBuffer.size(); }
-  /// Whether any byte has been handed to the system.
+  /// Whether the system has accepted any byte.
   bool anySent() const { return this->SentBytes > 0; }
   bool isOpen() const { return !this->Closed; }
-  /// Whether the peer has sent neither bytes nor its end since the last read.
-  /// Costs a call.
+  /// Whether the peer has sent neither bytes nor a close since the last read.
+  /// Costs one system call.
   bool inputIdle() const;
-  /// The peer's end was read behind the bytes that are being told.
+  /// Whether the peer's close was read after the bytes that are being
+  /// delivered.
   bool peerClosed() const { return this->PeerClosed; }
-  /// `finish` was called and the peer has not closed yet.
+  /// Whether `finish` was called and the connection is not closed yet.
   bool finishing() const { return this->Finishing && !this->Closed; }
 
-  /// Stops and starts reading, for a reader that cannot keep up.
+  /// Stops and resumes reading, for a consumer that cannot keep up.
   void pauseReading();
   void resumeReading();
 
-  /// Sends the rest for as long as the peer takes any of it, a minute at most,
-  /// ends the stream in order, and waits briefly for the peer to close: a close
-  /// with unread bytes would reset the connection and could destroy the answer
-  /// on its way.
+  /// Graceful close: sends the buffered bytes as long as the peer accepts some
+  /// of them, for at most a minute, shuts down the sending side, and waits
+  /// briefly for the peer to close. An immediate close with unread bytes would
+  /// reset the connection and could destroy the response in flight.
   void finish();
 
-  /// Closes at once.
+  /// Closes immediately.
   void close();
 
-  /// Closes at once where no bytes wait on either side or are on their way to
-  /// the peer; false where it stays open. Bytes that come later are answered by
-  /// a reset, unread: their sender learns that nobody has acted on them.
-  /// `finish` would read and drop them.
+  /// Closes immediately if no bytes are buffered on either side or in flight to
+  /// the peer. Returns false if the connection stays open. Bytes that arrive
+  /// later are answered with a reset, which shows the sender that they were not
+  /// processed; `finish` would read and discard them.
   bool closeIfIdle();
 
-  /// Closes with a reset, so that the peer cannot take what it has for whole.
+  /// Closes with a reset, so that the peer cannot mistake what it has received
+  /// for a complete response.
   void abort();
 
-  /// From now on any end but `finish` is a reset: the peer takes the end of the
-  /// connection for the end of the answer.
+  /// From now on, ending the connection other than by `finish` sends a reset.
+  /// For responses whose end is marked by the close of the connection.
   void resetUnlessFinished() { this->CloseDelimited = true; }
 
 private:
-  /// What of the peer waits in the system.
+  /// What the peer has sent that has not been read yet.
   enum class PendingInput { None, Bytes, End };
 
   void start();
@@ -129,10 +132,10 @@
   void flush();
   void sendPending();
   void shutdownSend();
-  void releaseAfter(Duration Limit);
+  void releaseAfter(Duration Timeout);
   void startStallTimer();
   void updatePollModes();
-  void onPeerEnd(ChannelEnd How);
+  void onPeerEnd(ChannelEnd End);
   void release();
   void enableResetOnClose();
   ChannelLoss lossAtRelease() const;
@@ -155,7 +158,7 @@
   bool SendShutDown = false;
   bool Closed = false;
   bool PeerClosed = false;
-  /// An orderly end tells the peer that the answer is whole.
+  /// The peer takes an orderly close as the end of a complete response.
   bool CloseDelimited = false;
 };
 
--- a/src/Loop/ConnectCheck.cpp
+++ b/src/Loop/ConnectCheck.cpp
@@ -9,72 +9,75 @@
 
 namespace {
 
-/// One check, kept alive by the loop's handler and timer.
-class Check : public std::enable_shared_from_this<Check> {
+/// One connection attempt. The loop's handler and timer keep it alive.
+class ConnectAttempt : public std::enable_shared_from_this<ConnectAttempt> {
 public:
-  Check(EventLoop &L, std::function<void(ConnectOutcome)> T)
-      : Loop(L), Tell(std::move(T)) {}
+  ConnectAttempt(EventLoop &L, std::function<void(ConnectOutcome)> Callback)
+      : Loop(L), OnOutcome(std::move(Callback)) {}
 
-  void begin(const Poco::Net::SocketAddress &Address, Duration Limit) {
+  void start(const Poco::Net::SocketAddress &Address, Duration Timeout) {
     try {
       this->Socket.connectNB(Address);
       this->Loop.add(
           this->Socket,
           Poco::Net::PollSet::POLL_WRITE | Poco::Net::PollSet::POLL_ERROR,
           [Self = this->shared_from_this()](int) { Self->onReady(); });
-      this->Watched = true;
+      this->IsWatched = true;
     } catch (const Poco::Net::ConnectionRefusedException &) {
-      this->endLater(ConnectOutcome::Refused, Duration::zero());
+      this->finishAfter(ConnectOutcome::Refused, Duration::zero());
       return;
     } catch (const Poco::Exception &) {
-      // No descriptor, or no way there: nothing is learnt of the far end.
-      this->endLater(ConnectOutcome::Unknown, Duration::zero());
+      // No free descriptor or no route, which says nothing about the remote
+      // host.
+      this->finishAfter(ConnectOutcome::Unknown, Duration::zero());
       return;
     }
-    this->endLater(ConnectOutcome::Unknown, Limit);
+    this->finishAfter(ConnectOutcome::Unknown, Timeout);
   }
 
 private:
   void onReady() {
     switch (this->Socket.impl()->socketError()) {
     case 0:
-      this->end(ConnectOutcome::Listening);
+      this->finish(ConnectOutcome::Listening);
       return;
     case ECONNREFUSED:
-      this->end(ConnectOutcome::Refused);
+      this->finish(ConnectOutcome::Refused);
       return;
     default:
-      this->end(ConnectOutcome::Unknown);
+      this->finish(ConnectOutcome::Unknown);
     }
   }
 
-  void endLater(ConnectOutcome Outcome, Duration Delay) {
+  void finishAfter(ConnectOutcome Outcome, Duration Delay) {
     this->Timer = this->Loop.after(Delay, [Self = this->shared_from_this(),
-                                           Outcome] { Self->end(Outcome); });
+                                           Outcome] { Self->finish(Outcome); });
   }
 
-  void end(ConnectOutcome Outcome) {
+  void finish(ConnectOutcome Outcome) {
     this->Loop.cancel(this->Timer);
-    if (this->Watched)
+    if (this->IsWatched)
       this->Loop.remove(this->Socket);
-    this->Watched = false;
+    this->IsWatched = false;
     this->Socket.close();
-    if (const auto Told = std::exchange(this->Tell, {}))
-      Told(Outcome);
+    if (const auto Callback = std::exchange(this->OnOutcome, {}))
+      Callback(Outcome);
   }
 
   EventLoop &Loop;
-  std::function<void(ConnectOutcome)> Tell;
+  std::function<void(ConnectOutcome)> OnOutcome;
   Poco::Net::StreamSocket Socket;
   TimerId Timer = 0;
-  bool Watched = false;
+  bool IsWatched = false;
 };
 
 } // namespace
 
 void checkConnect(EventLoop &Loop, const Poco::Net::SocketAddress &Address,
-                  Duration Limit, std::function<void(ConnectOutcome)> Told) {
-  std::make_shared<Check>(Loop, std::move(Told))->begin(Address, Limit);
+                  Duration Timeout,
+                  std::function<void(ConnectOutcome)> OnOutcome) {
+  std::make_shared<ConnectAttempt>(Loop, std::move(OnOutcome))
+      ->start(Address, Timeout);
 }
 
 } // namespace parsleywing
--- a/src/Loop/ConnectCheck.h
+++ b/src/Loop/ConnectCheck.h
@@ -9,11 +9,11 @@
 
 namespace parsleywing {
 
-/// What a connection tells about its far end.
+/// What a connection attempt shows about the remote host.
 enum class ConnectOutcome {
-  Listening, ///< A process has taken the connection.
-  Refused,   ///< The host is there, and no process listens at the port.
-  Unknown,   ///< Neither came within the limit.
+  Listening, ///< The connection was accepted.
+  Refused,   ///< The host is up, but no process listens on the port.
+  Unknown,   ///< Neither was observed within the time limit.
 };
 
 inline constexpr EnumNames<ConnectOutcome, 3> ConnectOutcomeNames{{
@@ -22,10 +22,11 @@
     {ConnectOutcome::Unknown, "unknown"},
 }};
 
-/// Connects, closes at once, and tells the outcome from the loop, once, within
-/// `Limit`. Costs the far end one connection.
+/// Connects, closes the connection immediately, and calls `OnOutcome` from the
+/// loop once, within `Timeout`. Costs the remote host one connection.
 void checkConnect(EventLoop &Loop, const Poco::Net::SocketAddress &Address,
-                  Duration Limit, std::function<void(ConnectOutcome)> Told);
+                  Duration Timeout,
+                  std::function<void(ConnectOutcome)> OnOutcome);
 
 } // namespace parsleywing
 
--- a/src/Loop/EventLoop.cpp
+++ b/src/Loop/EventLoop.cpp
@@ -6,14 +6,14 @@
 
 namespace {
 
-/// The longest wait for sockets: tasks of other threads are looked for between
-/// waits. Ten wake-ups a second cost under 0.02 % of a core and save a socket
-/// that would only wake the loop.
-constexpr Duration LongestWait = std::chrono::milliseconds(50);
+/// Maximum time of one poll. Tasks posted by other threads are picked up
+/// between polls, which saves a socket used only to wake the loop. Ten wake-ups
+/// per second cost less than 0.02 % of a core.
+constexpr Duration MaxPollWait = std::chrono::milliseconds(50);
 
-/// Rounds with timers over which the lag is averaged: some 50 ms of a busy
-/// loop.
-constexpr Duration::rep LagRounds = 8;
+/// Number of iterations with due timers over which the lag is averaged, about
+/// 50 ms of a busy loop.
+constexpr Duration::rep LagSamples = 8;
 
 } // namespace
 
@@ -37,11 +37,11 @@
     this->Poll.remove(Socket);
 }
 
-TimerId EventLoop::after(Duration Delay, Task Due) {
+TimerId EventLoop::after(Duration Delay, Task TimerTask) {
   const TimerId Timer = ++this->LastTimerId;
-  const TimePoint When = this->Time.now() + Delay;
-  this->Timers.emplace(std::pair(When, Timer), std::move(Due));
-  this->TimerDeadlines.emplace(Timer, When);
+  const TimePoint Deadline = this->Time.now() + Delay;
+  this->Timers.emplace(std::pair(Deadline, Timer), std::move(TimerTask));
+  this->TimerDeadlines.emplace(Timer, Deadline);
   return Timer;
 }
 
@@ -53,9 +53,9 @@
   this->TimerDeadlines.erase(Found);
 }
 
-void EventLoop::post(Task Added) {
+void EventLoop::post(Task NewTask) {
   const std::lock_guard<std::mutex> Lock(this->Mutex);
-  this->PostedTasks.push_back(std::move(Added));
+  this->PostedTasks.push_back(std::move(NewTask));
 }
 
 void EventLoop::run() {
@@ -68,43 +68,45 @@
 
 Duration EventLoop::untilNextTimer() const {
   if (this->Timers.empty())
-    return LongestWait;
-  const Duration Left = this->Timers.begin()->first.first - this->Time.now();
-  return std::clamp(Left, Duration::zero(), LongestWait);
+    return MaxPollWait;
+  const Duration TimeLeft =
+      this->Timers.begin()->first.first - this->Time.now();
+  return std::clamp(TimeLeft, Duration::zero(), MaxPollWait);
 }
 
 void EventLoop::runPostedTasks() {
-  std::vector<Task> Taken;
+  std::vector<Task> Tasks;
   {
     const std::lock_guard<std::mutex> Lock(this->Mutex);
-    Taken.swap(this->PostedTasks);
+    Tasks.swap(this->PostedTasks);
   }
-  for (const Task &Each : Taken)
+  for (const Task &Each : Tasks)
     Each();
 }
 
-/// A handler or a task may stand still for long. What the system has taken in
-/// meanwhile is read before a timer says that nothing came.
+/// Runs only the timers that were due when the sockets were last polled. After
+/// a handler or task that blocked for long, this lets the loop read data that
+/// arrived meanwhile before a timer reports that it is missing.
 void EventLoop::runDueTimers() {
   const TimePoint Now = this->PolledAt;
   if (!this->Timers.empty() && this->Timers.begin()->first.first <= Now) {
-    const Duration::rep Late =
+    const Duration::rep Lateness =
         (this->Time.now() - this->Timers.begin()->first.first).count();
-    this->Lag += (Late - this->Lag) / LagRounds;
+    this->Lag += (Lateness - this->Lag) / LagSamples;
   }
   while (!this->Timers.empty() && this->Timers.begin()->first.first <= Now) {
     const auto First = this->Timers.begin();
-    const Task Due = std::move(First->second);
+    const Task TimerTask = std::move(First->second);
     this->TimerDeadlines.erase(First->first.second);
     this->Timers.erase(First);
-    Due();
+    TimerTask();
   }
 }
 
-void EventLoop::pollSockets(Duration Wait) {
-  // The library's wait counts whole milliseconds; rounding up keeps the loop
-  // from turning without a pause until the timer is due.
-  const auto Rounded = std::chrono::ceil<std::chrono::milliseconds>(Wait);
+void EventLoop::pollSockets(Duration Timeout) {
+  // Poco waits in whole milliseconds. Rounding up keeps the loop from spinning
+  // until the next timer is due.
+  const auto Rounded = std::chrono::ceil<std::chrono::milliseconds>(Timeout);
   const auto Ready = this->Poll.poll(Poco::Timespan(Duration(Rounded).count()));
   this->PolledAt = this->Time.now();
   for (const auto &[Socket, Modes] : Ready) {
--- a/src/Loop/EventLoop.h
+++ b/src/Loop/EventLoop.h
@@ -16,43 +16,44 @@
 
 namespace parsleywing {
 
-/// Names a timer of one loop; zero is none.
+/// Identifies a timer of one loop; zero is no timer.
 using TimerId = std::uint64_t;
 
 /// Waits for sockets and timers on one thread and calls their handlers there.
-/// Everything but `post` and `stop` belongs to that thread. One thread in place
-/// of one a connection: a caller's stream of events costs about 10 in place of
-/// 24 microseconds of processor time an event (trial over `PollSet` and over
-/// the library's thread pool, 26 events a request).
+/// All functions except `post`, `stop` and `lag` must be called on that thread.
+/// A single thread is used because forwarding an event of a caller's stream
+/// takes about 10 microseconds of CPU time this way, and 24 with a thread per
+/// connection.
 class EventLoop {
 public:
-  /// Called with the poll modes that came true.
+  /// Called with the poll modes that are ready.
   using SocketHandler = std::function<void(int)>;
   using Task = std::function<void()>;
 
   explicit EventLoop(Clock C) : Time(std::move(C)) {}
 
-  /// Watches a socket. The handler is kept alive while it runs, also where it
+  /// Watches a socket. The handler is kept alive while it runs, even if it
   /// removes its own socket.
   void add(const Poco::Net::Socket &Socket, int Modes, SocketHandler Handler);
   void update(const Poco::Net::Socket &Socket, int Modes);
   void remove(const Poco::Net::Socket &Socket);
 
-  /// Calls a task once after a delay.
-  TimerId after(Duration Delay, Task Due);
+  /// Runs a task once after a delay.
+  TimerId after(Duration Delay, Task TimerTask);
   void cancel(TimerId Timer);
 
-  /// Hands a task over from any thread; it runs within `LongestWait`.
-  void post(Task Posted);
+  /// Posts a task from any thread. It runs within 50 ms unless a handler
+  /// blocks.
+  void post(Task NewTask);
 
-  /// Serves until `stop`.
+  /// Runs until `stop` is called.
   void run();
   void stop() { this->Stopping = true; }
 
   const Clock &clock() const { return this->Time; }
 
-  /// How late timers are served, averaged over the last rounds: the processor
-  /// is short where this grows.
+  /// How late timers run, averaged over the last iterations. It grows if the
+  /// CPU is overloaded.
   Duration lag() const { return Duration(this->Lag.load()); }
 
 private:
@@ -64,7 +65,7 @@
   Duration untilNextTimer() const;
   void runPostedTasks();
   void runDueTimers();
-  void pollSockets(Duration Wait);
+  void pollSockets(Duration Timeout);
 
   Clock Time;
   Poco::Net::PollSet Poll;
@@ -72,7 +73,7 @@
   std::map<std::pair<TimePoint, TimerId>, Task> Timers;
   std::unordered_map<TimerId, TimePoint> TimerDeadlines;
   TimerId LastTimerId = 0;
-  /// When the sockets that are served were looked at.
+  /// When the sockets were last polled.
   TimePoint PolledAt{};
   std::mutex Mutex;
   std::vector<Task> PostedTasks;
--- a/test/Loop/ByteChannelTest.cpp
+++ b/test/Loop/ByteChannelTest.cpp
@@ -13,23 +13,23 @@
 
 namespace {
 
-/// More than the system takes of a connection whose peer does not read.
-constexpr std::size_t LargeAnswer = 32U << 20U;
+/// More than the system buffers for a connection whose peer does not read.
+constexpr std::size_t LargeResponse = 32U << 20U;
 
-/// A connection on a loop of its own, whose clock the test moves, and its peer.
+/// A connection with its own loop and paused clock, and the peer's socket.
 class Connection {
 public:
-  Connection() : Listening(Poco::Net::SocketAddress("127.0.0.1:0")) {
-    this->Peer.connect(this->Listening.address());
+  Connection() : Server(Poco::Net::SocketAddress("127.0.0.1:0")) {
+    this->Peer.connect(this->Server.address());
     this->Peer.setReceiveTimeout(Poco::Timespan(2, 0));
-    this->Channel = ByteChannel::fromAccepted(
-        this->Loop, this->Listening.acceptConnection());
-    this->Worker = std::thread([this] { this->Loop.run(); });
+    this->Channel =
+        ByteChannel::fromAccepted(this->Loop, this->Server.acceptConnection());
+    this->LoopThread = std::thread([this] { this->Loop.run(); });
   }
 
   ~Connection() {
     this->Loop.stop();
-    this->Worker.join();
+    this->LoopThread.join();
   }
 
   Connection(const Connection &) = delete;
@@ -45,71 +45,71 @@
     Done.get_future().wait();
   }
 
-  /// Moves the clock, and waits until the loop has served its timers.
+  /// Advances the clock and waits until the loop has run its timers.
   void advance(Duration Step) {
     this->Time.advance(Step);
-    // The round at hand may have looked at the clock before, and a task runs
-    // ahead of its round's timers.
-    for (int Round = 0; Round < 3; ++Round)
+    // The current iteration may have read the clock earlier, and tasks run
+    // before the timers of their iteration.
+    for (int Iteration = 0; Iteration < 3; ++Iteration)
       this->onLoop([] {});
   }
 
-  /// Reads until the peer's end has come, at most so many bytes.
-  std::size_t readUpTo(std::size_t Most) {
+  /// Reads until the connection ends, at most `MaxBytes`.
+  std::size_t readUpTo(std::size_t MaxBytes) {
     std::vector<char> Buffer(1U << 20U);
-    std::size_t Got = 0;
+    std::size_t ReadBytes = 0;
     try {
-      while (Got < Most) {
+      while (ReadBytes < MaxBytes) {
         const int Count = this->Peer.receiveBytes(
             Buffer.data(),
-            static_cast<int>(std::min(Buffer.size(), Most - Got)));
+            static_cast<int>(std::min(Buffer.size(), MaxBytes - ReadBytes)));
         if (Count <= 0)
           break;
-        Got += static_cast<std::size_t>(Count);
+        ReadBytes += static_cast<std::size_t>(Count);
       }
     } catch (const Poco::Exception &) {
-      this->Reset = true;
+      this->WasReset = true;
     }
-    return Got;
+    return ReadBytes;
   }
 
   Clock Time = Clock::paused();
   EventLoop Loop{Time};
-  Poco::Net::ServerSocket Listening;
+  Poco::Net::ServerSocket Server;
   Poco::Net::StreamSocket Peer;
   std::shared_ptr<ByteChannel> Channel;
-  bool Reset = false;
+  bool WasReset = false;
 
 private:
-  std::thread Worker;
+  std::thread LoopThread;
 };
 
 } // namespace
 
-// Guards against an answer that is cut off where its reader takes longer than a
-// finished connection waits for the peer's close.
-Test(ByteChannel, whatWasWrittenLeavesWholeBehindAFinish, .timeout = 30) {
+// Guards against a truncated response if the peer needs more time to read it
+// than a finished connection waits for the peer's close.
+Test(ByteChannel, finishSendsAllBufferedBytes, .timeout = 30) {
   Connection C;
   C.onLoop([&C] {
-    C.Channel->write(std::string(LargeAnswer, 'x'));
+    C.Channel->write(std::string(LargeResponse, 'x'));
     C.Channel->finish();
   });
-  std::size_t Got = C.readUpTo(LargeAnswer / 2);
+  std::size_t ReadBytes = C.readUpTo(LargeResponse / 2);
   C.advance(3s);
-  Got += C.readUpTo(LargeAnswer);
-  cr_assert_eq(Got, LargeAnswer, "got %zu", Got);
-  cr_assert_not(C.Reset);
+  ReadBytes += C.readUpTo(LargeResponse);
+  cr_assert_eq(ReadBytes, LargeResponse, "read %zu", ReadBytes);
+  cr_assert_not(C.WasReset);
 }
 
-// Guards against a connection that is kept for ever for a peer that stands
-// still with an answer on its way.
-Test(ByteChannel, aPeerThatTakesNothingIsGivenUp, .timeout = 30) {
+// Guards against a connection that stays open forever because its peer stalls
+// while a response is being sent.
+Test(ByteChannel, stalledPeerIsDisconnected, .timeout = 30) {
   Connection C;
   bool Ended = false;
   C.onLoop([&C, &Ended] {
     C.Channel->setReleaseCallback(
         [&Ended](const ChannelLoss &Loss) { Ended = Loss.UnsentBytes > 0; });
-    C.Channel->write(std::string(LargeAnswer, 'x'));
+    C.Channel->write(std::string(LargeResponse, 'x'));
     C.Channel->finish();
   });
   C.advance(14s);
@@ -118,22 +118,22 @@
   cr_assert(Ended);
 }
 
-// Guards against an answer that looks whole to a caller that takes the end of
-// the connection for its end, though a part never left.
-Test(ByteChannel, aCloseWithBytesUnsentIsAReset, .timeout = 30) {
+// Guards against a truncated response that looks complete to a caller that
+// takes the close of the connection as the end of the response.
+Test(ByteChannel, closeWithUnsentBytesIsAReset, .timeout = 30) {
   Connection C;
   C.onLoop([&C] {
-    C.Channel->write(std::string(LargeAnswer, 'x'));
+    C.Channel->write(std::string(LargeResponse, 'x'));
     C.Channel->close();
   });
-  const std::size_t Got = C.readUpTo(LargeAnswer);
-  cr_assert_lt(Got, LargeAnswer);
-  cr_assert(C.Reset);
+  const std::size_t ReadBytes = C.readUpTo(LargeResponse);
+  cr_assert_lt(ReadBytes, LargeResponse);
+  cr_assert(C.WasReset);
 }
 
-// Guards against a peer whose leaving is never told: a write learns of its
-// reset while reading is paused, and the system reports an error once only.
-Test(ByteChannel, aResetThatAWriteLearnsOfIsTold, .timeout = 30) {
+// Guards against a peer's reset that is never reported: a write fails with the
+// reset while reading is paused, and the system reports an error only once.
+Test(ByteChannel, resetDetectedByAWriteIsReported, .timeout = 30) {
   Connection C;
   std::atomic<bool> Ended{false};
   C.onLoop([&C, &Ended] {
@@ -144,21 +144,21 @@
     C.Peer.setLinger(true, 0);
     C.Peer.close();
     std::this_thread::sleep_for(50ms);
-    C.Channel->write("piece");
+    C.Channel->write("chunk");
   });
   std::this_thread::sleep_for(200ms);
   cr_assert(Ended);
 }
 
-// Guards against a connection that is kept without end for a peer that takes
-// its last answer a little at a time.
-Test(ByteChannel, aFinishedConnectionHasAnOverallLimit, .timeout = 30) {
+// Guards against a connection that stays open forever because its peer reads
+// the last response very slowly.
+Test(ByteChannel, finishedConnectionHasAnOverallLimit, .timeout = 30) {
   Connection C;
   std::atomic<bool> Released{false};
   C.onLoop([&C, &Released] {
     C.Channel->setReleaseCallback(
         [&Released](const ChannelLoss &) { Released = true; });
-    C.Channel->write(std::string(LargeAnswer, 'x'));
+    C.Channel->write(std::string(LargeResponse, 'x'));
     C.Channel->finish();
   });
   for (int Step = 0; Step < 6; ++Step) {
@@ -169,17 +169,16 @@
   cr_assert(Released);
 }
 
-// Guards against an answer that a reset destroys on its way: the system has
-// taken it, the peer's has not.
-Test(ByteChannel, aConnectionWhoseAnswerIsNotConfirmedIsNotQuiet,
-     .timeout = 30) {
-  Poco::Net::ServerSocket Listening(Poco::Net::SocketAddress("127.0.0.1:0"));
+// Guards against a response that is destroyed by a reset in flight: the local
+// system has accepted it, but the peer has not acknowledged it.
+Test(ByteChannel, unacknowledgedBytesPreventCloseIfIdle, .timeout = 30) {
+  Poco::Net::ServerSocket Server(Poco::Net::SocketAddress("127.0.0.1:0"));
   EventLoop Loop(Clock::paused());
   Poco::Net::StreamSocket Peer(Poco::Net::SocketAddress::IPv4);
   Peer.setReceiveBufferSize(4096);
-  Peer.connect(Listening.address());
+  Peer.connect(Server.address());
   const auto Channel =
-      ByteChannel::fromAccepted(Loop, Listening.acceptConnection());
+      ByteChannel::fromAccepted(Loop, Server.acceptConnection());
   Channel->write(std::string(100U << 10U, 'x'));
   cr_assert_eq(Channel->unsent(), 0U);
   cr_assert_not(Channel->closeIfIdle());
--- a/test/Loop/ConnectCheckTest.cpp
+++ b/test/Loop/ConnectCheckTest.cpp
@@ -10,39 +10,39 @@
 
 ConnectOutcome check(const Poco::Net::SocketAddress &Address) {
   EventLoop Loop(Clock::steady());
-  ConnectOutcome Found = ConnectOutcome::Unknown;
+  ConnectOutcome Result = ConnectOutcome::Unknown;
   int Calls = 0;
   checkConnect(Loop, Address, 200ms, [&](ConnectOutcome Outcome) {
-    Found = Outcome;
+    Result = Outcome;
     ++Calls;
   });
   Loop.after(400ms, [&Loop] { Loop.stop(); });
   Loop.run();
   cr_assert_eq(Calls, 1);
-  return Found;
+  return Result;
 }
 
 } // namespace
 
-Test(ConnectCheck, tellsAProcessThatListens) {
-  Poco::Net::ServerSocket Listening(Poco::Net::SocketAddress("127.0.0.1", 0));
-  cr_assert(check(Listening.address()) == ConnectOutcome::Listening);
+Test(ConnectCheck, detectsAListeningProcess) {
+  Poco::Net::ServerSocket Server(Poco::Net::SocketAddress("127.0.0.1", 0));
+  cr_assert(check(Server.address()) == ConnectOutcome::Listening);
 }
 
-// Guards against a crashed process taken for a host that is out of reach.
-Test(ConnectCheck, tellsAPortWithoutAProcess) {
-  Poco::Net::ServerSocket Listening(Poco::Net::SocketAddress("127.0.0.1", 0));
-  const Poco::Net::SocketAddress Address = Listening.address();
-  Listening.close();
+// Guards against a crashed process that is mistaken for an unreachable host.
+Test(ConnectCheck, detectsAPortWithoutAProcess) {
+  Poco::Net::ServerSocket Server(Poco::Net::SocketAddress("127.0.0.1", 0));
+  const Poco::Net::SocketAddress Address = Server.address();
+  Server.close();
   cr_assert(check(Address) == ConnectOutcome::Refused);
 }
 
-// Guards against a host that is out of reach taken for a crashed process.
-Test(ConnectCheck, tellsNothingOfAnAddressThatDoesNotAnswer) {
-  // With its queue full, the system answers no further connection.
-  Poco::Net::ServerSocket Listening;
-  Listening.bind(Poco::Net::SocketAddress("127.0.0.1", 0), true);
-  Listening.listen(0);
-  Poco::Net::StreamSocket First(Listening.address());
-  cr_assert(check(Listening.address()) == ConnectOutcome::Unknown);
+// Guards against an unreachable host that is mistaken for a crashed process.
+Test(ConnectCheck, reportsUnknownIfTheAddressDoesNotRespond) {
+  // With a full backlog, the system does not respond to further connections.
+  Poco::Net::ServerSocket Server;
+  Server.bind(Poco::Net::SocketAddress("127.0.0.1", 0), true);
+  Server.listen(0);
+  Poco::Net::StreamSocket FirstConnection(Server.address());
+  cr_assert(check(Server.address()) == ConnectOutcome::Unknown);
 }
--- a/test/Loop/EventLoopTest.cpp
+++ b/test/Loop/EventLoopTest.cpp
@@ -7,21 +7,21 @@
 using namespace parsleywing;
 using namespace std::chrono_literals;
 
-// Guards against an answer that is thrown away by its own time limit: the loop
-// stood still in a task while it came, and served the limit first.
-Test(EventLoop, whatCameDuringAStandstillIsReadBeforeTimersAreServed,
-     .timeout = 30) {
-  Poco::Net::ServerSocket Listening(Poco::Net::SocketAddress("127.0.0.1:0"));
+// Guards against a response that is discarded by its own timeout: it arrives
+// while a task blocks the loop, and the loop then runs the timer before reading
+// it.
+Test(EventLoop, inputReceivedWhileBlockedIsReadBeforeTimersRun, .timeout = 30) {
+  Poco::Net::ServerSocket Server(Poco::Net::SocketAddress("127.0.0.1:0"));
   Clock Time = Clock::paused();
   EventLoop Loop(Time);
   Poco::Net::StreamSocket Peer;
-  Peer.connect(Listening.address());
+  Peer.connect(Server.address());
   const auto Channel =
-      ByteChannel::fromAccepted(Loop, Listening.acceptConnection());
-  bool Heard = false;
-  bool HeardAtTimer = false;
+      ByteChannel::fromAccepted(Loop, Server.acceptConnection());
+  bool WasReceived = false;
+  bool WasReceivedAtTimer = false;
   ChannelListener Listener;
-  Listener.Received = [&Heard](std::string_view) { Heard = true; };
+  Listener.Received = [&WasReceived](std::string_view) { WasReceived = true; };
   Channel->setListener(std::move(Listener));
   Loop.post([&Peer, &Time] {
     Peer.sendBytes("answer", 6);
@@ -29,9 +29,9 @@
     Time.advance(1s);
   });
   Loop.after(500ms, [&] {
-    HeardAtTimer = Heard;
+    WasReceivedAtTimer = WasReceived;
     Loop.stop();
   });
   Loop.run();
-  cr_assert(HeardAtTimer);
+  cr_assert(WasReceivedAtTimer);
 }
