--- a/src/Http/BodyDecoder.cpp
+++ b/src/Http/BodyDecoder.cpp
@@ -8,36 +8,40 @@
 
 namespace {
 
-/// The longest line of the chunk framing, extensions and trailers with it.
+/// Maximum length of a line of the chunked framing, including chunk extensions
+/// and trailers.
 constexpr std::size_t MaxFramingLine = 4096;
-constexpr int HexBase = 16;
+constexpr int HexadecimalBase = 16;
 constexpr int NoContent = 204;
 constexpr int NotModified = 304;
 constexpr int FirstFinalStatus = 200;
 
-Result<BodyLength> planOf(const HttpHead &Head, BodyFraming Otherwise) {
-  const bool Encoded = Head.count("Transfer-Encoding") > 0;
-  const std::size_t Lengths = Head.count("Content-Length");
-  if (Encoded && Lengths > 0)
-    return failure(ErrorCode::Malformed, "both a length and an encoding");
-  if (Encoded) {
+Result<BodyLength> bodyLengthOf(const HttpHead &Head, BodyFraming Default) {
+  const bool HasTransferEncoding = Head.count("Transfer-Encoding") > 0;
+  const std::size_t LengthCount = Head.count("Content-Length");
+  if (HasTransferEncoding && LengthCount > 0)
+    return failure(ErrorCode::Malformed,
+                   "both Content-Length and Transfer-Encoding are present");
+  if (HasTransferEncoding) {
     if (Head.count("Transfer-Encoding") > 1 ||
         !equalIgnoringCase(Head.value("Transfer-Encoding"), "chunked"))
-      return failure(ErrorCode::Malformed, "an unknown transfer encoding");
+      return failure(ErrorCode::Malformed,
+                     "the Transfer-Encoding is not supported");
     return BodyLength{BodyFraming::Chunked, 0};
   }
-  if (Lengths == 0)
-    return BodyLength{Otherwise, 0};
+  if (LengthCount == 0)
+    return BodyLength{Default, 0};
   const auto Length = parseDecimal(Head.value("Content-Length"));
-  if (Lengths > 1 || !Length)
-    return failure(ErrorCode::Malformed, "the length is not one number");
+  if (LengthCount > 1 || !Length)
+    return failure(ErrorCode::Malformed,
+                   "the Content-Length is not a single decimal number");
   return BodyLength{BodyFraming::ContentLength, *Length};
 }
 
 } // namespace
 
 Result<BodyLength> requestBodyLength(const HttpHead &Head) {
-  return planOf(Head, BodyFraming::None);
+  return bodyLengthOf(Head, BodyFraming::None);
 }
 
 Result<BodyLength> responseBodyLength(const HttpHead &Head,
@@ -45,17 +49,17 @@
   if (Method == "HEAD" || Head.Status == NoContent ||
       Head.Status == NotModified || Head.Status < FirstFinalStatus)
     return BodyLength{};
-  return planOf(Head, BodyFraming::CloseDelimited);
+  return bodyLengthOf(Head, BodyFraming::CloseDelimited);
 }
 
-BodyDecoder::BodyDecoder(BodyLength P)
-    : Expected(P), RemainingBytes(P.ContentLength) {
-  switch (P.Framing) {
+BodyDecoder::BodyDecoder(BodyLength Length)
+    : Expected(Length), RemainingBytes(Length.ContentLength) {
+  switch (Length.Framing) {
   case BodyFraming::None:
     this->Current = State::Done;
     break;
   case BodyFraming::ContentLength:
-    this->Current = P.ContentLength == 0 ? State::Done : State::Payload;
+    this->Current = Length.ContentLength == 0 ? State::Done : State::Payload;
     break;
   case BodyFraming::Chunked:
     this->Current = State::ChunkSize;
@@ -66,30 +70,32 @@
   }
 }
 
-std::size_t BodyDecoder::feed(std::string_view In, std::string &Out) {
-  std::size_t Used = 0;
-  while (Used < In.size() && !this->complete() && !this->malformed()) {
+std::size_t BodyDecoder::feed(std::string_view Input, std::string &Output) {
+  std::size_t Consumed = 0;
+  while (Consumed < Input.size() && !this->complete() && !this->malformed()) {
     if (this->Current == State::Payload) {
-      Used += this->consumePayload(In.substr(Used), Out);
+      Consumed += this->consumePayload(Input.substr(Consumed), Output);
       continue;
     }
-    std::size_t Taken = 0;
-    const bool Whole = this->consumeLine(In.substr(Used), Taken);
-    Used += Taken;
-    if (Whole)
+    std::size_t LineBytes = 0;
+    const bool IsComplete =
+        this->consumeLine(Input.substr(Consumed), LineBytes);
+    Consumed += LineBytes;
+    if (IsComplete)
       this->processLine();
   }
-  return Used;
+  return Consumed;
 }
 
-std::size_t BodyDecoder::consumePayload(std::string_view In, std::string &Out) {
+std::size_t BodyDecoder::consumePayload(std::string_view Input,
+                                        std::string &Output) {
   if (this->isCloseDelimited()) {
-    Out.append(In);
-    return In.size();
+    Output.append(Input);
+    return Input.size();
   }
   const auto Count = static_cast<std::size_t>(
-      std::min<std::uint64_t>(this->RemainingBytes, In.size()));
-  Out.append(In.substr(0, Count));
+      std::min<std::uint64_t>(this->RemainingBytes, Input.size()));
+  Output.append(Input.substr(0, Count));
   this->RemainingBytes -= Count;
   if (this->RemainingBytes == 0)
     this->Current = this->Expected.Framing == BodyFraming::Chunked
@@ -98,23 +104,23 @@
   return Count;
 }
 
-bool BodyDecoder::consumeLine(std::string_view In, std::size_t &Used) {
-  const std::size_t End = In.find('\n');
-  const bool Whole = End != std::string_view::npos;
-  Used = Whole ? End + 1 : In.size();
-  this->Line.append(In.substr(0, Used));
+bool BodyDecoder::consumeLine(std::string_view Input, std::size_t &Consumed) {
+  const std::size_t End = Input.find('\n');
+  const bool IsComplete = End != std::string_view::npos;
+  Consumed = IsComplete ? End + 1 : Input.size();
+  this->Line.append(Input.substr(0, Consumed));
   if (this->Line.size() > MaxFramingLine)
     this->Current = State::Malformed;
-  return Whole && !this->malformed();
+  return IsComplete && !this->malformed();
 }
 
 void BodyDecoder::processLine() {
-  const std::string Whole = std::exchange(this->Line, {});
-  if (!Whole.ends_with("\r\n")) {
+  const std::string CompleteLine = std::exchange(this->Line, {});
+  if (!CompleteLine.ends_with("\r\n")) {
     this->Current = State::Malformed;
     return;
   }
-  const std::string_view Text(Whole.data(), Whole.size() - 2);
+  const std::string_view Text(CompleteLine.data(), CompleteLine.size() - 2);
   if (this->Current == State::ChunkEnd) {
     this->Current = Text.empty() ? State::ChunkSize : State::Malformed;
     return;
@@ -125,10 +131,10 @@
     return;
   }
   const std::string_view Digits = Text.substr(0, Text.find(';'));
-  const char *Stop = Digits.data() + Digits.size();
-  const auto [Read, Problem] =
-      std::from_chars(Digits.data(), Stop, this->RemainingBytes, HexBase);
-  if (Digits.empty() || Problem != std::errc() || Read != Stop) {
+  const char *DigitsEnd = Digits.data() + Digits.size();
+  const auto [ParsedEnd, ParseError] = std::from_chars(
+      Digits.data(), DigitsEnd, this->RemainingBytes, HexadecimalBase);
+  if (Digits.empty() || ParseError != std::errc() || ParsedEnd != DigitsEnd) {
     this->Current = State::Malformed;
     return;
   }
--- a/src/Http/BodyDecoder.h
+++ b/src/Http/BodyDecoder.h
@@ -9,35 +9,35 @@
 
 namespace parsleywing {
 
-/// How the end of a body is told.
+/// How the end of a body is determined (RFC 9112, 6.3).
 enum class BodyFraming { None, ContentLength, Chunked, CloseDelimited };
 
-/// What a head says of the body behind it.
+/// The body length that a head specifies.
 struct BodyLength {
   BodyFraming Framing = BodyFraming::None;
   std::uint64_t ContentLength = 0;
 };
 
-/// The body behind a request. Fails where the head states two lengths, or a
-/// length and chunks: the next party could take another end than this one, and
-/// would run the rest as a request that nobody sent.
+/// Determines the body length of a request. Fails if the head contains two
+/// lengths, or a length and a transfer encoding: the next recipient could
+/// assume another end of the body and run the rest as a request that nobody
+/// sent (request smuggling).
 Result<BodyLength> requestBodyLength(const HttpHead &Head);
 
-/// The body behind a response to a request of this method.
+/// Determines the body length of a response to a request with this method.
 Result<BodyLength> responseBodyLength(const HttpHead &Head,
                                       std::string_view Method);
 
-/// Takes a body out of the bytes of a connection, as they come.
+/// Incrementally decodes a body from the bytes of a connection.
 class BodyDecoder {
 public:
-  explicit BodyDecoder(BodyLength P = {});
+  explicit BodyDecoder(BodyLength Length = {});
 
-  /// Appends the payload in `In` to `Out`. Returns the bytes used; those
-  /// behind the end of the body are left.
-  std::size_t feed(std::string_view In, std::string &Out);
+  /// Decodes `Input` and appends the payload to `Output`. Returns the number of
+  /// bytes consumed; bytes after the end of the body are not consumed.
+  std::size_t feed(std::string_view Input, std::string &Output);
 
-  /// The whole body has come. Never so for a body that ends with its
-  /// connection.
+  /// Whether the body is complete. Never true for a close-delimited body.
   bool complete() const { return this->Current == State::Done; }
   bool malformed() const { return this->Current == State::Malformed; }
   bool isCloseDelimited() const {
@@ -54,9 +54,9 @@
     Malformed,
   };
 
-  std::size_t consumePayload(std::string_view In, std::string &Out);
-  /// Collects a line of the chunk framing; true once it is whole.
-  bool consumeLine(std::string_view In, std::size_t &Used);
+  std::size_t consumePayload(std::string_view Input, std::string &Output);
+  /// Collects a line of the chunked framing. Returns true once it is complete.
+  bool consumeLine(std::string_view Input, std::size_t &Consumed);
   void processLine();
 
   BodyLength Expected;
--- a/src/Http/EventSplitter.cpp
+++ b/src/Http/EventSplitter.cpp
@@ -8,9 +8,9 @@
 
 constexpr std::string_view IdField = "id:";
 
-/// The length of the first whole event, or 0. An event ends with an empty line;
-/// lines end with a line feed, with or without a carriage return before it.
-std::size_t wholeEventLength(std::string_view Text) {
+/// The length of the first complete event, or 0. An event ends with an empty
+/// line; lines end with LF or CRLF.
+std::size_t completeEventLength(std::string_view Text) {
   std::size_t LineStart = 0;
   while (true) {
     const std::size_t End = Text.find('\n', LineStart);
@@ -25,7 +25,7 @@
   }
 }
 
-std::optional<std::uint64_t> idOf(std::string_view Event) {
+std::optional<std::uint64_t> eventIdOf(std::string_view Event) {
   while (!Event.empty()) {
     const std::size_t End = Event.find('\n');
     std::string_view Line = Event.substr(0, End);
@@ -45,13 +45,13 @@
 std::vector<StreamEvent> EventSplitter::add(std::string_view Payload) {
   this->Pending.append(Payload);
   std::vector<StreamEvent> Events;
-  std::string_view Left = this->Pending;
-  while (const std::size_t Length = wholeEventLength(Left)) {
-    const std::string_view Text = Left.substr(0, Length);
-    Events.push_back({std::string(Text), idOf(Text)});
-    Left.remove_prefix(Length);
+  std::string_view Remaining = this->Pending;
+  while (const std::size_t Length = completeEventLength(Remaining)) {
+    const std::string_view Text = Remaining.substr(0, Length);
+    Events.push_back({std::string(Text), eventIdOf(Text)});
+    Remaining.remove_prefix(Length);
   }
-  this->Pending.erase(0, this->Pending.size() - Left.size());
+  this->Pending.erase(0, this->Pending.size() - Remaining.size());
   return Events;
 }
 
--- a/src/Http/EventSplitter.h
+++ b/src/Http/EventSplitter.h
@@ -9,22 +9,22 @@
 
 namespace parsleywing {
 
-/// One whole server-sent event, with the empty line that ends it.
+/// One complete server-sent event, including the empty line that ends it.
 struct StreamEvent {
   std::string Text;
   std::optional<std::uint64_t> Id;
 };
 
-/// Cuts the payload of an event stream into whole events. A server that dies in
-/// the middle of an event leaves a piece that must never reach a caller: the
-/// next server begins that event anew, and the caller would read half an event
-/// joined to another. So only whole events leave this class.
+/// Splits the payload of an event stream into complete events. If a server dies
+/// in the middle of an event, the partial event must never reach a caller: the
+/// next server sends that event again from its start, and the caller would read
+/// half an event joined to another. So this class returns only complete events.
 class EventSplitter {
 public:
   /// Adds payload and returns the events that it completes.
   std::vector<StreamEvent> add(std::string_view Payload);
 
-  /// Bytes of an event that has not ended.
+  /// The bytes of an event that is not complete yet.
   std::string_view partialEvent() const { return this->Pending; }
   void clear() { this->Pending.clear(); }
 
--- a/src/Http/HttpHead.cpp
+++ b/src/Http/HttpHead.cpp
@@ -10,13 +10,13 @@
 
 constexpr std::string_view LineEnd = "\r\n";
 constexpr std::string_view HeadEnd = "\r\n\r\n";
-constexpr std::string_view NewVersion = "HTTP/1.1";
+constexpr std::string_view CurrentVersion = "HTTP/1.1";
 constexpr std::string_view PreviousVersion = "HTTP/1.0";
 constexpr std::size_t StatusDigits = 3;
-constexpr int LowestStatus = 100;
+constexpr int MinStatus = 100;
 
-/// Fields that concern one connection only (RFC 9110, 7.6.1).
-constexpr std::array<std::string_view, 8> ConnectionFields{
+/// Hop-by-hop fields (RFC 9110, 7.6.1).
+constexpr std::array<std::string_view, 8> HopByHopFields{
     "Connection", "Keep-Alive",        "Proxy-Connection", "TE",
     "Trailer",    "Transfer-Encoding", "Upgrade",          "Expect"};
 
@@ -45,78 +45,80 @@
   });
 }
 
-tl::unexpected<Error> malformed(const char *Why) {
-  return failure(ErrorCode::Malformed, Why);
+tl::unexpected<Error> malformed(const char *Message) {
+  return failure(ErrorCode::Malformed, Message);
 }
 
-Result<void> parseFields(std::string_view Text, HttpHead &Into) {
+Result<void> parseFields(std::string_view Text, HttpHead &Head) {
   while (!Text.empty()) {
     const std::size_t End = Text.find(LineEnd);
     if (End == std::string_view::npos)
-      return malformed("a header line does not end");
+      return malformed("a header line is not terminated");
     const std::string_view Line = Text.substr(0, End);
     Text.remove_prefix(End + LineEnd.size());
     if (Line.empty())
       return {};
     const std::size_t Colon = Line.find(':');
     if (Colon == std::string_view::npos || !isToken(Line.substr(0, Colon)))
-      return malformed("a header line has no valid name");
+      return malformed("a header line does not have a valid field name");
     const std::string_view Value = trimSpaces(Line.substr(Colon + 1));
     if (hasControlCharacter(Value))
-      return malformed("a header value has control characters");
-    Into.add(std::string(Line.substr(0, Colon)), std::string(Value));
+      return malformed("a header value contains control characters");
+    Head.add(std::string(Line.substr(0, Colon)), std::string(Value));
   }
   return {};
 }
 
-Result<void> parseRequestLine(std::string_view Line, HttpHead &Into) {
-  const std::size_t First = Line.find(' ');
-  const std::size_t Last = Line.rfind(' ');
-  if (First == std::string_view::npos || First == Last)
+Result<void> parseRequestLine(std::string_view Line, HttpHead &Head) {
+  const std::size_t FirstSpace = Line.find(' ');
+  const std::size_t LastSpace = Line.rfind(' ');
+  if (FirstSpace == std::string_view::npos || FirstSpace == LastSpace)
     return malformed("the request line does not have three parts");
-  const std::string_view Method = Line.substr(0, First);
-  const std::string_view Target = Line.substr(First + 1, Last - First - 1);
-  const std::string_view Version = Line.substr(Last + 1);
+  const std::string_view Method = Line.substr(0, FirstSpace);
+  const std::string_view Target =
+      Line.substr(FirstSpace + 1, LastSpace - FirstSpace - 1);
+  const std::string_view Version = Line.substr(LastSpace + 1);
   if (!isToken(Method))
-    return malformed("the method is not valid");
+    return malformed("the request method is invalid");
   if (Target.empty() || Target.find(' ') != std::string_view::npos ||
       hasControlCharacter(Target))
-    return malformed("the target is not valid");
-  if (Version != NewVersion && Version != PreviousVersion)
-    return malformed("the protocol's version is not known");
-  Into.Method = Method;
-  Into.Target = Target;
-  Into.IsHttp10 = Version == PreviousVersion;
+    return malformed("the request target is invalid");
+  if (Version != CurrentVersion && Version != PreviousVersion)
+    return malformed("the HTTP version is not supported");
+  Head.Method = Method;
+  Head.Target = Target;
+  Head.IsHttp10 = Version == PreviousVersion;
   return {};
 }
 
-Result<void> parseStatusLine(std::string_view Line, HttpHead &Into) {
-  const std::string_view Version = Line.substr(0, NewVersion.size());
-  if (Version != NewVersion && Version != PreviousVersion)
-    return malformed("the status line has no known version");
-  Line.remove_prefix(NewVersion.size());
+Result<void> parseStatusLine(std::string_view Line, HttpHead &Head) {
+  const std::string_view Version = Line.substr(0, CurrentVersion.size());
+  if (Version != CurrentVersion && Version != PreviousVersion)
+    return malformed("the status line does not have a supported HTTP version");
+  Line.remove_prefix(CurrentVersion.size());
   if (Line.size() < StatusDigits + 1 || Line[0] != ' ')
-    return malformed("the status line has no status");
+    return malformed("the status line has no status code");
   const auto Status = parseDecimal(Line.substr(1, StatusDigits));
-  if (!Status || *Status < LowestStatus)
-    return malformed("the status is not valid");
+  if (!Status || *Status < MinStatus)
+    return malformed("the status code is invalid");
   Line.remove_prefix(1 + StatusDigits);
   if (!Line.empty() && Line[0] != ' ')
-    return malformed("the status has more than three digits");
-  Into.Status = static_cast<int>(*Status);
-  Into.Reason = trimSpaces(Line);
-  Into.IsHttp10 = Version == PreviousVersion;
+    return malformed("the status code has more than three digits");
+  Head.Status = static_cast<int>(*Status);
+  Head.Reason = trimSpaces(Line);
+  Head.IsHttp10 = Version == PreviousVersion;
   return {};
 }
 
 template <typename ParseLine>
-Result<HttpHead> parseHead(std::string_view Text, ParseLine ParseFirst) {
+Result<HttpHead> parseHead(std::string_view Text, ParseLine ParseFirstLine) {
   const std::size_t End = Text.find(LineEnd);
   if (End == std::string_view::npos)
-    return malformed("the first line does not end");
+    return malformed("the first line is not terminated");
   HttpHead Head;
-  if (Result<void> First = ParseFirst(Text.substr(0, End), Head); !First)
-    return tl::unexpected(First.error());
+  if (Result<void> FirstLine = ParseFirstLine(Text.substr(0, End), Head);
+      !FirstLine)
+    return tl::unexpected(FirstLine.error());
   Text.remove_prefix(End + LineEnd.size());
   if (Result<void> Fields = parseFields(Text, Head); !Fields)
     return tl::unexpected(Fields.error());
@@ -153,8 +155,9 @@
 std::optional<std::uint64_t> parseDecimal(std::string_view Text) {
   std::uint64_t Number = 0;
   const char *End = Text.data() + Text.size();
-  const auto [Stop, Problem] = std::from_chars(Text.data(), End, Number);
-  if (Text.empty() || Problem != std::errc() || Stop != End)
+  const auto [ParsedEnd, ParseError] =
+      std::from_chars(Text.data(), End, Number);
+  if (Text.empty() || ParseError != std::errc() || ParsedEnd != End)
     return std::nullopt;
   return Number;
 }
@@ -188,18 +191,18 @@
   });
 }
 
-bool HttpHead::hasToken(std::string_view Name, std::string_view Word) const {
+bool HttpHead::hasToken(std::string_view Name, std::string_view Token) const {
   for (const HttpField &Field : this->Fields) {
     if (!equalIgnoringCase(Field.Name, Name))
       continue;
-    std::string_view Rest = Field.Value;
+    std::string_view Remaining = Field.Value;
     while (true) {
-      const std::size_t Comma = Rest.find(',');
-      if (equalIgnoringCase(trimSpaces(Rest.substr(0, Comma)), Word))
+      const std::size_t Comma = Remaining.find(',');
+      if (equalIgnoringCase(trimSpaces(Remaining.substr(0, Comma)), Token))
         return true;
       if (Comma == std::string_view::npos)
         break;
-      Rest.remove_prefix(Comma + 1);
+      Remaining.remove_prefix(Comma + 1);
     }
   }
   return false;
@@ -220,12 +223,12 @@
 
 std::string writeRequestHead(const HttpHead &Head) {
   return writeFields(Head.Method + ' ' + Head.Target + ' ' +
-                         std::string(NewVersion) + std::string(LineEnd),
+                         std::string(CurrentVersion) + std::string(LineEnd),
                      Head);
 }
 
 std::string writeResponseHead(const HttpHead &Head) {
-  return writeFields(std::string(NewVersion) + ' ' +
+  return writeFields(std::string(CurrentVersion) + ' ' +
                          std::to_string(Head.Status) + ' ' + Head.Reason +
                          std::string(LineEnd),
                      Head);
@@ -238,14 +241,14 @@
 }
 
 void removeHopByHopFields(HttpHead &Head) {
-  std::vector<std::string> Named;
+  std::vector<std::string> ListedNames;
   for (const HttpField &Field : Head.Fields)
     if (!equalIgnoringCase(Field.Name, "Connection") &&
         Head.hasToken("Connection", Field.Name))
-      Named.push_back(Field.Name);
-  for (const std::string &Name : Named)
+      ListedNames.push_back(Field.Name);
+  for (const std::string &Name : ListedNames)
     Head.remove(Name);
-  for (const std::string_view Name : ConnectionFields)
+  for (const std::string_view Name : HopByHopFields)
     Head.remove(Name);
 }
 
--- a/src/Http/HttpHead.h
+++ b/src/Http/HttpHead.h
@@ -12,7 +12,6 @@
 
 namespace parsleywing {
 
-/// One header field.
 struct HttpField {
   std::string Name;
   std::string Value;
@@ -25,48 +24,49 @@
   std::string Target;
   int Status = 0;
   std::string Reason;
-  /// The peer speaks HTTP/1.0: no chunks, and no kept connection unless asked.
+  /// The sender uses HTTP/1.0: no chunked encoding, and no keep-alive unless
+  /// requested.
   bool IsHttp10 = false;
   std::vector<HttpField> Fields;
 
-  /// The value of the first field of this name (case does not matter), or null.
+  /// The value of the first field with this name (case-insensitive), or null.
   const std::string *find(std::string_view Name) const;
 
-  /// The value of the first field of this name, or nothing.
+  /// The value of the first field with this name, or an empty text.
   std::string_view value(std::string_view Name) const;
 
   std::size_t count(std::string_view Name) const;
   void add(std::string Name, std::string Value);
   void remove(std::string_view Name);
 
-  /// Whether a comma-separated field holds this word (case does not matter).
-  bool hasToken(std::string_view Name, std::string_view Word) const;
+  /// Whether a comma-separated field contains this token (case-insensitive).
+  bool hasToken(std::string_view Name, std::string_view Token) const;
 };
 
-/// The bytes up to and with the empty line that ends a head; 0 where it has not
-/// come yet.
+/// The length of the head at the start of the buffer, including the empty line
+/// that ends it; 0 if the head is not complete yet.
 std::size_t headLength(std::string_view Buffer);
 
-/// Parses a whole head with its empty line. Strict where leniency would let two
-/// parties see different messages in the same bytes: no folded lines, no space
-/// before a colon, no control characters, no bare line feeds.
+/// Parses a complete head including its empty line. Rejects forms that two
+/// recipients could interpret differently, which would allow request smuggling:
+/// folded lines, space before a colon, control characters, bare line feeds.
 Result<HttpHead> parseRequestHead(std::string_view Text);
 Result<HttpHead> parseResponseHead(std::string_view Text);
 
-/// The bytes of a head, with the empty line.
+/// Serializes a head including its empty line.
 std::string writeRequestHead(const HttpHead &Head);
 std::string writeResponseHead(const HttpHead &Head);
 
-/// Whether the peer keeps the connection open after this message.
+/// Whether the sender keeps the connection open after this message.
 bool isKeepAlive(const HttpHead &Head);
 
-/// Removes the fields that concern one connection only, with those that the
-/// Connection field names.
+/// Removes the hop-by-hop fields, including those listed in the Connection
+/// field.
 void removeHopByHopFields(HttpHead &Head);
 
 bool equalIgnoringCase(std::string_view Left, std::string_view Right);
 
-/// A decimal number that fills the whole text; nothing else is taken.
+/// Parses a decimal number. Nothing if the text contains anything else.
 std::optional<std::uint64_t> parseDecimal(std::string_view Text);
 
 std::string_view trimSpaces(std::string_view Text);
--- a/src/Http/HttpStatus.h
+++ b/src/Http/HttpStatus.h
@@ -3,8 +3,9 @@
 
 namespace parsleywing {
 
-// The statuses that the program gives or tells apart (RFC 9110, 15).
+// The status codes that the program sends or handles specially (RFC 9110, 15).
 inline constexpr int HttpOk = 200;
+/// One past the last success status (2xx).
 inline constexpr int HttpSuccessEnd = 300;
 inline constexpr int HttpBadRequest = 400;
 inline constexpr int HttpUnauthorized = 401;
--- a/test/Http/BodyTest.cpp
+++ b/test/Http/BodyTest.cpp
@@ -17,48 +17,48 @@
 
 } // namespace
 
-Test(BodyDecoder, readsALengthAndLeavesWhatIsBehind) {
+Test(BodyDecoder, readsContentLengthAndLeavesTheRest) {
   BodyDecoder Decoder({BodyFraming::ContentLength, 3});
-  std::string Out;
-  cr_assert_eq(Decoder.feed("abcdef", Out), 3U);
-  cr_assert_eq(Out, "abc");
+  std::string Output;
+  cr_assert_eq(Decoder.feed("abcdef", Output), 3U);
+  cr_assert_eq(Output, "abc");
   cr_assert(Decoder.complete());
 }
 
-Test(BodyDecoder, readsChunksHoweverTheyAreCut) {
-  const std::string Wire =
+Test(BodyDecoder, readsChunksHoweverTheInputIsSplit) {
+  const std::string Input =
       "3;x=y\r\nabc\r\nA\r\n0123456789\r\n0\r\nT: 1\r\n\r\n";
-  const bool Good = rc::check("chunks", [&Wire](std::uint8_t Seed) {
+  const bool Passed = rc::check("chunks", [&Input](std::uint8_t Seed) {
     BodyDecoder Decoder({BodyFraming::Chunked, 0});
-    std::string Out;
-    std::size_t At = 0;
+    std::string Output;
+    std::size_t Position = 0;
     std::size_t Step = Seed % 7 + 1U;
-    while (At < Wire.size()) {
-      const std::size_t Used =
-          Decoder.feed(std::string_view(Wire).substr(At, Step), Out);
-      RC_ASSERT(Used > 0U);
-      At += Used;
+    while (Position < Input.size()) {
+      const std::size_t Consumed =
+          Decoder.feed(std::string_view(Input).substr(Position, Step), Output);
+      RC_ASSERT(Consumed > 0U);
+      Position += Consumed;
     }
     RC_ASSERT(Decoder.complete());
-    RC_ASSERT(Out == "abc0123456789");
+    RC_ASSERT(Output == "abc0123456789");
   });
-  cr_assert(Good);
+  cr_assert(Passed);
 }
 
-Test(BodyDecoder, takesNoSpoiltChunks) {
-  for (const char *Wire : {"z\r\n", "3\nabc\r\n", "3\r\nabcX\r\n", "\r\n",
-                           "-1\r\n", "fffffffffffffffff\r\n"}) {
+Test(BodyDecoder, rejectsMalformedChunks) {
+  for (const char *Input : {"z\r\n", "3\nabc\r\n", "3\r\nabcX\r\n", "\r\n",
+                            "-1\r\n", "fffffffffffffffff\r\n"}) {
     BodyDecoder Decoder({BodyFraming::Chunked, 0});
-    std::string Out;
-    Decoder.feed(Wire, Out);
-    cr_assert(Decoder.malformed(), "taken: %s", Wire);
+    std::string Output;
+    Decoder.feed(Input, Output);
+    cr_assert(Decoder.malformed(), "accepted: %s", Input);
   }
 }
 
-// Symptom: the rest of one request's body runs as a request of its own.
-// Sequence: a head states a length and chunks; this router goes by one, the
-// server by the other. Cause: both were taken.
-Test(BodyDecoder, refusesTwoStatementsOfTheLength) {
+// Request smuggling: the rest of a request's body runs as a request of its own
+// if a head with a length and chunked encoding is accepted, because the router
+// follows one of them and the server the other.
+Test(BodyDecoder, rejectsConflictingBodyLengths) {
   cr_assert_not(requestBodyLength(headWith({{"Content-Length", "3"},
                                             {"Transfer-Encoding", "chunked"}}))
                     .has_value());
@@ -71,20 +71,20 @@
       requestBodyLength(headWith({{"Transfer-Encoding", "gzip"}})).has_value());
 }
 
-Test(BodyDecoder, anAnswerWithoutLengthEndsWithItsConnection) {
-  const auto Plan = responseBodyLength(headWith({}), "GET");
-  cr_assert(Plan.has_value());
-  BodyDecoder Decoder(*Plan);
-  std::string Out;
-  Decoder.feed("abc", Out);
+Test(BodyDecoder, responseWithoutLengthIsCloseDelimited) {
+  const auto Length = responseBodyLength(headWith({}), "GET");
+  cr_assert(Length.has_value());
+  BodyDecoder Decoder(*Length);
+  std::string Output;
+  Decoder.feed("abc", Output);
   cr_assert(Decoder.isCloseDelimited());
   cr_assert_not(Decoder.complete());
 }
 
-// Symptom: a caller reads half an event joined to another. Sequence: a server
-// dies in the middle of an event, and the stream goes on at the next server.
-// Cause: pieces were passed on as they came.
-Test(EventSplitter, onlyWholeEventsLeave) {
+// A caller reads half an event joined to another if partial events are
+// forwarded: a server dies in the middle of an event, and the next server
+// resumes the stream.
+Test(EventSplitter, returnsOnlyCompleteEvents) {
   EventSplitter Splitter;
   auto Events =
       Splitter.add("id: 1\ndata: a\n\nid: 2\r\ndata: b\r\n\r\nid: 3\nda");
--- a/test/Http/HeadTest.cpp
+++ b/test/Http/HeadTest.cpp
@@ -14,17 +14,17 @@
   cr_assert_eq(Head->Fields.size(), 2U);
 }
 
-// Symptom: a server runs a request that no caller sent. Sequence: a head is
-// read leniently here and strictly there, so that the two disagree on where the
-// body ends. Cause: forms that the standard forbids were taken.
-Test(HttpHead, refusesFormsThatTwoPartiesCouldReadDifferently) {
+// Request smuggling: a server runs a request that no caller sent if the router
+// accepts forms that the standard forbids, and the two disagree on the end of
+// the body.
+Test(HttpHead, rejectsAmbiguousForms) {
   for (const char *Text :
        {"GET /a HTTP/1.1\r\nHost : h\r\n\r\n",
         "GET /a HTTP/1.1\r\n X: h\r\n\r\n", "GET /a  HTTP/1.1\r\n\r\n",
         "GET /a HTTP/2\r\n\r\n", "GET /a HTTP/1.1\r\nX: a\rb\r\n\r\n",
         "G ET /a HTTP/1.1\r\n\r\n", "GET /a HTTP/1.1\r\nX: a\nY: b\r\n\r\n",
         "GET\r\n\r\n"})
-    cr_assert_not(parseRequestHead(Text).has_value(), "taken: %s", Text);
+    cr_assert_not(parseRequestHead(Text).has_value(), "accepted: %s", Text);
 }
 
 Test(HttpHead, readsAResponseWithAndWithoutReason) {
@@ -38,7 +38,7 @@
   cr_assert_not(parseResponseHead("garbage\r\n\r\n").has_value());
 }
 
-Test(HttpHead, removesWhatConcernsOneConnection) {
+Test(HttpHead, removesHopByHopFields) {
   HttpHead Head;
   Head.add("Connection", "close, X-Hop");
   Head.add("X-Hop", "1");
