--- a/test/Adapter/FakePlatformStore.cpp
+++ b/test/Adapter/FakePlatformStore.cpp
@@ -21,9 +21,9 @@
 
 constexpr int Ok = 200;
 constexpr int NotFound = 404;
-constexpr int HistoryGone = 410;
+constexpr int HistoryCompacted = 410;
 
-/// The value of a parameter of the query.
+/// The value of a query parameter.
 std::string parameterOf(const std::string &Target, const std::string &Name) {
   for (const auto &[Key, Value] : Poco::URI(Target).getQueryParameters())
     if (Key == Name)
@@ -31,7 +31,7 @@
   return {};
 }
 
-std::string textOf(const Object &Message) {
+std::string toJsonText(const Object &Message) {
   std::ostringstream Text;
   Message.stringify(Text);
   return Text.str();
@@ -88,24 +88,25 @@
   if (Path == wire::CommitPath)
     return this->commit(Body);
   if (Path == wire::GrantLeasePath) {
-    const auto Asked = Poco::JSON::Parser().parse(Body).extract<Object::Ptr>();
+    const auto Message =
+        Poco::JSON::Parser().parse(Body).extract<Object::Ptr>();
     const std::int64_t Lease = ++this->LastLease;
     this->LeaseTtls[Lease] =
-        std::chrono::milliseconds(Asked->getValue<std::int64_t>("ttlMs"));
+        std::chrono::milliseconds(Message->getValue<std::int64_t>("ttlMs"));
     this->Leases[Lease] = SteadyClock::now() + this->LeaseTtls[Lease];
     return "{\"lease\":" + std::to_string(Lease) + "}";
   }
   const std::int64_t Lease =
       std::stoll(Path.substr(Path.find_last_of('/') + 1));
-  const auto Known = this->Leases.find(Lease);
-  if (Known == this->Leases.end()) {
+  const auto Found = this->Leases.find(Lease);
+  if (Found == this->Leases.end()) {
     Status = NotFound;
     return "{}";
   }
   if (Method == "DELETE")
-    Known->second = SteadyClock::now() - 1s;
+    Found->second = SteadyClock::now() - 1s;
   else
-    Known->second = SteadyClock::now() + this->LeaseTtls[Lease];
+    Found->second = SteadyClock::now() + this->LeaseTtls[Lease];
   this->expireLeases();
   return "{}";
 }
@@ -121,26 +122,26 @@
   Message.set("value", internal::toBase64(Found->second.Value));
   Message.set("revision", Found->second.Revision);
   Message.set("storeRevision", this->Revision);
-  return textOf(Message);
+  return toJsonText(Message);
 }
 
 std::string FakePlatformStore::readPrefix(const std::string &Prefix) {
-  Array::Ptr Listed = new Array;
-  for (const auto &[Key, Known] : this->Items) {
+  Array::Ptr ItemList = new Array;
+  for (const auto &[Key, Existing] : this->Items) {
     if (!Key.starts_with(Prefix))
       continue;
-    Object::Ptr One = new Object;
-    One->set("key", Key);
-    One->set("value", internal::toBase64(Known.Value));
-    One->set("revision", Known.Revision);
-    One->set("lease", Known.Lease);
-    Listed->add(One);
+    Object::Ptr Entry = new Object;
+    Entry->set("key", Key);
+    Entry->set("value", internal::toBase64(Existing.Value));
+    Entry->set("revision", Existing.Revision);
+    Entry->set("lease", Existing.Lease);
+    ItemList->add(Entry);
   }
   Object Message;
-  Message.set("items", Listed);
+  Message.set("items", ItemList);
   Message.set("morePages", false);
   Message.set("storeRevision", this->Revision);
-  return textOf(Message);
+  return toJsonText(Message);
 }
 
 std::string FakePlatformStore::watch(const std::string &Prefix,
@@ -148,7 +149,7 @@
                                      int &Status) {
   std::unique_lock<std::mutex> Lock(this->Mutex);
   if (After < this->OldestRevision) {
-    Status = HistoryGone;
+    Status = HistoryCompacted;
     return "{}";
   }
   this->Changed.wait_for(Lock, std::chrono::milliseconds(WaitMs),
@@ -157,38 +158,38 @@
   for (const Change &Each : this->History) {
     if (Each.Revision <= After || !Each.Key.starts_with(Prefix))
       continue;
-    Object::Ptr One = new Object;
-    One->set("key", Each.Key);
-    One->set("revision", Each.Revision);
-    const auto Now = this->Items.find(Each.Key);
-    if (Each.Deleted || Now == this->Items.end())
-      One->set("deleted", true);
+    Object::Ptr Entry = new Object;
+    Entry->set("key", Each.Key);
+    Entry->set("revision", Each.Revision);
+    const auto Current = this->Items.find(Each.Key);
+    if (Each.Deleted || Current == this->Items.end())
+      Entry->set("deleted", true);
     else
-      One->set("value", internal::toBase64(Now->second.Value));
-    Events->add(One);
+      Entry->set("value", internal::toBase64(Current->second.Value));
+    Events->add(Entry);
   }
   Object Message;
   Message.set("events", Events);
   Message.set("storeRevision", this->Revision);
-  return textOf(Message);
+  return toJsonText(Message);
 }
 
 std::string FakePlatformStore::commit(const std::string &Body) {
-  const auto Asked = Poco::JSON::Parser().parse(Body).extract<Object::Ptr>();
-  const Array::Ptr Writes = Asked->getArray("writes");
+  const auto Message = Poco::JSON::Parser().parse(Body).extract<Object::Ptr>();
+  const Array::Ptr Writes = Message->getArray("writes");
   for (unsigned I = 0; I < Writes->size(); ++I) {
-    const Object::Ptr One = Writes->getObject(I);
-    this->write(One->getValue<std::string>("key"),
-                {internal::fromBase64(One->getValue<std::string>("value")), 0,
-                 One->optValue<std::int64_t>("lease", 0)});
+    const Object::Ptr Entry = Writes->getObject(I);
+    this->write(Entry->getValue<std::string>("key"),
+                {internal::fromBase64(Entry->getValue<std::string>("value")), 0,
+                 Entry->optValue<std::int64_t>("lease", 0)});
   }
   return "{\"revision\":" + std::to_string(this->Revision) + "}";
 }
 
 void FakePlatformStore::write(const std::string &Key, const Item &New) {
-  Item &Kept = this->Items[Key] = New;
-  Kept.Revision = ++this->Revision;
-  this->History.push_back({Key, Kept.Revision, false});
+  Item &Stored = this->Items[Key] = New;
+  Stored.Revision = ++this->Revision;
+  this->History.push_back({Key, Stored.Revision, false});
   this->Changed.notify_all();
 }
 
@@ -201,14 +202,14 @@
 
 void FakePlatformStore::expireLeases() {
   const auto Now = SteadyClock::now();
-  std::vector<std::string> Gone;
-  for (const auto &[Key, Known] : this->Items)
-    if (Known.Lease != 0 && this->Leases.contains(Known.Lease) &&
-        this->Leases[Known.Lease] < Now)
-      Gone.push_back(Key);
+  std::vector<std::string> ExpiredKeys;
+  for (const auto &[Key, Existing] : this->Items)
+    if (Existing.Lease != 0 && this->Leases.contains(Existing.Lease) &&
+        this->Leases[Existing.Lease] < Now)
+      ExpiredKeys.push_back(Key);
   std::erase_if(this->Leases,
                 [Now](const auto &Lease) { return Lease.second < Now; });
-  for (const std::string &Key : Gone)
+  for (const std::string &Key : ExpiredKeys)
     this->erase(Key);
 }
 
--- a/test/Adapter/FakePlatformStore.h
+++ b/test/Adapter/FakePlatformStore.h
@@ -12,11 +12,11 @@
 
 namespace parsleywing::test {
 
-/// What is wrong with the store at present.
+/// The fault that the store currently has.
 enum class StoreFault { None, Unreachable, Silent, Slow };
 
-/// A stand-in for the platform's store: keys with revisions, prefixes, watches
-/// and leases, each call as the platform's pages tell it, and its troubles.
+/// A fake of the platform's store with injectable faults. Implements keys with
+/// revisions, prefix reads, watches and leases as the platform documents them.
 class FakePlatformStore {
 public:
   FakePlatformStore();
@@ -25,10 +25,10 @@
 
   void put(const std::string &Key, const std::string &Value);
   void remove(const std::string &Key);
-  void setFault(StoreFault Now) { this->Fault = Now; }
-  /// Reads that were allowed to be stale.
+  void setFault(StoreFault NewFault) { this->Fault = NewFault; }
+  /// Number of reads that allowed stale data.
   int staleReads() const { return this->StaleReads; }
-  /// Watches of earlier revisions are told that their history is gone.
+  /// Compacts the history: watches from earlier revisions fail afterwards.
   void dropHistory();
 
 private:
@@ -67,7 +67,7 @@
   std::int64_t LastLease = 0;
   std::atomic<int> StaleReads{0};
   std::atomic<StoreFault> Fault{StoreFault::None};
-  /// The last member: its threads use all others.
+  /// Declared last, because its threads use all other members.
   std::unique_ptr<ScriptedServer> Server;
 };
 
--- a/test/Adapter/FormatTest.cpp
+++ b/test/Adapter/FormatTest.cpp
@@ -26,29 +26,29 @@
 
 } // namespace
 
-Test(HeadFormat, readsACallersHead) {
-  const auto Read = Format.ParseCallerRequest(callerHead());
-  cr_assert(Read.has_value());
-  cr_assert_eq(Read->RequestId, "r1");
-  cr_assert_eq(Read->Host, "h.example");
-  cr_assert_eq(Read->Timeout->count(), Duration(6s).count());
-  cr_assert_eq(Read->AccountKey, "key");
-  cr_assert_eq(Read->PromptTokens, 1460U);
-  cr_assert_eq(Read->MaxOutputTokens, 80U);
-  cr_assert_eq(Read->PromptParts.size(), 3U);
-  cr_assert_eq(Read->PromptParts[1].Tokens, 410U);
-  cr_assert_eq(*Read->LastEventId, 12U);
+Test(HeadFormat, parsesACallersRequest) {
+  const auto Fields = Format.ParseCallerRequest(callerHead());
+  cr_assert(Fields.has_value());
+  cr_assert_eq(Fields->RequestId, "r1");
+  cr_assert_eq(Fields->Host, "h.example");
+  cr_assert_eq(Fields->Timeout->count(), Duration(6s).count());
+  cr_assert_eq(Fields->AccountKey, "key");
+  cr_assert_eq(Fields->PromptTokens, 1460U);
+  cr_assert_eq(Fields->MaxOutputTokens, 80U);
+  cr_assert_eq(Fields->PromptParts.size(), 3U);
+  cr_assert_eq(Fields->PromptParts[1].Tokens, 410U);
+  cr_assert_eq(*Fields->LastEventId, 12U);
 }
 
-// Symptom: a caller runs under another account, or uses up reserved room.
-// Sequence: it sends the fields that the router sets. Cause: they were passed
-// on. The same for a Connection field that names what the server must get.
-Test(HeadFormat, aCallerCannotSetTheRoutersFieldsNorHideItsOwn) {
-  ServerRequestFields Added;
-  Added.TimeLeft = 500ms;
-  Added.ServerId = "i-1";
-  Added.Account = "acc";
-  const HttpHead Head = Format.BuildServerRequest(callerHead(), Added);
+// If a caller's values of the router's own fields were forwarded, the caller
+// could run under another account or use reserved capacity. A Connection field
+// must not remove fields that the server needs.
+Test(HeadFormat, callerCannotSetRouterFieldsOrRemoveRequiredOnes) {
+  ServerRequestFields Fields;
+  Fields.TimeLeft = 500ms;
+  Fields.ServerId = "i-1";
+  Fields.Account = "acc";
+  const HttpHead Head = Format.BuildServerRequest(callerHead(), Fields);
   cr_assert_eq(Head.value("Tenant-Id"), "acc");
   cr_assert_eq(Head.count("Tenant-Id"), 1U);
   cr_assert_eq(Head.value("Expect-Instance"), "i-1");
@@ -57,35 +57,35 @@
   cr_assert_eq(Head.value("Last-Event-Id"), "12");
   cr_assert_eq(Head.value("X-Other"), "y");
   for (const char *Name : {"Authorization", "Kv-Hold", "Pin-Ms", "Connection"})
-    cr_assert_null(Head.find(Name), "%s is passed on", Name);
+    cr_assert_null(Head.find(Name), "%s is forwarded", Name);
 }
 
-Test(HeadFormat, namesWhereKeptPartsAreFetchedFromByTheRoutersWordAlone) {
+Test(HeadFormat, onlyTheRouterSetsTheCacheSource) {
   HttpHead Caller = callerHead();
   Caller.add("Kv-Fetch", "10.9.9.9:1");
-  ServerRequestFields Added;
-  Added.TimeLeft = 500ms;
-  cr_assert_null(Format.BuildServerRequest(Caller, Added).find("Kv-Fetch"));
-  Added.CacheSourceAddress = "10.0.0.2:80";
-  const HttpHead Head = Format.BuildServerRequest(Caller, Added);
+  ServerRequestFields Fields;
+  Fields.TimeLeft = 500ms;
+  cr_assert_null(Format.BuildServerRequest(Caller, Fields).find("Kv-Fetch"));
+  Fields.CacheSourceAddress = "10.0.0.2:80";
+  const HttpHead Head = Format.BuildServerRequest(Caller, Fields);
   cr_assert_eq(Head.count("Kv-Fetch"), 1U);
   cr_assert_eq(Head.value("Kv-Fetch"), "10.0.0.2:80");
 }
 
-Test(HeadFormat, onlyTheServersOwnWordMeansNotRun) {
+Test(HeadFormat, onlyTheServersFieldMeansNotRun) {
   HttpHead Head;
   Head.Status = 503;
   cr_assert_not(Format.ParseServerResponse(Head).NotRun);
   Head.add("Not-Executed", "1");
   Head.add("Server-Load", "3,1,8");
   Head.add("Keep-Alive", "timeout=7");
-  const ServerResponseFields Read = Format.ParseServerResponse(Head);
-  cr_assert(Read.NotRun);
-  cr_assert_eq(Read.Load->Waiting, 1U);
-  cr_assert_eq(Read.IdleTimeout->count(), Duration(7s).count());
+  const ServerResponseFields Fields = Format.ParseServerResponse(Head);
+  cr_assert(Fields.NotRun);
+  cr_assert_eq(Fields.Load->Waiting, 1U);
+  cr_assert_eq(Fields.IdleTimeout->count(), Duration(7s).count());
 }
 
-Test(HeadFormat, anyBytesAreReadOrRefused) {
+Test(HeadFormat, acceptsOrRejectsArbitraryBytes) {
   cr_assert(rc::check("fields", [](const std::string &Value) {
     HttpHead Head = callerHead();
     for (const char *Name : {"Token-Count", "Prefix-Hash", "Last-Event-Id",
@@ -97,8 +97,8 @@
   }));
 }
 
-Test(FleetFormat, readsAConfiguration) {
-  const auto Read = decodeConfiguration(
+Test(FleetFormat, decodesAConfiguration) {
+  const auto Configuration = decodeConfiguration(
       R"({"version":7,"routes":[{"name":"r","hostname":"h","prefix":"/a/",)"
       R"("kind":"streaming","timeoutMs":6000,"targetLatencyMs":600,)"
       R"("trafficSplit":[{"service":"s","weight":90},)"
@@ -109,36 +109,38 @@
       R"("engine":{"kvCapacity":240898}},{"name":"t"}],)"
       R"("limits":{"maxHeaderBytes":100,"tokensPerS":280000.5},)"
       R"("tenants":[{"name":"acc","apiKeys":["k1","k2"]}]})");
-  cr_assert(Read.has_value(), "%s", Read.error().Message.c_str());
-  cr_assert_eq(Read->Version, 7);
-  const GatewayRoute *Route = Read->findRoute("h", "/a/x");
+  cr_assert(Configuration.has_value(), "%s",
+            Configuration.error().Message.c_str());
+  cr_assert_eq(Configuration->Version, 7);
+  const GatewayRoute *Route = Configuration->findRoute("h", "/a/x");
   cr_assert_not_null(Route);
   cr_assert_eq(Route->Name, "r");
   cr_assert(Route->repeatable());
   cr_assert_eq(Route->Targets.size(), 2U);
-  cr_assert_eq(Read->findRoute("H", "/a/b/c")->Name, "q");
-  cr_assert_null(Read->findRoute("h", "/b"));
-  // An unknown kind is taken for the one that may run once.
-  cr_assert_eq(Read->findRoute("h", "/a/b/c")->Kind, RequestKind::Unsafe);
-  cr_assert_eq(Read->Services.at("s").KvCapacityTokens, 240898U);
-  cr_assert_eq(Read->AccountOfKey.at("k2"), "acc");
-  cr_assert_eq(Read->Limits.MaxHeaderBytes, 100U);
+  cr_assert_eq(Configuration->findRoute("H", "/a/b/c")->Name, "q");
+  cr_assert_null(Configuration->findRoute("h", "/b"));
+  // An unknown kind is treated as the one that may run only once.
+  cr_assert_eq(Configuration->findRoute("h", "/a/b/c")->Kind,
+               RequestKind::Unsafe);
+  cr_assert_eq(Configuration->Services.at("s").KvCapacityTokens, 240898U);
+  cr_assert_eq(Configuration->AccountOfKey.at("k2"), "acc");
+  cr_assert_eq(Configuration->Limits.MaxHeaderBytes, 100U);
 }
 
-Test(FleetFormat, refusesWhatIsNoConfiguration) {
+Test(FleetFormat, rejectsInvalidConfigurations) {
   for (const char *Text :
        {"", "[]", "{}", R"({"version":"x"})", "{\"version\""})
-    cr_assert_not(decodeConfiguration(Text).has_value(), "taken: %s", Text);
+    cr_assert_not(decodeConfiguration(Text).has_value(), "accepted: %s", Text);
 }
 
-// Symptom: requests are sent to an address that nobody serves, or a list is
-// lost as a whole. Sequence: somebody else writes under a server's key. Cause:
-// fields that were missing or of another type were read as something.
-Test(FleetFormat, anEntryByAnotherWriterNamesNoServer) {
-  const std::string Good =
+// If missing fields or fields of the wrong type were accepted, a foreign entry
+// under a server's key could send requests to an address that nobody serves, or
+// make the whole list fail.
+Test(FleetFormat, rejectsMalformedServerEntries) {
+  const std::string ValidEntry =
       R"({"service":"s","address":"10.0.0.1:80","zone":"z","version":"v1",)"
       R"("slots":64,"state":"ready","seqNo":4,"coldLeftMs":0,"born":17})";
-  cr_assert(decodeServer("i-1", Good).has_value());
+  cr_assert(decodeServer("i-1", ValidEntry).has_value());
   const std::vector<std::pair<std::string, std::string>> Changes{
       {R"("service":"s",)", ""},
       {R"("service":"s")", R"("service":7)"},
@@ -172,11 +174,11 @@
       {R"({"service")", R"("service")"},
   };
   for (const auto &[From, To] : Changes) {
-    std::string Text = Good;
-    const std::size_t At = Text.find(From);
-    cr_assert_neq(At, std::string::npos, "%s", From.c_str());
-    Text.replace(At, From.size(), To);
-    cr_assert_not(decodeServer("i-1", Text).has_value(), "taken: %s",
+    std::string Text = ValidEntry;
+    const std::size_t Position = Text.find(From);
+    cr_assert_neq(Position, std::string::npos, "%s", From.c_str());
+    Text.replace(Position, From.size(), To);
+    cr_assert_not(decodeServer("i-1", Text).has_value(), "accepted: %s",
                   Text.c_str());
   }
   for (const std::string &Text :
@@ -186,23 +188,25 @@
     cr_assert_not(decodeServer("i-1", Text).has_value());
 }
 
-Test(FleetFormat, readsWhatAServerBearsBehindItsStart) {
-  const auto Read = decodeServer(
+Test(FleetFormat, decodesWarmUpSettings) {
+  const auto Server = decodeServer(
       "i-1", R"({"service":"s","address":"10.0.0.1:80","zone":"z",)"
              R"("version":"v1","slots":64,"state":"ready","seqNo":4,)"
              R"("coldLeftMs":1200.5})");
-  cr_assert(Read.has_value());
-  cr_assert(Read->WarmUpLeft == std::chrono::microseconds(1'200'500));
-  const auto Stated = decodeConfiguration(
+  cr_assert(Server.has_value());
+  cr_assert(Server->WarmUpLeft == std::chrono::microseconds(1'200'500));
+  const auto Configuration = decodeConfiguration(
       R"({"version":1,"services":[{"name":"s","coldStartS":3.0,)"
       R"("coldPerS":9.1},{"name":"plain","coldStartS":0.0,"coldPerS":0.0}]})");
-  cr_assert(Stated.has_value());
-  cr_assert(Stated->Services.at("s").WarmUp.Period == std::chrono::seconds(3));
-  cr_assert_float_eq(Stated->Services.at("s").WarmUp.PerSecond, 9.1, 1e-9);
-  cr_assert_eq(Stated->Services.at("plain").WarmUp.PerSecond, 0);
+  cr_assert(Configuration.has_value());
+  cr_assert(Configuration->Services.at("s").WarmUp.Period ==
+            std::chrono::seconds(3));
+  cr_assert_float_eq(Configuration->Services.at("s").WarmUp.PerSecond, 9.1,
+                     1e-9);
+  cr_assert_eq(Configuration->Services.at("plain").WarmUp.PerSecond, 0);
 }
 
-Test(FleetFormat, anyBytesAreReadOrRefusedAsAnEntry) {
+Test(FleetFormat, acceptsOrRejectsArbitraryEntries) {
   cr_assert(rc::check("foreign entries", [](const std::string &Bytes) {
     (void)decodeServer("i-1", Bytes);
     (void)decodeRouter("r", Bytes);
@@ -210,28 +214,29 @@
   }));
 }
 
-// The parts of a list are those of requests: by the same hash of their name.
-Test(FleetFormat, readsWhatAnEngineKeeps) {
-  const auto Read = decodeCachedParts(
+// Cached parts and the parts of requests must be identified by the same hash of
+// their name.
+Test(FleetFormat, decodesCachedParts) {
+  const auto Decoded = decodeCachedParts(
       R"({"epoch":3,"next":9,"born":17,"held":[["","5c1e07a2",800,"m"],)"
       R"(["",7,800,"m"],["","91bd3f06","800","m"],["","e4402b7d",-1,"m"],)"
       R"("x",[],["","91bd3f06",410,"m"]]})");
-  cr_assert(Read.has_value());
-  cr_assert_eq(Read->ServerStartedMs, 17);
-  cr_assert_eq(Read->Parts.size(), 2U);
-  cr_assert_eq(Read->Parts[0].Id, hashName("5c1e07a2"));
-  cr_assert_eq(Read->Parts[0].Tokens, 800U);
-  cr_assert_eq(Read->Parts[1].Tokens, 410U);
+  cr_assert(Decoded.has_value());
+  cr_assert_eq(Decoded->ServerStartedMs, 17);
+  cr_assert_eq(Decoded->Parts.size(), 2U);
+  cr_assert_eq(Decoded->Parts[0].Id, hashName("5c1e07a2"));
+  cr_assert_eq(Decoded->Parts[0].Tokens, 800U);
+  cr_assert_eq(Decoded->Parts[1].Tokens, 410U);
   for (const char *Text : {"", "[]", R"({"held":7})", R"({"born":"x"})"})
     cr_assert(!decodeCachedParts(Text) ||
                   decodeCachedParts(Text)->Parts.empty(),
-              "taken: %s", Text);
+              "accepted: %s", Text);
   cr_assert(rc::check("foreign lists", [](const std::string &Bytes) {
     (void)decodeCachedParts(Bytes);
   }));
 }
 
-Test(FleetFormat, readsEntriesOfServersAndRouters) {
+Test(FleetFormat, decodesServerAndRouterEntries) {
   const auto Server = decodeServer(
       "i-1", R"({"service":"s","address":"10.0.0.1:80","zone":"z",)"
              R"("slots":64,"state":"draining","version":"v1","seqNo":4,)"
