--- a/lab/Engine.cpp
+++ b/lab/Engine.cpp
@@ -4,8 +4,8 @@
 
 namespace parsleywing::lab {
 
-void Engine::submit(EngineRequest Work, Milliseconds Now) {
-  this->Waiting.push_back(std::move(Work));
+void Engine::submit(EngineRequest Request, Milliseconds Now) {
+  this->Waiting.push_back(std::move(Request));
   if (!this->StepEndsAt)
     this->startStep(Now);
 }
@@ -25,67 +25,72 @@
   while (!this->Waiting.empty() &&
          this->Batch.size() < this->Parameters.Slots) {
     EngineRequest &Next = this->Waiting.front();
-    const std::uint64_t Needs = Next.PromptTokens + Next.OutputTokens;
+    const std::uint64_t NeededTokens = Next.PromptTokens + Next.OutputTokens;
     if (!this->Batch.empty() &&
-        this->UsedTokens + Needs > this->Parameters.MemoryTokens)
+        this->UsedTokens + NeededTokens > this->Parameters.MemoryTokens)
       return;
-    RunningRequest Made;
-    std::uint64_t Kept = this->Cache.residentTokens(Next.Parts);
-    this->Counts.CachedTokens += Kept;
-    Made.ReadableAt = Now;
-    if (this->Parameters.FetchTokensPerMs > 0 && Next.FetchableTokens > Kept) {
-      const auto Fetched = static_cast<double>(Next.FetchableTokens - Kept);
-      Made.ReadableAt += this->Parameters.FetchSetupTime +
-                         Fetched / this->Parameters.FetchTokensPerMs;
-      this->Counts.FetchedTokens += Next.FetchableTokens - Kept;
-      Kept = Next.FetchableTokens;
+    RunningRequest Admitted;
+    std::uint64_t CachedTokens = this->Cache.residentTokens(Next.Parts);
+    this->Counts.CachedTokens += CachedTokens;
+    Admitted.PrefillableAt = Now;
+    if (this->Parameters.FetchTokensPerMs > 0 &&
+        Next.FetchableTokens > CachedTokens) {
+      const auto FetchedTokens =
+          static_cast<double>(Next.FetchableTokens - CachedTokens);
+      Admitted.PrefillableAt +=
+          this->Parameters.FetchSetupTime +
+          FetchedTokens / this->Parameters.FetchTokensPerMs;
+      this->Counts.FetchedTokens += Next.FetchableTokens - CachedTokens;
+      CachedTokens = Next.FetchableTokens;
     }
-    Made.RemainingPrefillTokens = std::max<std::uint64_t>(
-        Next.PromptTokens - std::min<std::uint64_t>(Kept, Next.PromptTokens),
+    Admitted.RemainingPrefillTokens = std::max<std::uint64_t>(
+        Next.PromptTokens -
+            std::min<std::uint64_t>(CachedTokens, Next.PromptTokens),
         1);
-    Made.RemainingOutputTokens = std::max(Next.OutputTokens, 1U);
-    this->UsedTokens += Needs;
-    Made.Request = std::move(Next);
+    Admitted.RemainingOutputTokens = std::max(Next.OutputTokens, 1U);
+    this->UsedTokens += NeededTokens;
+    Admitted.Request = std::move(Next);
     this->Waiting.pop_front();
-    this->Batch.push_back(std::move(Made));
+    this->Batch.push_back(std::move(Admitted));
   }
 }
 
-/// A step reads up to a chunk of the prompts, the oldest first, and makes one
-/// token for each request that has been read.
+/// A step prefills up to one chunk of prompt tokens, oldest requests first, and
+/// generates one token for each request whose prefill is complete.
 void Engine::startStep(Milliseconds Now) {
   this->admitWaiting(Now);
   if (this->Batch.empty()) {
     this->StepEndsAt.reset();
     return;
   }
-  std::uint64_t Reads = 0;
+  std::uint64_t PrefillTokens = 0;
   for (const RunningRequest &Each : this->Batch)
-    if (Each.ReadableAt <= Now)
-      Reads +=
-          std::min<std::uint64_t>(Each.RemainingPrefillTokens,
-                                  this->Parameters.PrefillChunkTokens - Reads);
-  const Milliseconds Took =
+    if (Each.PrefillableAt <= Now)
+      PrefillTokens += std::min<std::uint64_t>(
+          Each.RemainingPrefillTokens,
+          this->Parameters.PrefillChunkTokens - PrefillTokens);
+  const Milliseconds StepTime =
       this->Parameters.StepTime +
       this->Parameters.StepTimePerRequest *
           static_cast<double>(this->Batch.size()) +
-      static_cast<double>(Reads) / this->Parameters.PrefillTokensPerMs;
-  this->StepEndsAt = Now + Took;
-  this->Counts.BusyTime += Took;
+      static_cast<double>(PrefillTokens) / this->Parameters.PrefillTokensPerMs;
+  this->StepEndsAt = Now + StepTime;
+  this->Counts.BusyTime += StepTime;
 }
 
 std::vector<EngineEvent> Engine::step() {
   const Milliseconds Now = *this->StepEndsAt;
-  std::vector<EngineEvent> News;
-  std::uint64_t Chunk = this->Parameters.PrefillChunkTokens;
+  std::vector<EngineEvent> Events;
+  std::uint64_t ChunkLeft = this->Parameters.PrefillChunkTokens;
   for (RunningRequest &Each : this->Batch) {
-    if (Each.ReadableAt > Now)
+    if (Each.PrefillableAt > Now)
       continue;
     if (Each.RemainingPrefillTokens > 0) {
-      const std::uint64_t Read = std::min(Each.RemainingPrefillTokens, Chunk);
-      Each.RemainingPrefillTokens -= Read;
-      Chunk -= Read;
-      this->Counts.PrefilledTokens += Read;
+      const std::uint64_t PrefillTokens =
+          std::min(Each.RemainingPrefillTokens, ChunkLeft);
+      Each.RemainingPrefillTokens -= PrefillTokens;
+      ChunkLeft -= PrefillTokens;
+      this->Counts.PrefilledTokens += PrefillTokens;
       if (Each.RemainingPrefillTokens > 0)
         continue;
       this->Cache.setCapacity(
@@ -93,12 +98,12 @@
           std::min(this->Parameters.MemoryTokens, this->UsedTokens));
       this->Cache.insert(Each.Request.Parts);
       this->Cache.markPrefilled(Each.Request.Parts);
-      News.push_back({Each.Request.Id, true});
+      Events.push_back({Each.Request.Id, true});
     }
     --Each.RemainingOutputTokens;
     ++this->Counts.GeneratedTokens;
     if (Each.RemainingOutputTokens == 0)
-      News.push_back({Each.Request.Id, false});
+      Events.push_back({Each.Request.Id, false});
   }
   std::erase_if(this->Batch, [this](const RunningRequest &Each) {
     if (Each.RemainingOutputTokens > 0)
@@ -107,7 +112,7 @@
     return true;
   });
   this->startStep(Now);
-  return News;
+  return Events;
 }
 
 } // namespace parsleywing::lab
--- a/lab/Engine.h
+++ b/lab/Engine.h
@@ -10,24 +10,26 @@
 
 namespace parsleywing::lab {
 
-/// Time within a play, in milliseconds from its start.
+/// Simulated time in milliseconds from the start, or a duration in
+/// milliseconds.
 using Milliseconds = double;
 
-/// What an engine can do. Speeds are those of the engine alone; how long a step
-/// takes follows from what runs.
+/// The performance of an engine. Rates are those of an engine without
+/// contention; the time of a step also depends on the running requests.
 struct EngineParameters {
-  /// Requests that it runs at once.
+  /// Maximum number of requests that run concurrently.
   std::uint32_t Slots = 64;
-  /// A step without prompts to read, and what each running request adds.
+  /// The time of a step without prefill, and the time that each running request
+  /// adds.
   Milliseconds StepTime = 2.9;
   Milliseconds StepTimePerRequest = 0.1;
-  /// Prompt tokens that it reads in a millisecond, and the most in one step.
+  /// Prompt tokens prefilled per millisecond, and the maximum per step.
   double PrefillTokensPerMs = 55;
   std::uint32_t PrefillChunkTokens = 1024;
-  /// Tokens of its memory, for running requests and kept parts together.
+  /// Memory in tokens, shared by running requests and cached parts.
   std::uint64_t MemoryTokens = 550'000;
-  /// Kept tokens that come from another engine in a millisecond, and the time
-  /// until the first does; no fetching where the speed is 0.
+  /// Cached tokens fetched from another engine per millisecond, and the time
+  /// until the first one arrives. Nothing is fetched if the rate is 0.
   double FetchTokensPerMs = 1900;
   Milliseconds FetchSetupTime = 5;
 };
@@ -38,18 +40,18 @@
   std::vector<PromptPart> Parts;
   std::uint32_t PromptTokens = 0;
   std::uint32_t OutputTokens = 1;
-  /// Tokens at the start of the prompt that another engine keeps for it.
+  /// Tokens at the start of the prompt that can be fetched from another engine.
   std::uint64_t FetchableTokens = 0;
 };
 
-/// What an engine tells at the end of a step.
+/// Progress of a request, reported at the end of a step.
 struct EngineEvent {
   CorrelationId Id;
-  /// The first token came in this step; else the last one.
+  /// Whether this step generated the first token; otherwise the last one.
   bool IsFirstToken = false;
 };
 
-/// What an engine has done so far, in tokens.
+/// Totals of an engine since the start.
 struct EngineCounts {
   std::uint64_t PrefilledTokens = 0;
   std::uint64_t CachedTokens = 0;
@@ -58,24 +60,25 @@
   Milliseconds BusyTime = 0;
 };
 
-/// A model engine that batches continuously: it admits in order of arrival,
-/// reads prompts in chunks between the tokens of running requests, and keeps
-/// the parts of prompts that it has read, the least recently used yielding. Not
-/// modelled: preemption, the growth of a step with the context, failures.
+/// A simulated model engine with continuous batching: it admits requests in
+/// order of arrival, prefills prompts in chunks between the tokens of running
+/// requests, and caches prefilled parts with LRU eviction. Not modelled:
+/// preemption, longer steps with longer contexts, and failures.
 class Engine {
 public:
-  explicit Engine(EngineParameters F) : Parameters(F) {}
+  explicit Engine(EngineParameters P) : Parameters(P) {}
 
-  void submit(EngineRequest Work, Milliseconds Now);
-  /// The caller has left: the request stops at the next step.
+  void submit(EngineRequest Request, Milliseconds Now);
+  /// Removes a request whose caller has disconnected. The current step still
+  /// takes its full time.
   void cancel(const CorrelationId &Id);
 
-  /// The end of the present step; nothing where the engine is idle.
+  /// The end of the current step; nothing if the engine is idle.
   std::optional<Milliseconds> nextStepAt() const { return this->StepEndsAt; }
-  /// Ends the present step and begins the next.
+  /// Ends the current step and starts the next one.
   std::vector<EngineEvent> step();
 
-  /// Tokens at the start of the prompt that it keeps.
+  /// Number of tokens at the start of the prompt that the engine has cached.
   std::uint64_t cachedTokens(const std::vector<PromptPart> &Parts) const {
     return this->Cache.residentTokens(Parts);
   }
@@ -86,8 +89,8 @@
     EngineRequest Request;
     std::uint64_t RemainingPrefillTokens = 0;
     std::uint32_t RemainingOutputTokens = 0;
-    /// Fetched parts are there from this moment on.
-    Milliseconds ReadableAt = 0;
+    /// When the fetched parts have arrived and prefill can start.
+    Milliseconds PrefillableAt = 0;
   };
 
   void admitWaiting(Milliseconds Now);
--- a/lab/Load.cpp
+++ b/lab/Load.cpp
@@ -12,22 +12,24 @@
 
 namespace {
 
-/// Sizes are cut at this many times their mean, as requests have limits.
-constexpr double MostTimesMean = 8;
-constexpr double SharedSpread = 0.6;
+/// Sizes are clamped to this multiple of their mean, since real requests have
+/// size limits.
+constexpr double MaxTimesMean = 8;
+constexpr double SharedPartSpread = 0.6;
 
-/// Draws the calls of one play.
-class Drawing {
+/// Generates the calls of one simulation.
+class CallGenerator {
 public:
-  Drawing(const Scenario &P, std::uint64_t Seed) : Played(P), Random(Seed) {
-    for (std::uint32_t I = 0; I < P.Accounts; ++I)
-      this->Weights.push_back(std::pow(I + 1.0, -P.AccountSkew));
+  CallGenerator(const Scenario &S, std::uint64_t Seed)
+      : Setup(S), Random(Seed) {
+    for (std::uint32_t I = 0; I < S.Accounts; ++I)
+      this->AccountWeights.push_back(std::pow(I + 1.0, -S.AccountSkew));
   }
 
-  std::vector<Call> draw() {
+  std::vector<Call> generate() {
     std::vector<Call> Calls;
-    for (std::size_t I = 0; I < this->Played.Classes.size(); ++I)
-      this->drawClass(I, Calls);
+    for (std::size_t I = 0; I < this->Setup.Classes.size(); ++I)
+      this->generateClass(I, Calls);
     std::stable_sort(
         Calls.begin(), Calls.end(),
         [](const Call &Left, const Call &Right) { return Left.At < Right.At; });
@@ -35,96 +37,101 @@
   }
 
 private:
-  void drawClass(std::size_t Index, std::vector<Call> &Into) {
-    const RequestClass &Drawn = this->Played.Classes[Index];
-    this->drawShared(Drawn);
+  void generateClass(std::size_t Index, std::vector<Call> &Calls) {
+    const RequestClass &Class = this->Setup.Classes[Index];
+    this->drawSharedParts(Class);
     Milliseconds Now = 0;
-    while (Drawn.RequestsPerSecond > 0) {
-      const double Times = this->timesAt(Now);
-      boost::random::exponential_distribution<double> Gap(
-          Drawn.RequestsPerSecond * Times / 1000);
-      Now += Gap(this->Random);
-      if (Now >= this->Played.Length)
+    while (Class.RequestsPerSecond > 0) {
+      const double RateFactor = this->meanRateFactor(Now);
+      boost::random::exponential_distribution<double> Interval(
+          Class.RequestsPerSecond * RateFactor / 1000);
+      Now += Interval(this->Random);
+      if (Now >= this->Setup.Length)
         return;
-      Into.push_back(this->drawCall(Index, Now));
+      Calls.push_back(this->generateCall(Index, Now));
     }
   }
 
-  /// Sizes of shared parts belong to the part, not to the request.
-  void drawShared(const RequestClass &Drawn) {
-    this->Shared.assign(Drawn.SharedLevels.size(), {});
-    for (std::size_t Link = 0; Link < Drawn.SharedLevels.size(); ++Link)
-      for (std::uint32_t I = 0; I < Drawn.SharedLevels[Link].Variants; ++I)
-        this->Shared[Link].push_back(
-            {++this->LastPart,
-             this->size(Drawn.SharedLevels[Link].MeanTokens, SharedSpread)});
+  /// Draws the sizes of shared parts once, since all requests that use a part
+  /// have to agree on its size.
+  void drawSharedParts(const RequestClass &Class) {
+    this->SharedParts.assign(Class.SharedLevels.size(), {});
+    for (std::size_t Level = 0; Level < Class.SharedLevels.size(); ++Level)
+      for (std::uint32_t I = 0; I < Class.SharedLevels[Level].Variants; ++I)
+        this->SharedParts[Level].push_back(
+            {++this->LastPartId,
+             this->drawSize(Class.SharedLevels[Level].MeanTokens,
+                            SharedPartSpread)});
   }
 
-  Call drawCall(std::size_t Index, Milliseconds Now) {
-    const RequestClass &Drawn = this->Played.Classes[Index];
-    Call Made;
-    Made.At = Now;
-    Made.Class = Index;
-    Made.Account = this->drawAccount(Now);
-    for (const auto &Link : this->Shared) {
-      boost::random::uniform_int_distribution<std::size_t> Which(
-          0, Link.size() - 1);
-      Made.Parts.push_back(Link[Which(this->Random)]);
+  Call generateCall(std::size_t Index, Milliseconds Now) {
+    const RequestClass &Class = this->Setup.Classes[Index];
+    Call NewCall;
+    NewCall.At = Now;
+    NewCall.Class = Index;
+    NewCall.Account = this->drawAccount(Now);
+    for (const auto &Level : this->SharedParts) {
+      boost::random::uniform_int_distribution<std::size_t> Distribution(
+          0, Level.size() - 1);
+      NewCall.Parts.push_back(Level[Distribution(this->Random)]);
     }
-    Made.Parts.push_back(
-        {++this->LastPart, this->size(Drawn.MeanOwnTokens, Drawn.OwnSpread)});
-    for (const PromptPart &Part : Made.Parts)
-      Made.PromptTokens += Part.Tokens;
-    Made.OutputTokens = this->size(Drawn.MeanOutputTokens, Drawn.OutputSpread);
-    return Made;
+    NewCall.Parts.push_back(
+        {++this->LastPartId,
+         this->drawSize(Class.MeanOwnTokens, Class.OwnSpread)});
+    for (const PromptPart &Part : NewCall.Parts)
+      NewCall.PromptTokens += Part.Tokens;
+    NewCall.OutputTokens =
+        this->drawSize(Class.MeanOutputTokens, Class.OutputSpread);
+    return NewCall;
   }
 
-  /// Log-normal with this mean.
-  std::uint32_t size(double Mean, double Spread) {
+  /// Draws a size from a log-normal distribution with this mean.
+  std::uint32_t drawSize(double Mean, double Spread) {
     boost::random::normal_distribution<double> Normal(-Spread * Spread / 2,
                                                       Spread);
-    const double Drawn = Mean * std::exp(Normal(this->Random));
+    const double Size = Mean * std::exp(Normal(this->Random));
     return static_cast<std::uint32_t>(
-        std::clamp(Drawn, 1.0, std::max(Mean * MostTimesMean, 1.0)));
+        std::clamp(Size, 1.0, std::max(Mean * MaxTimesMean, 1.0)));
   }
 
-  double timesOf(std::uint32_t Account, Milliseconds Now) const {
-    double Times = 1;
-    for (const Flood &Each : this->Played.Floods)
+  double rateFactorOf(std::uint32_t Account, Milliseconds Now) const {
+    double RateFactor = 1;
+    for (const Flood &Each : this->Setup.Floods)
       if (Each.Account == Account && Each.From <= Now && Now < Each.To)
-        Times *= Each.RateFactor;
-    return Times;
+        RateFactor *= Each.RateFactor;
+    return RateFactor;
   }
 
-  double timesAt(Milliseconds Now) const {
-    double Usual = 0;
-    double Whole = 0;
-    for (std::uint32_t I = 0; I < this->Weights.size(); ++I) {
-      Usual += this->Weights[I];
-      Whole += this->Weights[I] * this->timesOf(I, Now);
+  double meanRateFactor(Milliseconds Now) const {
+    double WeightSum = 0;
+    double WeightedSum = 0;
+    for (std::uint32_t I = 0; I < this->AccountWeights.size(); ++I) {
+      WeightSum += this->AccountWeights[I];
+      WeightedSum += this->AccountWeights[I] * this->rateFactorOf(I, Now);
     }
-    return Whole / Usual;
+    return WeightedSum / WeightSum;
   }
 
   std::uint32_t drawAccount(Milliseconds Now) {
-    std::vector<double> Present = this->Weights;
-    for (std::uint32_t I = 0; I < Present.size(); ++I)
-      Present[I] *= this->timesOf(I, Now);
-    boost::random::discrete_distribution<std::uint32_t> Which(Present);
-    return Which(this->Random);
+    std::vector<double> CurrentWeights = this->AccountWeights;
+    for (std::uint32_t I = 0; I < CurrentWeights.size(); ++I)
+      CurrentWeights[I] *= this->rateFactorOf(I, Now);
+    boost::random::discrete_distribution<std::uint32_t> Distribution(
+        CurrentWeights);
+    return Distribution(this->Random);
   }
 
-  const Scenario &Played;
+  const Scenario &Setup;
   boost::random::mt19937_64 Random;
-  std::vector<double> Weights;
-  std::vector<std::vector<PromptPart>> Shared;
-  std::uint64_t LastPart = 0;
+  std::vector<double> AccountWeights;
+  std::vector<std::vector<PromptPart>> SharedParts;
+  std::uint64_t LastPartId = 0;
 };
 
 } // namespace
 
-std::vector<Call> generateCalls(const Scenario &Played, std::uint64_t Seed) {
-  return Drawing(Played, Seed).draw();
+std::vector<Call> generateCalls(const Scenario &Setup, std::uint64_t Seed) {
+  return CallGenerator(Setup, Seed).generate();
 }
 
 } // namespace parsleywing::lab
--- a/lab/Load.h
+++ b/lab/Load.h
@@ -9,30 +9,33 @@
 
 namespace parsleywing::lab {
 
-/// One link of the chain of shared parts that prompts of a kind begin with.
+/// One level of the shared parts at the start of the prompts of a class.
 struct SharedPartLevel {
   double MeanTokens = 0;
-  /// Different parts of this link; each request is about one of them.
+  /// Number of different parts at this level. Each request uses one of them.
   std::uint32_t Variants = 1;
 };
 
-/// Requests of one kind. Sizes are log-normal: a spread of 1 makes the largest
-/// tenth some three times the mean.
+/// A class of requests. Sizes are log-normal; a spread is the standard
+/// deviation of the logarithm. With a spread of 1 the largest tenth has about
+/// three times the mean size.
 struct RequestClass {
   std::string Name;
   double RequestsPerSecond = 0;
   std::vector<SharedPartLevel> SharedLevels;
+  /// Mean size of the part that belongs to one request alone.
   double MeanOwnTokens = 0;
   double OwnSpread = 0;
   double MeanOutputTokens = 1;
   double OutputSpread = 0;
-  /// The first token is on time within this.
+  /// A response is on time if its first token arrives within this time.
   Milliseconds Objective = 500;
-  /// The caller leaves after this.
+  /// The caller disconnects after this time.
   Milliseconds TimeLimit = 10'000;
 };
 
-/// A burst of one account: so many times its usual calls for a while.
+/// A temporary burst of one account: its usual rate of calls times
+/// `RateFactor`.
 struct Flood {
   std::uint32_t Account = 0;
   Milliseconds From = 0;
@@ -40,24 +43,26 @@
   double RateFactor = 1;
 };
 
-/// What is played.
+/// The load and the deployment to simulate.
 struct Scenario {
   std::string Name;
   std::uint32_t Engines = 4;
   EngineParameters Parameters;
   std::vector<RequestClass> Classes;
   std::uint32_t Accounts = 16;
-  /// The calls of the I-th account go as (I+1) to the power of minus this.
+  /// Zipf exponent: the rate of account I is proportional to
+  /// (I+1)^-AccountSkew.
   double AccountSkew = 1;
   std::vector<Flood> Floods;
   Milliseconds Length = 20'000;
-  /// What operators state of all engines' tokens in a second.
+  /// The token rate of all engines together, as stated in the operator's
+  /// configuration.
   std::uint64_t StatedTokensPerSecond = 0;
-  /// One way between a router and the allocator, or an engine.
+  /// One-way network delay between a router and the allocator or an engine.
   Milliseconds OneWayDelay = 1;
 };
 
-/// One call of a caller.
+/// One call, which may take several attempts.
 struct Call {
   Milliseconds At = 0;
   std::size_t Class = 0;
@@ -67,8 +72,9 @@
   std::uint32_t OutputTokens = 0;
 };
 
-/// The calls of a scenario in the order of their times, the same for a seed.
-std::vector<Call> generateCalls(const Scenario &Played, std::uint64_t Seed);
+/// Generates the calls of a scenario in order of time. Deterministic for a
+/// seed.
+std::vector<Call> generateCalls(const Scenario &Setup, std::uint64_t Seed);
 
 } // namespace parsleywing::lab
 
--- a/lab/ScenarioReader.cpp
+++ b/lab/ScenarioReader.cpp
@@ -13,22 +13,23 @@
 
 using Poco::Util::IniFileConfiguration;
 
-/// One section; remembers which keys were asked for.
+/// A section of the file. Records which keys were read.
 class Section {
 public:
   Section(const IniFileConfiguration &F, std::string N)
       : File(F), Name(std::move(N)) {}
 
-  double number(const std::string &Key, double Otherwise) {
-    this->Known.insert(Key);
-    const std::string Whole = this->Name + "." + Key;
-    if (!this->File.has(Whole))
-      return Otherwise;
+  double number(const std::string &Key, double Default) {
+    this->ReadKeys.insert(Key);
+    const std::string FullKey = this->Name + "." + Key;
+    if (!this->File.has(FullKey))
+      return Default;
     double Value = 0;
-    if (!Poco::NumberParser::tryParseFloat(this->File.getString(Whole),
+    if (!Poco::NumberParser::tryParseFloat(this->File.getString(FullKey),
                                            Value) ||
         Value < 0)
-      throw Poco::DataFormatException(Whole + " is no number from 0");
+      throw Poco::DataFormatException(FullKey +
+                                      " is not a non-negative number");
     return Value;
   }
 
@@ -39,127 +40,139 @@
   }
 
   std::string text(const std::string &Key) {
-    this->Known.insert(Key);
+    this->ReadKeys.insert(Key);
     return this->File.getString(this->Name + "." + Key, "");
   }
 
-  /// A key that nobody reads is a slip of the pen.
-  void refuseOthers() const {
+  /// Fails if the section has keys that were not read, which are most likely
+  /// typing errors.
+  void rejectUnknownKeys() const {
     IniFileConfiguration::Keys Keys;
     this->File.keys(this->Name, Keys);
     for (const std::string &Each : Keys)
-      if (!this->Known.contains(Each))
+      if (!this->ReadKeys.contains(Each))
         throw Poco::DataFormatException(this->Name + "." + Each +
-                                        " is not known");
+                                        " is not a known key");
   }
 
 private:
   const IniFileConfiguration &File;
   std::string Name;
-  std::set<std::string> Known;
+  std::set<std::string> ReadKeys;
 };
 
-std::uint32_t counted(double Value) {
+std::uint32_t toCount(double Value) {
   return static_cast<std::uint32_t>(Value);
 }
 
-/// "512x3, 4870x108": links of MEAN tokens, each of so many things.
-std::vector<SharedPartLevel> readChain(const std::string &Text) {
-  std::vector<SharedPartLevel> Chain;
-  const Poco::StringTokenizer Links(
+/// Parses "512x3, 4870x108": for each level of shared parts, the mean tokens
+/// and the number of variants.
+std::vector<SharedPartLevel> parseSharedLevels(const std::string &Text) {
+  std::vector<SharedPartLevel> Levels;
+  const Poco::StringTokenizer Items(
       Text, ",",
       Poco::StringTokenizer::TOK_TRIM |
           Poco::StringTokenizer::TOK_IGNORE_EMPTY);
-  for (const std::string &Each : Links) {
-    const std::size_t Cross = Each.find('x');
-    if (Cross == std::string::npos)
-      throw Poco::DataFormatException("a link is TOKENSxTHINGS, not " + Each);
-    SharedPartLevel Link;
-    Link.MeanTokens = Poco::NumberParser::parseFloat(Each.substr(0, Cross));
-    Link.Variants = Poco::NumberParser::parseUnsigned(Each.substr(Cross + 1));
-    if (Link.Variants == 0)
-      throw Poco::DataFormatException("a link has at least one thing: " + Each);
-    Chain.push_back(Link);
+  for (const std::string &Each : Items) {
+    const std::size_t Separator = Each.find('x');
+    if (Separator == std::string::npos)
+      throw Poco::DataFormatException(
+          "a level of shared parts must have the form "
+          "TOKENSxTHINGS, not " +
+          Each);
+    SharedPartLevel Level;
+    Level.MeanTokens =
+        Poco::NumberParser::parseFloat(Each.substr(0, Separator));
+    Level.Variants =
+        Poco::NumberParser::parseUnsigned(Each.substr(Separator + 1));
+    if (Level.Variants == 0)
+      throw Poco::DataFormatException(
+          "a level of shared parts must have at least "
+          "one variant: " +
+          Each);
+    Levels.push_back(Level);
   }
-  return Chain;
+  return Levels;
 }
 
-EngineParameters readEngine(Section From) {
-  EngineParameters Read;
-  Read.Slots = counted(From.number("slots", Read.Slots));
-  Read.StepTime = From.number("step-ms", Read.StepTime);
-  Read.StepTimePerRequest =
-      From.number("step-ms-per-request", Read.StepTimePerRequest);
-  Read.PrefillTokensPerMs =
-      From.number("read-tokens-per-ms", Read.PrefillTokensPerMs);
-  Read.PrefillChunkTokens =
-      counted(From.number("read-chunk-tokens", Read.PrefillChunkTokens));
-  Read.MemoryTokens = counted(
-      From.number("memory-tokens", static_cast<double>(Read.MemoryTokens)));
-  Read.FetchTokensPerMs =
-      From.number("fetch-tokens-per-ms", Read.FetchTokensPerMs);
-  Read.FetchSetupTime = From.number("fetch-setup-ms", Read.FetchSetupTime);
-  From.refuseOthers();
-  if (Read.Slots == 0 || Read.PrefillTokensPerMs <= 0 ||
-      Read.PrefillChunkTokens == 0)
-    throw Poco::DataFormatException("an engine has slots, speed and a chunk");
-  return Read;
+EngineParameters readEngine(Section Input) {
+  EngineParameters Parameters;
+  Parameters.Slots = toCount(Input.number("slots", Parameters.Slots));
+  Parameters.StepTime = Input.number("step-ms", Parameters.StepTime);
+  Parameters.StepTimePerRequest =
+      Input.number("step-ms-per-request", Parameters.StepTimePerRequest);
+  Parameters.PrefillTokensPerMs =
+      Input.number("read-tokens-per-ms", Parameters.PrefillTokensPerMs);
+  Parameters.PrefillChunkTokens =
+      toCount(Input.number("read-chunk-tokens", Parameters.PrefillChunkTokens));
+  Parameters.MemoryTokens = toCount(Input.number(
+      "memory-tokens", static_cast<double>(Parameters.MemoryTokens)));
+  Parameters.FetchTokensPerMs =
+      Input.number("fetch-tokens-per-ms", Parameters.FetchTokensPerMs);
+  Parameters.FetchSetupTime =
+      Input.number("fetch-setup-ms", Parameters.FetchSetupTime);
+  Input.rejectUnknownKeys();
+  if (Parameters.Slots == 0 || Parameters.PrefillTokensPerMs <= 0 ||
+      Parameters.PrefillChunkTokens == 0)
+    throw Poco::DataFormatException("slots, read-tokens-per-ms and "
+                                    "read-chunk-tokens must be positive");
+  return Parameters;
 }
 
-RequestClass readClass(const std::string &Name, Section From) {
-  RequestClass Read;
-  Read.Name = Name;
-  Read.RequestsPerSecond = From.required("per-second");
-  Read.SharedLevels = readChain(From.text("shared"));
-  Read.MeanOwnTokens = From.required("own-tokens");
-  Read.OwnSpread = From.number("own-spread", 0);
-  Read.MeanOutputTokens = From.required("output-tokens");
-  Read.OutputSpread = From.number("output-spread", 0);
-  Read.Objective = From.required("objective-ms");
-  Read.TimeLimit = From.required("time-limit-ms");
-  From.refuseOthers();
-  return Read;
+RequestClass readClass(const std::string &Name, Section Input) {
+  RequestClass Class;
+  Class.Name = Name;
+  Class.RequestsPerSecond = Input.required("per-second");
+  Class.SharedLevels = parseSharedLevels(Input.text("shared"));
+  Class.MeanOwnTokens = Input.required("own-tokens");
+  Class.OwnSpread = Input.number("own-spread", 0);
+  Class.MeanOutputTokens = Input.required("output-tokens");
+  Class.OutputSpread = Input.number("output-spread", 0);
+  Class.Objective = Input.required("objective-ms");
+  Class.TimeLimit = Input.required("time-limit-ms");
+  Input.rejectUnknownKeys();
+  return Class;
 }
 
-Flood readFlood(Section From) {
-  Flood Read;
-  Read.Account = counted(From.required("account"));
-  Read.From = From.required("from-s") * 1000;
-  Read.To = From.required("to-s") * 1000;
-  Read.RateFactor = From.required("times");
-  From.refuseOthers();
-  return Read;
+Flood readFlood(Section Input) {
+  Flood Parsed;
+  Parsed.Account = toCount(Input.required("account"));
+  Parsed.From = Input.required("from-s") * 1000;
+  Parsed.To = Input.required("to-s") * 1000;
+  Parsed.RateFactor = Input.required("times");
+  Input.rejectUnknownKeys();
+  return Parsed;
 }
 
 Scenario read(const std::string &Path) {
   const Poco::AutoPtr<IniFileConfiguration> File(
       new IniFileConfiguration(Path));
-  Section Whole(*File, "scenario");
-  Scenario Read;
-  Read.Name = std::filesystem::path(Path).stem();
-  Read.Engines = counted(Whole.required("engines"));
-  Read.Accounts = counted(Whole.number("accounts", Read.Accounts));
-  Read.AccountSkew = Whole.number("account-skew", Read.AccountSkew);
-  Read.Length = Whole.required("length-s") * 1000;
-  Read.StatedTokensPerSecond =
-      counted(Whole.required("stated-tokens-per-second"));
-  Read.OneWayDelay = Whole.number("way-ms", Read.OneWayDelay);
-  Whole.refuseOthers();
-  Read.Parameters = readEngine(Section(*File, "engine"));
+  Section Main(*File, "scenario");
+  Scenario Setup;
+  Setup.Name = std::filesystem::path(Path).stem();
+  Setup.Engines = toCount(Main.required("engines"));
+  Setup.Accounts = toCount(Main.number("accounts", Setup.Accounts));
+  Setup.AccountSkew = Main.number("account-skew", Setup.AccountSkew);
+  Setup.Length = Main.required("length-s") * 1000;
+  Setup.StatedTokensPerSecond =
+      toCount(Main.required("stated-tokens-per-second"));
+  Setup.OneWayDelay = Main.number("way-ms", Setup.OneWayDelay);
+  Main.rejectUnknownKeys();
+  Setup.Parameters = readEngine(Section(*File, "engine"));
   IniFileConfiguration::Keys Sections;
   File->keys(Sections);
   for (const std::string &Each : Sections) {
     if (Each.starts_with("class-"))
-      Read.Classes.push_back(readClass(Each.substr(6), Section(*File, Each)));
+      Setup.Classes.push_back(readClass(Each.substr(6), Section(*File, Each)));
     else if (Each.starts_with("flood-"))
-      Read.Floods.push_back(readFlood(Section(*File, Each)));
+      Setup.Floods.push_back(readFlood(Section(*File, Each)));
     else if (Each != "scenario" && Each != "engine")
-      throw Poco::DataFormatException("section " + Each + " is not known");
+      throw Poco::DataFormatException("section " + Each + " is unknown");
   }
-  if (Read.Engines == 0 || Read.Accounts == 0 || Read.Classes.empty())
+  if (Setup.Engines == 0 || Setup.Accounts == 0 || Setup.Classes.empty())
     throw Poco::DataFormatException(
-        "a scenario has engines, accounts and classes");
-  return Read;
+        "a scenario needs at least one engine, account and class");
+  return Setup;
 }
 
 } // namespace
@@ -167,9 +180,9 @@
 Result<Scenario> readScenario(const std::string &Path) {
   try {
     return read(Path);
-  } catch (const Poco::Exception &Problem) {
+  } catch (const Poco::Exception &Failure) {
     return failure(ErrorCode::InvalidInput,
-                   Path + ": " + Problem.displayText());
+                   Path + ": " + Failure.displayText());
   }
 }
 
--- a/lab/ScenarioReader.h
+++ b/lab/ScenarioReader.h
@@ -9,9 +9,9 @@
 namespace parsleywing::lab {
 
 /// Reads a scenario from an INI file: a section `scenario`, one `engine`, one
-/// `class-NAME` for each kind of request and one `flood-NAME` for each flood.
-/// `InvalidInput` names the section and key that is missing, unknown or no
-/// number.
+/// `class-NAME` for each class of requests and one `flood-NAME` for each flood.
+/// Fails with `InvalidInput` and a message that contains the section and key
+/// that is missing, unknown or not a number.
 Result<Scenario> readScenario(const std::string &Path);
 
 } // namespace parsleywing::lab
--- a/test/Lab/AllocationLoadTest.cpp
+++ b/test/Lab/AllocationLoadTest.cpp
@@ -12,45 +12,45 @@
 constexpr std::uint64_t Seeds = 4;
 
 Scenario scenario(const std::string &Name) {
-  const auto Read = readScenario(std::string(SOURCE_FOLDER) +
-                                 "/lab/scenarios/" + Name + ".ini");
-  cr_assert(Read.has_value(), "%s", Read ? "" : Read.error().Message.c_str());
-  return *Read;
+  const auto Loaded = readScenario(std::string(SOURCE_FOLDER) +
+                                   "/lab/scenarios/" + Name + ".ini");
+  cr_assert(Loaded.has_value(), "%s",
+            Loaded ? "" : Loaded.error().Message.c_str());
+  return *Loaded;
 }
 
-/// What callers got over some seeds.
+/// Results over all seeds: means of the worths, sums of the counts.
 struct Series {
   double Worth = 0;
   double WorstAccounts = 0;
-  std::uint64_t Read = 0;
+  std::uint64_t PrefilledTokens = 0;
   std::uint32_t OnTime = 0;
 };
 
-Series playAll(const Scenario &Played, const Policy &By) {
-  Series Whole;
+Series simulateSeeds(const Scenario &Setup, const Policy &SelectedPolicy) {
+  Series Sum;
   for (std::uint64_t Seed = 1; Seed <= Seeds; ++Seed) {
-    const SimulationResult Result = simulate(Played, Seed, By);
-    Whole.Worth += Result.Total.worth() / Seeds;
-    Whole.WorstAccounts += Result.worstAccountsWorth() / Seeds;
-    Whole.Read += Result.Engines.PrefilledTokens;
-    Whole.OnTime += Result.Total.OnTime;
+    const SimulationResult Result = simulate(Setup, Seed, SelectedPolicy);
+    Sum.Worth += Result.Total.worth() / Seeds;
+    Sum.WorstAccounts += Result.worstAccountsWorth() / Seeds;
+    Sum.PrefilledTokens += Result.Engines.PrefilledTokens;
+    Sum.OnTime += Result.Total.OnTime;
   }
-  return Whole;
+  return Sum;
 }
 
 } // namespace
 
-// Symptom: of a deployment a little above its capacity more callers are refused
-// or late than need be. Sequence: a few long prompts of an account wait for
-// engines with room, its short ones behind them until their time is over.
-// Cause: an account's queue was in order of arrival.
-Test(AllocationLoad, theSmallestOfAnAccountFirstServesMoreCallers) {
+// With a load slightly above capacity, more callers than necessary are refused
+// or late if an account's queue is in order of arrival: a few long prompts wait
+// for engines with free capacity, and the short prompts after them time out.
+Test(AllocationLoad, smallestFirstServesMoreCallers) {
   AllocatorOptions InOrder;
   InOrder.SmallestFirst = false;
   for (const char *Name : {"overloaded-reviews", "flood"}) {
-    const Scenario Played = scenario(Name);
-    const Series With = playAll(Played, AllocatorPolicy{});
-    const Series Without = playAll(Played, AllocatorPolicy{InOrder});
+    const Scenario Setup = scenario(Name);
+    const Series With = simulateSeeds(Setup, AllocatorPolicy{});
+    const Series Without = simulateSeeds(Setup, AllocatorPolicy{InOrder});
     cr_expect_gt(With.Worth, Without.Worth + 0.02, "%s: %f, %f", Name,
                  With.Worth, Without.Worth);
     cr_expect_gt(With.OnTime, Without.OnTime);
@@ -58,115 +58,118 @@
   }
 }
 
-// The price of the order: the largest are served less often, and no kind's
-// largest less than half as often as the kind.
-Test(AllocationLoad, theLargestOfAKindAreNotStarved) {
-  const Scenario Played = scenario("overloaded-reviews");
+// The cost of serving the smallest requests first: the largest requests are
+// served less often, but at least half as often as their class as a whole.
+Test(AllocationLoad, largestOfAClassAreNotStarved) {
+  const Scenario Setup = scenario("overloaded-reviews");
   for (std::uint64_t Seed = 1; Seed <= Seeds; ++Seed) {
-    const SimulationResult Result = simulate(Played, Seed, AllocatorPolicy{});
-    for (const auto &[Name, Kind] : Result.ByClass) {
-      const Outcomes &Large = Result.LargestByClass.at(Name);
-      const auto Served = [](const Outcomes &Had) {
-        return static_cast<double>(Had.OnTime + Had.Late) / Had.Calls;
+    const SimulationResult Result = simulate(Setup, Seed, AllocatorPolicy{});
+    for (const auto &[Name, Class] : Result.ByClass) {
+      const Outcomes &Largest = Result.LargestByClass.at(Name);
+      const auto Served = [](const Outcomes &Outcome) {
+        return static_cast<double>(Outcome.OnTime + Outcome.Late) /
+               Outcome.Calls;
       };
-      cr_expect_gt(Served(Large), Served(Kind) / 2, "%s, seed %lu: %f, %f",
-                   Name.c_str(), Seed, Served(Large), Served(Kind));
+      cr_expect_gt(Served(Largest), Served(Class) / 2, "%s, seed %lu: %f, %f",
+                   Name.c_str(), Seed, Served(Largest), Served(Class));
     }
   }
 }
 
-// Symptom: engines read what other engines keep, and callers are refused
-// meanwhile. Cause: kept parts were not moved.
-Test(AllocationLoad, fetchingKeptPartsServesMoreCallers) {
+// Without fetching, engines prefill parts that other engines have cached, and
+// callers are refused in the meantime.
+Test(AllocationLoad, fetchingCachedPartsServesMoreCallers) {
   AllocatorOptions NoFetch;
   NoFetch.FetchCached = false;
-  const Scenario Played = scenario("overloaded-reviews");
-  const Series With = playAll(Played, AllocatorPolicy{});
-  const Series Without = playAll(Played, AllocatorPolicy{NoFetch});
+  const Scenario Setup = scenario("overloaded-reviews");
+  const Series With = simulateSeeds(Setup, AllocatorPolicy{});
+  const Series Without = simulateSeeds(Setup, AllocatorPolicy{NoFetch});
   cr_expect_gt(With.Worth, Without.Worth + 0.03, "%f, %f", With.Worth,
                Without.Worth);
   cr_expect_gt(With.OnTime, Without.OnTime);
 }
 
-// Symptom: prompts wait while engines with free slots read nothing. Cause: the
-// slots that streams take at an engine did not count where prompts go.
-Test(AllocationLoad, promptsGoWhereSlotsAreLeft) {
+// Prompts wait while engines with free slots have nothing to prefill, if
+// placement ignores the slots that streams occupy.
+Test(AllocationLoad, promptsGoToEnginesWithFreeSlots) {
   AllocatorOptions Without;
   Without.Weights.OccupiedSlots = 0;
   for (const char *Name : {"overloaded-reviews", "flood"}) {
-    const Scenario Played = scenario(Name);
-    cr_expect_gt(playAll(Played, AllocatorPolicy{}).Worth,
-                 playAll(Played, AllocatorPolicy{Without}).Worth + 0.02);
+    const Scenario Setup = scenario(Name);
+    cr_expect_gt(simulateSeeds(Setup, AllocatorPolicy{}).Worth,
+                 simulateSeeds(Setup, AllocatorPolicy{Without}).Worth + 0.02);
   }
 }
 
-// Symptom: half of the refused callers of a flood hear so only after 0.5 s,
-// when their objective is over, and come back too late. Sequence: one account
-// asks for sixty times its usual. Cause: its requests waited until they could
-// not be on time. Told on arrival, most hear within milliseconds, and callers
-// as a whole get no less: worth 0.655 to 0.663 and the worst accounts 0.269 to
-// 0.290 over six seeds.
-Test(AllocationLoad, whatIsInVainIsToldOnArrival) {
+// When one account sends sixty times its usual rate, half of its refused
+// callers are refused only after 0.5 s, after their objective, and retry too
+// late, because their requests wait until they can no longer be on time.
+// Refused on arrival, most learn of it within milliseconds, and callers as a
+// whole lose nothing.
+Test(AllocationLoad, likelyTimeoutsAreRefusedOnArrival) {
   AllocatorOptions Without;
   Without.RefuseLikelyTimeouts = false;
-  const Scenario Played = scenario("flood");
+  const Scenario Setup = scenario("flood");
   for (std::uint64_t Seed = 1; Seed <= Seeds; ++Seed) {
-    const SimulationResult Told = simulate(Played, Seed, AllocatorPolicy{});
-    const SimulationResult Held =
-        simulate(Played, Seed, AllocatorPolicy{Without});
-    cr_expect_lt(Told.refusalTimeQuantile(0.5), 20);
-    cr_expect_gt(Held.refusalTimeQuantile(0.5), 300);
+    const SimulationResult Refusing = simulate(Setup, Seed, AllocatorPolicy{});
+    const SimulationResult Waiting =
+        simulate(Setup, Seed, AllocatorPolicy{Without});
+    cr_expect_lt(Refusing.refusalTimeQuantile(0.5), 20);
+    cr_expect_gt(Waiting.refusalTimeQuantile(0.5), 300);
   }
-  // The interval of the difference over twelve seeds.
+  // The uncertainty of the difference, measured with twelve seeds.
   constexpr double Noise = 0.007;
-  cr_expect_gt(playAll(Played, AllocatorPolicy{}).Worth,
-               playAll(Played, AllocatorPolicy{Without}).Worth - Noise);
-  const Scenario Heavy = scenario("overloaded-reviews");
-  cr_expect_gt(playAll(Heavy, AllocatorPolicy{}).Worth,
-               playAll(Heavy, AllocatorPolicy{Without}).Worth - Noise);
+  cr_expect_gt(simulateSeeds(Setup, AllocatorPolicy{}).Worth,
+               simulateSeeds(Setup, AllocatorPolicy{Without}).Worth - Noise);
+  const Scenario OverloadedSetup = scenario("overloaded-reviews");
+  cr_expect_gt(simulateSeeds(OverloadedSetup, AllocatorPolicy{}).Worth,
+               simulateSeeds(OverloadedSetup, AllocatorPolicy{Without}).Worth -
+                   Noise);
 }
 
-// Nobody's deployment, with slow engines, little memory and links over which
-// fetching gains nothing: nothing is fetched, and nearly all are served.
-Test(AllocationLoad, slowLinksAreLeftAlone) {
-  const Scenario Played = scenario("slow-links");
+// A deployment that differs from all known ones: slow engines, little memory,
+// and links over which fetching gains nothing. Nothing is fetched, and nearly
+// all calls are served.
+Test(AllocationLoad, nothingIsFetchedOverSlowLinks) {
+  const Scenario Setup = scenario("slow-links");
   for (std::uint64_t Seed = 1; Seed <= Seeds; ++Seed) {
-    const SimulationResult Result = simulate(Played, Seed, AllocatorPolicy{});
+    const SimulationResult Result = simulate(Setup, Seed, AllocatorPolicy{});
     cr_expect_eq(Result.Engines.FetchedTokens, 0U);
     cr_expect_gt(Result.Total.worth(), 0.95);
   }
 }
 
-Test(AllocationLoad, aSeedPlaysTheSameEveryTime) {
-  const Scenario Played = scenario("flood");
-  const SimulationResult One = simulate(Played, 3, AllocatorPolicy{});
-  const SimulationResult Other = simulate(Played, 3, AllocatorPolicy{});
-  cr_expect_eq(One.Total.OnTime, Other.Total.OnTime);
-  cr_expect_eq(One.Engines.PrefilledTokens, Other.Engines.PrefilledTokens);
-  cr_expect_eq(One.FirstTokens, Other.FirstTokens);
+Test(AllocationLoad, simulationIsDeterministic) {
+  const Scenario Setup = scenario("flood");
+  const SimulationResult First = simulate(Setup, 3, AllocatorPolicy{});
+  const SimulationResult Second = simulate(Setup, 3, AllocatorPolicy{});
+  cr_expect_eq(First.Total.OnTime, Second.Total.OnTime);
+  cr_expect_eq(First.Engines.PrefilledTokens, Second.Engines.PrefilledTokens);
+  cr_expect_eq(First.FirstTokens, Second.FirstTokens);
 }
 
-Test(ScenarioReader, namesWhatIsWrong) {
+Test(ScenarioReader, errorsContainTheInvalidKey) {
   const std::string Path = "/tmp/parsleywing-scenario-test.ini";
-  const std::string Good = "[scenario]\nengines = 1\nlength-s = 1\n"
-                           "stated-tokens-per-second = 1\n[class-a]\n"
-                           "per-second = 1\nown-tokens = 1\n"
-                           "output-tokens = 1\nobjective-ms = 1\n"
-                           "time-limit-ms = 1\n";
-  const auto Problem = [&Path](const std::string &Text) {
+  const std::string ValidText = "[scenario]\nengines = 1\nlength-s = 1\n"
+                                "stated-tokens-per-second = 1\n[class-a]\n"
+                                "per-second = 1\nown-tokens = 1\n"
+                                "output-tokens = 1\nobjective-ms = 1\n"
+                                "time-limit-ms = 1\n";
+  const auto ErrorMessage = [&Path](const std::string &Text) {
     std::ofstream(Path) << Text;
-    const auto Read = readScenario(Path);
-    return Read ? std::string() : Read.error().Message;
+    const auto Loaded = readScenario(Path);
+    return Loaded ? std::string() : Loaded.error().Message;
   };
-  cr_expect_str_empty(Problem(Good).c_str());
-  const auto Names = [&](const std::string &Text, const char *What) {
-    cr_expect_neq(Problem(Text).find(What), std::string::npos, "%s",
-                  Problem(Text).c_str());
+  cr_expect_str_empty(ErrorMessage(ValidText).c_str());
+  const auto ExpectMention = [&](const std::string &Text,
+                                 const char *Expected) {
+    cr_expect_neq(ErrorMessage(Text).find(Expected), std::string::npos, "%s",
+                  ErrorMessage(Text).c_str());
   };
-  Names(Good + "shared = 5\n", "TOKENSxTHINGS");
-  Names(Good + "own-tokns = 5\n", "own-tokns");
-  Names(Good + "[flood-x]\naccount = 1\n", "from-s");
-  Names(Good + "[engine]\nslots = many\n", "engine.slots");
-  Names(Good + "[elsewhere]\nx = 1\n", "elsewhere");
+  ExpectMention(ValidText + "shared = 5\n", "TOKENSxTHINGS");
+  ExpectMention(ValidText + "own-tokns = 5\n", "own-tokns");
+  ExpectMention(ValidText + "[flood-x]\naccount = 1\n", "from-s");
+  ExpectMention(ValidText + "[engine]\nslots = many\n", "engine.slots");
+  ExpectMention(ValidText + "[elsewhere]\nx = 1\n", "elsewhere");
   cr_expect_not(readScenario("/tmp/no such file.ini").has_value());
 }
