--- a/test/FreeAddress.h
+++ b/test/FreeAddress.h
@@ -17,32 +17,33 @@
 
 namespace internal {
 
-/// Ports of tests lie below the range from which the system takes the ports of
+/// Test ports are below the range of ephemeral ports that the system uses for
 /// outgoing connections.
 constexpr std::uint32_t FirstPort = 10'000;
 constexpr std::uint32_t PortBlocks = 220;
 constexpr std::uint32_t PortBlockSize = 100;
 
-/// Keeps the block's first port bound until the process ends, so that no other
-/// process gets the block. Says whether it could.
+/// Claims a block by binding its first port until the process ends, so that no
+/// other process can claim it. Returns whether it succeeded.
 inline bool claimPortBlock(std::uint32_t Block) {
-  const int Claim = ::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
+  const int Descriptor = ::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
   ::sockaddr_in Address{};
   Address.sin_family = AF_INET;
   Address.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
   Address.sin_port =
       htons(static_cast<std::uint16_t>(FirstPort + Block * PortBlockSize));
-  if (::bind(Claim, reinterpret_cast<const ::sockaddr *>(&Address),
+  if (::bind(Descriptor, reinterpret_cast<const ::sockaddr *>(&Address),
              sizeof(Address)) == 0)
     return true;
-  ::close(Claim);
+  ::close(Descriptor);
   return false;
 }
 
-/// The first block from the wanted one on that nobody holds.
-inline std::optional<std::uint32_t> claimPortBlockFrom(std::uint32_t Wanted) {
+/// Claims the first unclaimed block, starting at `FirstBlock`.
+inline std::optional<std::uint32_t>
+claimPortBlockFrom(std::uint32_t FirstBlock) {
   for (std::uint32_t Step = 0; Step < PortBlocks; ++Step) {
-    const std::uint32_t Block = (Wanted + Step) % PortBlocks;
+    const std::uint32_t Block = (FirstBlock + Step) % PortBlocks;
     if (claimPortBlock(Block))
       return Block;
   }
@@ -51,26 +52,26 @@
 
 } // namespace internal
 
-/// An address on loopback that nobody listened on a moment ago, and that no
-/// other test at work is given. Tests run in several processes at once: had
-/// each asked the system for any free port, two could get the same one, since
-/// it is given back before its server starts, and two fleets would share one
-/// store. So each process claims blocks of ports for its own.
+/// Returns a loopback address that is not in use and that no other running test
+/// gets. Tests run in several processes concurrently. If each asked the system
+/// for a free port, two could get the same one, because the port is released
+/// before the test's server binds it, and two fleets would share one store. So
+/// each process claims blocks of ports for itself.
 inline std::string freeLoopbackAddress() {
   constexpr std::size_t MaxBlocks = 4;
   static std::vector<std::uint32_t> Blocks;
   static ::pid_t Owner = 0;
   static std::uint32_t Next = 0;
   constexpr std::uint32_t PerBlock = internal::PortBlockSize - 1;
-  // A child without a program of its own takes no ports of its parent.
+  // A forked child does not use the blocks of its parent.
   if (Owner != ::getpid()) {
     Owner = ::getpid();
     Blocks.clear();
     Next = 0;
   }
   while (true) {
-    const std::uint32_t Turn = Next++ % (MaxBlocks * PerBlock);
-    const std::uint32_t Index = Turn / PerBlock;
+    const std::uint32_t Slot = Next++ % (MaxBlocks * PerBlock);
+    const std::uint32_t Index = Slot / PerBlock;
     if (Index >= Blocks.size()) {
       const auto Claimed = internal::claimPortBlockFrom(
           static_cast<std::uint32_t>(Owner) % internal::PortBlocks);
@@ -80,7 +81,7 @@
     }
     const std::uint32_t Port = internal::FirstPort +
                                Blocks[Index] * internal::PortBlockSize + 1 +
-                               Turn % PerBlock;
+                               Slot % PerBlock;
     const Poco::Net::SocketAddress Address("127.0.0.1",
                                            static_cast<std::uint16_t>(Port));
     try {
@@ -88,7 +89,7 @@
       Probe.bind(Address, true, false);
       return Address.toString();
     } catch (const Poco::Exception &) {
-      continue; // Somebody listens there.
+      continue; // The port is in use.
     }
   }
 }
