--- a/src/Runtime/Clock.cpp
+++ b/src/Runtime/Clock.cpp
@@ -45,7 +45,7 @@
 
 std::string secondsText(Duration Time) {
   // Integer arithmetic only: formatting a floating-point number takes about
-  // 2 microseconds, half of the 4 microseconds budgeted for a log line.
+  // 2 microseconds, and the log line of a request contains four durations.
   constexpr Duration::rep PerSecond = 1000;
   constexpr std::size_t Decimals = 3;
   const auto Milliseconds =
