--- a/src/Decision/Fairness/FairScheduler.cpp
+++ b/src/Decision/Fairness/FairScheduler.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-/// Weight of one ended request in the learnt means.
+/// Weight of one ended request in the moving averages.
 constexpr double LearningRate = 0.05;
 
 } // namespace
@@ -16,20 +16,21 @@
 FairScheduler::FairScheduler(FairnessSettings S)
     : Settings(S), Random(S.Seed), Home(S.HomeTakeover),
       Digests(S.DigestLifetime), Outgoing(S.FlushInterval) {
-  // Routers that begin together would otherwise all tell the same peers.
+  // A random start, so that routers that start together do not all send to the
+  // same peers.
   this->DigestCursor = this->Random() >> 32;
 }
 
 FairnessActions FairScheduler::handle(TimePoint At,
                                       const FairnessEvent &Event) {
   this->Now = At;
-  if (!this->Started)
-    this->Started = At;
+  if (!this->StartedAt)
+    this->StartedAt = At;
   std::visit([this](const auto &E) { this->on(E); }, Event);
-  this->settleAll();
+  this->scheduleDirty();
   if (this->Outgoing.anyUrgent())
     this->flush();
-  return std::exchange(this->Pending, {});
+  return std::exchange(this->PendingActions, {});
 }
 
 bool FairScheduler::shared() const {
@@ -39,19 +40,19 @@
 void FairScheduler::on(const RequestQueued &Event) {
   const PairId Pair = pairOf(Event.Account, Event.Service);
   ServiceState &Service = this->Services[Event.Service];
-  LedgerEntry &Position = this->Ledger.open(Event.Account, Event.Service,
-                                            this->shareOf(Event.Account));
-  if (Position.RequestsInFlight == 0 && !Service.Queue.waits(Pair))
+  LedgerEntry &Entry = this->Ledger.open(Event.Account, Event.Service,
+                                         this->shareOf(Event.Account));
+  if (Entry.RequestsInFlight == 0 && !Service.Queue.waits(Pair))
     this->reenter(Pair, Service);
   PARSLEYWING_INVARIANT(!this->Running.contains(Event.Request),
                         "a request is queued before it runs");
   this->WaitingRequests[Event.Request] = Pair;
   if (Event.Avoid != ServerId{})
-    this->Avoided[Event.Request] = Event.Avoid;
+    this->AvoidedServers[Event.Request] = Event.Avoid;
   Service.Queue.push(
       Pair, {Event.Request, static_cast<double>(Event.EstimatedTokens)},
-      Position.virtualTime(), this->isCapped(Position));
-  this->Dirty.insert(Event.Service);
+      Entry.virtualTime(), this->isCapped(Entry));
+  this->DirtyServices.insert(Event.Service);
 }
 
 void FairScheduler::on(const RequestWithdrawn &Event) {
@@ -61,15 +62,16 @@
   const ServiceId Service = this->Ledger.at(Found->second).Service;
   this->Services[Service].Queue.withdraw(Found->second, Event.Request);
   this->WaitingRequests.erase(Found);
-  this->Avoided.erase(Event.Request);
-  this->Dirty.insert(Service);
+  this->AvoidedServers.erase(Event.Request);
+  this->DirtyServices.insert(Service);
 }
 
 void FairScheduler::on(const RequestCharged &Event) {
   const auto Found = this->Running.find(Event.Request);
   if (Found == this->Running.end())
     return;
-  // While it runs the estimate stands; only what goes beyond it is charged.
+  // While the request runs, the estimate remains charged; only tokens beyond it
+  // are charged additionally.
   const auto Tokens = static_cast<double>(Event.Tokens);
   if (Tokens > Found->second.Charged)
     this->charge(Found->second, Tokens);
@@ -83,13 +85,13 @@
   this->Running.erase(Found);
   this->charge(Request, static_cast<double>(Event.Tokens));
   this->learnCost(Request);
-  LedgerEntry &Position = this->Ledger.at(Request.Pair);
-  Position.InFlight = std::max(0.0, Position.InFlight - Request.Charged);
-  --Position.RequestsInFlight;
+  LedgerEntry &Entry = this->Ledger.at(Request.Pair);
+  Entry.InFlight = std::max(0.0, Entry.InFlight - Request.Charged);
+  --Entry.RequestsInFlight;
   this->reposition(Request.Pair);
   --this->Services[Request.Service].Running;
   this->Slots.release(this->Now, Request.Server);
-  this->afterRelease(Request.Server, Request.Service);
+  this->onSlotReleased(Request.Server, Request.Service);
 }
 
 void FairScheduler::on(const LoadReported &Event) {
@@ -116,22 +118,23 @@
 }
 
 void FairScheduler::on(const ViewChanged &Event) {
-  const View Before = std::exchange(this->Current, Event.Current);
-  this->Homes.clear();
-  this->Digests.dropGone(this->Current);
-  this->Outgoing.dropGone(this->Current);
-  this->Owner.dropGone(this->Current);
+  const View PreviousView = std::exchange(this->CurrentView, Event.Current);
+  this->HomeCache.clear();
+  this->Digests.dropGone(this->CurrentView);
+  this->Outgoing.dropGone(this->CurrentView);
+  this->Owner.dropGone(this->CurrentView);
   this->updateOwnership();
-  this->Home.keepOnly(
-      [this](PairId Pair) { return this->homeOf(Pair) == this->Current.Self; });
-  this->greet(Before);
+  this->Home.keepOnly([this](PairId Pair) {
+    return this->homeOf(Pair) == this->CurrentView.Self;
+  });
+  this->sendDigestsToNew(PreviousView);
 }
 
 void FairScheduler::on(const Tick &) {
   if (!this->shared())
     return;
-  if (this->OwnershipOpens && this->Now >= *this->OwnershipOpens) {
-    this->OwnershipOpens.reset();
+  if (this->GrantsStartAt && this->Now >= *this->GrantsStartAt) {
+    this->GrantsStartAt.reset();
     for (ServerId Server : this->Owner.servers())
       this->refreshServer(Server);
   }
@@ -143,7 +146,7 @@
     this->sendContributions();
   if (this->Now >= this->NextResend)
     this->resend();
-  this->settleAll();
+  this->scheduleDirty();
   this->flush();
 }
 
@@ -154,15 +157,15 @@
              : std::max(1U, Found->second.Share);
 }
 
-bool FairScheduler::isCapped(const LedgerEntry &Position) const {
-  return Position.RequestsInFlight > 0 &&
-         Position.InFlight >= this->Settings.InFlightCap * Position.Share;
+bool FairScheduler::isCapped(const LedgerEntry &Entry) const {
+  return Entry.RequestsInFlight > 0 &&
+         Entry.InFlight >= this->Settings.InFlightCap * Entry.Share;
 }
 
 void FairScheduler::reposition(PairId Pair) {
-  const LedgerEntry &Position = this->Ledger.at(Pair);
-  this->Services[Position.Service].Queue.reposition(
-      Pair, Position.virtualTime(), this->isCapped(Position));
+  const LedgerEntry &Entry = this->Ledger.at(Pair);
+  this->Services[Entry.Service].Queue.reposition(Pair, Entry.virtualTime(),
+                                                 this->isCapped(Entry));
 }
 
 void FairScheduler::charge(RunningRequest &Request, double Tokens) {
@@ -174,31 +177,32 @@
 }
 
 void FairScheduler::reenter(PairId Pair, ServiceState &Service) {
-  LedgerEntry &Position = this->Ledger.at(Pair);
-  const bool Fresh = Position.Confirmed &&
-                     this->Now <= Position.ConfirmedAt +
-                                      this->Settings.ContributionInterval +
-                                      this->ContributionCycle;
+  LedgerEntry &Entry = this->Ledger.at(Pair);
+  const bool Fresh =
+      Entry.Confirmed && this->Now <= Entry.ConfirmedAt +
+                                          this->Settings.ContributionInterval +
+                                          this->ContributionCycle;
   if (!this->shared()) {
-    Position.Confirmed = true;
+    Entry.Confirmed = true;
   } else if (!Fresh) {
-    // Others may have charged the account meanwhile. A lift computed from the
-    // old total would stay on top of what they charged.
+    // Other routers may have charged the account in the meantime. An increase
+    // of the virtual time computed from the old total would come on top of
+    // their charges.
     this->Ledger.markUnconfirmed(Pair);
     this->contribute(Pair, true);
   }
-  this->Ledger.reenter(Pair, this->virtualTime(Position.Service, Service),
+  this->Ledger.reenter(Pair, this->virtualTime(Entry.Service, Service),
                        this->Settings.MaxDebt);
 }
 
 double FairScheduler::virtualTime(ServiceId Id,
                                   const ServiceState &Service) const {
-  const std::optional<double> Own = Service.Queue.lowestTag();
-  const std::optional<double> Known = this->Digests.lowest(Id);
-  if (Own && Known)
-    return std::min(*Own, *Known);
-  if (Own || Known)
-    return Own ? *Own : *Known;
+  const std::optional<double> OwnTag = Service.Queue.lowestTag();
+  const std::optional<double> OtherTag = this->Digests.lowest(Id);
+  if (OwnTag && OtherTag)
+    return std::min(*OwnTag, *OtherTag);
+  if (OwnTag || OtherTag)
+    return OwnTag ? *OwnTag : *OtherTag;
   return std::max(Service.VirtualTime, this->Digests.idleTime(Id));
 }
 
@@ -212,47 +216,48 @@
 
 void FairScheduler::learnCost(const RunningRequest &Request) {
   ServiceState &Service = this->Services[Request.Service];
-  const auto Learn = [](double &Mean, double Value) {
+  const auto UpdateMean = [](double &Mean, double Value) {
     Mean = Mean > 0 ? Mean + (Value - Mean) * LearningRate : Value;
   };
-  Learn(Service.MeanCost, Request.Charged);
-  Learn(Service.MeanStep,
-        Request.Charged / this->Ledger.at(Request.Pair).Share);
+  UpdateMean(Service.MeanCost, Request.Charged);
+  UpdateMean(Service.MeanStep,
+             Request.Charged / this->Ledger.at(Request.Pair).Share);
 }
 
 void FairScheduler::admit(ServiceId Id, ServiceState &Service) {
   while (!Service.Queue.empty() && !Service.Free.empty())
     this->admitOne(Service);
-  this->noteWaiting(Id, Service);
+  this->updateBurst(Id, Service);
 }
 
 void FairScheduler::admitOne(ServiceState &Service) {
   const PairId Pair = *Service.Queue.next();
-  LedgerEntry &Position = this->Ledger.at(Pair);
-  Service.VirtualTime = std::max(Service.VirtualTime, Position.virtualTime());
+  LedgerEntry &Entry = this->Ledger.at(Pair);
+  Service.VirtualTime = std::max(Service.VirtualTime, Entry.virtualTime());
   const FairQueue::QueuedRequest First = Service.Queue.pop(Pair);
   const ServerId Server = this->serverFor(Service, First.Request);
   PARSLEYWING_INVARIANT(this->Servers.at(Server).usable(),
-                        "only a usable server gets work");
+                        "requests are admitted to usable servers only");
   this->WaitingRequests.erase(First.Request);
   auto [Found, New] = this->Running.try_emplace(
-      First.Request, RunningRequest{Pair, Position.Service, Server, 0});
+      First.Request, RunningRequest{Pair, Entry.Service, Server, 0});
   PARSLEYWING_INVARIANT(New, "a request is admitted once");
-  ++Position.RequestsInFlight;
+  ++Entry.RequestsInFlight;
   ++Service.Running;
   this->charge(Found->second, this->estimateOf(Service, First.Cost));
   this->Slots.use(this->Now, Server);
   this->refreshServer(Server);
-  ++this->Counted.Admitted;
-  this->Pending.emplace_back(AdmitRequest{First.Request, Server});
+  ++this->Counters.Admitted;
+  this->PendingActions.emplace_back(AdmitRequest{First.Request, Server});
 }
 
-/// The server with the most free slots, or the next one where the request
-/// failed there last. A hint: no slot stays idle because of it.
+/// Returns the server with the most free slots, or the next one if the request
+/// last failed there. This is a preference only: no slot remains idle because
+/// of it.
 ServerId FairScheduler::serverFor(const ServiceState &Service,
                                   RequestId Request) {
   const ServerId First = Service.Free.begin()->second;
-  const auto Avoid = this->Avoided.extract(Request);
+  const auto Avoid = this->AvoidedServers.extract(Request);
   if (Avoid.empty() || Avoid.mapped() != First || Service.Free.size() == 1)
     return First;
   return std::next(Service.Free.begin())->second;
@@ -263,19 +268,19 @@
   const std::optional<RequestId> Next = Service.Queue.nextRequest();
   if (!Next)
     return false;
-  const auto Found = this->Avoided.find(*Next);
-  return Found != this->Avoided.end() && Found->second == Server;
+  const auto Found = this->AvoidedServers.find(*Next);
+  return Found != this->AvoidedServers.end() && Found->second == Server;
 }
 
-void FairScheduler::settleAll() {
-  while (!this->Dirty.empty()) {
-    const ServiceId Id = *this->Dirty.begin();
-    this->Dirty.erase(this->Dirty.begin());
-    this->settle(Id);
+void FairScheduler::scheduleDirty() {
+  while (!this->DirtyServices.empty()) {
+    const ServiceId Id = *this->DirtyServices.begin();
+    this->DirtyServices.erase(this->DirtyServices.begin());
+    this->scheduleService(Id);
   }
 }
 
-void FairScheduler::settle(ServiceId Id) {
+void FairScheduler::scheduleService(ServiceId Id) {
   ServiceState &Service = this->Services[Id];
   this->admit(Id, Service);
   if (this->shared()) {
@@ -283,7 +288,7 @@
     this->returnIdleSlots(Id, Service);
     this->distribute(Id, Service);
   }
-  this->noteWaiting(Id, Service);
+  this->updateBurst(Id, Service);
   if (this->shared())
     this->sendStarvedDigest(Id, Service);
   this->checkInvariants(Id);
@@ -291,58 +296,59 @@
 
 void FairScheduler::checkInvariants(ServiceId Id) const {
   const ServiceState &Service = this->Services.at(Id);
-  PARSLEYWING_INVARIANT(Service.Queue.empty() || Service.Free.empty(),
-                        "no slot here is idle while work that it fits waits");
+  PARSLEYWING_INVARIANT(
+      Service.Queue.empty() || Service.Free.empty(),
+      "no slot is idle while a request that can use it is queued");
 }
 
 Poco::JSON::Object::Ptr FairScheduler::dump() const {
-  Poco::JSON::Object::Ptr Whole = new Poco::JSON::Object;
-  Poco::JSON::Array::Ptr Positions = new Poco::JSON::Array;
-  for (const auto &[Pair, Position] : this->Ledger.all()) {
-    Poco::JSON::Object::Ptr One = new Poco::JSON::Object;
-    One->set("account", Position.Account.Value);
-    One->set("service", Position.Service.Value);
-    One->set("position", Position.virtualTime());
-    One->set("own-tokens", Position.Own);
-    One->set("others-tokens", Position.Others);
-    One->set("in-flight", Position.RequestsInFlight);
-    Positions->add(One);
+  Poco::JSON::Object::Ptr Dump = new Poco::JSON::Object;
+  Poco::JSON::Array::Ptr Accounts = new Poco::JSON::Array;
+  for (const auto &[Pair, Entry] : this->Ledger.all()) {
+    Poco::JSON::Object::Ptr Item = new Poco::JSON::Object;
+    Item->set("account", Entry.Account.Value);
+    Item->set("service", Entry.Service.Value);
+    Item->set("position", Entry.virtualTime());
+    Item->set("own-tokens", Entry.Own);
+    Item->set("others-tokens", Entry.Others);
+    Item->set("in-flight", Entry.RequestsInFlight);
+    Accounts->add(Item);
   }
   Poco::JSON::Array::Ptr Queues = new Poco::JSON::Array;
   for (const auto &[Id, Service] : this->Services) {
-    Poco::JSON::Object::Ptr One = new Poco::JSON::Object;
-    One->set("service", Id.Value);
-    One->set("waiting", Service.Queue.size());
-    One->set("lowest-tag", Service.Queue.lowestTag().value_or(0));
-    One->set("virtual-time", Service.VirtualTime);
-    Queues->add(One);
+    Poco::JSON::Object::Ptr Item = new Poco::JSON::Object;
+    Item->set("service", Id.Value);
+    Item->set("waiting", Service.Queue.size());
+    Item->set("lowest-tag", Service.Queue.lowestTag().value_or(0));
+    Item->set("virtual-time", Service.VirtualTime);
+    Queues->add(Item);
   }
-  Poco::JSON::Array::Ptr Held = new Poco::JSON::Array;
+  Poco::JSON::Array::Ptr HeldSlots = new Poco::JSON::Array;
   for (const auto &[Server, Lease] : this->Slots.all()) {
-    Poco::JSON::Object::Ptr One = new Poco::JSON::Object;
-    One->set("server", Server.Value);
-    One->set("owner", Lease.Owner.Value);
-    One->set("held", Lease.held());
-    One->set("in-use", Lease.InUse);
-    Held->add(One);
+    Poco::JSON::Object::Ptr Item = new Poco::JSON::Object;
+    Item->set("server", Server.Value);
+    Item->set("owner", Lease.Owner.Value);
+    Item->set("held", Lease.held());
+    Item->set("in-use", Lease.InUse);
+    HeldSlots->add(Item);
   }
   Poco::JSON::Array::Ptr Owned = new Poco::JSON::Array;
   for (ServerId Server : this->Owner.servers()) {
-    Poco::JSON::Object::Ptr One = new Poco::JSON::Object;
-    One->set("server", Server.Value);
-    One->set("slots-out", this->Owner.outAt(Server));
-    Owned->add(One);
+    Poco::JSON::Object::Ptr Item = new Poco::JSON::Object;
+    Item->set("server", Server.Value);
+    Item->set("slots-out", this->Owner.outAt(Server));
+    Owned->add(Item);
   }
-  Whole->set("policy", this->shared() ? "shared" : "local-only");
-  Whole->set("positions", Positions);
-  Whole->set("queues", Queues);
-  Whole->set("slots", Held);
-  Whole->set("owned-servers", Owned);
-  Whole->set("messages-sent", this->Counted.MessagesSent);
-  Whole->set("bytes-sent", this->Counted.BytesSent);
-  Whole->set("slots-granted", this->Counted.SlotsGranted);
-  Whole->set("slots-returned", this->Counted.SlotsReturned);
-  return Whole;
+  Dump->set("policy", this->shared() ? "shared" : "local-only");
+  Dump->set("positions", Accounts);
+  Dump->set("queues", Queues);
+  Dump->set("slots", HeldSlots);
+  Dump->set("owned-servers", Owned);
+  Dump->set("messages-sent", this->Counters.MessagesSent);
+  Dump->set("bytes-sent", this->Counters.BytesSent);
+  Dump->set("slots-granted", this->Counters.SlotsGranted);
+  Dump->set("slots-returned", this->Counters.SlotsReturned);
+  return Dump;
 }
 
 } // namespace parsleywing
--- a/src/Decision/Fairness/SchedulerExchange.cpp
+++ b/src/Decision/Fairness/SchedulerExchange.cpp
@@ -1,4 +1,4 @@
-// The part of FairScheduler that talks with other routers.
+// The part of FairScheduler that exchanges messages with other routers.
 #include "Decision/Fairness/FairScheduler.h"
 
 #include "Runtime/Invariant.h"
@@ -10,51 +10,52 @@
 
 namespace {
 
-/// Distinguish the routers that greet a newcomer.
-constexpr std::array<std::uint64_t, 3> GreetingKeys{
+/// Each key selects one router that sends its digests to a new router.
+constexpr std::array<std::uint64_t, 3> NewRouterKeys{
     0x9e3779b97f4a7c15, 0xbf58476d1ce4e5b9, 0x94d049bb133111eb};
 
-/// Messages a tick that one beginning of waiting may cause.
-constexpr std::size_t BurstPerTick = 8;
+/// Digests per tick and service that a change between queued requests and none
+/// may cause.
+constexpr std::size_t MaxBurstPerTick = 8;
 
-std::uint32_t lowHalf(Incarnation Life) {
-  return static_cast<std::uint32_t>(Life);
+std::uint32_t lowHalf(Incarnation IncarnationNumber) {
+  return static_cast<std::uint32_t>(IncarnationNumber);
 }
 
 } // namespace
 
 const Member *FairScheduler::memberOf(RouterId Router) const {
   const auto Found = std::lower_bound(
-      this->Current.Members.begin(), this->Current.Members.end(), Router,
-      [](const Member &M, RouterId Wanted) { return M.Router < Wanted; });
-  return Found == this->Current.Members.end() || Found->Router != Router
+      this->CurrentView.Members.begin(), this->CurrentView.Members.end(),
+      Router, [](const Member &M, RouterId Key) { return M.Router < Key; });
+  return Found == this->CurrentView.Members.end() || Found->Router != Router
              ? nullptr
              : &*Found;
 }
 
 Incarnation FairScheduler::ownIncarnation() const {
-  const Member *Self = this->memberOf(this->Current.Self);
+  const Member *Self = this->memberOf(this->CurrentView.Self);
   return Self == nullptr ? 0 : Self->IncarnationNumber;
 }
 
 std::vector<RouterId> FairScheduler::peers() const {
   std::vector<RouterId> All;
-  for (const Member &M : this->Current.Members)
-    if (M.Router != this->Current.Self)
+  for (const Member &M : this->CurrentView.Members)
+    if (M.Router != this->CurrentView.Self)
       All.push_back(M.Router);
   return All;
 }
 
 RouterId FairScheduler::homeOf(PairId Pair) {
-  auto [Found, New] = this->Homes.try_emplace(Pair);
-  if (New)
-    Found->second = ownerOf(this->Current, Pair);
+  auto [Found, IsNew] = this->HomeCache.try_emplace(Pair);
+  if (IsNew)
+    Found->second = ownerOf(this->CurrentView, Pair);
   return Found->second;
 }
 
 bool FairScheduler::maySendDigest(ServiceId Id) const {
   return this->Digests.knows(Id) ||
-         this->Now >= *this->Started + this->Settings.StartupQuietPeriod;
+         this->Now >= *this->StartedAt + this->Settings.StartupQuietPeriod;
 }
 
 ServiceDigest FairScheduler::digestOf(ServiceId Id) const {
@@ -62,8 +63,9 @@
   const std::size_t Waiting =
       std::min<std::size_t>(Service.Queue.size(), StarvedBit - 1);
   const bool Starved = Waiting > 0 && Service.Running == 0;
-  const double Idle = std::max(Service.VirtualTime, this->Digests.idleTime(Id));
-  return {Id.Value, Service.Queue.lowestTag().value_or(Idle),
+  const double IdleVirtualTime =
+      std::max(Service.VirtualTime, this->Digests.idleTime(Id));
+  return {Id.Value, Service.Queue.lowestTag().value_or(IdleVirtualTime),
           static_cast<std::uint16_t>(Waiting | (Starved ? StarvedBit : 0))};
 }
 
@@ -73,38 +75,42 @@
       this->Outgoing.to(this->Now, Peer, Urgent).Digests.insert(Id);
 }
 
-void FairScheduler::greet(const View &Before) {
+void FairScheduler::sendDigestsToNew(const View &PreviousView) {
   if (!this->shared())
     return;
-  for (const Member &M : this->Current.Members) {
-    if (M.Router == this->Current.Self || std::ranges::count(Before.Members, M))
+  for (const Member &M : this->CurrentView.Members) {
+    if (M.Router == this->CurrentView.Self ||
+        std::ranges::count(PreviousView.Members, M))
       continue;
-    for (std::uint64_t Key : GreetingKeys)
-      if (ownerOf(this->Current, M.Router.Value ^ Key) == this->Current.Self)
+    for (std::uint64_t Key : NewRouterKeys)
+      if (ownerOf(this->CurrentView, M.Router.Value ^ Key) ==
+          this->CurrentView.Self)
         this->queueDigests(M.Router, true);
   }
 }
 
-void FairScheduler::noteWaiting(ServiceId Id, ServiceState &Service) {
-  const bool Waits = !Service.Queue.empty();
-  if (Waits == Service.ToldWaiting || !this->shared() ||
+void FairScheduler::updateBurst(ServiceId Id, ServiceState &Service) {
+  const bool Waiting = !Service.Queue.empty();
+  if (Waiting == Service.ReportedWaiting || !this->shared() ||
       !this->maySendDigest(Id))
     return;
-  // A queue that comes and goes is left to the digests of each interval.
+  // A queue that alternates between empty and not empty is left to the periodic
+  // digests.
   if (this->Now < Service.LastBurst + this->Settings.DigestInterval &&
       Service.LastBurst != TimePoint{})
     return;
-  Service.ToldWaiting = Waits;
+  Service.ReportedWaiting = Waiting;
   Service.LastBurst = this->Now;
-  Service.BurstLeft = this->Settings.DigestBurst;
+  Service.RemainingBurst = this->Settings.DigestBurst;
 }
 
 void FairScheduler::sendStarvedDigest(ServiceId Id, ServiceState &Service) {
   if (Service.Queue.empty() || Service.Running > 0 ||
       !this->maySendDigest(Id) ||
-      this->Now < Service.LastWant + this->Settings.StarvedDigestInterval)
+      this->Now <
+          Service.LastStarvedDigest + this->Settings.StarvedDigestInterval)
     return;
-  Service.LastWant = this->Now;
+  Service.LastStarvedDigest = this->Now;
   const std::vector<RouterId> All = this->Digests.waitingAt(Id);
   const std::size_t Count =
       std::min(this->Settings.StarvedDigestFanout, All.size());
@@ -115,17 +121,17 @@
 
 void FairScheduler::sendBursts() {
   for (auto &[Id, Service] : this->Services) {
-    this->noteWaiting(Id, Service);
+    this->updateBurst(Id, Service);
     this->sendStarvedDigest(Id, Service);
-    if (Service.BurstLeft == 0)
+    if (Service.RemainingBurst == 0)
       continue;
     const std::vector<RouterId> All = this->peers();
-    Service.BurstLeft = std::min(Service.BurstLeft, All.size());
-    const std::size_t Count = std::min(BurstPerTick, Service.BurstLeft);
+    Service.RemainingBurst = std::min(Service.RemainingBurst, All.size());
+    const std::size_t Count = std::min(MaxBurstPerTick, Service.RemainingBurst);
     for (std::size_t Sent = 0; Sent < Count; ++Sent)
       this->Outgoing.to(this->Now, All[this->DigestCursor++ % All.size()], true)
           .Digests.insert(Id);
-    Service.BurstLeft -= Count;
+    Service.RemainingBurst -= Count;
   }
 }
 
@@ -141,11 +147,11 @@
 
 void FairScheduler::boundDebts() {
   for (auto &[Id, Service] : this->Services) {
-    const std::optional<double> Middle = this->Digests.median(Id);
-    if (!Middle)
+    const std::optional<double> Median = this->Digests.median(Id);
+    if (!Median)
       continue;
     for (PairId Pair : Service.Queue.pairs()) {
-      this->Ledger.bound(Pair, *Middle, this->Settings.MaxDebt);
+      this->Ledger.bound(Pair, *Median, this->Settings.MaxDebt);
       this->reposition(Pair);
     }
   }
@@ -156,16 +162,17 @@
   for (const auto &[Id, Service] : this->Services)
     for (PairId Pair : Service.Queue.pairs())
       Due.insert(Pair);
-  std::set<RouterId> HomesTold;
+  std::set<RouterId> Homes;
   for (PairId Pair : Due) {
     this->contribute(Pair, false);
-    if (this->homeOf(Pair) != this->Current.Self)
-      HomesTold.insert(this->homeOf(Pair));
+    if (this->homeOf(Pair) != this->CurrentView.Self)
+      Homes.insert(this->homeOf(Pair));
   }
-  // Both directions, since this router answers about as much as it asks.
+  // Covers both directions, since this router sends about as many replies as
+  // contributions.
   const double Bytes =
       static_cast<double>(Due.size()) * 44 +
-      static_cast<double>(HomesTold.size()) * 2 *
+      static_cast<double>(Homes.size()) * 2 *
           static_cast<double>(DatagramHeaderBytes + FairMessage{}.bytes());
   const double Seconds = Bytes / this->Settings.ContributionBytesPerSecond;
   this->ContributionCycle =
@@ -175,16 +182,16 @@
 }
 
 void FairScheduler::contribute(PairId Pair, bool Urgent) {
-  const RouterId At = this->homeOf(Pair);
-  if (At != this->Current.Self) {
-    this->Outgoing.to(this->Now, At, Urgent).Contributions.insert(Pair);
+  const RouterId PairHome = this->homeOf(Pair);
+  if (PairHome != this->CurrentView.Self) {
+    this->Outgoing.to(this->Now, PairHome, Urgent).Contributions.insert(Pair);
     return;
   }
   const std::uint32_t Version = ++this->Sequence;
-  const ContributionReply Answer =
-      this->Home.applyContribution(this->Now, At, this->ownIncarnation(),
+  const ContributionReply Reply =
+      this->Home.applyContribution(this->Now, PairHome, this->ownIncarnation(),
                                    Version, this->Ledger.contributionOf(Pair));
-  this->applyReply(At, this->ownIncarnation(), Version, Answer);
+  this->applyReply(PairHome, this->ownIncarnation(), Version, Reply);
 }
 
 void FairScheduler::resend() {
@@ -193,60 +200,61 @@
   const Duration After = this->Settings.ResendInterval;
   for (ServerId Server : this->Slots.unacknowledged(this->Now, After)) {
     const RouterId To = this->Slots.find(Server)->Owner;
-    if (To != this->Current.Self)
+    if (To != this->CurrentView.Self)
       this->Outgoing.to(this->Now, To, false).Reports.insert(Server);
   }
   for (const SlotOwner::Due &Due : this->Owner.unacknowledged(this->Now, After))
-    if (Due.Holder != this->Current.Self)
+    if (Due.Holder != this->CurrentView.Self)
       this->Outgoing.to(this->Now, Due.Holder, true).Grants.insert(Due.Server);
 }
 
 void FairScheduler::flush() {
-  for (const auto &[To, Letter] : this->Outgoing.takeDue(this->Now))
+  for (const auto &[To, Content] : this->Outgoing.takeDue(this->Now))
     if (this->memberOf(To) != nullptr)
-      this->fill(To, Letter);
+      this->fill(To, Content);
 }
 
-void FairScheduler::fill(RouterId To, const Outbox::PendingMessage &Letter) {
+void FairScheduler::fill(RouterId To, const Outbox::PendingMessage &Content) {
   FairMessage Message;
-  const auto Cut = [&] {
+  const auto SendIfFull = [&] {
     if (Message.bytes() < this->Settings.MaxMessageBytes - 24)
       return;
-    this->send(To, Letter.Urgent, std::move(Message));
+    this->send(To, Content.Urgent, std::move(Message));
     Message = FairMessage{};
   };
-  for (ServiceId Id : Letter.Digests) {
+  for (ServiceId Id : Content.Digests) {
     Message.Digests.push_back(this->digestOf(Id));
-    Cut();
+    SendIfFull();
   }
-  for (PairId Pair : Letter.Contributions) {
+  for (PairId Pair : Content.Contributions) {
     Message.Contributions.push_back(this->Ledger.contributionOf(Pair));
-    Cut();
+    SendIfFull();
   }
-  for (const auto &[Pair, Answer] : Letter.Replies) {
-    Message.Replies.push_back(Answer);
-    Cut();
+  for (const auto &[Pair, Reply] : Content.Replies) {
+    Message.Replies.push_back(Reply);
+    SendIfFull();
   }
-  for (ServerId Server : Letter.Grants) {
+  for (ServerId Server : Content.Grants) {
     if (!this->Owner.owns(Server))
       continue;
     Message.Grants.push_back(this->Owner.grantOf(this->Now, Server, To));
-    Cut();
+    SendIfFull();
   }
-  for (ServerId Server : Letter.Reports) {
+  for (ServerId Server : Content.Reports) {
     Message.Reports.push_back(this->Slots.reportOf(this->Now, Server));
-    Cut();
+    SendIfFull();
   }
   if (Message.bytes() > FairMessage{}.bytes())
-    this->send(To, Letter.Urgent, std::move(Message));
+    this->send(To, Content.Urgent, std::move(Message));
 }
 
 void FairScheduler::send(RouterId To, bool Urgent, FairMessage Message) {
   Message.Sequence = ++this->Sequence;
   Message.ToIncarnation = lowHalf(this->memberOf(To)->IncarnationNumber);
-  ++this->Counted.MessagesSent;
-  this->Counted.BytesSent += Message.bytes() + DatagramHeaderBytes;
-  this->Pending.emplace_back(SendFairMessage{To, Urgent, std::move(Message)});
+  ++this->Counters.MessagesSent;
+  this->Counters.BytesSent += Message.bytes() + DatagramHeaderBytes;
+  this->PendingActions.emplace_back(
+      SendFairMessage{To, Urgent, std::move(Message)});
 }
 
 void FairScheduler::on(const FairMessageReceived &Event) {
@@ -255,20 +263,21 @@
     return;
   if (Event.IncarnationNumber > Peer.IncarnationNumber)
     Peer = {Event.IncarnationNumber, 0};
-  ++this->Counted.MessagesReceived;
+  ++this->Counters.MessagesReceived;
   const FairMessage &Message = Event.Message;
-  for (const Contribution &Said : Message.Contributions)
-    this->Outgoing.to(this->Now, Event.From, false).Replies[Said.Pair] =
+  for (const Contribution &Received : Message.Contributions)
+    this->Outgoing.to(this->Now, Event.From, false).Replies[Received.Pair] =
         this->Home.applyContribution(this->Now, Event.From,
                                      Event.IncarnationNumber, Message.Sequence,
-                                     Said);
-  for (const ContributionReply &Said : Message.Replies)
+                                     Received);
+  for (const ContributionReply &Reply : Message.Replies)
     this->applyReply(Event.From, Event.IncarnationNumber, Message.Sequence,
-                     Said);
-  // Slots and digests of a message that was overtaken are old news.
-  if (Message.Sequence <= Peer.Newest)
+                     Reply);
+  // Slots and digests of a message that was overtaken by a newer one are
+  // outdated.
+  if (Message.Sequence <= Peer.LastSequence)
     return;
-  Peer.Newest = Message.Sequence;
+  Peer.LastSequence = Message.Sequence;
   for (const ServiceDigest &Digest : Message.Digests)
     this->applyDigest(Event.From, Digest);
   if (Message.ToIncarnation != lowHalf(this->ownIncarnation()))
@@ -285,11 +294,12 @@
   const ServiceId Id{Digest.Service};
   const bool First = !this->Digests.knows(Id);
   this->Digests.update(this->Now, From, Digest);
-  this->Dirty.insert(Id);
+  this->DirtyServices.insert(Id);
   if (!First)
     return;
-  // A process that began empty takes over the others' virtual time, so that
-  // its accounts are not the neediest of the fleet merely for its ignorance.
+  // A process that starts without state adopts the virtual time of the other
+  // routers. Otherwise, its accounts would seem to be the most underserved of
+  // the fleet.
   ServiceState &Service = this->Services[Id];
   for (PairId Pair : Service.Queue.pairs()) {
     this->Ledger.raiseTo(Pair, Digest.LowestTag);
@@ -297,18 +307,19 @@
   }
 }
 
-void FairScheduler::applyReply(RouterId From, Incarnation Life,
-                               std::uint32_t Version,
-                               const ContributionReply &Said) {
-  const LedgerEntry *Position = this->Ledger.find(Said.Pair);
-  const bool Settling = Position != nullptr && !Position->Confirmed;
-  if (!this->Ledger.applyReply(this->Now, From, Life, Version, Said))
+void FairScheduler::applyReply(RouterId From, Incarnation IncarnationNumber,
+                               std::uint32_t Sequence,
+                               const ContributionReply &Reply) {
+  const LedgerEntry *Entry = this->Ledger.find(Reply.Pair);
+  const bool WasUnconfirmed = Entry != nullptr && !Entry->Confirmed;
+  if (!this->Ledger.applyReply(this->Now, From, IncarnationNumber, Sequence,
+                               Reply))
     return;
-  if (Settling)
-    this->Ledger.raiseTo(Said.Pair,
-                         this->virtualTime(Position->Service,
-                                           this->Services[Position->Service]));
-  this->reposition(Said.Pair);
+  if (WasUnconfirmed)
+    this->Ledger.raiseTo(
+        Reply.Pair,
+        this->virtualTime(Entry->Service, this->Services[Entry->Service]));
+  this->reposition(Reply.Pair);
 }
 
 void FairScheduler::applyGrant(const FairMessageReceived &Event,
@@ -321,11 +332,12 @@
   const SlotLease &Lease = *this->Slots.find(Id);
   while (Lease.idle() > 0 && this->mustReturnSlot(Id, Lease))
     this->returnSlot(Id, true);
-  // Many owners may have found this router behind by the same old digest.
+  // Several owners may have granted a slot to this router because of the same
+  // outdated digest.
   for (ServiceId Service : this->Servers[Id].Services)
     if (Lease.idle() > 0 && this->isAhead(Service, this->Services[Service],
                                           this->Settings.GrantSlack))
-      this->passOn(Id, Service);
+      this->returnToOwner(Id, Service);
   this->refreshServer(Id);
 }
 
@@ -334,9 +346,9 @@
   const ServerId Id{Report.Server};
   if (!this->Owner.owns(Id))
     return;
-  const bool CameBack =
+  const bool SlotsReturned =
       this->Owner.applyReport(Event.From, Event.IncarnationNumber, Report);
-  if (CameBack || !this->Owner.agrees(Event.From, Report))
+  if (SlotsReturned || !this->Owner.agrees(Event.From, Report))
     this->Outgoing.to(this->Now, Event.From, false).Grants.insert(Id);
   this->refreshServer(Id);
 }
--- a/src/Decision/Fairness/SchedulerSlots.cpp
+++ b/src/Decision/Fairness/SchedulerSlots.cpp
@@ -8,7 +8,7 @@
 namespace parsleywing {
 
 void FairScheduler::markDirty(const ServerState &Server) {
-  this->Dirty.insert(Server.Services.begin(), Server.Services.end());
+  this->DirtyServices.insert(Server.Services.begin(), Server.Services.end());
 }
 
 void FairScheduler::refreshServer(ServerId Id) {
@@ -35,10 +35,10 @@
 
 void FairScheduler::returnSlot(ServerId Id, bool Urgent) {
   this->Slots.returnSlot(Id);
-  ++this->Counted.SlotsReturned;
+  ++this->Counters.SlotsReturned;
   const SlotLease &Lease = *this->Slots.find(Id);
-  if (Lease.Owner == this->Current.Self)
-    this->Owner.takeBackOwn(Id, this->Current.Self);
+  if (Lease.Owner == this->CurrentView.Self)
+    this->Owner.takeBackOwn(Id, this->CurrentView.Self);
   else
     this->Outgoing.to(this->Now, Lease.Owner, Urgent).Reports.insert(Id);
   this->refreshServer(Id);
@@ -48,7 +48,7 @@
   const bool OthersWait = this->Digests.anyWaiting(Id);
   std::vector<ServerId> Idle;
   for (const auto &[Free, Server] : Service.Free)
-    if (OthersWait || this->Slots.find(Server)->Owner == this->Current.Self)
+    if (OthersWait || this->Slots.find(Server)->Owner == this->CurrentView.Self)
       Idle.push_back(Server);
   for (ServerId Server : Idle)
     while (this->Slots.find(Server)->idle() > 0)
@@ -56,42 +56,44 @@
 }
 
 bool FairScheduler::mustReturnSlot(ServerId Id, const SlotLease &Lease) const {
-  const bool Limited = this->Now < Lease.KeepUntil;
-  return !this->Servers.at(Id).usable() || Lease.Owner == this->Current.Self ||
+  const bool Limited = this->Now < Lease.MaxHeldUntil;
+  return !this->Servers.at(Id).usable() ||
+         Lease.Owner == this->CurrentView.Self ||
          (Limited && Lease.held() > Lease.MaxHeld);
 }
 
 bool FairScheduler::isAhead(ServiceId Id, ServiceState &Service, double Steps) {
-  const std::optional<double> Own = Service.Queue.lowestTag();
-  const auto Behind =
+  const std::optional<double> OwnTag = Service.Queue.lowestTag();
+  const auto Other =
       this->Digests.sample(Id, this->Settings.SampleSize, this->Random);
-  if (!Own || !Behind)
+  if (!OwnTag || !Other)
     return false;
-  // Slack saves moves between routers that all have slots. One that has none
-  // would wait for nothing else.
-  const double Slack = Behind->Starved ? 0 : Steps * Service.MeanStep;
-  if (*Own <= Behind->Tag + Slack)
+  // The slack avoids moves between routers that all have slots. A router
+  // without any slot would only be delayed by it.
+  const double Slack = Other->Starved ? 0 : Steps * Service.MeanStep;
+  if (*OwnTag <= Other->Tag + Slack)
     return false;
-  this->Digests.advance(Id, Behind->Router, Service.MeanStep);
+  this->Digests.advance(Id, Other->Router, Service.MeanStep);
   return true;
 }
 
-void FairScheduler::passOn(ServerId Id, ServiceId Service) {
+void FairScheduler::returnToOwner(ServerId Id, ServiceId Service) {
   const SlotLease &Lease = *this->Slots.find(Id);
-  // The owner decides with this router's present tag, not an old one.
+  // Lets the owner decide by the current tag of this router instead of an
+  // outdated one.
   if (this->maySendDigest(Service))
     this->Outgoing.to(this->Now, Lease.Owner, true).Digests.insert(Service);
   this->returnSlot(Id, true);
 }
 
-void FairScheduler::afterRelease(ServerId Id, ServiceId Service) {
+void FairScheduler::onSlotReleased(ServerId Id, ServiceId Service) {
   const SlotLease &Lease = *this->Slots.find(Id);
   if (this->shared() && Lease.idle() > 0) {
     if (this->mustReturnSlot(Id, Lease)) {
       this->returnSlot(Id, true);
     } else if (this->isAhead(Service, this->Services[Service],
                              this->Settings.ReturnSlack)) {
-      this->passOn(Id, Service);
+      this->returnToOwner(Id, Service);
     }
   }
   this->refreshServer(Id);
@@ -100,7 +102,7 @@
 
 void FairScheduler::distribute(ServiceId Id, ServiceState &Service) {
   while (!Service.OwnedFree.empty()) {
-    auto Next = Service.OwnedFree.upper_bound(Service.LastGiven);
+    auto Next = Service.OwnedFree.upper_bound(Service.LastGranted);
     if (Next == Service.OwnedFree.end())
       Next = Service.OwnedFree.begin();
     if (this->isAvoidedByNext(Service, *Next) &&
@@ -109,27 +111,28 @@
     const ServerId Server = *Next;
     if (!this->grantOne(Id, Service, Server))
       return;
-    Service.LastGiven = Server;
+    Service.LastGranted = Server;
   }
 }
 
 bool FairScheduler::grantOne(ServiceId Id, ServiceState &Service,
                              ServerId Server) {
-  const std::optional<double> Own = Service.Queue.lowestTag();
+  const std::optional<double> OwnTag = Service.Queue.lowestTag();
   const auto Other =
       this->Digests.sample(Id, this->Settings.SampleSize, this->Random);
-  if (!Own && !Other)
+  if (!OwnTag && !Other)
     return false;
-  ++this->Counted.SlotsGranted;
-  if (Own && (!Other || *Own <= Other->Tag)) {
-    this->Owner.grant(Server, this->Current.Self, this->ownIncarnation());
+  ++this->Counters.SlotsGranted;
+  if (OwnTag && (!Other || *OwnTag <= Other->Tag)) {
+    this->Owner.grant(Server, this->CurrentView.Self, this->ownIncarnation());
     this->Slots.grantOwn(Server);
     this->refreshServer(Server);
     this->admit(Id, Service);
     return true;
   }
   const Member *To = this->memberOf(Other->Router);
-  PARSLEYWING_INVARIANT(To != nullptr, "digests of routers in the view only");
+  PARSLEYWING_INVARIANT(To != nullptr,
+                        "digests are kept only for routers in the view");
   this->Owner.grant(Server, To->Router, To->IncarnationNumber);
   this->Digests.advance(Id, To->Router, Service.MeanStep);
   this->Outgoing.to(this->Now, To->Router, true).Grants.insert(Server);
@@ -148,17 +151,17 @@
     Server.Declared = false;
     Server.ListedFree = 0;
   }
-  for (const auto &[Id, Declared] : this->ActiveDeclarations->Servers) {
+  for (const auto &[Id, Declaration] : this->ActiveDeclarations->Servers) {
     this->Servers[Id].Declared = true;
-    this->Servers[Id].MaxConcurrent = Declared.MaxConcurrent;
+    this->Servers[Id].MaxConcurrent = Declaration.MaxConcurrent;
   }
-  for (const auto &[Name, Declared] : this->ActiveDeclarations->Services)
-    for (ServerId Server : Declared.Servers)
+  for (const auto &[Name, Declaration] : this->ActiveDeclarations->Services)
+    for (ServerId Server : Declaration.Servers)
       if (this->Servers.contains(Server))
         this->Servers[Server].Services.push_back(Name);
-  for (const auto &[Pair, Position] : this->Ledger.all())
-    if (this->shareOf(Position.Account) != Position.Share) {
-      this->Ledger.setShare(Pair, this->shareOf(Position.Account));
+  for (const auto &[Pair, Entry] : this->Ledger.all())
+    if (this->shareOf(Entry.Account) != Entry.Share) {
+      this->Ledger.setShare(Pair, this->shareOf(Entry.Account));
       this->reposition(Pair);
     }
 }
@@ -168,40 +171,42 @@
     this->updateEqualParts();
     return;
   }
-  const bool Alone = this->Current.Members.size() <= 1;
-  const TimePoint GiveFrom =
+  const bool Alone = this->CurrentView.Members.size() <= 1;
+  const TimePoint FirstGrantAt =
       Alone ? this->Now : this->Now + this->Settings.TakeoverWait;
   for (auto &[Id, Server] : this->Servers) {
-    const RouterId Holder = ownerOf(this->Current, Id.Value);
-    const bool Mine = Holder == this->Current.Self && Server.Declared;
-    const Member *Found = this->memberOf(Holder);
-    this->Slots.setOwner(Id, Holder,
-                         Found == nullptr ? 0 : Found->IncarnationNumber);
-    const bool Before = this->Owner.owns(Id);
-    if (Mine)
-      this->Owner.add(Id, Server.MaxConcurrent, GiveFrom);
+    const RouterId NewOwner = ownerOf(this->CurrentView, Id.Value);
+    const bool IsOwner = NewOwner == this->CurrentView.Self && Server.Declared;
+    const Member *OwnerMember = this->memberOf(NewOwner);
+    this->Slots.setOwner(
+        Id, NewOwner,
+        OwnerMember == nullptr ? 0 : OwnerMember->IncarnationNumber);
+    const bool WasOwner = this->Owner.owns(Id);
+    if (IsOwner)
+      this->Owner.add(Id, Server.MaxConcurrent, FirstGrantAt);
     else
       this->Owner.remove(Id);
-    if (Mine && !Before)
-      this->Owner.adoptOwn(Id, {this->Current.Self, this->ownIncarnation()},
+    if (IsOwner && !WasOwner)
+      this->Owner.adoptOwn(Id, {this->CurrentView.Self, this->ownIncarnation()},
                            this->Slots.find(Id)->held());
     this->refreshServer(Id);
   }
-  this->OwnershipOpens = GiveFrom;
+  this->GrantsStartAt = FirstGrantAt;
 }
 
 void FairScheduler::updateEqualParts() {
   const auto Routers = static_cast<std::uint32_t>(
-      std::max<std::size_t>(1, this->Current.Members.size()));
+      std::max<std::size_t>(1, this->CurrentView.Members.size()));
   for (auto &[Id, Server] : this->Servers) {
     const std::uint64_t Key = Id.Value;
-    const std::uint64_t Score = rendezvousScore(this->Current.Self.Value, Key);
+    const std::uint64_t Score =
+        rendezvousScore(this->CurrentView.Self.Value, Key);
     const auto Rank =
-        std::ranges::count_if(this->Current.Members, [&](const Member &M) {
+        std::ranges::count_if(this->CurrentView.Members, [&](const Member &M) {
           return rendezvousScore(M.Router.Value, Key) > Score;
         });
-    const std::uint32_t Rest = Server.MaxConcurrent % Routers;
-    const std::uint32_t Extra = Rank < static_cast<long>(Rest) ? 1 : 0;
+    const std::uint32_t Remainder = Server.MaxConcurrent % Routers;
+    const std::uint32_t Extra = Rank < static_cast<long>(Remainder) ? 1 : 0;
     this->Slots.setPart(Id, Server.MaxConcurrent / Routers + Extra);
     this->refreshServer(Id);
   }
@@ -224,7 +229,7 @@
     this->refreshServer(Server);
   }
   for (const SlotOwner::Due &Due : this->Owner.recall())
-    if (Due.Holder != this->Current.Self)
+    if (Due.Holder != this->CurrentView.Self)
       this->Outgoing.to(this->Now, Due.Holder, false).Grants.insert(Due.Server);
 }
 
--- a/src/Decision/Fairness/SlotOwner.cpp
+++ b/src/Decision/Fairness/SlotOwner.cpp
@@ -7,11 +7,11 @@
 namespace parsleywing {
 
 void SlotOwner::add(ServerId Server, std::uint32_t MaxConcurrent,
-                    TimePoint GiveFrom) {
-  auto [Found, New] = this->Owned.try_emplace(Server);
-  if (New) {
+                    TimePoint GrantsStartAt) {
+  auto [Found, IsNew] = this->Owned.try_emplace(Server);
+  if (IsNew) {
     Found->second.Window = AdmissionWindow(MaxConcurrent);
-    Found->second.GiveFrom = GiveFrom;
+    Found->second.GrantsStartAt = GrantsStartAt;
     return;
   }
   Found->second.Window.setMax(MaxConcurrent);
@@ -19,15 +19,15 @@
 
 void SlotOwner::dropGone(const View &Current) {
   for (auto &Entry : this->Owned) {
-    OwnedServer &Owner = Entry.second;
-    std::erase_if(Owner.Holders, [&](const auto &Holder) {
+    OwnedServer &OwnedEntry = Entry.second;
+    std::erase_if(OwnedEntry.Holders, [&](const auto &Holder) {
       const auto Same = [&](const Member &M) {
         return M.Router == Holder.first &&
                M.IncarnationNumber == Holder.second.IncarnationNumber;
       };
       const bool Gone = std::ranges::none_of(Current.Members, Same);
       if (Gone)
-        Owner.Out -= Holder.second.held();
+        OwnedEntry.GrantedSlots -= Holder.second.held();
       return Gone;
     });
   }
@@ -36,52 +36,54 @@
 AdmissionWindow &SlotOwner::windowOf(ServerId Server) {
   const auto Found = this->Owned.find(Server);
   PARSLEYWING_INVARIANT(Found != this->Owned.end(),
-                        "the window of an owned server");
+                        "only owned servers have a window");
   return Found->second.Window;
 }
 
 std::uint32_t SlotOwner::freeSlots(TimePoint Now, ServerId Server) const {
   const auto Found = this->Owned.find(Server);
-  if (Found == this->Owned.end() || Now < Found->second.GiveFrom)
+  if (Found == this->Owned.end() || Now < Found->second.GrantsStartAt)
     return 0;
   const std::uint32_t Size = Found->second.Window.size();
-  return Size > Found->second.Out ? Size - Found->second.Out : 0;
+  return Size > Found->second.GrantedSlots ? Size - Found->second.GrantedSlots
+                                           : 0;
 }
 
-void SlotOwner::grant(ServerId Server, RouterId To, Incarnation Life) {
-  OwnedServer &Owner = this->Owned.at(Server);
-  PARSLEYWING_INVARIANT(Owner.Out < Owner.Window.size(),
-                        "no more slots are given than the window has");
-  Holding &Holder = Owner.Holders[To];
-  if (Holder.IncarnationNumber != Life) {
-    Owner.Out -= Holder.held();
+void SlotOwner::grant(ServerId Server, RouterId To,
+                      Incarnation IncarnationNumber) {
+  OwnedServer &OwnedEntry = this->Owned.at(Server);
+  PARSLEYWING_INVARIANT(OwnedEntry.GrantedSlots < OwnedEntry.Window.size(),
+                        "no more slots are granted than the window permits");
+  Holding &Holder = OwnedEntry.Holders[To];
+  if (Holder.IncarnationNumber != IncarnationNumber) {
+    OwnedEntry.GrantedSlots -= Holder.held();
     Holder = Holding{};
-    Holder.IncarnationNumber = Life;
+    Holder.IncarnationNumber = IncarnationNumber;
   }
   ++Holder.Granted;
-  ++Owner.Out;
+  ++OwnedEntry.GrantedSlots;
   Holder.LastGrant = TimePoint{};
   this->Unacknowledged.emplace(Server, To);
 }
 
-bool SlotOwner::applyReport(RouterId From, Incarnation Life,
+bool SlotOwner::applyReport(RouterId From, Incarnation IncarnationNumber,
                             const SlotReport &Report) {
   const auto Found = this->Owned.find(ServerId{Report.Server});
   if (Found == this->Owned.end() || Report.Returned > Report.GrantedSeen)
     return false;
-  OwnedServer &Owner = Found->second;
-  Holding &Holder = Owner.Holders[From];
-  if (Life < Holder.IncarnationNumber)
+  OwnedServer &OwnedEntry = Found->second;
+  Holding &Holder = OwnedEntry.Holders[From];
+  if (IncarnationNumber < Holder.IncarnationNumber)
     return false;
   const std::uint32_t Before = Holder.held();
-  if (Life > Holder.IncarnationNumber) {
+  if (IncarnationNumber > Holder.IncarnationNumber) {
     Holder = Holding{};
-    Holder.IncarnationNumber = Life;
+    Holder.IncarnationNumber = IncarnationNumber;
   }
   Holder.Granted = std::max(Holder.Granted, Report.GrantedSeen);
   Holder.Acknowledged = std::max(Holder.Acknowledged, Report.GrantedSeen);
   Holder.Returned = std::max(Holder.Returned, Report.Returned);
-  Owner.Out = Owner.Out - Before + Holder.held();
+  OwnedEntry.GrantedSlots = OwnedEntry.GrantedSlots - Before + Holder.held();
   if (Holder.Acknowledged >= Holder.Granted)
     this->Unacknowledged.erase({ServerId{Report.Server}, From});
   return Holder.held() < Before;
@@ -105,19 +107,19 @@
   if (Holder.held() == 0)
     return;
   ++Holder.Returned;
-  --Found->second.Out;
+  --Found->second.GrantedSlots;
 }
 
 void SlotOwner::adoptOwn(ServerId Server, const Member &Self,
                          std::uint32_t Held) {
-  OwnedServer &Owner = this->Owned.at(Server);
-  Holding &Holder = Owner.Holders[Self.Router];
-  Owner.Out -= Holder.held();
+  OwnedServer &OwnedEntry = this->Owned.at(Server);
+  Holding &Holder = OwnedEntry.Holders[Self.Router];
+  OwnedEntry.GrantedSlots -= Holder.held();
   Holder = Holding{};
   Holder.IncarnationNumber = Self.IncarnationNumber;
   Holder.Granted = Held;
   Holder.Acknowledged = Held;
-  Owner.Out += Held;
+  OwnedEntry.GrantedSlots += Held;
 }
 
 SlotGrant SlotOwner::grantOf(TimePoint Now, ServerId Server, RouterId To) {
@@ -149,18 +151,20 @@
 std::vector<SlotOwner::Due> SlotOwner::recall() {
   constexpr auto NoLimit = std::numeric_limits<std::uint16_t>::max();
   std::vector<Due> All;
-  for (auto &[Server, Owner] : this->Owned) {
-    const std::uint32_t Size = Owner.Window.size();
-    for (auto &[Router, Holder] : Owner.Holders) {
+  for (auto &[Server, OwnedEntry] : this->Owned) {
+    const std::uint32_t Size = OwnedEntry.Window.size();
+    for (auto &[Router, Holder] : OwnedEntry.Holders) {
       const std::uint32_t Held = Holder.held();
-      if (Owner.Out <= Size || Held == 0) {
+      if (OwnedEntry.GrantedSlots <= Size || Held == 0) {
         Holder.MaxHeld = NoLimit;
         continue;
       }
-      // Each gives up its part of the excess, rounded up.
-      const std::uint32_t Excess = Owner.Out - Size;
-      const std::uint32_t Cut = (Held * Excess + Owner.Out - 1) / Owner.Out;
-      Holder.MaxHeld = static_cast<std::uint16_t>(Held - Cut);
+      // Each holder returns its part of the excess, rounded up.
+      const std::uint32_t Excess = OwnedEntry.GrantedSlots - Size;
+      const std::uint32_t ReturnCount =
+          (Held * Excess + OwnedEntry.GrantedSlots - 1) /
+          OwnedEntry.GrantedSlots;
+      Holder.MaxHeld = static_cast<std::uint16_t>(Held - ReturnCount);
       All.push_back({Server, Router});
     }
   }
@@ -170,14 +174,14 @@
 std::vector<ServerId> SlotOwner::servers() const {
   std::vector<ServerId> All;
   All.reserve(this->Owned.size());
-  for (const auto &[Server, Owner] : this->Owned)
+  for (const auto &[Server, OwnedEntry] : this->Owned)
     All.push_back(Server);
   return All;
 }
 
 std::uint32_t SlotOwner::outAt(ServerId Server) const {
   const auto Found = this->Owned.find(Server);
-  return Found == this->Owned.end() ? 0 : Found->second.Out;
+  return Found == this->Owned.end() ? 0 : Found->second.GrantedSlots;
 }
 
 } // namespace parsleywing
