--- a/bench/OperatorDeclarationsBench.cpp
+++ b/bench/OperatorDeclarationsBench.cpp
@@ -1,6 +1,6 @@
-// What the declarations cost at the target's size: 24,000 client accounts and
-// 12,000 backend servers. Each account may reach both services; each service
-// has half of the servers.
+// Measures the cost of reading, writing and comparing declarations at the
+// target size: 24,000 client accounts and 12,000 backend servers. Each account
+// may use both services; each service has half of the servers.
 
 #include "Operator/DeclarationsDiff.h"
 #include "Operator/DeclarationsReader.h"
@@ -50,10 +50,10 @@
   auto Held = parseDeclarations(Text, "bench.ini");
   const auto After = mallinfo2().uordblks;
   while (State.KeepRunning()) {
-    const auto Read = parseDeclarations(Text, "bench.ini");
-    if (!Read)
-      State.SkipWithError(Read.error().Message.c_str());
-    benchmark::DoNotOptimize(Read);
+    const auto Parsed = parseDeclarations(Text, "bench.ini");
+    if (!Parsed)
+      State.SkipWithError(Parsed.error().Message.c_str());
+    benchmark::DoNotOptimize(Parsed);
   }
   State.counters["file_bytes"] = static_cast<double>(Text.size());
   State.counters["memory_bytes"] = static_cast<double>(After - Before);
--- a/src/Operator/DeclarationsDiff.h
+++ b/src/Operator/DeclarationsDiff.h
@@ -8,7 +8,7 @@
 
 namespace parsleywing {
 
-/// Whether a section is only in the new file, only in the old one, or differs.
+/// How a section differs between the old and the new file.
 enum class ChangeKind { Added, Removed, Altered };
 
 inline constexpr EnumNames<ChangeKind, 3> ChangeKindNames{{
@@ -17,28 +17,29 @@
     {ChangeKind::Altered, "altered"},
 }};
 
-/// One key of an altered section; a side that lacks the key is empty.
+/// One key of an altered section. A value is empty if its side lacks the key.
 struct ValueChange {
   std::string Key;
   std::string Before;
   std::string After;
 };
 
-/// What a new file does to one section.
+/// The difference between the old and the new file in one section.
 struct DeclarationChange {
   ChangeKind Kind;
-  /// As in the file: "account kettle".
+  /// The section name as in the file: "account kettle".
   std::string Section;
   /// Only for altered sections.
   std::vector<ValueChange> Values;
 };
 
-/// What distinguishes the new declarations from the old ones, in the order of
-/// the canonical text. The generation does not count.
+/// Returns the differences between the old and the new declarations, in the
+/// order of the canonical text. The generation is not compared.
 std::vector<DeclarationChange> compareDeclarations(const Declarations &Before,
                                                    const Declarations &After);
 
-/// One line for an operator: "altered account kettle: share 1 -> 2".
+/// Formats a change as one line for an operator: "altered account kettle: share
+/// 1 -> 2".
 std::string textOf(const DeclarationChange &Change);
 
 } // namespace parsleywing
--- a/src/Operator/DeclarationsReader.cpp
+++ b/src/Operator/DeclarationsReader.cpp
@@ -70,7 +70,7 @@
   return Server;
 }
 
-/// Adds the declaration under its identity. Returns the problem or nothing.
+/// Adds the declaration under its ID. Returns the problem, or an empty text.
 template <typename IdType, typename Declaration>
 std::string add(std::map<IdType, Declaration> &Into, Declaration Declared) {
   const auto [Place, Added] =
@@ -94,13 +94,13 @@
       Space == std::string::npos ? "" : Section.Name.substr(Space + 1);
   const std::string Place = placeOf(File, Section) + " ";
   SectionReader Reader(File, Section);
-  std::string Clash;
+  std::string Collision;
   if (Kind == "account")
-    Clash = add(Into.Accounts, readAccount(Reader, Name));
+    Collision = add(Into.Accounts, readAccount(Reader, Name));
   else if (Kind == "service")
-    Clash = add(Into.Services, readService(Reader, Name));
+    Collision = add(Into.Services, readService(Reader, Name));
   else if (Kind == "server")
-    Clash = add(Into.Servers, readServer(Reader, Name));
+    Collision = add(Into.Servers, readServer(Reader, Name));
   else
     return Place + SectionRule;
   if (Name.empty())
@@ -110,11 +110,11 @@
   std::string Problem = Reader.finish();
   if (!Problem.empty())
     return Problem;
-  return Clash.empty() ? "" : Place + Clash;
+  return Collision.empty() ? "" : Place + Collision;
 }
 
-/// Checks the names in a list: each declared, none twice, at least one.
-/// Returns the problem or nothing.
+/// Checks a list of names: each is declared, there are no duplicates, and the
+/// list is not empty. Returns the problem, or an empty text.
 template <typename IdType, typename Declaration>
 std::string checkList(const IniFile &File, const std::string &SectionName,
                       const std::string &Key,
@@ -152,23 +152,25 @@
   return {};
 }
 
-/// Reads the accounts that are set. Returns whether all is in order.
+/// Reads the accounts that the change adds or replaces. Returns false if
+/// anything is invalid.
 bool readSetAccounts(const Declarations &Before, const std::string &Text,
                      AccountChanges &Into) {
   const auto File = IniFile::parse(Text, "change");
   if (!File)
     return false;
-  Declarations Read;
+  Declarations Parsed;
   for (const IniSection &Section : File->Sections)
     if (!Section.Name.starts_with(AccountSection) ||
-        !addSection(*File, Section, Read).empty() ||
+        !addSection(*File, Section, Parsed).empty() ||
         !checkList(*File, Section.Name, "services", Before.Services).empty())
       return false;
-  Into.Set = std::move(Read.Accounts);
+  Into.Set = std::move(Parsed.Accounts);
   return true;
 }
 
-/// Two accounts with one key could not be told apart.
+/// Rejects two accounts with the same key, since a request could not be
+/// attributed to either.
 std::string checkKeys(const IniFile &File, const Declarations &All) {
   std::unordered_map<std::string, std::string> NameOfKey;
   for (const IniSection &Section : File.Sections) {
@@ -186,8 +188,8 @@
   return {};
 }
 
-/// A server outside every service would stand idle unnoticed, most likely
-/// because its name was forgotten in a list.
+/// Rejects servers that belong to no service. Such a server would stay idle
+/// unnoticed, most likely because its name was left out of a list.
 std::string checkServersUsed(const IniFile &File, const Declarations &All) {
   std::set<ServerId> Used;
   for (const auto &[Id, Service] : All.Services)
@@ -227,8 +229,8 @@
 std::optional<AccountChanges>
 readAccountChanges(const Declarations &Before,
                    const ConfigurationDelta &Changes) {
-  AccountChanges Read;
-  if (!readSetAccounts(Before, Changes.Changed, Read))
+  AccountChanges Parsed;
+  if (!readSetAccounts(Before, Changes.Changed, Parsed))
     return std::nullopt;
   const std::string Start = std::string("[") + AccountSection;
   for (const std::string &Header : Changes.Removed) {
@@ -239,14 +241,14 @@
     const auto Found = Before.Accounts.find(idOf<AccountId>(Name));
     if (Found == Before.Accounts.end() || Found->second.Name != Name)
       return std::nullopt;
-    Read.Removed.push_back(Found->first);
+    Parsed.Removed.push_back(Found->first);
   }
-  for (const auto &[Id, Account] : Read.Set) {
+  for (const auto &[Id, Account] : Parsed.Set) {
     const auto Found = Before.Accounts.find(Id);
     if (Found != Before.Accounts.end() && Found->second.Name != Account.Name)
       return std::nullopt; // Two names with one hash.
   }
-  return Read;
+  return Parsed;
 }
 
 Result<Declarations> loadDeclarations(const std::string &Path) {
--- a/src/Operator/DeclarationsReader.h
+++ b/src/Operator/DeclarationsReader.h
@@ -9,13 +9,13 @@
 
 namespace parsleywing {
 
-/// Turns a declarations file into declarations, whole or not at all. Every
-/// section, key, value and reference is checked; the first problem is returned
-/// as one sentence with its file, line, section and key. The generation is
-/// left at zero. Costs time and memory in proportion to the file.
+/// Parses a declarations file. Every section, key, value and reference is
+/// checked; on failure nothing is returned but the first problem, as one
+/// sentence with its file, line, section and key. The generation is left at
+/// zero. Time and memory are linear in the size of the file.
 Result<Declarations> readDeclarations(const IniFile &File);
 
-/// The same for a text; `Path` only serves in messages.
+/// Parses declarations from a text. `Path` is used in error messages only.
 Result<Declarations> parseDeclarations(std::string_view Text,
                                        const std::string &Path);
 
@@ -26,15 +26,17 @@
   std::map<AccountId, AccountDeclaration> Set;
 };
 
-/// Reads what `Changes` does to valid declarations, at the cost of the changed
-/// sections alone. Nothing where it concerns more than accounts, or may be
-/// wrong in any way: the whole text must be read then, which also finds words
-/// for the fault. That no two accounts have one key is left to the caller.
+/// Computes the effect of `Changes` on valid declarations at the cost of the
+/// changed sections alone. Returns nothing if the change concerns anything but
+/// accounts or may be invalid in any way; the caller must then parse the
+/// complete text, which also yields the error message. The caller must check
+/// that no two accounts share a key.
 std::optional<AccountChanges>
 readAccountChanges(const Declarations &Before,
                    const ConfigurationDelta &Changes);
 
-/// `parseDeclarations` of a file. `NotFound` where it cannot be read.
+/// Reads and parses a declarations file. Fails with `NotFound` if the file
+/// cannot be read.
 Result<Declarations> loadDeclarations(const std::string &Path);
 
 } // namespace parsleywing
--- a/src/Operator/DeclarationsWriter.cpp
+++ b/src/Operator/DeclarationsWriter.cpp
@@ -53,7 +53,7 @@
            {"max_concurrent_requests", std::to_string(Server.MaxConcurrent)}}};
 }
 
-/// Appends the sections of one kind, by name: identities are hashes, and their
+/// Appends the sections of one kind, sorted by name: IDs are hashes, and their
 /// order would mean nothing to a reader.
 template <typename IdType, typename Declaration>
 void append(std::vector<IniSection> &Into, const Declarations &All,
--- a/src/Operator/DeclarationsWriter.h
+++ b/src/Operator/DeclarationsWriter.h
@@ -9,14 +9,14 @@
 
 namespace parsleywing {
 
-/// Every section of the declarations with all its keys, in one order: kinds in
-/// the order account, service, server, names in alphabetical order within a
-/// kind. Equal declarations give equal sections.
+/// Converts declarations to sections with all their keys, in canonical order:
+/// accounts, services, servers, and by name within each kind. Equal
+/// declarations give equal sections.
 std::vector<IniSection> sectionsOf(const Declarations &All);
 
-/// The declarations as a file that `readDeclarations` turns back into the same
-/// declarations. Equal declarations give equal texts. The generation is not
-/// part of the text.
+/// Formats declarations as a file that `readDeclarations` parses back to the
+/// same declarations. Equal declarations give equal texts. The generation is
+/// not part of the text.
 std::string writeDeclarations(const Declarations &All);
 
 } // namespace parsleywing
--- a/src/Operator/IniFile.cpp
+++ b/src/Operator/IniFile.cpp
@@ -15,7 +15,8 @@
   return Path + ":" + std::to_string(Line) + ": " + Problem;
 }
 
-/// Adds one meaningful line to the file. Returns the problem, or an empty text.
+/// Adds a line that is neither empty nor a comment. Returns the problem, or an
+/// empty text.
 std::string addLine(IniFile &File, const std::string &Line, int Number) {
   if (Line.front() == '[') {
     if (Line.back() != ']')
@@ -23,7 +24,7 @@
     std::string Name = Poco::trim(Line.substr(1, Line.size() - 2));
     const bool Added = File.Index.emplace(Name, File.Sections.size()).second;
     if (!Added)
-      return "section [" + Name + "] stands twice";
+      return "section [" + Name + "] is defined twice";
     File.Sections.push_back({std::move(Name), Number, {}});
     return {};
   }
@@ -31,13 +32,13 @@
   if (Equals == std::string::npos)
     return "expected [section] or key = value";
   if (File.Sections.empty())
-    return "key stands before the first [section]";
+    return "key appears before the first [section]";
   IniSection &Section = File.Sections.back();
   std::string Key = Poco::trim(Line.substr(0, Equals));
   if (Key.empty())
     return "expected [section] or key = value";
   if (Section.find(Key) != nullptr)
-    return "key " + Key + " stands twice in [" + Section.Name + "]";
+    return "key " + Key + " is defined twice in [" + Section.Name + "]";
   Section.Entries.push_back(
       {std::move(Key), Poco::trim(Line.substr(Equals + 1)), Number});
   return {};
@@ -64,7 +65,7 @@
 Result<IniFile> IniFile::read(const std::string &Path) {
   std::ifstream In(Path);
   std::ostringstream Text;
-  // A folder opens but gives no bytes.
+  // A directory can be opened, but reading it fails.
   if (!In || !(Text << In.rdbuf()))
     return failure(ErrorCode::NotFound, Path + ": file cannot be read");
   return parse(Text.str(), Path);
--- a/src/Operator/LogLine.cpp
+++ b/src/Operator/LogLine.cpp
@@ -9,13 +9,13 @@
 
 namespace {
 
-/// The form of the time in a line; '0' stands for any digit.
-constexpr std::string_view TimeForm = "0000-00-00T00:00:00.000";
+/// The pattern of the time in a line; '0' stands for any digit.
+constexpr std::string_view TimePattern = "0000-00-00T00:00:00.000";
 
 bool isTime(std::string_view Text) {
-  for (std::size_t I = 0; I < TimeForm.size(); ++I) {
+  for (std::size_t I = 0; I < TimePattern.size(); ++I) {
     const bool Digit = std::isdigit(static_cast<unsigned char>(Text[I])) != 0;
-    if (TimeForm[I] == '0' ? !Digit : Text[I] != TimeForm[I])
+    if (TimePattern[I] == '0' ? !Digit : Text[I] != TimePattern[I])
       return false;
   }
   return true;
@@ -23,44 +23,48 @@
 
 } // namespace
 
-bool hasLogWord(std::string_view Text, std::string_view Word) {
-  for (std::size_t At = Text.find(Word); At != std::string_view::npos;
-       At = Text.find(Word, At + 1)) {
-    const std::size_t End = At + Word.size();
-    const bool Begins = At == 0 || Text[At - 1] == ' ';
-    if (Begins && (End == Text.size() || Text[End] == ' '))
+bool hasLogField(std::string_view Text, std::string_view Field) {
+  for (std::size_t Position = Text.find(Field);
+       Position != std::string_view::npos;
+       Position = Text.find(Field, Position + 1)) {
+    const std::size_t End = Position + Field.size();
+    const bool AtFieldStart = Position == 0 || Text[Position - 1] == ' ';
+    if (AtFieldStart && (End == Text.size() || Text[End] == ' '))
       return true;
   }
   return false;
 }
 
-std::string logWord(std::string_view Text, std::string_view Start) {
-  std::size_t At = Text.find(Start);
-  while (At != std::string_view::npos && At > 0 && Text[At - 1] != ' ')
-    At = Text.find(Start, At + 1);
-  if (At == std::string_view::npos)
+std::string logField(std::string_view Text, std::string_view Prefix) {
+  std::size_t Position = Text.find(Prefix);
+  while (Position != std::string_view::npos && Position > 0 &&
+         Text[Position - 1] != ' ')
+    Position = Text.find(Prefix, Position + 1);
+  if (Position == std::string_view::npos)
     return {};
-  return std::string(Text.substr(At, Text.find(' ', At) - At));
+  return std::string(
+      Text.substr(Position, Text.find(' ', Position) - Position));
 }
 
 std::string logValue(std::string_view Text, std::string_view Name) {
-  const std::string Word = logWord(Text, std::string(Name) + "=");
-  return Word.empty() ? Word : Word.substr(Name.size() + 1);
+  const std::string Field = logField(Text, std::string(Name) + "=");
+  return Field.empty() ? Field : Field.substr(Name.size() + 1);
 }
 
 std::string_view logTimeOf(std::string_view Text) {
-  for (std::size_t At = 0; At + TimeForm.size() <= Text.size(); ++At)
-    if (isTime(Text.substr(At, TimeForm.size())))
-      return Text.substr(At, TimeForm.size());
+  for (std::size_t Position = 0; Position + TimePattern.size() <= Text.size();
+       ++Position)
+    if (isTime(Text.substr(Position, TimePattern.size())))
+      return Text.substr(Position, TimePattern.size());
   return {};
 }
 
-std::string movedLogTime(const std::string &Time, Duration By) {
-  constexpr const char *Form = "%Y-%m-%dT%H:%M:%S.%i";
+std::string shiftedLogTime(const std::string &Time, Duration By) {
+  constexpr const char *Format = "%Y-%m-%dT%H:%M:%S.%i";
   int Zone = 0;
-  const Poco::DateTime Read = Poco::DateTimeParser::parse(Form, Time, Zone);
-  const Poco::Timestamp Moved = Read.timestamp() + By.count();
-  return Poco::DateTimeFormatter::format(Moved, Form);
+  const Poco::DateTime Parsed = Poco::DateTimeParser::parse(Format, Time, Zone);
+  const Poco::Timestamp Shifted = Parsed.timestamp() + By.count();
+  return Poco::DateTimeFormatter::format(Shifted, Format);
 }
 
 } // namespace parsleywing
--- a/src/Operator/LogLine.h
+++ b/src/Operator/LogLine.h
@@ -8,23 +8,24 @@
 
 namespace parsleywing {
 
-// Parts of a router's log line: a time, and words of the form NAME=VALUE.
+// Parsing of a router's log lines, which consist of a time and of fields of the
+// form NAME=VALUE, separated by spaces.
 
-/// Whether a whole word of the line is this one.
-bool hasLogWord(std::string_view Text, std::string_view Word);
+/// Whether the line contains this field, with its name and value.
+bool hasLogField(std::string_view Text, std::string_view Field);
 
-/// The word that begins so; empty where there is none.
-std::string logWord(std::string_view Text, std::string_view Start);
+/// Returns the first field that starts with `Prefix`; empty if there is none.
+std::string logField(std::string_view Text, std::string_view Prefix);
 
-/// The value of the word NAME=VALUE; empty where there is none.
+/// Returns the value of the field NAME=VALUE; empty if there is none.
 std::string logValue(std::string_view Text, std::string_view Name);
 
-/// The time at the start of a log line, as text; empty where there is none. A
-/// log collector may have put words of its own before it.
+/// Returns the time of a log line, as text; empty if there is none. A log
+/// collector may have put a prefix of its own before it.
 std::string_view logTimeOf(std::string_view Text);
 
-/// A log line's time moved by some milliseconds.
-std::string movedLogTime(const std::string &Time, Duration By);
+/// Returns the time of a log line shifted by a duration, in the same format.
+std::string shiftedLogTime(const std::string &Time, Duration By);
 
 } // namespace parsleywing
 
--- a/src/Operator/OperatorClient.cpp
+++ b/src/Operator/OperatorClient.cpp
@@ -10,7 +10,7 @@
 
 namespace parsleywing {
 
-Result<OperatorClient::Answer>
+Result<OperatorClient::HttpReply>
 OperatorClient::call(const std::string &Method, const std::string &Path,
                      const std::string &Body) const {
   if (!isNumericAddress(this->Address))
@@ -22,14 +22,14 @@
     Poco::Net::HTTPClientSession Session{
         Poco::Net::SocketAddress(this->Address)};
     const auto Limit =
-        std::chrono::duration_cast<std::chrono::microseconds>(this->Patience);
+        std::chrono::duration_cast<std::chrono::microseconds>(this->Timeout);
     Session.setTimeout(Poco::Timespan(Limit.count()));
     Poco::Net::HTTPRequest Request(Method, Path, "HTTP/1.1");
     Request.setContentLength(static_cast<std::streamsize>(Body.size()));
     Session.sendRequest(Request) << Body;
     Poco::Net::HTTPResponse Response;
     std::istream &In = Session.receiveResponse(Response);
-    Answer Received{Response.getStatus(), {}};
+    HttpReply Received{Response.getStatus(), {}};
     Poco::StreamCopier::copyToString(In, Received.Body);
     return Received;
   } catch (const Poco::TimeoutException &) {
--- a/src/Operator/OperatorClient.h
+++ b/src/Operator/OperatorClient.h
@@ -8,38 +8,40 @@
 
 namespace parsleywing {
 
-/// Speaks to the operator address of a router. Each call opens a connection
-/// and blocks for its answer; each step of it at most for the patience.
+/// An HTTP client for the operator address of a router. Each call opens a
+/// connection and blocks until the response is complete. The timeout applies to
+/// each step of a call.
 class OperatorClient {
 public:
   /// `A` is a numeric host and port.
   explicit OperatorClient(std::string A,
-                          Duration Patience = std::chrono::seconds(5))
-      : Address(std::move(A)), Patience(Patience) {}
+                          Duration Timeout = std::chrono::seconds(5))
+      : Address(std::move(A)), Timeout(Timeout) {}
 
-  /// The body of a 200 answer. `InvalidInput` for a wrong address,
-  /// `Unreachable` where nobody listens, `TimedOut` where no answer came,
-  /// `Refused` for every other status.
+  /// Returns the body of a response with status 200. Fails with `InvalidInput`
+  /// for an invalid address, `Unreachable` if nothing listens there, `TimedOut`
+  /// if no response arrives in time, and `Refused` for every other status.
   Result<std::string> get(const std::string &Path) const;
   Result<std::string> post(const std::string &Path,
                            const std::string &Body = "") const;
 
-  /// The body of `/health`, also while the router drains.
+  /// Returns the body of `/health`, whatever the status. While the router
+  /// drains, the status is 503.
   Result<std::string> health() const;
 
 private:
-  struct Answer {
+  struct HttpReply {
     int Status;
     std::string Body;
   };
-  Result<Answer> call(const std::string &Method, const std::string &Path,
-                      const std::string &Body) const;
+  Result<HttpReply> call(const std::string &Method, const std::string &Path,
+                         const std::string &Body) const;
   Result<std::string> callForBody(const std::string &Method,
                                   const std::string &Path,
                                   const std::string &Body) const;
 
   std::string Address;
-  Duration Patience;
+  Duration Timeout;
 };
 
 } // namespace parsleywing
--- a/src/Operator/OperatorServer.cpp
+++ b/src/Operator/OperatorServer.cpp
@@ -21,7 +21,7 @@
 
 constexpr int MaxOperatorConnections = 8;
 constexpr unsigned JsonIndent = 2;
-constexpr std::streamsize MaxOrderBytes = 65'536;
+constexpr std::streamsize MaxFaultOrderBytes = 65'536;
 
 void sendText(HTTPServerResponse &Response, const std::string &Type,
               const std::string &Body) {
@@ -42,21 +42,21 @@
 
   void handleRequest(HTTPServerRequest &Request,
                      HTTPServerResponse &Response) override {
-    const std::string Wanted =
+    const std::string Route =
         Request.getMethod() + " " + Poco::URI(Request.getURI()).getPath();
     Response.setKeepAlive(false);
-    if (Wanted == "GET /dump")
+    if (Route == "GET /dump")
       return sendJson(Response, *this->Hooks.State.collect());
-    if (Wanted == "GET /metrics")
+    if (Route == "GET /metrics")
       return sendText(Response, "text/plain; version=0.0.4",
                       this->Hooks.Measured.render());
-    if (Wanted == "GET /health")
+    if (Route == "GET /health")
       return this->sendHealth(Response);
-    if (Wanted == "GET /generation")
+    if (Route == "GET /generation")
       return this->sendGeneration(Response);
-    if (Wanted == "POST /drain")
+    if (Route == "POST /drain")
       return this->drain(Response);
-    if (Wanted == "POST /faults")
+    if (Route == "POST /faults")
       return this->setFaults(Request, Response);
     Response.setStatusAndReason(HTTPResponse::HTTP_NOT_FOUND);
     sendText(Response, "text/plain",
@@ -86,8 +86,8 @@
 
   void setFaults(HTTPServerRequest &Request,
                  HTTPServerResponse &Response) const {
-    std::string Text(MaxOrderBytes, '\0');
-    Request.stream().read(Text.data(), MaxOrderBytes);
+    std::string Text(MaxFaultOrderBytes, '\0');
+    Request.stream().read(Text.data(), MaxFaultOrderBytes);
     Text.resize(static_cast<std::size_t>(Request.stream().gcount()));
     const auto Order = readPeerFaultOrder(Text);
     const Result<void> Done = Order ? this->Hooks.Faults(*Order)
@@ -98,12 +98,13 @@
                                       : HTTPResponse::HTTP_FORBIDDEN);
       return sendText(Response, "text/plain", Done.error().Message + "\n");
     }
-    log(LogPart::Operator, LogLevel::Warn, "Faults were ordered: " + Text);
+    log(LogPart::Operator, LogLevel::Warn,
+        "Peer faults set by an operator: " + Text);
     sendText(Response, "text/plain", "in place\n");
   }
 
   void drain(HTTPServerResponse &Response) const {
-    log(LogPart::Operator, LogLevel::Info, "An operator ordered a drain.");
+    log(LogPart::Operator, LogLevel::Info, "Drain requested by an operator.");
     this->Hooks.Drain();
     Poco::JSON::Object Body;
     Body.set("state", "draining");
@@ -140,8 +141,8 @@
 Result<void> OperatorServer::start() {
   try {
     // The constructor that takes an address would set SO_REUSEPORT: a second
-    // router on the address would start without an error and get a part of
-    // the connections.
+    // router on the same address would start without an error and receive some
+    // of the connections.
     Poco::Net::ServerSocket Socket;
     Socket.bind(Poco::Net::SocketAddress(this->Address), true, false);
     Socket.listen();
--- a/src/Operator/OperatorServer.h
+++ b/src/Operator/OperatorServer.h
@@ -14,39 +14,40 @@
 
 namespace parsleywing {
 
-/// Whether the router takes callers, and what it still holds.
+/// Whether the router accepts requests, and how many requests are open.
 struct RouterHealth {
   bool Draining = false;
   std::size_t OpenRequests = 0;
 };
 
-/// Which declarations requests at this router go by.
+/// The generation of the declarations that this router uses for requests.
 struct RouterGeneration {
   std::string Name;
-  /// Of the process, so that a restart is told from a step back.
+  /// The incarnation number of the process. It distinguishes a restart, after
+  /// which the generation may be lower, from a rollback.
   std::uint64_t Incarnation = 0;
   std::uint64_t Generation = 0;
 };
 
-/// What the operator address reaches inside the process. Everything is called
-/// from the server's own threads.
+/// The functions of the process that the operator server calls, all from the
+/// server's own threads.
 struct OperatorHooks {
   const StateSources &State;
   const Metrics &Measured;
-  /// Asks the process to drain and end; returns at once.
+  /// Requests that the process drains and exits; returns immediately.
   std::function<void()> Drain;
   std::function<RouterHealth()> Health;
   std::function<RouterGeneration()> Generation;
-  /// `Denied` where the settings do not allow fault injection.
+  /// Fails with `Denied` if the settings do not allow fault injection.
   std::function<Result<void>(const PeerFaultOrder &)> Faults;
 };
 
-/// The HTTP front to operators: `GET /dump` (JSON), `GET /metrics` (Prometheus
-/// text), `GET /health` (200 while it takes callers, 503 while it drains),
-/// `GET /generation` (small, for many reads), `POST /drain` and, where the
-/// settings allow fault injection, `POST /faults` (403 elsewhere). It knows no
-/// accounts: whoever reaches the address may use it, so it belongs on loopback
-/// or a closed network.
+/// The HTTP server for operators: `GET /dump` (JSON), `GET /metrics`
+/// (Prometheus text), `GET /health` (200 while the router accepts requests, 503
+/// while it drains), `GET /generation` (a small response for frequent polling),
+/// `POST /drain` and, if the settings allow fault injection, `POST /faults`
+/// (403 otherwise). There is no authentication: whoever reaches the address can
+/// use it, so it must be bound to loopback or to a private network.
 class OperatorServer {
 public:
   /// `A` is the numeric host and port to listen on.
@@ -55,7 +56,8 @@
   OperatorServer(const OperatorServer &) = delete;
   OperatorServer &operator=(const OperatorServer &) = delete;
 
-  /// Binds the address and starts to serve. `Unreachable` where it cannot.
+  /// Binds the address and starts serving. Fails with `Unreachable` if the
+  /// address cannot be bound.
   Result<void> start();
 
 private:
--- a/src/Operator/PeerFaultOrder.cpp
+++ b/src/Operator/PeerFaultOrder.cpp
@@ -6,13 +6,13 @@
 
 namespace {
 
-constexpr unsigned WholePercent = 100;
-constexpr unsigned MostDelayMilliseconds = 60'000;
+constexpr unsigned MaxLossPercent = 100;
+constexpr unsigned MaxDelayMilliseconds = 60'000;
 
-unsigned numberUpTo(const Poco::Dynamic::Var &Value, unsigned Most) {
+unsigned numberUpTo(const Poco::Dynamic::Var &Value, unsigned Max) {
   const auto Number = Value.convert<unsigned>();
-  if (Number > Most)
-    throw Poco::RangeException("above " + std::to_string(Most));
+  if (Number > Max)
+    throw Poco::RangeException("above " + std::to_string(Max));
   return Number;
 }
 
@@ -23,10 +23,10 @@
       for (const auto &Name : *Value.extract<Poco::JSON::Array::Ptr>())
         Order.CutFrom.push_back(Name.extract<std::string>());
     } else if (Key == "lossPercent") {
-      Order.LossPercent = numberUpTo(Value, WholePercent);
+      Order.LossPercent = numberUpTo(Value, MaxLossPercent);
     } else if (Key == "delayMs") {
       Order.Delay =
-          std::chrono::milliseconds(numberUpTo(Value, MostDelayMilliseconds));
+          std::chrono::milliseconds(numberUpTo(Value, MaxDelayMilliseconds));
     } else {
       throw Poco::NotFoundException(Key);
     }
@@ -42,7 +42,7 @@
         *Poco::JSON::Parser().parse(Text).extract<Poco::JSON::Object::Ptr>());
   } catch (const Poco::Exception &Failure) {
     return failure(ErrorCode::InvalidInput,
-                   "not an order of faults: " + Failure.displayText());
+                   "invalid peer fault order: " + Failure.displayText());
   }
 }
 
--- a/src/Operator/PeerFaultOrder.h
+++ b/src/Operator/PeerFaultOrder.h
@@ -9,20 +9,20 @@
 
 namespace parsleywing {
 
-/// The faults between this router and others that a test asks for. An order
-/// takes the place of the one before; an empty one ends all faults.
+/// The faults to inject on the network between this router and the others, for
+/// tests. Each order replaces the one before; an empty one ends all faults.
 struct PeerFaultOrder {
-  /// Names of routers from which nothing comes and to which nothing goes.
+  /// Names of routers from which and to which all traffic is dropped.
   std::vector<std::string> CutFrom;
-  /// Of the datagrams received.
+  /// The percentage of received datagrams to drop.
   unsigned LossPercent = 0;
-  /// Added to each datagram received.
+  /// The delay added to each received datagram.
   Duration Delay = Duration::zero();
 };
 
-/// Reads the body of `POST /faults`, such as
-/// `{"cutFrom":["r2"],"lossPercent":10,"delayMs":50}`. `InvalidInput` for
-/// anything else, unknown fields among it.
+/// Parses the body of `POST /faults`, such as
+/// `{"cutFrom":["r2"],"lossPercent":10,"delayMs":50}`. Fails with
+/// `InvalidInput` for anything else, including unknown fields.
 Result<PeerFaultOrder> readPeerFaultOrder(const std::string &Text);
 
 } // namespace parsleywing
--- a/src/Operator/RequestStory.cpp
+++ b/src/Operator/RequestStory.cpp
@@ -8,62 +8,68 @@
 
 namespace {
 
-constexpr std::string_view AskWord = "ask=";
+constexpr std::string_view AllocationPrefix = "ask=";
 
 } // namespace
 
 RequestStory::RequestStory(std::string RequestId, Duration A)
-    : Wanted("request=" + std::move(RequestId)), Around(A) {}
+    : RequestField("request=" + std::move(RequestId)), Around(A) {}
 
 void RequestStory::look(std::string_view Text) {
-  if (!hasLogWord(Text, this->Wanted))
+  if (!hasLogField(Text, this->RequestField))
     return;
   const std::string Time(logTimeOf(Text));
   if (Time.empty())
     return;
-  if (this->First.empty() || Time < this->First)
-    this->First = Time;
-  this->Last = std::max(this->Last, Time);
-  if (std::string Ask = logWord(Text, AskWord); !Ask.empty())
-    this->Asks.insert(std::move(Ask));
+  if (this->FirstTime.empty() || Time < this->FirstTime)
+    this->FirstTime = Time;
+  this->LastTime = std::max(this->LastTime, Time);
+  if (std::string Allocation = logField(Text, AllocationPrefix);
+      !Allocation.empty())
+    this->AllocationFields.insert(std::move(Allocation));
 }
 
 bool RequestStory::begin() {
-  if (this->First.empty())
+  if (this->FirstTime.empty())
     return false;
-  this->First = movedLogTime(this->First, -this->Around);
-  this->Last = movedLogTime(this->Last, this->Around);
+  this->FirstTime = shiftedLogTime(this->FirstTime, -this->Around);
+  this->LastTime = shiftedLogTime(this->LastTime, this->Around);
   return true;
 }
 
 bool RequestStory::names(std::string_view Text) const {
-  return hasLogWord(Text, this->Wanted) ||
-         std::any_of(this->Asks.begin(), this->Asks.end(),
-                     [Text](const auto &Ask) { return hasLogWord(Text, Ask); });
+  return hasLogField(Text, this->RequestField) ||
+         std::any_of(this->AllocationFields.begin(),
+                     this->AllocationFields.end(),
+                     [Text](const auto &Allocation) {
+                       return hasLogField(Text, Allocation);
+                     });
 }
 
-/// Lines of other requests are no part of the story.
-bool RequestStory::isOwnLine(std::string_view Text) const {
-  return logWord(Text, "request=").empty() && logWord(Text, AskWord).empty();
+/// Whether the line is about the router itself. Lines of other requests are not
+/// collected.
+bool RequestStory::isRouterLine(std::string_view Text) const {
+  return logField(Text, "request=").empty() &&
+         logField(Text, AllocationPrefix).empty();
 }
 
 void RequestStory::gather(const std::string &Source, std::string_view Text) {
   const std::string_view Time = logTimeOf(Text);
-  if (Time.empty() || Time < this->First || Time > this->Last)
+  if (Time.empty() || Time < this->FirstTime || Time > this->LastTime)
     return;
-  const bool Naming = this->names(Text);
-  if (!Naming && !this->isOwnLine(Text))
+  const bool NamesRequest = this->names(Text);
+  if (!NamesRequest && !this->isRouterLine(Text))
     return;
-  if (Naming)
-    this->Named.insert(Source);
-  this->Found.push_back({Source, std::string(Text), std::string(Time),
-                         this->Found.size(), Naming});
+  if (NamesRequest)
+    this->NamingSources.insert(Source);
+  this->Collected.push_back({Source, std::string(Text), std::string(Time),
+                             this->Collected.size(), NamesRequest});
 }
 
 std::vector<RequestStory::Line> RequestStory::lines() const {
   std::vector<Line> Story;
-  for (const Line &Each : this->Found)
-    if (this->Named.contains(Each.Source))
+  for (const Line &Each : this->Collected)
+    if (this->NamingSources.contains(Each.Source))
       Story.push_back(Each);
   std::sort(Story.begin(), Story.end(),
             [](const Line &Left, const Line &Right) {
--- a/src/Operator/RequestStory.h
+++ b/src/Operator/RequestStory.h
@@ -11,55 +11,61 @@
 
 namespace parsleywing {
 
-/// Finds in the logs of all routers what happened to one request, in order: its
-/// own lines, those of the allocators that it was asked for at, and what the
-/// routers said of themselves meanwhile. All lines are looked at twice, since a
-/// line that names an ask may stand before the one that tells whose it is.
+/// Collects from the logs of all routers what happened to one request, in
+/// order: the lines of the request, the lines of the allocators that received
+/// its allocation requests, and what the routers logged about themselves at the
+/// same time. All lines are scanned twice, since a line with a correlation ID
+/// may precede the line that maps the ID to the request.
 ///
-/// Makes no calls; whoever reads the logs hands the lines over.
+/// Performs no I/O; the caller reads the logs and passes the lines.
 class RequestStory {
 public:
-  /// A line with the log that it stands in.
+  /// A line and the log that contains it.
   struct Line {
     std::string Source;
     std::string Text;
-    /// The time at its start, as text that sorts like the time.
+    /// The time of the line, as text that sorts chronologically.
     std::string Time;
-    /// Its place among all lines: lines of one time keep their order.
+    /// The index among all collected lines: lines with equal times keep their
+    /// order.
     std::size_t Place = 0;
-    /// Whether it names the request, or is only from the same time.
+    /// Whether the line names the request; otherwise it is only from the same
+    /// time.
     bool Named = false;
   };
 
-  /// `Around`: how long before the first and after the last line that names the
-  /// request the routers' own lines belong to the story.
+  /// `Around` is how long before the first and after the last line that names
+  /// the request the routers' own lines are included.
   RequestStory(std::string RequestId, Duration Around);
 
-  /// The first look at each line of every log.
+  /// First pass: scans a line of any log for the request.
   void look(std::string_view Text);
 
-  /// Ends the first look. False where no line names the request.
+  /// Ends the first pass. Returns false if no line names the request.
   bool begin();
 
-  /// The second look, at the same lines.
+  /// Second pass, over the same lines: collects the lines that belong to the
+  /// request.
   void gather(const std::string &Source, std::string_view Text);
 
-  /// The story, by time.
+  /// Returns the collected lines of the logs that name the request, in
+  /// chronological order.
   std::vector<Line> lines() const;
 
 private:
   bool names(std::string_view Text) const;
-  bool isOwnLine(std::string_view Text) const;
+  bool isRouterLine(std::string_view Text) const;
 
-  std::string Wanted;
+  std::string RequestField;
   Duration Around;
-  /// Asks of the request at allocators, as `ask=...` words.
-  std::set<std::string> Asks;
-  std::string First;
-  std::string Last;
-  /// Sources with a line that names the request.
-  std::set<std::string> Named;
-  std::vector<Line> Found;
+  /// The correlation IDs of the request's allocation requests, as `ask=...`
+  /// fields.
+  std::set<std::string> AllocationFields;
+  std::string FirstTime;
+  std::string LastTime;
+  /// The logs with a line that names the request.
+  std::set<std::string> NamingSources;
+  std::vector<Line> Collected;
 };
 
 } // namespace parsleywing
--- a/src/Operator/RunReport.h
+++ b/src/Operator/RunReport.h
@@ -11,54 +11,56 @@
 
 namespace parsleywing {
 
-/// Adds up from the logs of all routers how requests ended, and what bound: by
-/// route, account, router, allocator and second; why requests were refused; and
-/// how many servers had room while an allocator refused. Makes no calls;
-/// whoever reads the logs hands the lines over.
+/// Aggregates from the logs of all routers how requests ended, by route,
+/// account, router, allocator and second; why requests were refused; and how
+/// many servers had free capacity when an allocator refused. Performs no I/O;
+/// the caller reads the logs and passes the lines.
 ///
-/// Routers leave lines out where they would log too many. The lines say so, and
-/// the report how many are missing: counts are lower bounds.
+/// Routers suppress lines above their log rate limit. The lines contain the
+/// number that was suppressed, and the report prints the total: all counts are
+/// lower bounds.
 class RunReport {
 public:
-  /// One line. `Source` names the router where the line has no name of its own
+  /// Adds one line. `Source` is the name of the router if the line has no name
   /// before its time.
   void add(const std::string &Source, std::string_view Text);
 
-  /// Tables that a person reads.
+  /// Prints tables for operators.
   void print(std::ostream &Out) const;
-  /// What happened in each second, as a program for gnuplot with its data.
+  /// Prints a gnuplot program with the outcomes of each second as its data.
   void printPlot(std::ostream &Out) const;
 
-  std::uint64_t requests() const { return this->All.Requests; }
+  std::uint64_t requests() const { return this->Total.Requests; }
 
 private:
-  struct Ends {
+  struct OutcomeCounts {
     std::uint64_t Requests = 0;
     std::uint64_t Served = 0;
     std::uint64_t Refused = 0;
     std::uint64_t Failed = 0;
-    /// Seconds to the first piece of what was served.
-    std::vector<float> FirstPiece;
+    /// Seconds to the first chunk of each served response.
+    std::vector<float> FirstChunkSeconds;
   };
-  /// Parts of an allocator's servers that had room when it refused: none, then
-  /// below a quarter, a half, and more.
-  static constexpr std::size_t RoomParts = 4;
+  /// Buckets by the share of an allocator's servers that had free capacity when
+  /// it refused: none, below a quarter, below a half, and more.
+  static constexpr std::size_t CapacityBuckets = 4;
 
   void addRequest(const std::string &Router, std::string_view Text);
-  void addRefusedAsk(std::string_view Text);
-  static void note(Ends &Into, const std::string &Outcome, float FirstPiece);
-  static void printEnds(std::ostream &Out, const char *Title,
-                        const std::map<std::string, Ends> &Of);
+  void addRefusal(std::string_view Text);
+  static void record(OutcomeCounts &Into, const std::string &Outcome,
+                     float FirstChunkSeconds);
+  static void printTable(std::ostream &Out, const char *Title,
+                         const std::map<std::string, OutcomeCounts> &Groups);
 
-  Ends All;
-  std::map<std::string, Ends> ByRoute;
-  std::map<std::string, Ends> ByAccount;
-  std::map<std::string, Ends> ByRouter;
-  std::map<std::string, Ends> ByAllocator;
-  std::map<std::string, Ends> BySecond;
+  OutcomeCounts Total;
+  std::map<std::string, OutcomeCounts> ByRoute;
+  std::map<std::string, OutcomeCounts> ByAccount;
+  std::map<std::string, OutcomeCounts> ByRouter;
+  std::map<std::string, OutcomeCounts> ByAllocator;
+  std::map<std::string, OutcomeCounts> BySecond;
   std::map<std::string, std::uint64_t> Reasons;
-  std::array<std::uint64_t, RoomParts> RefusedAtRoom{};
-  std::uint64_t LeftOut = 0;
+  std::array<std::uint64_t, CapacityBuckets> RefusalsByCapacity{};
+  std::uint64_t SuppressedLines = 0;
 };
 
 } // namespace parsleywing
--- a/src/Operator/SectionReader.cpp
+++ b/src/Operator/SectionReader.cpp
@@ -7,7 +7,7 @@
 
 std::string SectionReader::text(const std::string &Key,
                                 const std::string &Default) {
-  this->Known.push_back(Key);
+  this->KnownKeys.push_back(Key);
   const IniEntry *Entry = this->Section.find(Key);
   return Entry ? Entry->Value : Default;
 }
@@ -48,10 +48,10 @@
 
 std::string SectionReader::finish() {
   for (const IniEntry &Entry : this->Section.Entries) {
-    if (std::ranges::find(this->Known, Entry.Key) != this->Known.end())
+    if (std::ranges::find(this->KnownKeys, Entry.Key) != this->KnownKeys.end())
       continue;
     std::string Allowed;
-    for (const std::string &Key : this->Known)
+    for (const std::string &Key : this->KnownKeys)
       Allowed += (Allowed.empty() ? "" : ", ") + Key;
     this->failAt(Entry.Key, "is not a known key; allowed are " + Allowed);
   }
--- a/src/Operator/SectionReader.h
+++ b/src/Operator/SectionReader.h
@@ -10,31 +10,30 @@
 
 namespace parsleywing {
 
-/// Reads the entries of one section and keeps the first problem met, as one
-/// sentence with the file, line, section and key. Lives no longer than the
-/// file.
+/// Reads the entries of one section and records the first problem, as one
+/// sentence with the file, line, section and key. Must not outlive the file.
 class SectionReader {
 public:
   SectionReader(const IniFile &F, const IniSection &S) : File(F), Section(S) {}
 
-  /// The value of a key, or the default where the section lacks it.
+  /// Returns the value of a key, or the default if the section lacks it.
   std::string text(const std::string &Key, const std::string &Default);
   std::string requiredText(const std::string &Key);
 
-  /// A whole number from 1 to `Max`.
+  /// Reads an integer from 1 to `Max`.
   std::uint32_t count(const std::string &Key, std::uint32_t Default,
                       std::uint32_t Max);
 
   bool yesOrNo(const std::string &Key, bool Default);
 
-  /// One of the names of an enumeration.
+  /// Reads the name of an enumeration value.
   template <typename Enum, std::size_t Count>
   Enum choice(const std::string &Key, const EnumNames<Enum, Count> &Names,
               Enum Default) {
     const std::string Value =
         this->text(Key, std::string(nameOf(Names, Default)));
-    if (const auto Chosen = valueOf(Names, Value))
-      return *Chosen;
+    if (const auto Parsed = valueOf(Names, Value))
+      return *Parsed;
     std::string Allowed;
     for (const auto &[Each, Name] : Names)
       Allowed += (Allowed.empty() ? "" : " or ") + std::string(Name);
@@ -42,11 +41,12 @@
     return Default;
   }
 
-  /// Keeps the problem, with the place of the key or else of the section.
+  /// Records a problem, with the location of the key, or of the section if it
+  /// lacks the key.
   void failAt(const std::string &Key, const std::string &Problem);
 
-  /// Refuses keys that nobody asked for. Gives the first problem met, or an
-  /// empty text.
+  /// Reports keys that were not read as unknown. Returns the first problem, or
+  /// an empty text if there is none.
   std::string finish();
 
 private:
@@ -54,7 +54,7 @@
 
   const IniFile &File;
   const IniSection &Section;
-  std::vector<std::string> Known;
+  std::vector<std::string> KnownKeys;
   std::string Problem;
 };
 
--- a/src/Operator/StateSources.h
+++ b/src/Operator/StateSources.h
@@ -9,18 +9,19 @@
 
 namespace parsleywing {
 
-/// Gives one part of the process's state. Called from an operator's thread; a
-/// part of the control thread wraps its call in `ControlLoop::ask` and gives
-/// null where the thread does not answer in time.
+/// Returns one component's state. Called from an operator's thread. A source
+/// that needs the control thread wraps its call in `ControlLoop::ask` and
+/// returns null if that thread does not run it in time.
 using StateSource = std::function<Poco::JSON::Object::Ptr()>;
 
-/// The parts of the state dump by name.
+/// The sources of the state dump, by component name.
 class StateSources {
 public:
-  /// Adds a part. A name given twice is a broken invariant.
+  /// Adds a source. A duplicate name violates an invariant.
   void add(const std::string &Name, StateSource Source);
 
-  /// All parts as one object; null for a part that does not answer.
+  /// Collects all components into one object, with null for a component that
+  /// does not respond.
   Poco::JSON::Object::Ptr collect() const;
 
 private:
--- a/src/Operator/ValueChecks.cpp
+++ b/src/Operator/ValueChecks.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 constexpr std::size_t Sha256HexLength = 64;
-constexpr unsigned HighestPort = 65535;
+constexpr unsigned MaxPort = 65535;
 
 bool isNameCharacter(char C) {
   return Poco::Ascii::isAlphaNumeric(C) || C == '.' || C == '_' || C == '-';
@@ -41,7 +41,7 @@
       !Poco::NumberParser::tryParseUnsigned(Port, Number))
     return false;
   const bool Version6 = Parsed.family() == Poco::Net::IPAddress::IPv6;
-  return Version6 == Bracketed && Number >= 1 && Number <= HighestPort;
+  return Version6 == Bracketed && Number >= 1 && Number <= MaxPort;
 }
 
 bool isSha256Hex(const std::string &Value) {
--- a/test/Operator/DeclarationsWriterTest.cpp
+++ b/test/Operator/DeclarationsWriterTest.cpp
@@ -18,7 +18,7 @@
   return std::string(64 - Digits.size(), '0') + Digits;
 }
 
-/// Random declarations that the reader accepts.
+/// Generates random declarations that the reader accepts.
 Declarations anyDeclarations() {
   Declarations All;
   std::vector<ServiceId> Services;
@@ -63,18 +63,18 @@
 
 } // namespace
 
-Test(DeclarationsWriter, WhatIsWrittenReadsBackTheSame) {
+Test(DeclarationsWriter, WrittenDeclarationsRoundTrip) {
   expectHolds(rc::check("written, read, written", [] {
-    const Declarations Wanted = anyDeclarations();
-    const std::string Text = writeDeclarations(Wanted);
-    const auto Read = parseDeclarations(Text, "written.ini");
-    RC_ASSERT(Read.has_value());
-    RC_ASSERT(*Read == Wanted);
-    RC_ASSERT(writeDeclarations(*Read) == Text);
+    const Declarations Expected = anyDeclarations();
+    const std::string Text = writeDeclarations(Expected);
+    const auto Parsed = parseDeclarations(Text, "written.ini");
+    RC_ASSERT(Parsed.has_value());
+    RC_ASSERT(*Parsed == Expected);
+    RC_ASSERT(writeDeclarations(*Parsed) == Text);
   }));
 }
 
-Test(DeclarationsDiff, IsEmptyExactlyForEqualDeclarations) {
+Test(DeclarationsDiff, IsEmptyIfAndOnlyIfDeclarationsAreEqual) {
   expectHolds(rc::check("compare", [] {
     const Declarations Left = anyDeclarations();
     const Declarations Right = anyDeclarations();
@@ -83,7 +83,7 @@
   }));
 }
 
-Test(DeclarationsDiff, NamesWhatIsAddedAlteredAndRemoved) {
+Test(DeclarationsDiff, ReportsAddedAlteredAndRemovedSections) {
   const std::string Common = "[server s]\naddress = 127.0.0.1:1\n"
                              "availability_zone = z\n[service v]\nservers = s\n"
                              "[account a]\nservices = v\nkey_sha256 = " +
@@ -97,7 +97,8 @@
   std::vector<std::string> Lines;
   for (const DeclarationChange &Change : compareDeclarations(*Before, *After))
     Lines.push_back(textOf(Change));
-  const std::vector<std::string> Wanted{"altered account a: share 1 -> 4",
-                                        "added service w", "removed account b"};
-  cr_assert(Lines == Wanted);
+  const std::vector<std::string> Expected{"altered account a: share 1 -> 4",
+                                          "added service w",
+                                          "removed account b"};
+  cr_assert(Lines == Expected);
 }
--- a/test/Operator/RequestStoryTest.cpp
+++ b/test/Operator/RequestStoryTest.cpp
@@ -11,7 +11,8 @@
 
 using Logs = std::map<std::string, std::vector<std::string>>;
 
-std::vector<RequestStory::Line> tell(const std::string &Id, const Logs &From) {
+std::vector<RequestStory::Line> storyOf(const std::string &Id,
+                                        const Logs &From) {
   RequestStory Story(Id, 2s);
   for (const auto &[Source, Lines] : From)
     for (const std::string &Line : Lines)
@@ -40,8 +41,8 @@
 
 } // namespace
 
-Test(RequestStory, joinsTheLinesOfRouterAndAllocatorByTime) {
-  const auto Story = tell("abc", TwoRouters);
+Test(RequestStory, mergesLinesOfRouterAndAllocatorByTime) {
+  const auto Story = storyOf("abc", TwoRouters);
   cr_assert_eq(Story.size(), 4);
   cr_expect(Story[0].Text.ends_with("store=regained"));
   cr_expect_not(Story[0].Named);
@@ -51,30 +52,30 @@
   cr_expect(Story[3].Text.find("outcome=refused") != std::string::npos);
 }
 
-Test(RequestStory, anUnknownRequestHasNone) {
-  cr_expect(tell("nowhere", TwoRouters).empty());
+Test(RequestStory, unknownRequestHasNoLines) {
+  cr_expect(storyOf("nowhere", TwoRouters).empty());
 }
 
-Test(RequestStory, takesLinesBehindACollectorsOwnWords) {
-  const auto Story =
-      tell("abc",
-           {{"-",
-             {"vm-3 router[17] 2026-12-31T23:59:59.900 INFO  caller: "
-              "request=abc outcome=served",
-              "vm-3 router[17] 2027-01-01T00:00:01.000 INFO  program: stop"}}});
+Test(RequestStory, acceptsThePrefixOfALogCollector) {
+  const auto Story = storyOf(
+      "abc",
+      {{"-",
+        {"vm-3 router[17] 2026-12-31T23:59:59.900 INFO  caller: "
+         "request=abc outcome=served",
+         "vm-3 router[17] 2027-01-01T00:00:01.000 INFO  program: stop"}}});
   cr_assert_eq(Story.size(), 2);
   cr_expect_eq(Story[1].Time, "2027-01-01T00:00:01.000");
 }
 
-Test(RequestStory, linesWithoutATimeAreLeftOut) {
+Test(RequestStory, linesWithoutATimeAreIgnored) {
   cr_expect(logTimeOf("request=abc outcome=served").empty());
   cr_expect(logTimeOf("").empty());
-  cr_expect(tell("abc", {{"-", {"request=abc outcome=served"}}}).empty());
+  cr_expect(storyOf("abc", {{"-", {"request=abc outcome=served"}}}).empty());
 }
 
-Test(RequestStory, aMovedTimePassesMidnight) {
-  cr_expect_eq(movedLogTime("2026-12-31T23:59:59.500", 1500ms),
+Test(RequestStory, shiftedTimeCrossesMidnight) {
+  cr_expect_eq(shiftedLogTime("2026-12-31T23:59:59.500", 1500ms),
                "2027-01-01T00:00:01.000");
-  cr_expect_eq(movedLogTime("2026-03-01T00:00:00.100", -200ms),
+  cr_expect_eq(shiftedLogTime("2026-03-01T00:00:00.100", -200ms),
                "2026-02-28T23:59:59.900");
 }
