--- a/bench/CapacityControlBench.cpp
+++ b/bench/CapacityControlBench.cpp
@@ -1,8 +1,8 @@
-// What the decisions of one router cost at the size that the design is for:
-// memory by part, and processor time of each kind of event, times the rate of
-// such events at one router. Drives RouterCore alone, under a paused clock; the
-// mailbox and the wake-ups of the control thread are not in it (see
-// CapacityProcessBench). Run: `build/CapacityControlBench`; some 10 s.
+// Measures the cost of the decisions of one router at the target size of the
+// design: memory by component, and CPU time of each kind of event at the rate
+// of such events at one router. Drives RouterCore alone, under a paused clock;
+// the mailbox and the wake-ups of the control thread are not included (see
+// CapacityProcessBench). Run: `build/CapacityControlBench`; takes about 10 s.
 
 #include "Decision/RouterCore.h"
 #include "Runtime/Overloaded.h"
@@ -26,23 +26,23 @@
 constexpr std::size_t Accounts = 24'000;
 constexpr std::size_t Services = 5;
 constexpr std::size_t ActiveAccounts = 40; // times five services: 200 pairs.
-constexpr std::uint32_t SlotsOfServer = 10;
+constexpr std::uint32_t SlotsPerServer = 10;
 constexpr std::size_t Waiting = 400;
-/// 4.5 million tokens a second over 19,000 requests.
-constexpr std::uint64_t TokensOfAnswer = 237;
-/// Time between two tokens of one answer at the target.
+/// 4.5 million tokens per second over 19,000 requests per second.
+constexpr std::uint64_t TokensPerResponse = 237;
+/// Time between two tokens of one response at the target.
 constexpr Duration TokenInterval = 27ms;
 constexpr Duration TickInterval = 10ms;
 constexpr std::size_t RequestsPerSecond = 50;
-/// Longer than a second, so that every periodic send is met several times.
+/// Longer than a second, so that every periodic message is sent several times.
 constexpr int MeasuredSeconds = 8;
 constexpr Duration MeasuredTime = std::chrono::seconds(MeasuredSeconds);
-/// Datagrams that reach a router each second: three digests, some ten with
-/// positions and slots, and the pings and rumours of membership.
+/// Datagrams that reach a router each second: three digests and some ten with
+/// contributions and slots. The pings and rumours of membership come on top.
 constexpr int FairMessagesPerSecond = 13;
 constexpr int LoadReportsPerSecond = 32;
 
-double processorSeconds() {
+double cpuSeconds() {
   timespec Now{};
   clock_gettime(CLOCK_THREAD_CPUTIME_ID, &Now);
   return static_cast<double>(Now.tv_sec) +
@@ -58,7 +58,7 @@
          static_cast<double>(::sysconf(_SC_PAGESIZE));
 }
 
-/// Bytes taken from the allocator, those mapped singly included.
+/// Bytes taken from the allocator, including blocks that it mapped separately.
 double heapBytes() {
   const auto Info = mallinfo2();
   return static_cast<double>(Info.uordblks + Info.hblkhd);
@@ -68,7 +68,8 @@
   return idOf<RouterId>("router-" + std::to_string(Index));
 }
 
-/// Different for each router: of two with one address the earlier is dead.
+/// Different for each router: of two routers with the same address, the older
+/// is considered dead.
 std::string addressOf(std::size_t Index) {
   return "10.1." + std::to_string(Index / 250) + "." +
          std::to_string(Index % 250 + 1) + ":7100";
@@ -89,7 +90,7 @@
     Declared.Name = Name;
     Declared.Address = "10.1.2.3:" + std::to_string(1 + I % 60'000);
     Declared.Zone = "zone-" + std::to_string(I % 9);
-    Declared.MaxConcurrent = SlotsOfServer;
+    Declared.MaxConcurrent = SlotsPerServer;
     All->Services[Ids[I % Services]].Servers.push_back(Server);
   }
   for (std::size_t I = 0; I < Accounts; ++I) {
@@ -102,7 +103,7 @@
   return All;
 }
 
-/// The kinds of events whose cost is printed apart.
+/// The kinds of events whose cost is measured separately.
 enum class Kind {
   Arrival,
   Sent,
@@ -134,15 +135,15 @@
   double Seconds = 0;
 };
 
-struct Running {
+struct RunningRequest {
   RequestId Request;
   AttemptNumber Attempt = 1;
   TimePoint Started;
   std::uint64_t Tokens = 0;
 };
 
-/// One router of 380, with members that answer its pings and servers that
-/// generate a token each 27 ms.
+/// One router of 380, with members that acknowledge its pings and servers that
+/// generate a token every 27 ms.
 class TargetRouter {
 public:
   TargetRouter() : Core(settings()) {}
@@ -157,15 +158,15 @@
                                "router-" + std::to_string(I), addressOf(I),
                                "10.0.0.1:7000"});
     }
-    this->give(Kind::Membership,
-               PeerPartReceived{routerAt(1), 1, State, addressOf(1)});
+    this->deliver(Kind::Membership,
+                  PeerPartReceived{routerAt(1), 1, State, addressOf(1)});
   }
 
   void declare(DeclarationsPtr All) {
-    this->give(Kind::Configuration, DeclarationsChanged{std::move(All)});
+    this->deliver(Kind::Configuration, DeclarationsChanged{std::move(All)});
   }
 
-  /// Lets the takeover waits pass.
+  /// Waits until the takeover delays have passed.
   void settle() {
     for (int Step = 0; Step < 1000; ++Step)
       this->tick();
@@ -179,25 +180,26 @@
         idOf<AccountId>("account-" + std::to_string(Number % ActiveAccounts));
     D.Service = idOf<ServiceId>(
         "model-" + std::to_string(Number / ActiveAccounts % Services));
-    D.EstimatedTokens = TokensOfAnswer;
+    D.EstimatedTokens = TokensPerResponse;
     D.Deadline = this->Now + 600s;
     D.Identity = "router-0-1-" + std::to_string(Number);
-    this->give(Kind::Arrival, RequestArrived{D});
+    this->deliver(Kind::Arrival, RequestArrived{D});
   }
 
-  /// Ten milliseconds: reports, ends, arrivals and a tick. `ReportInterval` is
-  /// the time between two progress reports of one answer.
+  /// Simulates 10 ms: progress reports, ended requests, arrivals and a tick.
+  /// `ReportInterval` is the time between two progress reports of one response.
   void step(Duration ReportInterval) {
-    for (std::size_t I = 0; I < this->Active.size(); ++I)
-      this->progress(this->Active[I], ReportInterval);
-    while (!this->Active.empty() &&
-           this->Active.front().Started + TokensOfAnswer * TokenInterval <=
+    for (std::size_t I = 0; I < this->ActiveRequests.size(); ++I)
+      this->progress(this->ActiveRequests[I], ReportInterval);
+    while (!this->ActiveRequests.empty() &&
+           this->ActiveRequests.front().Started +
+                   TokensPerResponse * TokenInterval <=
                this->Now)
       this->end();
     this->tick();
   }
 
-  void peers(int Second) {
+  void deliverPeerMessages(int Second) {
     FairMessage Digest = this->message();
     for (std::size_t I = 0; I < Services; ++I)
       Digest.Digests.push_back(
@@ -208,25 +210,26 @@
     for (int I = 0; I < FairMessagesPerSecond; ++I) {
       FairMessage &Next = I < 3 ? Digest : Sums;
       Next.Sequence = ++this->Sequence;
-      this->give(I < 3 ? Kind::Digest : Kind::Contributions,
-                 PeerPartReceived{routerAt(static_cast<std::size_t>(I) + 1), 1,
-                                  Next, ""});
+      this->deliver(I < 3 ? Kind::Digest : Kind::Contributions,
+                    PeerPartReceived{routerAt(static_cast<std::size_t>(I) + 1),
+                                     1, Next, ""});
     }
     for (int I = 0; I < LoadReportsPerSecond; ++I)
-      if (!this->Watched.empty())
-        this->give(Kind::LoadReport,
-                   LoadReported{this->Watched[static_cast<std::size_t>(I) %
-                                              this->Watched.size()],
-                                SlotsOfServer, 0});
+      if (!this->OwnedServers.empty())
+        this->deliver(
+            Kind::LoadReport,
+            LoadReported{this->OwnedServers[static_cast<std::size_t>(I) %
+                                            this->OwnedServers.size()],
+                         SlotsPerServer, 0});
   }
 
   void clearCosts() { this->Costs = {}; }
   const Cost &costOf(Kind K) const {
     return this->Costs[static_cast<std::size_t>(K)];
   }
-  std::size_t running() const { return this->Active.size(); }
+  std::size_t running() const { return this->ActiveRequests.size(); }
   std::size_t open() const { return this->Core.openRequests(); }
-  std::size_t owned() const { return this->Watched.size(); }
+  std::size_t owned() const { return this->OwnedServers.size(); }
   std::size_t members() const {
     return this->Core.membership().view().Members.size();
   }
@@ -245,31 +248,32 @@
     return M;
   }
 
-  void give(Kind K, const Event &Happened) {
-    const double Before = processorSeconds();
-    const std::vector<Action> Wanted = this->Core.handle(this->Now, Happened);
+  void deliver(Kind K, const Event &Delivered) {
+    const double Before = cpuSeconds();
+    const std::vector<Action> Actions = this->Core.handle(this->Now, Delivered);
     Cost &Spent = this->Costs[static_cast<std::size_t>(K)];
-    Spent.Seconds += processorSeconds() - Before;
+    Spent.Seconds += cpuSeconds() - Before;
     ++Spent.Count;
-    for (const Action &A : Wanted)
-      this->carryOut(A);
+    for (const Action &A : Actions)
+      this->execute(A);
   }
 
-  void carryOut(const Action &Wanted) {
+  void execute(const Action &Next) {
     std::visit(
         Overloaded{
             [&](const StartAttempt &A) {
-              this->Active.push_back({A.Request, A.Attempt, this->Now, 0});
-              this->give(Kind::Sent, AttemptSent{A.Request, A.Attempt});
+              this->ActiveRequests.push_back(
+                  {A.Request, A.Attempt, this->Now, 0});
+              this->deliver(Kind::Sent, AttemptSent{A.Request, A.Attempt});
             },
-            [&](const SendToPeer &A) { this->answerPing(A); },
-            [&](const WatchServers &A) { this->Watched = A.Servers; },
+            [&](const SendToPeer &A) { this->acknowledgePing(A); },
+            [&](const WatchServers &A) { this->OwnedServers = A.Servers; },
             [](const auto &) {},
         },
-        Wanted);
+        Next);
   }
 
-  void answerPing(const SendToPeer &Sent) {
+  void acknowledgePing(const SendToPeer &Sent) {
     const auto *Ping = std::get_if<MembershipMessage>(&Sent.Part);
     if (Ping == nullptr || Ping->Kind != MembershipKind::Ping)
       return;
@@ -277,45 +281,46 @@
     Ack.Kind = MembershipKind::Ack;
     Ack.Number = Ping->Number;
     Ack.ViewHash = Ping->ViewHash;
-    this->give(Kind::Membership, PeerPartReceived{Sent.To, 1, Ack, {}});
+    this->deliver(Kind::Membership, PeerPartReceived{Sent.To, 1, Ack, {}});
   }
 
-  void progress(Running &R, Duration ReportInterval) {
+  void progress(RunningRequest &R, Duration ReportInterval) {
     const auto Tokens = std::min<std::uint64_t>(
-        TokensOfAnswer,
+        TokensPerResponse,
         static_cast<std::uint64_t>((this->Now - R.Started) / TokenInterval));
     const auto Batch =
         static_cast<std::uint64_t>(ReportInterval / TokenInterval);
-    if (Tokens < R.Tokens + Batch || Tokens >= TokensOfAnswer)
+    if (Tokens < R.Tokens + Batch || Tokens >= TokensPerResponse)
       return;
     R.Tokens = Tokens;
-    this->give(Kind::Progress, AttemptProgressed{R.Request, R.Attempt, Tokens});
+    this->deliver(Kind::Progress,
+                  AttemptProgressed{R.Request, R.Attempt, Tokens});
   }
 
   void end() {
-    const Running Done = this->Active.front();
-    this->Active.pop_front();
-    this->give(Kind::End,
-               AttemptEnded{Done.Request, Done.Attempt,
-                            AttemptOutcome::Completed, TokensOfAnswer, 1});
+    const RunningRequest Done = this->ActiveRequests.front();
+    this->ActiveRequests.pop_front();
+    this->deliver(Kind::End, AttemptEnded{Done.Request, Done.Attempt,
+                                          AttemptOutcome::Completed,
+                                          TokensPerResponse, 1});
     this->arrive();
   }
 
   void tick() {
     this->Now += TickInterval;
-    this->give(Kind::Tick, Tick{});
+    this->deliver(Kind::Tick, Tick{});
   }
 
   RouterCore Core;
   TimePoint Now{1h};
-  std::deque<Running> Active;
-  std::vector<ServerId> Watched;
+  std::deque<RunningRequest> ActiveRequests;
+  std::vector<ServerId> OwnedServers;
   std::uint64_t LastRequest = 0;
   std::uint32_t Sequence = 0;
   std::array<Cost, KindNames.size()> Costs{};
 };
 
-/// Prints what the heap and the process grew by since the last call.
+/// Prints how much the heap and the process have grown since the last row.
 class MemoryTable {
 public:
   explicit MemoryTable(const char *First) {
@@ -342,17 +347,17 @@
   int Second = 0;
   for (Duration Spent{}; Spent < MeasuredTime; Spent += TickInterval) {
     if (Spent >= std::chrono::seconds(Second))
-      Router.peers(++Second);
+      Router.deliverPeerMessages(++Second);
     Router.step(ReportInterval);
   }
   std::printf(
-      "\nprogress of each answer reported each %lld ms; %zu running, "
+      "\nprogress of each response reported every %lld ms; %zu running, "
       "%zu waiting\n",
       static_cast<long long>(
           std::chrono::duration_cast<std::chrono::milliseconds>(ReportInterval)
               .count()),
       Router.running(), Router.open() - Router.running());
-  std::printf("%-24s %10s %10s %14s\n", "event", "us each", "a second",
+  std::printf("%-24s %10s %10s %14s\n", "event", "us each", "per second",
               "% of a core");
   double Sum = 0;
   for (const auto &[K, Name] : KindNames) {
@@ -376,10 +381,10 @@
   Router.join();
   Memory.row("380 members");
   Router.declare(All);
-  Memory.row("the modules' state of the declarations");
+  Memory.row("state of the modules for the declarations");
   Router.settle();
-  Memory.row("ownership taken");
-  const std::size_t Open = Router.owned() * SlotsOfServer + Waiting;
+  Memory.row("ownership of servers");
+  const std::size_t Open = Router.owned() * SlotsPerServer + Waiting;
   for (std::size_t I = 0; I < Open; ++I)
     Router.arrive();
   Memory.row("requests, 200 (account, service) pairs");
@@ -388,7 +393,8 @@
               Router.members(), Router.owned(), Router.running(),
               Router.open() - Router.running());
 
-  // Spreads the ends of the requests, so that each second sees the same.
+  // Spreads the ends of the requests over time, so that each second has the
+  // same load.
   for (Duration Spent{}; Spent < 13s; Spent += TickInterval)
     Router.step(432ms);
   measureSteady(Router, 108ms);
@@ -398,7 +404,7 @@
   for (int Change = 0; Change < 3; ++Change)
     Router.declare(std::make_shared<Declarations>(*All));
   const Cost &Changed = Router.costOf(Kind::Configuration);
-  std::printf("\nnew declarations put in force: %.1f ms each; at 0.9 a second "
+  std::printf("\nnew declarations applied: %.1f ms each; at 0.9 per second "
               "%.2f %% of a core\n",
               Changed.Seconds / 3 * 1e3, Changed.Seconds / 3 * 0.9 * 100);
 }
--- a/bench/CapacityEventsBench.cpp
+++ b/bench/CapacityEventsBench.cpp
@@ -1,8 +1,8 @@
-// What the failures of an ordinary day cost in membership at 380 routers: one
-// router, a rack of ten, an availability zone of nine, and three regions cut
-// off from each other, from the tables themselves under a paused clock with 1%
-// loss. The byte budget of the real transport is not in it.
-// Run: `build/CapacityEventsBench [routers]`; some 30 s.
+// Measures the cost of ordinary failures to membership at 380 routers: one
+// router, a rack of ten, an availability zone of nine, and a partition between
+// three regions. Runs the membership tables on a fake network under a paused
+// clock with 1% loss, without the byte budget of the real transport.
+// Run: `build/CapacityEventsBench [routers]`; takes about 30 s.
 
 #include "Decision/MembershipNetwork.h"
 
@@ -16,25 +16,25 @@
 namespace {
 
 constexpr unsigned LossPercent = 1;
-constexpr Duration Limit = 60s;
-constexpr Duration Settle = 25s;
-constexpr Duration Cut = 40s;
+constexpr Duration TimeLimit = 60s;
+constexpr Duration SettleTime = 25s;
+constexpr Duration PartitionTime = 40s;
 constexpr std::size_t Zones = 9;
 constexpr unsigned Regions = 3;
-/// Routers that the others ask first; they stay up.
+/// Routers that the others contact first; they do not fail.
 constexpr std::size_t Seeds = 3;
 
 double seconds(Duration Length) {
   return std::chrono::duration<double>(Length).count();
 }
 
-double processorSeconds() {
+double cpuSeconds() {
   return static_cast<double>(std::clock()) / CLOCKS_PER_SEC;
 }
 
 void printRow(MembershipNetwork &Network, const char *Name, Duration Length) {
   double Sum = 0;
-  double Most = 0;
+  double Max = 0;
   double Messages = 0;
   std::size_t Running = 0;
   for (std::size_t I = 0; I < Network.size(); ++I) {
@@ -42,16 +42,16 @@
     const auto Bytes = static_cast<double>(Router.Bytes + Router.BulkBytes);
     Messages += static_cast<double>(Router.Messages);
     Sum += Bytes;
-    Most = std::max(Most, Bytes);
+    Max = std::max(Max, Bytes);
     Running += Router.runs() ? 1 : 0;
     Router.Bytes = 0;
     Router.BulkBytes = 0;
     Router.Messages = 0;
   }
-  const double NodeSeconds = static_cast<double>(Running) * seconds(Length);
+  const double RouterSeconds = static_cast<double>(Running) * seconds(Length);
   std::printf("%-34s %8.1f %10.0f %10.0f %10.1f\n", Name, seconds(Length),
-              Sum / NodeSeconds, Most / seconds(Length),
-              Messages / NodeSeconds);
+              Sum / RouterSeconds, Max / seconds(Length),
+              Messages / RouterSeconds);
   std::fflush(stdout);
 }
 
@@ -60,15 +60,15 @@
   for (const std::size_t Victim : Victims)
     Network.crash(Victim);
   const Duration Known =
-      Network.runUntil([&] { return Network.agreed(); }, Limit);
+      Network.runUntil([&] { return Network.agreed(); }, TimeLimit);
   printRow(Network, Name, Known);
   for (const std::size_t Victim : Victims)
     Network.start(Victim);
   const Duration Back =
-      Network.runUntil([&] { return Network.agreed(); }, Limit);
+      Network.runUntil([&] { return Network.agreed(); }, TimeLimit);
   printRow(Network, "  their replacements are known", Back);
-  Network.run(Settle);
-  printRow(Network, "  then, until news has ended", Settle);
+  Network.run(SettleTime);
+  printRow(Network, "  then, until gossip has settled", SettleTime);
 }
 
 void split(MembershipNetwork &Network, unsigned Sides) {
@@ -76,20 +76,20 @@
     Network.at(I).Side = static_cast<unsigned>(I) % Sides;
 }
 
-void cutRegions(MembershipNetwork &Network) {
+void partitionRegions(MembershipNetwork &Network) {
   split(Network, Regions);
-  Network.run(Cut);
-  printRow(Network, "regions cut off, first 40 s", Cut);
-  Network.run(Settle);
-  printRow(Network, "regions cut off, afterwards", Settle);
+  Network.run(PartitionTime);
+  printRow(Network, "regions partitioned, first 40 s", PartitionTime);
+  Network.run(SettleTime);
+  printRow(Network, "regions partitioned, afterwards", SettleTime);
   split(Network, 1);
   const Duration Healed =
-      Network.runUntil([&] { return Network.agreed(); }, Limit);
-  printRow(Network, "regions meet again", Healed);
+      Network.runUntil([&] { return Network.agreed(); }, TimeLimit);
+  printRow(Network, "regions reconnected", Healed);
 }
 
 void measure(std::size_t Size) {
-  const double Before = processorSeconds();
+  const double Before = cpuSeconds();
   MembershipNetwork Network(Size);
   Network.LossPercent = LossPercent;
   Network.addMany(Size);
@@ -97,11 +97,11 @@
   std::printf("%-34s %8s %10s %10s %10s\n", "until all routers agree", "s",
               "B/s node", "B/s most", "sends/s");
   printRow(Network, "all start at once",
-           Network.runUntil([&] { return Network.agreed(); }, Limit));
-  Network.run(Settle);
-  printRow(Network, "until news has ended", Settle);
-  Network.run(Settle);
-  printRow(Network, "at rest", Settle);
+           Network.runUntil([&] { return Network.agreed(); }, TimeLimit));
+  Network.run(SettleTime);
+  printRow(Network, "until gossip has settled", SettleTime);
+  Network.run(SettleTime);
+  printRow(Network, "at rest", SettleTime);
   const auto Row = [&](std::size_t First, std::size_t Step, std::size_t Count) {
     std::vector<std::size_t> Victims;
     for (std::size_t I = First; I < Size && Victims.size() < Count; I += Step)
@@ -112,12 +112,12 @@
   crashAndReturn(Network, "a rack of ten fails", Row(Seeds, 1, 10));
   crashAndReturn(Network, "an availability zone fails",
                  Row(Seeds + 1, Zones, Size));
-  cutRegions(Network);
-  const double NodeSeconds =
+  partitionRegions(Network);
+  const double RouterSeconds =
       static_cast<double>(Size) * seconds(Network.now() - Start);
-  std::printf("processor time of all this, the fake network with it: %.3f %% "
+  std::printf("total CPU time, including the fake network: %.3f %% "
               "of a core for each router\n",
-              (processorSeconds() - Before) / NodeSeconds * 100);
+              (cpuSeconds() - Before) / RouterSeconds * 100);
 }
 
 } // namespace
--- a/bench/CapacityProcessBench.cpp
+++ b/bench/CapacityProcessBench.cpp
@@ -1,9 +1,9 @@
-// What one router process costs: resident memory by part, memory of each
-// caller's connection, and processor time for each request and token, of the
-// threads that carry bytes and of all others apart. A real router process
-// before stand-in engines, on loopback, with no other routers and no platform.
-// Run: `build/CapacityProcessBench`; some 65 s in all. `memory` or `load` as
-// its argument runs one half.
+// Measures the cost of one router process: resident memory by component, memory
+// of each caller's connection, and CPU time per request and token, separately
+// for the threads of callers' connections and for all others. Runs a real
+// router process with stand-in engines on loopback, without other routers and
+// without a platform. Run: `build/CapacityProcessBench`; takes about 65 s in
+// total. The argument `memory` or `load` runs one half.
 
 #include "FleetProbe.h"
 #include "LoadGenerator.h"
@@ -27,19 +27,19 @@
 constexpr std::size_t Accounts = 24'000;
 constexpr std::size_t Servers = 12'000;
 constexpr std::size_t Models = 5;
-constexpr std::size_t MostConnections = 800;
-/// The work of one router at the target: 320 answers at once, a token each
-/// 27 ms, 237 tokens an answer.
+constexpr std::size_t MaxConnections = 800;
+/// The load of one router at the target: 320 concurrent responses, a token
+/// every 27 ms, 237 tokens per response.
 constexpr std::size_t Engines = 8;
-constexpr unsigned RunningOfEngine = 40;
+constexpr unsigned MaxRunningPerEngine = 40;
 constexpr unsigned StepMilliseconds = 27;
-constexpr std::uint64_t TokensOfAnswer = 237;
+constexpr std::uint64_t TokensPerResponse = 237;
 constexpr unsigned OpenRequests = 720;
 constexpr std::size_t LoadAccounts = 4;
-/// Servers that one router owns at the target, each asked for its load.
+/// Servers that one router owns at the target, each polled for its load.
 constexpr std::size_t OwnedServers = 32;
 constexpr int NoPolls = 60'000;
-constexpr int PollEachSecond = 1'000;
+constexpr int PollEverySecond = 1'000;
 constexpr auto PollWindow = 5s;
 constexpr auto WarmUp = 12s;
 constexpr auto Window = 15s;
@@ -64,11 +64,11 @@
          std::to_string(Slots) + "\n";
 }
 
-/// Declarations of this size, with servers that nobody runs.
-std::string declarations(Size Wanted) {
+/// Generates declarations of this size, with servers that are not running.
+std::string declarations(Size Requested) {
   std::string Text;
   std::string Lists[Models];
-  for (std::size_t I = 0; I < Wanted.Servers; ++I) {
+  for (std::size_t I = 0; I < Requested.Servers; ++I) {
     const std::string Name = "server-" + std::to_string(I);
     Text += serverSection(Name, "127.0.0.1:1", 8);
     std::string &List = Lists[I % Models];
@@ -77,7 +77,7 @@
   for (std::size_t I = 0; I < Models; ++I)
     Text += "[service model-" + std::to_string(I) + "]\nservers = " + Lists[I] +
             "\n";
-  for (std::size_t I = 0; I < Wanted.Accounts; ++I)
+  for (std::size_t I = 0; I < Requested.Accounts; ++I)
     Text += accountSection("account-" + std::to_string(I),
                            "model-0, model-1, model-2, model-3, model-4");
   return Text;
@@ -120,7 +120,7 @@
   test::ChildProcess Process;
 };
 
-/// Seconds of processor time of one thread, and its number.
+/// Returns the CPU time in seconds of each thread, by thread ID.
 std::map<int, double> threadsOf(int ProcessId) {
   std::map<int, double> Seconds;
   const std::string Tasks = "/proc/" + std::to_string(ProcessId) + "/task";
@@ -146,25 +146,25 @@
 
 void measureDeclarations() {
   std::printf("%-44s %10s\n", "resident memory of a router", "MiB");
-  for (const auto &[Name, Wanted] :
+  for (const auto &[Name, Requested] :
        {std::pair<const char *, Size>{"5 servers, no account", {0, 5}},
         {"24,000 accounts, 5 servers", {Accounts, 5}},
         {"24,000 accounts, 12,000 servers", {Accounts, Servers}}}) {
-    const Router One(declarations(Wanted));
+    const Router One(declarations(Requested));
     std::this_thread::sleep_for(3s);
     std::printf("%-44s %10.1f\n", Name, One.resident());
     std::fflush(stdout);
   }
 }
 
-/// Opens a connection and asks `/health` over it, so that its thread has read
+/// Opens a connection and requests `/health` on it, so that its thread has read
 /// and written once and then waits.
 Poco::Net::StreamSocket idleConnection(const std::string &Address) {
   Poco::Net::StreamSocket Socket{Poco::Net::SocketAddress(Address)};
   const std::string Text = "GET /health HTTP/1.1\r\nHost: fleet\r\n\r\n";
   Socket.sendBytes(Text.data(), static_cast<int>(Text.size()));
-  char Answer[4096];
-  Socket.receiveBytes(Answer, sizeof(Answer));
+  char Response[4096];
+  Socket.receiveBytes(Response, sizeof(Response));
   return Socket;
 }
 
@@ -174,30 +174,30 @@
   double First = 0;
   std::printf("\n%-44s %10s\n", "idle connections of callers", "MiB");
   for (const std::size_t Count :
-       {std::size_t{0}, MostConnections / 8, MostConnections / 4,
-        MostConnections / 2, MostConnections}) {
+       {std::size_t{0}, MaxConnections / 8, MaxConnections / 4,
+        MaxConnections / 2, MaxConnections}) {
     while (Open.size() < Count)
       Open.push_back(idleConnection(One.address()));
     const double Now = One.resident();
     First = Count == 0 ? Now : First;
     std::printf("%-44zu %10.1f\n", Count, Now);
-    if (Count == MostConnections)
-      std::printf("%-44s %10.1f\n", "KiB a connection",
+    if (Count == MaxConnections)
+      std::printf("%-44s %10.1f\n", "KiB per connection",
                   (Now - First) * 1024 / static_cast<double>(Count));
   }
 }
 
-class EngineRow {
+class EngineGroup {
 public:
-  EngineRow() {
+  EngineGroup() {
     for (std::size_t I = 0; I < Engines; ++I) {
       this->Addresses.push_back(test::freeAddress());
       this->Processes.emplace_back(
           "parsleywing-standin",
-          std::vector<std::string>{"--engine", this->Addresses.back(),
-                                   "--max-running",
-                                   std::to_string(RunningOfEngine), "--step-ms",
-                                   std::to_string(StepMilliseconds)},
+          std::vector<std::string>{
+              "--engine", this->Addresses.back(), "--max-running",
+              std::to_string(MaxRunningPerEngine), "--step-ms",
+              std::to_string(StepMilliseconds)},
           this->Folder.path("engine.log"));
     }
     for (const std::string &Address : this->Addresses)
@@ -205,7 +205,7 @@
         throw std::runtime_error("an engine does not listen");
   }
 
-  /// As many servers as one router owns, which share these engines.
+  /// Declares as many servers as one router owns, which share these engines.
   std::string ownedServers() const {
     std::string Text;
     std::string List;
@@ -218,8 +218,9 @@
            accountSection("account-0", "model-0");
   }
 
-  /// Bytes of the answer to one question for the load, headers included.
-  std::size_t loadAnswerBytes() const {
+  /// Returns the size of one response with the server's load, including
+  /// headers.
+  std::size_t loadResponseBytes() const {
     Poco::Net::StreamSocket Socket{
         Poco::Net::SocketAddress(this->Addresses.front())};
     const std::string Text =
@@ -227,18 +228,19 @@
     Socket.sendBytes(Text.data(), static_cast<int>(Text.size()));
     char Part[4096];
     std::size_t Bytes = 0;
-    for (int Got = 1; Got > 0; Bytes += static_cast<std::size_t>(Got))
-      Got = Socket.receiveBytes(Part, sizeof(Part));
+    for (int Received = 1; Received > 0;
+         Bytes += static_cast<std::size_t>(Received))
+      Received = Socket.receiveBytes(Part, sizeof(Part));
     return Bytes;
   }
 
-  /// These engines as one service, and all accounts of the target.
+  /// Declares these engines as one service, and all accounts of the target.
   std::string declarations() const {
     std::string Text;
     std::string List;
     for (std::size_t I = 0; I < Engines; ++I) {
       const std::string Name = "engine-" + std::to_string(I);
-      Text += serverSection(Name, this->Addresses[I], RunningOfEngine);
+      Text += serverSection(Name, this->Addresses[I], MaxRunningPerEngine);
       List += (List.empty() ? "" : ", ") + Name;
     }
     Text += "[service model-0]\nservers = " + List + "\n";
@@ -254,19 +256,19 @@
 };
 
 void measurePolls() {
-  const EngineRow Servers;
-  std::printf("\n%-44s %10s\n", "a router at rest", "% of a core");
-  for (const int Interval : {NoPolls, PollEachSecond}) {
+  const EngineGroup Servers;
+  std::printf("\n%-44s %10s\n", "an idle router", "% of a core");
+  for (const int Interval : {NoPolls, PollEverySecond}) {
     const Router One(Servers.ownedServers(), Interval);
     std::this_thread::sleep_for(2s);
     const double Before = useOf(One.id()).ProcessorSeconds;
     std::this_thread::sleep_for(PollWindow);
     const double Spent = useOf(One.id()).ProcessorSeconds - Before;
-    std::printf("%zu servers, each asked every %6d ms %18.2f\n", OwnedServers,
+    std::printf("%zu servers, each polled every %6d ms %17.2f\n", OwnedServers,
                 Interval, Spent / PollWindow.count() * 100);
   }
-  std::printf("%-44s %10zu bytes\n", "a stand-in's report of its load",
-              Servers.loadAnswerBytes());
+  std::printf("%-44s %10zu bytes\n", "size of a stand-in's load report",
+              Servers.loadResponseBytes());
 }
 
 std::vector<LoadAccount> loadOn(const std::string &Address) {
@@ -278,7 +280,7 @@
     Account.Service = "model-0";
     Account.Routers = {Address};
     Account.OpenRequests = OpenRequests / LoadAccounts;
-    Account.FixedTokens = TokensOfAnswer;
+    Account.FixedTokens = TokensPerResponse;
     All.push_back(Account);
   }
   return All;
@@ -289,20 +291,19 @@
   std::printf("%.1f requests/s, %.0f tokens/s\n", Requests / Seconds,
               Tokens / Seconds);
   std::printf("%-44s %10.2f %% of a core\n",
-              "threads that were there before the load",
-              Others / Seconds * 100);
+              "threads that existed before the load", Others / Seconds * 100);
   std::printf("%-44s %10.2f %% of a core\n", "threads of callers' connections",
               Traffic / Seconds * 100);
-  std::printf("%-44s %10.1f us\n", "connections' threads, for each token",
+  std::printf("%-44s %10.1f us\n", "connections' threads, per token",
               Traffic / Tokens * 1e6);
-  std::printf("%-44s %10.2f us\n", "other threads, for each token",
+  std::printf("%-44s %10.2f us\n", "other threads, per token",
               Others / Tokens * 1e6);
   std::printf("%-44s %10.2f cores\n", "at 11,850 tokens/s, in proportion",
               (Traffic + Others) / Tokens * TargetTokens);
 }
 
 void measureLoad() {
-  const EngineRow Servers;
+  const EngineGroup Servers;
   const Router One(Servers.declarations());
   std::this_thread::sleep_for(2s);
   std::set<int> Before;
@@ -311,11 +312,11 @@
     Before.insert(Thread);
   const double RestResident = One.resident();
   std::this_thread::sleep_for(3s);
-  double Rest = 0;
+  double RestSeconds = 0;
   for (const auto &[Thread, Seconds] : threadsOf(One.id()))
-    Rest += Seconds - AtRest.at(Thread);
-  std::printf("\nat rest: %.2f %% of a core, %zu threads, %.1f MiB\n",
-              Rest / 3 * 100, Before.size(), RestResident);
+    RestSeconds += Seconds - AtRest.at(Thread);
+  std::printf("\nidle: %.2f %% of a core, %zu threads, %.1f MiB\n",
+              RestSeconds / 3 * 100, Before.size(), RestResident);
 
   LoadGenerator Load(loadOn(One.address()), {});
   const auto Never = [] { return false; };
@@ -327,12 +328,12 @@
   const double Seconds = Load.windowSeconds();
   const double All = useOf(One.id()).ProcessorSeconds - FirstAll;
   double Others = 0;
-  double Most = 0;
+  double Max = 0;
   for (const auto &[Thread, Now] : threadsOf(One.id()))
     if (Before.contains(Thread)) {
       const double Spent = Now - First.at(Thread);
       Others += Spent;
-      Most = std::max(Most, Spent);
+      Max = std::max(Max, Spent);
     }
   double Tokens = 0;
   double Requests = 0;
@@ -346,7 +347,7 @@
   }
   std::printf("\nunder load: %.1f MiB, %zu threads; the busiest of the other "
               "threads %.2f %% of a core\n",
-              One.resident(), threadsOf(One.id()).size(), Most / Seconds * 100);
+              One.resident(), threadsOf(One.id()).size(), Max / Seconds * 100);
   printLoad(Seconds, Requests, Tokens, Others, All - Others);
 }
 
--- a/src/Control/ControlLoop.cpp
+++ b/src/Control/ControlLoop.cpp
@@ -8,36 +8,36 @@
 
 namespace {
 
-/// The longest time between two looks at deadlines.
+/// The maximum time between two ticks, which check deadlines.
 constexpr Duration TickInterval = std::chrono::milliseconds(10);
 
-/// The request whose thread carries the action out; nothing for actions that
-/// concern other routers, the platform or the whole process.
-std::optional<RequestId> channelOf(const Action &Decision) {
-  using MaybeRequest = std::optional<RequestId>;
+/// Returns the request whose channel receives the action; nothing for actions
+/// that concern other routers, the platform or the whole process.
+std::optional<RequestId> channelOf(const Action &NewAction) {
+  using OptionalRequest = std::optional<RequestId>;
   return std::visit(
       Overloaded{
-          [](const StartAttempt &A) { return MaybeRequest(A.Request); },
-          [](const ResumeAttempt &A) { return MaybeRequest(A.Request); },
-          [](const HandOverRequest &A) { return MaybeRequest(A.Request); },
-          [](const CancelAttempt &A) { return MaybeRequest(A.Request); },
-          [](const FinishRequest &A) { return MaybeRequest(A.Request); },
-          [](const auto &) { return MaybeRequest(); },
+          [](const StartAttempt &A) { return OptionalRequest(A.Request); },
+          [](const ResumeAttempt &A) { return OptionalRequest(A.Request); },
+          [](const HandOverRequest &A) { return OptionalRequest(A.Request); },
+          [](const CancelAttempt &A) { return OptionalRequest(A.Request); },
+          [](const FinishRequest &A) { return OptionalRequest(A.Request); },
+          [](const auto &) { return OptionalRequest(); },
       },
-      Decision);
+      NewAction);
 }
 
-/// A function handed to the control thread. The one who asked may give up and
-/// take away what the function refers to, so that it must not run afterwards:
-/// both sides decide under one lock.
-class Question {
+/// A function call on the control thread. The caller may time out and destroy
+/// the objects that the function refers to, after which it must not run: the
+/// call and its cancellation are serialized by one mutex.
+class ControlThreadCall {
 public:
-  explicit Question(std::function<void()> W) : Work(std::move(W)) {}
+  explicit ControlThreadCall(std::function<void()> W) : Work(std::move(W)) {}
 
   void run() {
     {
       std::lock_guard<std::mutex> Lock(this->Mutex);
-      if (this->GivenUp)
+      if (this->Abandoned)
         return;
       this->Work();
       this->Done = true;
@@ -45,11 +45,11 @@
     this->Finished.notify_all();
   }
 
-  /// True where the function ran within the limit.
+  /// Returns true if the function ran within the limit.
   bool wait(Duration Limit) {
     std::unique_lock<std::mutex> Lock(this->Mutex);
     this->Finished.wait_for(Lock, Limit, [this] { return this->Done; });
-    this->GivenUp = !this->Done;
+    this->Abandoned = !this->Done;
     return this->Done;
   }
 
@@ -58,7 +58,7 @@
   std::mutex Mutex;
   std::condition_variable Finished;
   bool Done = false;
-  bool GivenUp = false;
+  bool Abandoned = false;
 };
 
 } // namespace
@@ -80,7 +80,7 @@
     const auto Next = this->Events.take(TickInterval);
     if (Next)
       std::visit(Overloaded{
-                     [this](const Event &Happened) { this->handle(Happened); },
+                     [this](const Event &NewEvent) { this->handle(NewEvent); },
                      [](const std::function<void()> &Work) { Work(); },
                  },
                  *Next);
@@ -92,16 +92,16 @@
   }
 }
 
-void ControlLoop::handle(const Event &Happened) {
-  for (const Action &Decision : this->Core.handle(this->Time.now(), Happened))
-    this->deliver(Decision);
+void ControlLoop::handle(const Event &NewEvent) {
+  for (const Action &NewAction : this->Core.handle(this->Time.now(), NewEvent))
+    this->deliver(NewAction);
   this->Open = this->Core.openRequests();
 }
 
 bool ControlLoop::ask(std::function<void()> Work, Duration Limit) {
-  const auto Asked = std::make_shared<Question>(std::move(Work));
-  this->Events.put(std::function<void()>([Asked] { Asked->run(); }));
-  return Asked->wait(Limit);
+  const auto Call = std::make_shared<ControlThreadCall>(std::move(Work));
+  this->Events.put(std::function<void()>([Call] { Call->run(); }));
+  return Call->wait(Limit);
 }
 
 std::size_t ControlLoop::openChannels() const {
@@ -109,11 +109,11 @@
   return this->Channels.size();
 }
 
-void ControlLoop::deliver(const Action &Decision) {
-  const std::optional<RequestId> Request = channelOf(Decision);
+void ControlLoop::deliver(const Action &NewAction) {
+  const std::optional<RequestId> Request = channelOf(NewAction);
   if (!Request) {
     if (this->Sink)
-      this->Sink(Decision);
+      this->Sink(NewAction);
     return;
   }
   std::shared_ptr<RequestChannel> Channel;
@@ -124,7 +124,7 @@
       return;
     Channel = Found->second;
   }
-  Channel->put(Decision);
+  Channel->put(NewAction);
 }
 
 std::shared_ptr<RequestChannel> ControlLoop::openChannel(RequestId Request) {
--- a/src/Control/ControlLoop.h
+++ b/src/Control/ControlLoop.h
@@ -16,8 +16,8 @@
 
 namespace parsleywing {
 
-/// Runs the one thread that decides. Other threads post events; decisions on a
-/// request go to its channel.
+/// Runs the control thread, on which the router core makes all decisions. Other
+/// threads post events; actions on a request go to its channel.
 class ControlLoop {
 public:
   explicit ControlLoop(Clock C, const RouterCoreSettings &S = {})
@@ -26,8 +26,8 @@
   ControlLoop(const ControlLoop &) = delete;
   ControlLoop &operator=(const ControlLoop &) = delete;
 
-  /// Sets what receives the actions that are not for the thread that serves a
-  /// request. Before `start`. It is called from the control thread and must not
+  /// Sets the receiver of actions that concern no single request. Must be set
+  /// before `start`. The sink is called on the control thread and must not
   /// block.
   void setSink(std::function<void(const Action &)> NewSink) {
     this->Sink = std::move(NewSink);
@@ -35,38 +35,40 @@
 
   void start();
 
-  /// Ends the thread after the event it handles. Waits for it.
+  /// Stops the thread after the current event and joins it.
   void stop();
 
-  /// Hands an event to the control thread. Never blocks on decisions.
-  void post(Event Happened) { this->Events.put(std::move(Happened)); }
+  /// Posts an event to the control thread. Never waits for the decisions.
+  void post(Event NewEvent) { this->Events.put(std::move(NewEvent)); }
 
-  /// Opens the channel of a request; before its `RequestArrived` is posted.
+  /// Opens the channel of a request. Must be called before the request's
+  /// `RequestArrived` is posted.
   std::shared_ptr<RequestChannel> openChannel(RequestId Request);
 
-  /// Forgets the channel; after the request's final answer.
+  /// Closes the channel. Called after the request's final response.
   void closeChannel(RequestId Request);
 
-  /// Requests without a final answer, as of the last event handled.
+  /// The number of requests without a final response, as of the last event.
   std::size_t openRequests() const { return this->Open.load(); }
 
-  /// Requests whose final answer the traffic threads still write.
+  /// The number of open channels, which includes the requests whose final
+  /// response a traffic thread is still writing.
   std::size_t openChannels() const;
 
-  /// Runs a function on the control thread between two events and waits for
-  /// it, `Limit` at most. False where the thread did not come to it in time;
-  /// then it never runs. Not to be called from the control thread itself.
+  /// Runs a function on the control thread between two events and waits for it
+  /// for at most `Limit`. Returns false on timeout; the function is then never
+  /// run. Must not be called from the control thread.
   bool ask(std::function<void()> Work, Duration Limit);
 
-  /// The state of the decisions; only inside a function given to `ask`.
+  /// The state of the router core. Only for use in a function passed to `ask`.
   const RouterCore &core() const { return this->Core; }
 
   const Clock &clock() const { return this->Time; }
 
 private:
   void run();
-  void handle(const Event &Happened);
-  void deliver(const Action &Decision);
+  void handle(const Event &NewEvent);
+  void deliver(const Action &NewAction);
 
   Clock Time;
   Mailbox<std::variant<Event, std::function<void()>>> Events;
--- a/src/Control/RequestChannel.cpp
+++ b/src/Control/RequestChannel.cpp
@@ -2,26 +2,26 @@
 
 namespace parsleywing {
 
-void RequestChannel::put(const Action &Decision) {
-  this->Decisions.put(Decision);
-  const auto *Cancel = std::get_if<CancelAttempt>(&Decision);
+void RequestChannel::put(const Action &NewAction) {
+  this->Actions.put(NewAction);
+  const auto *Cancel = std::get_if<CancelAttempt>(&NewAction);
   if (Cancel == nullptr)
     return;
   std::lock_guard<std::mutex> Lock(this->Mutex);
-  this->Cancelled = Cancel->Attempt;
-  if (this->Canceller && this->Cancelled == this->Current)
+  this->CancelledAttempt = Cancel->Attempt;
+  if (this->Canceller && this->CancelledAttempt == this->CurrentAttempt)
     this->Canceller();
 }
 
 void RequestChannel::beginAttempt(AttemptNumber Number) {
   std::lock_guard<std::mutex> Lock(this->Mutex);
-  this->Current = Number;
+  this->CurrentAttempt = Number;
 }
 
-void RequestChannel::setCanceller(std::function<void()> NewBreaker) {
+void RequestChannel::setCanceller(std::function<void()> NewCanceller) {
   std::lock_guard<std::mutex> Lock(this->Mutex);
-  this->Canceller = std::move(NewBreaker);
-  if (this->Canceller && this->Cancelled == this->Current)
+  this->Canceller = std::move(NewCanceller);
+  if (this->Canceller && this->CancelledAttempt == this->CurrentAttempt)
     this->Canceller();
 }
 
--- a/src/Control/RequestChannel.h
+++ b/src/Control/RequestChannel.h
@@ -9,36 +9,37 @@
 
 namespace parsleywing {
 
-/// Carries the decisions on one request from the control thread to the traffic
-/// thread that serves it.
+/// Passes actions on one request from the control thread to the traffic thread
+/// that serves the request.
 class RequestChannel {
 public:
-  /// Delivers a decision. A `CancelAttempt` also calls the breaker, since the
-  /// traffic thread may be blocked in a read from the backend server. One that
-  /// comes before the attempt has set its breaker is remembered and called as
-  /// soon as it does; else the cancel of a silent attempt would be lost and its
-  /// slot held until the limit of silence.
-  void put(const Action &Decision);
-
-  /// Waits up to `Wait` for the next decision.
-  std::optional<Action> take(Duration Wait) {
-    return this->Decisions.take(Wait);
+  /// Delivers an action. A `CancelAttempt` also calls the canceller, since the
+  /// traffic thread may be blocked in a read from the backend server. If it
+  /// arrives before the attempt has set its canceller, it is remembered, and
+  /// the canceller is called as soon as it is set. Otherwise the cancellation
+  /// of a silent attempt would be lost, and the attempt would hold its slot
+  /// until the silence limit.
+  void put(const Action &NewAction);
+
+  /// Waits up to `Timeout` for the next action.
+  std::optional<Action> take(Duration Timeout) {
+    return this->Actions.take(Timeout);
   }
 
-  /// Says which attempt the breaker set next belongs to.
+  /// Sets the attempt that the next canceller belongs to.
   void beginAttempt(AttemptNumber Number);
 
-  /// Sets what ends a blocked read; an empty function clears it. It is called
-  /// from the control thread, or from here where a cancel came first, and must
-  /// not block.
-  void setCanceller(std::function<void()> NewBreaker);
+  /// Sets the function that interrupts a blocked read; an empty function clears
+  /// it. The function is called on the control thread, or by this call if the
+  /// attempt has already been cancelled, and must not block.
+  void setCanceller(std::function<void()> NewCanceller);
 
 private:
-  Mailbox<Action> Decisions;
+  Mailbox<Action> Actions;
   std::mutex Mutex;
   std::function<void()> Canceller;
-  AttemptNumber Current = 0;
-  AttemptNumber Cancelled = 0;
+  AttemptNumber CurrentAttempt = 0;
+  AttemptNumber CancelledAttempt = 0;
 };
 
 } // namespace parsleywing
--- a/test/Control/AskTest.cpp
+++ b/test/Control/AskTest.cpp
@@ -17,17 +17,17 @@
   cr_assert(First == Second && First != std::this_thread::get_id());
 }
 
-// Symptom: a dump crashes the router a moment after it timed out.
-// Sequence: the control thread is busy; the asking thread gives up and frees
-// what its function refers to; the control thread then runs the function.
-// Cause: a question that was given up stayed in the mailbox.
-// Without the mark of giving up, the second function runs and `Ran` is true.
-Test(Ask, AQuestionGivenUpNeverRuns) {
+// Guards against a crash shortly after a dump has timed out: the control thread
+// is busy, the calling thread times out and destroys the objects that its
+// function refers to, and the control thread then runs the function, which is
+// still in the mailbox. Without the abandoned flag the second function runs and
+// `Ran` is true.
+Test(Ask, AnAbandonedCallNeverRuns) {
   ControlLoop Control(Clock::steady());
   Control.start();
   std::promise<void> Blocked;
   std::promise<void> Release;
-  std::thread Holder([&] {
+  std::thread BlockingCaller([&] {
     Control.ask(
         [&] {
           Blocked.set_value();
@@ -39,13 +39,13 @@
   std::atomic<bool> Ran{false};
   cr_assert(!Control.ask([&] { Ran = true; }, std::chrono::milliseconds(20)));
   Release.set_value();
-  Holder.join();
-  // A later question is answered after the one given up was passed over.
+  BlockingCaller.join();
+  // A later call succeeds after the abandoned one was skipped.
   cr_assert(Control.ask([] {}, std::chrono::seconds(10)));
   cr_assert(!Ran);
 }
 
-Test(Ask, AfterTheEndNothingRuns) {
+Test(Ask, NothingRunsAfterStop) {
   ControlLoop Control(Clock::steady());
   Control.start();
   Control.stop();
