--- a/standin/CrashableServer.cpp
+++ b/standin/CrashableServer.cpp
@@ -6,17 +6,18 @@
 
 namespace parsleywing::standin {
 
-CrashableServer::CrashableServer(int Most, Factory Made)
-    : MaxConnections(Most), MakeHandlers(std::move(Made)) {}
+CrashableServer::CrashableServer(int ConnectionLimit, Factory HandlerFactory)
+    : MaxConnections(ConnectionLimit), MakeHandlers(std::move(HandlerFactory)) {
+}
 
 CrashableServer::~CrashableServer() { this->stop(); }
 
 void CrashableServer::start(const std::string &Address) {
-  this->Place = Poco::Net::SocketAddress(Address);
-  this->Threads = std::make_unique<Poco::ThreadPool>(2, this->MaxConnections);
+  this->Endpoint = Poco::Net::SocketAddress(Address);
+  this->Pool = std::make_unique<Poco::ThreadPool>(2, this->MaxConnections);
   this->listen();
-  this->Place = this->Server->socket().address();
-  this->Crasher = std::thread([this] { this->runCrashes(); });
+  this->Endpoint = this->Server->socket().address();
+  this->CrashThread = std::thread([this] { this->runCrashes(); });
 }
 
 void CrashableServer::listen() {
@@ -24,19 +25,19 @@
   Params->setMaxThreads(this->MaxConnections);
   Params->setMaxQueued(this->MaxConnections);
   Poco::Net::ServerSocket Socket;
-  Socket.bind(this->Place, true, false);
+  Socket.bind(this->Endpoint, true, false);
   Socket.listen();
   this->Server = std::make_unique<Poco::Net::HTTPServer>(
-      this->MakeHandlers(), *this->Threads, Socket, Params);
+      this->MakeHandlers(), *this->Pool, Socket, Params);
   this->Server->start();
 }
 
-void CrashableServer::crash(Duration BackAfter) {
+void CrashableServer::crash(Duration RestartDelay) {
   std::unique_lock<std::mutex> Lock(this->Mutex);
-  if (this->Wanted || this->Down)
+  if (this->CrashRequested || this->Down)
     return;
-  this->Wanted = true;
-  this->AwayFor = BackAfter;
+  this->CrashRequested = true;
+  this->DownTime = RestartDelay;
   this->Changed.notify_all();
   this->Changed.wait(Lock, [this] { return this->Stopping || this->Down; });
 }
@@ -44,20 +45,21 @@
 void CrashableServer::runCrashes() {
   std::unique_lock<std::mutex> Lock(this->Mutex);
   while (!this->Stopping) {
-    this->Changed.wait(Lock, [this] { return this->Stopping || this->Wanted; });
+    this->Changed.wait(
+        Lock, [this] { return this->Stopping || this->CrashRequested; });
     if (this->Stopping)
       return;
     Lock.unlock();
-    // The library stops listening only when it has looked for callers once
-    // more.
+    // Without the shutdown, Poco would stop listening only after its next poll
+    // for connections.
     ::shutdown(this->Server->socket().impl()->sockfd(), SHUT_RDWR);
     this->Server->stopAll(true);
     this->Server.reset();
     Lock.lock();
-    this->Wanted = false;
+    this->CrashRequested = false;
     this->Down = true;
     this->Changed.notify_all();
-    this->Changed.wait_for(Lock, this->AwayFor,
+    this->Changed.wait_for(Lock, this->DownTime,
                            [this] { return this->Stopping; });
     if (this->Stopping)
       return;
@@ -72,8 +74,8 @@
     this->Stopping = true;
   }
   this->Changed.notify_all();
-  if (this->Crasher.joinable())
-    this->Crasher.join();
+  if (this->CrashThread.joinable())
+    this->CrashThread.join();
   if (this->Server)
     this->Server->stopAll(true);
   this->Server.reset();
--- a/standin/CrashableServer.h
+++ b/standin/CrashableServer.h
@@ -16,29 +16,31 @@
 
 namespace parsleywing::standin {
 
-/// An HTTP server that can end like a crashed process: its connections end, new
-/// ones are refused, and after some time it listens again at its address.
+/// An HTTP server that can simulate a crash of its process: it closes all
+/// connections, refuses new ones, and listens again at the same address after a
+/// delay.
 class CrashableServer {
 public:
   using Factory = std::function<Poco::Net::HTTPRequestHandlerFactory::Ptr()>;
 
-  /// `Made` gives the handlers of each start.
-  CrashableServer(int MaxConnections, Factory Made);
+  /// `HandlerFactory` creates the request handler factory at each start.
+  CrashableServer(int MaxConnections, Factory HandlerFactory);
   ~CrashableServer();
   CrashableServer(const CrashableServer &) = delete;
   CrashableServer &operator=(const CrashableServer &) = delete;
 
-  /// Throws Poco::Exception where the address is taken.
+  /// Throws Poco::Exception if the address is in use.
   void start(const std::string &Address);
 
-  /// The address that was listened on first, with its port.
-  std::string address() const { return this->Place.toString(); }
+  /// The listen address, with the port chosen at the first start.
+  std::string address() const { return this->Endpoint.toString(); }
 
-  /// Crashes, and returns when it has; safe from a handler, which may outlive
-  /// the crash. Nothing happens while it is down.
-  void crash(Duration BackAfter);
+  /// Simulates a crash and returns when all connections are closed. May be
+  /// called from a request handler, which may outlive the crash. Has no effect
+  /// while the server is down.
+  void crash(Duration RestartDelay);
 
-  /// Ends all connections and every crash.
+  /// Closes all connections and cancels a pending restart.
   void stop();
 
 private:
@@ -47,17 +49,18 @@
 
   const int MaxConnections;
   Factory MakeHandlers;
-  Poco::Net::SocketAddress Place;
-  std::unique_ptr<Poco::ThreadPool> Threads;
+  Poco::Net::SocketAddress Endpoint;
+  std::unique_ptr<Poco::ThreadPool> Pool;
   std::unique_ptr<Poco::Net::HTTPServer> Server;
   std::mutex Mutex;
   std::condition_variable Changed;
   bool Stopping = false;
-  /// A crash is wanted; it has happened, and the server is away.
-  bool Wanted = false;
+  /// `CrashRequested` is set until the crash thread has closed the server,
+  /// `Down` from then until it listens again.
+  bool CrashRequested = false;
   bool Down = false;
-  Duration AwayFor{};
-  std::thread Crasher;
+  Duration DownTime{};
+  std::thread CrashThread;
 };
 
 } // namespace parsleywing::standin
--- a/standin/EngineFaults.cpp
+++ b/standin/EngineFaults.cpp
@@ -43,13 +43,13 @@
 EngineFaults readFaults(const std::string &Json) {
   Poco::JSON::Parser Parser;
   const auto Body = Parser.parse(Json).extract<Poco::JSON::Object::Ptr>();
-  EngineFaults Read;
+  EngineFaults Faults;
   for (const auto &[Name, Member] : Flags)
-    Read.*Member = Body->optValue<bool>(Name, false);
+    Faults.*Member = Body->optValue<bool>(Name, false);
   for (const auto &[Name, Member] : Numbers)
-    Read.*Member = Body->optValue<Poco::UInt64>(Name, 0);
-  Read.CrashOn = Body->optValue<std::string>("crash_on", "");
-  return Read;
+    Faults.*Member = Body->optValue<Poco::UInt64>(Name, 0);
+  Faults.CrashOn = Body->optValue<std::string>("crash_on", "");
+  return Faults;
 }
 
 } // namespace parsleywing::standin
--- a/standin/EngineHandlers.cpp
+++ b/standin/EngineHandlers.cpp
@@ -20,14 +20,15 @@
 
 constexpr const char *ResponsesPath = "/v1/responses";
 constexpr const char *FencingHeader = "X-Fencing-Number";
-constexpr std::string_view TokensMark = "tokens=";
+constexpr std::string_view TokensPrefix = "tokens=";
 constexpr std::uint64_t DefaultTokens = 16;
 
-std::uint64_t tokensWanted(const std::string &Input) {
-  const std::size_t Place = Input.find(TokensMark);
-  if (Place == std::string::npos)
+std::uint64_t requestedTokens(const std::string &Input) {
+  const std::size_t Position = Input.find(TokensPrefix);
+  if (Position == std::string::npos)
     return DefaultTokens;
-  return std::strtoull(Input.c_str() + Place + TokensMark.size(), nullptr, 10);
+  return std::strtoull(Input.c_str() + Position + TokensPrefix.size(), nullptr,
+                       10);
 }
 
 EngineResponsePtr readRequest(const std::string &Text,
@@ -48,7 +49,7 @@
   Response->Metadata = Out.str();
   Response->Background = Body->optValue<bool>("background", false);
   Response->TokensWanted = std::min<std::uint64_t>(
-      tokensWanted(Body->optValue<std::string>("input", "")),
+      requestedTokens(Body->optValue<std::string>("input", "")),
       Body->optValue<Poco::UInt64>("max_output_tokens", DefaultTokens));
   return Response;
 }
@@ -59,29 +60,30 @@
 
   void handleRequest(HTTPServerRequest &Request,
                      HTTPServerResponse &Response) override {
-    this->Cookie = cookieOf(Request);
+    this->Cookie = socketCookie(Request);
     try {
       const Poco::URI Uri(Request.getURI());
       if (Uri.getPath().starts_with("/standin/"))
-        this->control(Uri.getPath(), Request, Response);
-      else if (this->passesFaults(Uri.getPath(), Request, Response))
+        this->handleControl(Uri.getPath(), Request, Response);
+      else if (this->applyFaults(Uri.getPath(), Request, Response))
         this->serve(Uri, Request, Response);
     } catch (const Poco::Exception &) {
-      // The other side left, or sent what is not JSON.
+      // The peer disconnected or sent invalid JSON.
       Response.setKeepAlive(false);
     }
   }
 
 private:
-  /// Faults that decide before the request is looked at.
-  bool passesFaults(const std::string &Path, HTTPServerRequest &Request,
-                    HTTPServerResponse &Response) {
+  /// Applies the faults that do not depend on the request body. Returns false
+  /// if the request has been handled.
+  bool applyFaults(const std::string &Path, HTTPServerRequest &Request,
+                   HTTPServerResponse &Response) {
     const EngineFaults Faults = this->Engine.faults();
     const bool Silent = Faults.Silent || this->Engine.isSilenced(this->Cookie);
     if (Silent)
-      this->Engine.waitWhile([&] { return peerIsThere(Request); });
+      this->Engine.waitWhile([&] { return isPeerConnected(Request); });
     if (Silent || Faults.Close) {
-      cutConnection(Request, Response);
+      shutDownConnection(Request, Response);
       return false;
     }
     if (Faults.DelayMs > 0)
@@ -89,19 +91,20 @@
     if (Faults.Leaving && Request.getMethod() == "POST" &&
         Path == ResponsesPath)
       Response.set("X-Draining", "true");
-    return !this->refuses(Faults, Path, Request, Response);
+    return !this->sendRefusal(Faults, Path, Request, Response);
   }
 
-  bool refuses(const EngineFaults &Faults, const std::string &Path,
-               HTTPServerRequest &Request, HTTPServerResponse &Response) {
-    const bool NewWork = Path == ResponsesPath && Request.getMethod() == "POST";
-    if (Faults.Leaving && (NewWork || Path == "/metrics"))
+  bool sendRefusal(const EngineFaults &Faults, const std::string &Path,
+                   HTTPServerRequest &Request, HTTPServerResponse &Response) {
+    const bool IsNewRequest =
+        Path == ResponsesPath && Request.getMethod() == "POST";
+    if (Faults.Leaving && (IsNewRequest || Path == "/metrics"))
       sendError(Response, 503, "draining");
-    else if (Faults.Refuse && NewWork)
+    else if (Faults.Refuse && IsNewRequest)
       sendError(Response, 503, "overloaded");
-    else if (Faults.BareRefuse && NewWork)
+    else if (Faults.BareRefuse && IsNewRequest)
       sendJson(Response, 503, "");
-    else if (Faults.Reject && NewWork)
+    else if (Faults.Reject && IsNewRequest)
       sendError(Response, 429, "rate_limit_exceeded");
     else
       return false;
@@ -117,59 +120,60 @@
       sendText(Response, 200, "text/plain; version=0.0.4",
                this->Engine.metrics());
     else if (Path == "/v1/models")
-      this->models(Response);
+      this->listModels(Response);
     else if (Path.ends_with("load_lora_adapter"))
-      this->order(Path, Request, Response);
+      this->handleOrder(Path, Request, Response);
     else if (Path == ResponsesPath && Request.getMethod() == "POST")
-      this->create(Request, Response);
+      this->createResponse(Request, Response);
     else if (Path.starts_with(ResponsesPath))
-      this->existing(Uri, Request, Response);
+      this->handleExisting(Uri, Request, Response);
     else
       sendError(Response, 404, "not_found");
   }
 
-  void create(HTTPServerRequest &Request, HTTPServerResponse &Response) {
+  void createResponse(HTTPServerRequest &Request,
+                      HTTPServerResponse &Response) {
     const EngineFaults Faults = this->Engine.faults();
-    const std::string Body = readAll(Request);
-    EngineResponsePtr Made;
+    const std::string Body = readBody(Request);
+    EngineResponsePtr Created;
     try {
-      Made = readRequest(Body, Faults);
+      Created = readRequest(Body, Faults);
     } catch (const Poco::Exception &) {
       sendError(Response, 400, "invalid_request_error");
       return;
     }
-    this->Engine.submit(Made);
+    this->Engine.submit(Created);
     if (!Faults.CrashOn.empty() &&
         Body.find(Faults.CrashOn) != std::string::npos) {
       this->Engine.crash(std::chrono::milliseconds(Faults.BackAfterMs));
-      cutConnection(Request, Response);
+      shutDownConnection(Request, Response);
       return;
     }
     if (Faults.LoseAnswer) {
-      cutConnection(Request, Response);
+      shutDownConnection(Request, Response);
       return;
     }
-    EngineStreamWriter(this->Engine, Made, Faults, this->Cookie)
+    EngineStreamWriter(this->Engine, Created, Faults, this->Cookie)
         .write(Request, Response, 0);
   }
 
-  /// `GET /v1/responses/{id}?stream=true&starting_after=N` and
-  /// `POST /v1/responses/{id}/cancel`.
-  void existing(const Poco::URI &Uri, HTTPServerRequest &Request,
-                HTTPServerResponse &Response) {
-    constexpr std::string_view CancelEnd = "/cancel";
+  /// Handles `GET /v1/responses/{id}?stream=true&starting_after=N` and `POST
+  /// /v1/responses/{id}/cancel`.
+  void handleExisting(const Poco::URI &Uri, HTTPServerRequest &Request,
+                      HTTPServerResponse &Response) {
+    constexpr std::string_view CancelSuffix = "/cancel";
     std::string Id = Uri.getPath().substr(std::string(ResponsesPath).size());
     if (Id.starts_with('/'))
       Id.erase(0, 1);
-    const bool Cancel = Id.ends_with(CancelEnd);
-    if (Cancel)
-      Id.resize(Id.size() - CancelEnd.size());
+    const bool IsCancel = Id.ends_with(CancelSuffix);
+    if (IsCancel)
+      Id.resize(Id.size() - CancelSuffix.size());
     const EngineResponsePtr Found = this->Engine.find(Id);
     if (!Found) {
       sendError(Response, 404, "not_found");
       return;
     }
-    if (Cancel) {
+    if (IsCancel) {
       this->Engine.cancel(Found);
       sendJson(Response, 200, R"({"id":")" + Id + R"(","status":"cancelled"})");
       return;
@@ -184,7 +188,7 @@
         .write(Request, Response, Start);
   }
 
-  void models(HTTPServerResponse &Response) {
+  void listModels(HTTPServerResponse &Response) {
     std::string List;
     for (const std::string &Name : this->Engine.loadedModels())
       List += (List.empty() ? "" : ",") + std::string(R"({"object":"model",)") +
@@ -192,16 +196,16 @@
     sendJson(Response, 200, R"({"object":"list","data":[)" + List + "]}");
   }
 
-  void order(const std::string &Path, HTTPServerRequest &Request,
-             HTTPServerResponse &Response) {
+  void handleOrder(const std::string &Path, HTTPServerRequest &Request,
+                   HTTPServerResponse &Response) {
     Poco::JSON::Parser Parser;
     const auto Body =
-        Parser.parse(readAll(Request)).extract<Poco::JSON::Object::Ptr>();
-    const int Status = this->Engine.obey(
+        Parser.parse(readBody(Request)).extract<Poco::JSON::Object::Ptr>();
+    const int Status = this->Engine.executeOrder(
         Path, Body->optValue<std::string>("lora_name", ""),
         std::strtoull(Request.get(FencingHeader, "0").c_str(), nullptr, 10));
     if (this->Engine.faults().LoseAnswer)
-      cutConnection(Request, Response);
+      shutDownConnection(Request, Response);
     else if (Status == 200)
       sendText(Response, Status, "text/plain", "Success");
     else
@@ -209,17 +213,17 @@
                 Status == 409 ? "stale_fencing_number" : "not_found");
   }
 
-  void control(const std::string &Path, HTTPServerRequest &Request,
-               HTTPServerResponse &Response) {
+  void handleControl(const std::string &Path, HTTPServerRequest &Request,
+                     HTTPServerResponse &Response) {
     if (Path == "/standin/executions")
       sendJson(Response, 200,
                R"({"by_identity":)" + countsAsJson(this->Engine.executions()) +
                    R"(,"by_key":)" +
                    countsAsJson(this->Engine.executionsByKey()) + "}");
     else if (Path == "/standin/faults")
-      this->setFaults(readAll(Request), Response);
+      this->setFaults(readBody(Request), Response);
     else if (Path == "/standin/silence")
-      this->silence(Response);
+      this->silenceConnections(Response);
     else
       sendError(Response, 404, "not_found");
   }
@@ -229,7 +233,7 @@
     sendJson(Response, 200, "{}");
   }
 
-  void silence(HTTPServerResponse &Response) {
+  void silenceConnections(HTTPServerResponse &Response) {
     this->Engine.silenceConnections();
     sendJson(Response, 200, "{}");
   }
--- a/standin/EngineHandlers.h
+++ b/standin/EngineHandlers.h
@@ -7,7 +7,7 @@
 
 class EngineStandIn;
 
-/// Makes the handlers of the stand-in's requests.
+/// Creates the handlers of the engine stand-in's requests.
 class EngineHandlerFactory : public Poco::Net::HTTPRequestHandlerFactory {
 public:
   explicit EngineHandlerFactory(EngineStandIn &E) : Engine(E) {}
--- a/standin/EngineStandIn.cpp
+++ b/standin/EngineStandIn.cpp
@@ -12,10 +12,10 @@
 namespace {
 
 constexpr int MaxConnections = 512;
-constexpr std::size_t KeptFinished = 2000;
-constexpr std::size_t KeptSamples = 4096;
-constexpr std::size_t KeptConnections = 4096;
-constexpr auto WaitSlice = std::chrono::milliseconds(50);
+constexpr std::size_t MaxFinishedResponses = 2000;
+constexpr std::size_t MaxLoadSamples = 4096;
+constexpr std::size_t MaxTrackedConnections = 4096;
+constexpr auto PollInterval = std::chrono::milliseconds(50);
 constexpr int Ok = 200;
 constexpr int Conflict = 409;
 constexpr int NotFound = 404;
@@ -28,9 +28,10 @@
 }
 
 std::string responseField(const EngineResponse &Response,
-                          const std::string &Status, const std::string &More) {
+                          const std::string &Status,
+                          const std::string &ExtraFields) {
   return ",\"response\":{\"id\":\"" + Response.Id + "\",\"status\":\"" +
-         Status + "\",\"metadata\":" + Response.Metadata + More + "}";
+         Status + "\",\"metadata\":" + Response.Metadata + ExtraFields + "}";
 }
 
 std::string itemField(const EngineResponse &Response) {
@@ -38,8 +39,9 @@
          "\",\"output_index\":0,\"content_index\":0";
 }
 
-/// Written by hand: these are the bulk of the stand-in's work.
-void beginEvents(EngineResponse &Response) {
+/// Events are built as strings rather than with a JSON library, since they are
+/// most of the stand-in's work.
+void appendInitialEvents(EngineResponse &Response) {
   Response.Events.push_back(eventData(Response, "response.created",
                                       responseField(Response, "queued", "")));
   Response.Events.push_back(eventData(
@@ -48,7 +50,7 @@
           Response.Id + "\"}"));
 }
 
-void endEvents(EngineResponse &Response, bool WithUsage) {
+void appendFinalEvents(EngineResponse &Response, bool WithUsage) {
   Response.Events.push_back(eventData(
       Response, "response.output_text.done",
       itemField(Response) + ",\"text\":" + Poco::toJSON(Response.Text)));
@@ -67,7 +69,7 @@
     : Options(std::move(O)), Server(MaxConnections, [this] {
         return new EngineHandlerFactory(*this);
       }) {
-  this->Loaded.insert(this->Options.Model);
+  this->LoadedModels.insert(this->Options.Model);
 }
 
 EngineStandIn::~EngineStandIn() {
@@ -75,17 +77,17 @@
     std::lock_guard<std::mutex> Lock(this->Mutex);
     this->Stopping = true;
     for (const auto &[Id, Response] : this->Responses)
-      Response->Grown.notify_all();
+      Response->EventsAvailable.notify_all();
   }
   this->Changed.notify_all();
   this->Server.stop();
-  if (this->Stepper.joinable())
-    this->Stepper.join();
+  if (this->StepThread.joinable())
+    this->StepThread.join();
 }
 
 void EngineStandIn::start() {
   this->Server.start(this->Options.Address);
-  this->Stepper = std::thread([this] { this->runSteps(); });
+  this->StepThread = std::thread([this] { this->runSteps(); });
 }
 
 std::string EngineStandIn::address() const { return this->Server.address(); }
@@ -93,7 +95,7 @@
 EngineResponsePtr EngineStandIn::submit(EngineResponsePtr Response) {
   std::lock_guard<std::mutex> Lock(this->Mutex);
   Response->Id = "resp_" + std::to_string(this->NextId++);
-  beginEvents(*Response);
+  appendInitialEvents(*Response);
   this->Responses[Response->Id] = Response;
   this->Waiting.push_back(Response);
   this->sampleLoad();
@@ -116,10 +118,10 @@
   this->sampleLoad();
 }
 
-std::vector<std::string> EngineStandIn::takeEvents(EngineResponse &Response,
-                                                   std::size_t Next) {
+std::vector<std::string> EngineStandIn::waitForEvents(EngineResponse &Response,
+                                                      std::size_t Next) {
   std::unique_lock<std::mutex> Lock(this->Mutex);
-  Response.Grown.wait(Lock, [&] {
+  Response.EventsAvailable.wait(Lock, [&] {
     return this->Stopping || Response.Done || Response.Events.size() > Next;
   });
   if (this->Stopping || Response.Events.size() <= Next)
@@ -128,15 +130,15 @@
           Response.Events.end()};
 }
 
-void EngineStandIn::waitWhile(const std::function<bool()> &Holds) {
+void EngineStandIn::waitWhile(const std::function<bool()> &Condition) {
   std::unique_lock<std::mutex> Lock(this->Mutex);
   while (!this->Stopping) {
     Lock.unlock();
-    const bool Goes = Holds();
+    const bool StillHolds = Condition();
     Lock.lock();
-    if (!Goes)
+    if (!StillHolds)
       return;
-    this->Changed.wait_for(Lock, WaitSlice);
+    this->Changed.wait_for(Lock, PollInterval);
   }
 }
 
@@ -146,7 +148,7 @@
   while (!this->Stopping) {
     if (this->Faults.Stall ||
         (this->Running.empty() && this->Waiting.empty())) {
-      this->Changed.wait_for(Lock, WaitSlice);
+      this->Changed.wait_for(Lock, PollInterval);
       Next = std::chrono::steady_clock::now();
       continue;
     }
@@ -164,10 +166,10 @@
 void EngineStandIn::admit() {
   while (!this->Waiting.empty() &&
          this->Running.size() < this->Options.MaxRunning) {
-    const EngineResponsePtr First = this->Waiting.front();
+    const EngineResponsePtr Admitted = this->Waiting.front();
     this->Waiting.pop_front();
-    this->Running.push_back(First);
-    this->countExecution(*First);
+    this->Running.push_back(Admitted);
+    this->countExecution(*Admitted);
   }
   this->sampleLoad();
 }
@@ -184,86 +186,89 @@
 }
 
 void EngineStandIn::step() {
-  std::vector<EngineResponsePtr> Ended;
+  std::vector<EngineResponsePtr> Completed;
   for (const EngineResponsePtr &Response : this->Running) {
     this->generate(*Response);
     if (Response->Tokens >= Response->TokensWanted)
-      Ended.push_back(Response);
+      Completed.push_back(Response);
   }
-  for (const EngineResponsePtr &Response : Ended) {
-    endEvents(*Response, !this->Faults.NoUsage);
+  for (const EngineResponsePtr &Response : Completed) {
+    appendFinalEvents(*Response, !this->Faults.NoUsage);
     std::erase(this->Running, Response);
     this->finish(Response);
   }
 }
 
 void EngineStandIn::generate(EngineResponse &Response) {
-  const std::uint64_t Hold = this->Faults.HoldAfter;
+  const std::uint64_t HoldLimit = this->Faults.HoldAfter;
   if (Response.Tokens >= Response.TokensWanted ||
-      (Hold != 0 && Response.Tokens >= Hold))
+      (HoldLimit != 0 && Response.Tokens >= HoldLimit))
     return;
-  const std::string Piece = "t" + std::to_string(Response.Tokens) + " ";
+  const std::string Delta = "t" + std::to_string(Response.Tokens) + " ";
   Response.Events.push_back(
       eventData(Response, "response.output_text.delta",
-                itemField(Response) + ",\"delta\":\"" + Piece + "\""));
-  Response.Text += Piece;
+                itemField(Response) + ",\"delta\":\"" + Delta + "\""));
+  Response.Text += Delta;
   ++Response.Tokens;
-  Response.Grown.notify_all();
+  Response.EventsAvailable.notify_all();
 }
 
-/// Keeps a number of finished responses, so that their streams can still be
-/// taken up.
+/// Keeps the last `MaxFinishedResponses` responses, so that their streams can
+/// still be resumed.
 void EngineStandIn::finish(const EngineResponsePtr &Response) {
   Response->Done = true;
-  Response->Grown.notify_all();
+  Response->EventsAvailable.notify_all();
   this->Finished.push_back(Response->Id);
-  if (this->Finished.size() <= KeptFinished)
+  if (this->Finished.size() <= MaxFinishedResponses)
     return;
   this->Responses.erase(this->Finished.front());
   this->Finished.pop_front();
 }
 
 void EngineStandIn::sampleLoad() {
-  this->Load.push_back({Clock::steady().now(),
-                        static_cast<std::uint32_t>(this->Running.size()),
-                        static_cast<std::uint32_t>(this->Waiting.size())});
-  if (this->Load.size() > KeptSamples)
-    this->Load.pop_front();
+  this->LoadSamples.push_back(
+      {Clock::steady().now(), static_cast<std::uint32_t>(this->Running.size()),
+       static_cast<std::uint32_t>(this->Waiting.size())});
+  if (this->LoadSamples.size() > MaxLoadSamples)
+    this->LoadSamples.pop_front();
 }
 
 std::string EngineStandIn::metrics() const {
   std::lock_guard<std::mutex> Lock(this->Mutex);
-  const TimePoint Seen = Clock::steady().now() - this->Options.ReportLag;
-  LoadSample Shown{Seen, static_cast<std::uint32_t>(this->Running.size()),
-                   static_cast<std::uint32_t>(this->Waiting.size())};
+  const TimePoint ReportTime = Clock::steady().now() - this->Options.ReportLag;
+  LoadSample Reported{ReportTime,
+                      static_cast<std::uint32_t>(this->Running.size()),
+                      static_cast<std::uint32_t>(this->Waiting.size())};
   if (this->Options.ReportLag > Duration::zero()) {
-    Shown = {Seen, 0, 0};
-    for (const LoadSample &Sample : this->Load)
-      if (Sample.At <= Seen)
-        Shown = Sample;
+    Reported = {ReportTime, 0, 0};
+    for (const LoadSample &Sample : this->LoadSamples)
+      if (Sample.At <= ReportTime)
+        Reported = Sample;
   }
   const std::string Labels = "{model_name=\"" + this->Options.Model + "\"} ";
-  const double Used =
-      static_cast<double>(Shown.Running) / this->Options.MaxRunning;
+  const double Usage =
+      static_cast<double>(Reported.Running) / this->Options.MaxRunning;
   std::ostringstream Out;
   Out << "# TYPE vllm:num_requests_running gauge\nvllm:num_requests_running"
-      << Labels << Shown.Running
+      << Labels << Reported.Running
       << "\n# TYPE vllm:num_requests_waiting gauge\nvllm:num_requests_waiting"
-      << Labels << Shown.Waiting
+      << Labels << Reported.Waiting
       << "\n# TYPE vllm:kv_cache_usage_perc gauge\nvllm:kv_cache_usage_perc"
-      << Labels << Used << '\n';
+      << Labels << Usage << '\n';
   return Out.str();
 }
 
-int EngineStandIn::obey(const std::string &Path, const std::string &Name,
-                        std::uint64_t FencingNumber) {
+int EngineStandIn::executeOrder(const std::string &Path,
+                                const std::string &Name,
+                                std::uint64_t FencingNumber) {
   std::lock_guard<std::mutex> Lock(this->Mutex);
-  if (this->Options.ChecksFencing && FencingNumber < this->HighestFencing)
+  if (this->Options.ChecksFencing && FencingNumber < this->HighestFencingNumber)
     return Conflict;
-  this->HighestFencing = std::max(this->HighestFencing, FencingNumber);
+  this->HighestFencingNumber =
+      std::max(this->HighestFencingNumber, FencingNumber);
   if (Path.ends_with("/unload_lora_adapter"))
-    return this->Loaded.erase(Name) != 0 ? Ok : NotFound;
-  this->Loaded.insert(Name);
+    return this->LoadedModels.erase(Name) != 0 ? Ok : NotFound;
+  this->LoadedModels.insert(Name);
   return Ok;
 }
 
@@ -289,7 +294,7 @@
 
 std::set<std::string> EngineStandIn::loadedModels() const {
   std::lock_guard<std::mutex> Lock(this->Mutex);
-  return this->Loaded;
+  return this->LoadedModels;
 }
 
 void EngineStandIn::setFaults(const EngineFaults &F) {
@@ -310,9 +315,10 @@
   ++this->SilenceEpoch;
 }
 
-void EngineStandIn::crash(Duration BackAfter) {
-  this->Server.crash(BackAfter);
-  // Behind the ends of the connections, or answers would look whole.
+void EngineStandIn::crash(Duration RestartDelay) {
+  this->Server.crash(RestartDelay);
+  // Done after the connections are closed, since otherwise clients would
+  // receive these responses as completed.
   const std::lock_guard<std::mutex> Lock(this->Mutex);
   for (const EngineResponsePtr &Each : this->Waiting)
     this->finish(Each);
@@ -324,12 +330,12 @@
 
 bool EngineStandIn::isSilenced(std::uint64_t ConnectionCookie) {
   std::lock_guard<std::mutex> Lock(this->Mutex);
-  const auto Known =
-      this->EpochOfConnection.emplace(ConnectionCookie, this->SilenceEpoch)
+  const auto Connection =
+      this->ConnectionEpochs.emplace(ConnectionCookie, this->SilenceEpoch)
           .first;
-  const bool Silenced = Known->second != this->SilenceEpoch;
-  if (this->EpochOfConnection.size() > KeptConnections)
-    this->EpochOfConnection.erase(this->EpochOfConnection.begin());
+  const bool Silenced = Connection->second != this->SilenceEpoch;
+  if (this->ConnectionEpochs.size() > MaxTrackedConnections)
+    this->ConnectionEpochs.erase(this->ConnectionEpochs.begin());
   return Silenced;
 }
 
--- a/standin/EngineStandIn.h
+++ b/standin/EngineStandIn.h
@@ -22,41 +22,43 @@
 struct EngineOptions {
   std::string Address;
   std::uint32_t MaxRunning = 8;
-  /// Time for one token of every running request.
+  /// The time in which each running request generates one token.
   Duration Step = std::chrono::milliseconds(5);
-  /// Whether orders with an old fencing number are refused.
+  /// Whether the engine refuses orders with an outdated fencing number.
   bool ChecksFencing = false;
-  /// How old the load is that `/metrics` reports.
+  /// The age of the load that `/metrics` reports.
   Duration ReportLag = Duration::zero();
   std::string Model = "stand-in";
-  /// A file to which each run appends "IDENTITY KEY" before its first token,
-  /// so that a kill of the stand-in loses no count. Empty for none.
+  /// A file to which each execution appends "IDENTITY KEY" before its first
+  /// token, so that executions remain counted when the stand-in is killed.
+  /// Empty for none.
   std::string ExecutionsLog;
 };
 
-/// One answer that the engine generates, also when nobody reads it.
+/// A response that the engine generates, even if no client reads it.
 struct EngineResponse {
   std::string Id;
   std::string Identity;
   std::string IdempotencyKey;
-  /// The metadata object of the request, as JSON.
+  /// The metadata object of the request as JSON.
   std::string Metadata;
   std::uint64_t TokensWanted = 0;
   std::uint64_t Tokens = 0;
   bool Background = false;
   bool Done = false;
-  /// The data of each event; the place is the event's sequence number.
+  /// The data of each event; its index is the sequence number.
   std::vector<std::string> Events;
   std::string Text;
-  std::condition_variable Grown;
+  std::condition_variable EventsAvailable;
 };
 
 using EngineResponsePtr = std::shared_ptr<EngineResponse>;
 
-/// Takes the place of a model engine: batches continuously, admits in order of
-/// arrival, and generates as many tokens as the input's `tokens=N` says. One
-/// thread makes the tokens of all running requests, one thread a connection
-/// writes them. Counts executions by identity and by idempotency key.
+/// Simulates a model engine with continuous batching: admits requests in order
+/// of arrival and generates as many tokens as `tokens=N` in the input requests.
+/// One thread generates the tokens of all running requests, and one thread per
+/// connection writes them. Counts executions by request identity and by
+/// idempotency key.
 class EngineStandIn {
 public:
   explicit EngineStandIn(EngineOptions O);
@@ -68,7 +70,7 @@
 
   const EngineOptions &options() const { return this->Options; }
 
-  /// The address that is listened on, with its port.
+  /// The listen address with its port.
   std::string address() const;
 
   std::map<std::string, int> executions() const;
@@ -80,35 +82,35 @@
   void setFaults(const EngineFaults &F);
   EngineFaults faults() const;
 
-  /// Makes every connection open now silent for good; new ones work.
+  /// Permanently silences all connections that are open now; new ones work.
   void silenceConnections();
 
-  /// Ends like a crashed process, with all that runs and waits, and is back
-  /// after this time.
-  void crash(Duration BackAfter);
+  /// Simulates a crash that loses all running and waiting requests; the engine
+  /// listens again after this delay.
+  void crash(Duration RestartDelay);
 
-  // What the handlers of connections call.
+  // Called by the request handlers.
 
   EngineResponsePtr submit(EngineResponsePtr Response);
   EngineResponsePtr find(const std::string &Id) const;
   void cancel(const EngineResponsePtr &Response);
 
-  /// Waits for events from `Next` on and takes all there are. Empty at the end
-  /// of the response or of the stand-in.
-  std::vector<std::string> takeEvents(EngineResponse &Response,
-                                      std::size_t Next);
+  /// Waits for events from index `Next` on and returns all that are available.
+  /// Returns nothing at the end of the response or when the stand-in stops.
+  std::vector<std::string> waitForEvents(EngineResponse &Response,
+                                         std::size_t Next);
 
-  /// Waits while this holds, or until the stand-in ends.
-  void waitWhile(const std::function<bool()> &Holds);
+  /// Waits while the condition holds, or until the stand-in stops.
+  void waitWhile(const std::function<bool()> &Condition);
 
-  /// Whether this connection was open when the connections went silent. The
-  /// cookie is the system's own number of the socket, never used twice.
+  /// Whether this connection was open when `silenceConnections` was called. The
+  /// cookie is the kernel's socket cookie, which is never reused.
   bool isSilenced(std::uint64_t ConnectionCookie);
   std::string metrics() const;
 
-  /// The status of the answer to an order.
-  int obey(const std::string &Path, const std::string &Name,
-           std::uint64_t FencingNumber);
+  /// Executes an order and returns the HTTP status of the response.
+  int executeOrder(const std::string &Path, const std::string &Name,
+                   std::uint64_t FencingNumber);
 
 private:
   struct LoadSample {
@@ -131,7 +133,7 @@
   bool Stopping = false;
   EngineFaults Faults;
   std::uint64_t SilenceEpoch = 0;
-  std::map<std::uint64_t, std::uint64_t> EpochOfConnection;
+  std::map<std::uint64_t, std::uint64_t> ConnectionEpochs;
   std::uint64_t NextId = 1;
   std::deque<EngineResponsePtr> Waiting;
   std::vector<EngineResponsePtr> Running;
@@ -139,11 +141,11 @@
   std::deque<std::string> Finished;
   std::map<std::string, int> Executions;
   std::map<std::string, int> ExecutionsByKey;
-  std::deque<LoadSample> Load;
-  std::set<std::string> Loaded;
-  std::uint64_t HighestFencing = 0;
+  std::deque<LoadSample> LoadSamples;
+  std::set<std::string> LoadedModels;
+  std::uint64_t HighestFencingNumber = 0;
   CrashableServer Server;
-  std::thread Stepper;
+  std::thread StepThread;
 };
 
 } // namespace parsleywing::standin
--- a/standin/EngineStreamWriter.cpp
+++ b/standin/EngineStreamWriter.cpp
@@ -21,34 +21,34 @@
   Batch += "\n\n";
 }
 
-/// The same event under the id of another response.
-std::string ofAnotherResponse(std::string Data) {
-  const std::size_t Place = Data.find("msg_resp_");
-  if (Place != std::string::npos)
-    Data.insert(Place + 9, "9");
+/// Returns the event with the ID of another response.
+std::string withForeignId(std::string Data) {
+  const std::size_t Position = Data.find("msg_resp_");
+  if (Position != std::string::npos)
+    Data.insert(Position + 9, "9");
   return Data;
 }
 
 } // namespace
 
 void EngineStreamWriter::write(Poco::Net::HTTPServerRequest &Request,
-                               Poco::Net::HTTPServerResponse &Answer,
-                               std::size_t Start) {
-  Answer.setContentType("text/event-stream");
-  Answer.setChunkedTransferEncoding(true);
-  std::ostream &Out = Answer.send();
-  std::size_t Next = Start;
+                               Poco::Net::HTTPServerResponse &HttpResponse,
+                               std::size_t FirstEvent) {
+  HttpResponse.setContentType("text/event-stream");
+  HttpResponse.setChunkedTransferEncoding(true);
+  std::ostream &Out = HttpResponse.send();
+  std::size_t Next = FirstEvent;
   while (true) {
-    const auto Events = this->Engine.takeEvents(*this->Response, Next);
+    const auto Events = this->Engine.waitForEvents(*this->Response, Next);
     if (Events.empty())
       break;
-    if (this->silent()) {
-      this->Engine.waitWhile([&] { return peerIsThere(Request); });
-      cutConnection(Request, Answer);
+    if (this->isSilent()) {
+      this->Engine.waitWhile([&] { return isPeerConnected(Request); });
+      shutDownConnection(Request, HttpResponse);
       return;
     }
     if (!this->writeEvents(Events, Out)) {
-      cutConnection(Request, Answer);
+      shutDownConnection(Request, HttpResponse);
       break;
     }
     Next += Events.size();
@@ -57,55 +57,55 @@
     this->Engine.cancel(this->Response);
 }
 
-bool EngineStreamWriter::silent() {
-  return this->isDue(this->Faults.SilentAfter) ||
+bool EngineStreamWriter::isSilent() {
+  return this->isReached(this->Faults.SilentAfter) ||
          this->Engine.isSilenced(this->Cookie);
 }
 
-bool EngineStreamWriter::isDue(std::uint64_t After) const {
-  return After != 0 && this->Tokens >= After;
+bool EngineStreamWriter::isReached(std::uint64_t TokenCount) const {
+  return TokenCount != 0 && this->Tokens >= TokenCount;
 }
 
-/// Writes all that is there in one piece. Faults that come after a number of
-/// tokens need the events one by one.
+/// Writes all available events with one flush. They are processed one by one,
+/// since faults may start at any token count.
 bool EngineStreamWriter::writeEvents(const std::vector<std::string> &Events,
                                      std::ostream &Out) {
   std::string Batch;
-  bool Goes = true;
+  bool KeepOpen = true;
   for (const std::string &Data : Events) {
-    Goes = this->writeEvent(Data, Batch);
-    if (!Goes || this->isDue(this->Faults.SilentAfter))
+    KeepOpen = this->writeEvent(Data, Batch);
+    if (!KeepOpen || this->isReached(this->Faults.SilentAfter))
       break;
   }
   Out << Batch;
   Out.flush();
-  return Goes && Out.good();
+  return KeepOpen && Out.good();
 }
 
 bool EngineStreamWriter::writeEvent(const std::string &Data,
                                     std::string &Batch) {
   const bool IsToken = Data.find("output_text.delta") != std::string::npos;
-  if (IsToken && this->isDue(this->Faults.CutAfter))
+  if (IsToken && this->isReached(this->Faults.CutAfter))
     return false;
-  if (IsToken && this->isDue(this->Faults.TruncateAfter)) {
-    std::string Whole;
-    appendEvent(Data, Whole);
-    Batch.append(Whole, 0, Whole.size() / 2);
+  if (IsToken && this->isReached(this->Faults.TruncateAfter)) {
+    std::string Event;
+    appendEvent(Data, Event);
+    Batch.append(Event, 0, Event.size() / 2);
     return false;
   }
-  if (IsToken && this->isDue(this->Faults.OversizedAfter))
+  if (IsToken && this->isReached(this->Faults.OversizedAfter))
     Batch += "data: " + std::string(OversizedBytes, 'x');
-  if (IsToken && this->isDue(this->Faults.MalformedAfter))
+  if (IsToken && this->isReached(this->Faults.MalformedAfter))
     Batch += "data: {\"type\":\"response.output_text.delta\",\"delta\n\n";
-  const bool Skips = IsToken && this->Faults.SkipAfter != 0 &&
-                     this->Tokens == this->Faults.SkipAfter;
+  const bool IsSkipped = IsToken && this->Faults.SkipAfter != 0 &&
+                         this->Tokens == this->Faults.SkipAfter;
   if (IsToken)
     ++this->Tokens;
-  if (Skips)
+  if (IsSkipped)
     return true;
-  const bool Crossed = IsToken && this->Faults.CrossedAfter != 0 &&
-                       this->Tokens == this->Faults.CrossedAfter + 1;
-  appendEvent(Crossed ? ofAnotherResponse(Data) : Data, Batch);
+  const bool IsForeign = IsToken && this->Faults.CrossedAfter != 0 &&
+                         this->Tokens == this->Faults.CrossedAfter + 1;
+  appendEvent(IsForeign ? withForeignId(Data) : Data, Batch);
   if (this->Faults.Doubled)
     appendEvent(Data, Batch);
   return true;
--- a/standin/EngineStreamWriter.h
+++ b/standin/EngineStreamWriter.h
@@ -8,8 +8,8 @@
 
 namespace parsleywing::standin {
 
-/// Writes the events of one response to one connection, and does wrong what
-/// the faults say.
+/// Writes the events of one response to one connection and applies the injected
+/// stream faults.
 class EngineStreamWriter {
 public:
   EngineStreamWriter(EngineStandIn &E, EngineResponsePtr R, EngineFaults F,
@@ -18,14 +18,15 @@
         Cookie(ConnectionCookie) {}
 
   void write(Poco::Net::HTTPServerRequest &Request,
-             Poco::Net::HTTPServerResponse &Answer, std::size_t Start);
+             Poco::Net::HTTPServerResponse &HttpResponse,
+             std::size_t FirstEvent);
 
 private:
-  /// False ends the connection.
+  /// Returns false if the connection must be closed.
   bool writeEvents(const std::vector<std::string> &Events, std::ostream &Out);
   bool writeEvent(const std::string &Data, std::string &Batch);
-  bool isDue(std::uint64_t After) const;
-  bool silent();
+  bool isReached(std::uint64_t TokenCount) const;
+  bool isSilent();
 
   EngineStandIn &Engine;
   EngineResponsePtr Response;
--- a/standin/HandlerTools.cpp
+++ b/standin/HandlerTools.cpp
@@ -32,7 +32,7 @@
   return Out.str();
 }
 
-std::string readAll(HTTPServerRequest &Request) {
+std::string readBody(HTTPServerRequest &Request) {
   std::string Text;
   Poco::StreamCopier::copyToString(Request.stream(), Text);
   return Text;
@@ -57,16 +57,17 @@
                "}}");
 }
 
-void cutConnection(HTTPServerRequest &Request, HTTPServerResponse &Response) {
+void shutDownConnection(HTTPServerRequest &Request,
+                        HTTPServerResponse &Response) {
   Response.setKeepAlive(false);
   try {
     socketOf(Request).shutdown();
   } catch (const Poco::Exception &) {
-    // The other side was first.
+    // The peer has already closed the connection.
   }
 }
 
-std::uint64_t cookieOf(HTTPServerRequest &Request) {
+std::uint64_t socketCookie(HTTPServerRequest &Request) {
   std::uint64_t Cookie = 0;
   ::socklen_t Size = sizeof(Cookie);
   ::getsockopt(socketOf(Request).impl()->sockfd(), SOL_SOCKET, SO_COOKIE,
@@ -74,7 +75,7 @@
   return Cookie;
 }
 
-bool peerIsThere(HTTPServerRequest &Request) {
+bool isPeerConnected(HTTPServerRequest &Request) {
   Poco::Net::StreamSocket &Socket = socketOf(Request);
   if (!Socket.poll(Poco::Timespan(0), Poco::Net::Socket::SELECT_READ))
     return true;
--- a/standin/HandlerTools.h
+++ b/standin/HandlerTools.h
@@ -8,30 +8,30 @@
 
 namespace parsleywing::standin {
 
-/// Counts under their names, as a JSON object.
+/// Returns the counts as a JSON object, by name.
 std::string countsAsJson(const std::map<std::string, int> &Counts);
 
-/// The whole body of a request.
-std::string readAll(Poco::Net::HTTPServerRequest &Request);
+/// Reads the complete body of a request.
+std::string readBody(Poco::Net::HTTPServerRequest &Request);
 
 void sendText(Poco::Net::HTTPServerResponse &Response, int Status,
               const std::string &Type, const std::string &Body);
 void sendJson(Poco::Net::HTTPServerResponse &Response, int Status,
               const std::string &Body);
 
-/// The published error object of engines.
+/// Sends an error object in the format of the engine API.
 void sendError(Poco::Net::HTTPServerResponse &Response, int Status,
                const std::string &Code);
 
-/// Ends the connection at once, whatever was answered on it.
-void cutConnection(Poco::Net::HTTPServerRequest &Request,
-                   Poco::Net::HTTPServerResponse &Response);
+/// Shuts the connection down at once, whatever has been sent on it.
+void shutDownConnection(Poco::Net::HTTPServerRequest &Request,
+                        Poco::Net::HTTPServerResponse &Response);
 
-/// The system's own number of the connection's socket.
-std::uint64_t cookieOf(Poco::Net::HTTPServerRequest &Request);
+/// Returns the kernel's cookie of the connection's socket.
+std::uint64_t socketCookie(Poco::Net::HTTPServerRequest &Request);
 
-/// Whether the other side still has its connection open.
-bool peerIsThere(Poco::Net::HTTPServerRequest &Request);
+/// Whether the peer still has the connection open.
+bool isPeerConnected(Poco::Net::HTTPServerRequest &Request);
 
 } // namespace parsleywing::standin
 
--- a/standin/Main.cpp
+++ b/standin/Main.cpp
@@ -11,8 +11,8 @@
 
 namespace {
 
-/// What the command line asks for; one of the three addresses is given.
-struct Wanted {
+/// Options of the command line; exactly one of the three addresses is set.
+struct CommandLineOptions {
   standin::EngineOptions Engine;
   std::string Plain;
   standin::StoreOptions Store;
@@ -20,28 +20,29 @@
   unsigned ReportLagMilliseconds = 0;
 };
 
-boost::program_options::options_description describe(Wanted &Into) {
+boost::program_options::options_description
+describeOptions(CommandLineOptions &Values) {
   namespace options = boost::program_options;
   options::options_description Visible(
       "parsleywing-standin --engine ADDRESS | --plain ADDRESS | "
       "--store ADDRESS");
-  Visible.add_options()("engine", options::value(&Into.Engine.Address),
-                        "take the place of a model engine there")(
-      "plain", options::value(&Into.Plain),
-      "take the place of a plain service there")(
-      "store", options::value(&Into.Store.Address),
-      "take the place of the key-value store there")(
-      "max-running", options::value(&Into.Engine.MaxRunning),
-      "requests at once")("step-ms", options::value(&Into.StepMilliseconds),
-                          "time for one token")(
-      "executions-log", options::value(&Into.Engine.ExecutionsLog),
-      "file to which the engine appends a line for each run")(
-      "checks-fencing", options::bool_switch(&Into.Engine.ChecksFencing),
-      "refuse orders with an old fencing number")(
-      "report-lag-ms", options::value(&Into.ReportLagMilliseconds),
-      "age of the load in /metrics")("vm-prefix",
-                                     options::value(&Into.Store.VmPrefix),
-                                     "keys of the list of VMs in the store");
+  Visible.add_options()("engine", options::value(&Values.Engine.Address),
+                        "simulate a model engine at this address")(
+      "plain", options::value(&Values.Plain),
+      "simulate a plain service at this address")(
+      "store", options::value(&Values.Store.Address),
+      "simulate the key-value store at this address")(
+      "max-running", options::value(&Values.Engine.MaxRunning),
+      "number of concurrent requests")(
+      "step-ms", options::value(&Values.StepMilliseconds), "time per token")(
+      "executions-log", options::value(&Values.Engine.ExecutionsLog),
+      "file to which the engine appends a line for each execution")(
+      "checks-fencing", options::bool_switch(&Values.Engine.ChecksFencing),
+      "refuse orders with an outdated fencing number")(
+      "report-lag-ms", options::value(&Values.ReportLagMilliseconds),
+      "age of the load that /metrics reports")(
+      "vm-prefix", options::value(&Values.Store.VmPrefix),
+      "key prefix of the list of VMs in the store");
   return Visible;
 }
 
@@ -54,17 +55,17 @@
   return Signals;
 }
 
-void serve(const Wanted &Asked) {
+void serve(const CommandLineOptions &Chosen) {
   const sigset_t Signals = blockStopSignals();
   std::optional<standin::EngineStandIn> Engine;
   std::optional<standin::PlainServiceStandIn> Plain;
   std::optional<standin::StoreStandIn> Store;
-  if (!Asked.Engine.Address.empty())
-    Engine.emplace(Asked.Engine).start();
-  if (!Asked.Plain.empty())
-    Plain.emplace(Asked.Plain).start();
-  if (!Asked.Store.Address.empty())
-    Store.emplace(Asked.Store).start();
+  if (!Chosen.Engine.Address.empty())
+    Engine.emplace(Chosen.Engine).start();
+  if (!Chosen.Plain.empty())
+    Plain.emplace(Chosen.Plain).start();
+  if (!Chosen.Store.Address.empty())
+    Store.emplace(Chosen.Store).start();
   int Signal = 0;
   sigwait(&Signals, &Signal);
 }
@@ -73,23 +74,24 @@
 
 int main(int ArgumentCount, char **Arguments) {
   namespace options = boost::program_options;
-  Wanted Asked;
-  const options::options_description Visible = describe(Asked);
+  CommandLineOptions Chosen;
+  const options::options_description Visible = describeOptions(Chosen);
   try {
-    options::variables_map Given;
+    options::variables_map Parsed;
     options::store(
-        options::parse_command_line(ArgumentCount, Arguments, Visible), Given);
-    options::notify(Given);
-    if (Given.count("engine") + Given.count("plain") + Given.count("store") !=
+        options::parse_command_line(ArgumentCount, Arguments, Visible), Parsed);
+    options::notify(Parsed);
+    if (Parsed.count("engine") + Parsed.count("plain") +
+            Parsed.count("store") !=
         1)
       throw options::error("give one of --engine, --plain and --store");
-  } catch (const options::error &Problem) {
-    std::cerr << Problem.what() << '\n' << Visible;
+  } catch (const options::error &Error) {
+    std::cerr << Error.what() << '\n' << Visible;
     return 2;
   }
-  Asked.Engine.Step = std::chrono::milliseconds(Asked.StepMilliseconds);
-  Asked.Engine.ReportLag =
-      std::chrono::milliseconds(Asked.ReportLagMilliseconds);
-  serve(Asked);
+  Chosen.Engine.Step = std::chrono::milliseconds(Chosen.StepMilliseconds);
+  Chosen.Engine.ReportLag =
+      std::chrono::milliseconds(Chosen.ReportLagMilliseconds);
+  serve(Chosen);
   return 0;
 }
--- a/standin/PlainServiceStandIn.cpp
+++ b/standin/PlainServiceStandIn.cpp
@@ -15,10 +15,10 @@
 namespace {
 
 constexpr int MaxConnections = 256;
-constexpr auto WaitSlice = std::chrono::milliseconds(50);
+constexpr auto PollInterval = std::chrono::milliseconds(50);
 constexpr const char *RecordsPath = "/records";
 
-std::string headerLines(const HTTPServerRequest &Request) {
+std::string formatHeaders(const HTTPServerRequest &Request) {
   std::string Lines;
   for (const auto &[Name, Value] : Request)
     Lines.append(Name).append(": ").append(Value).append("\n");
@@ -40,7 +40,7 @@
       else
         this->serve(Path, Request, Response);
     } catch (const Poco::Exception &) {
-      // The other side left, or sent what is not JSON.
+      // The peer disconnected or sent invalid JSON.
       Response.setKeepAlive(false);
     }
   }
@@ -54,7 +54,7 @@
   }
 
   void setFaults(HTTPServerRequest &Request, HTTPServerResponse &Response) {
-    this->Service.setFaults(readFaults(readAll(Request)));
+    this->Service.setFaults(readFaults(readBody(Request)));
     sendJson(Response, 200, "{}");
   }
 
@@ -62,20 +62,20 @@
              HTTPServerResponse &Response) {
     const EngineFaults Faults = this->Service.faults();
     if (Faults.Silent)
-      this->Service.waitWhile([&] { return peerIsThere(Request); });
+      this->Service.waitWhile([&] { return isPeerConnected(Request); });
     if (Faults.Silent || Faults.Close) {
-      cutConnection(Request, Response);
+      shutDownConnection(Request, Response);
       return;
     }
     if (Faults.DelayMs > 0)
       std::this_thread::sleep_for(std::chrono::milliseconds(Faults.DelayMs));
     if (Path == "/health" && !Faults.Leaving)
       sendJson(Response, 200, "{}");
-    else if (!this->refuses(Faults, Response))
+    else if (!this->sendRefusal(Faults, Response))
       this->record(Faults, Request, Response);
   }
 
-  bool refuses(const EngineFaults &Faults, HTTPServerResponse &Response) {
+  bool sendRefusal(const EngineFaults &Faults, HTTPServerResponse &Response) {
     if (Faults.Leaving)
       sendError(Response, 503, "draining");
     else if (Faults.Refuse)
@@ -95,40 +95,40 @@
       sendError(Response, 404, "not_found");
       return;
     }
-    const std::string Body = readAll(Request);
+    const std::string Body = readBody(Request);
     const std::uint64_t Number = this->Service.record(
         Request.get("X-Request-Id", ""), Request.get("Idempotency-Key", ""),
-        headerLines(Request));
+        formatHeaders(Request));
     if (!Faults.CrashOn.empty() &&
         Body.find(Faults.CrashOn) != std::string::npos) {
       this->Service.crash(std::chrono::milliseconds(Faults.BackAfterMs));
-      cutConnection(Request, Response);
+      shutDownConnection(Request, Response);
       return;
     }
     if (Faults.LoseAnswer) {
-      cutConnection(Request, Response);
+      shutDownConnection(Request, Response);
       return;
     }
-    const std::string Answer = R"({"record":)" + std::to_string(Number) +
-                               R"(,"bytes":)" + std::to_string(Body.size()) +
-                               "}";
+    const std::string Json = R"({"record":)" + std::to_string(Number) +
+                             R"(,"bytes":)" + std::to_string(Body.size()) + "}";
     Response.set("X-Record", std::to_string(Number));
     if (Faults.TruncateAfter == 0) {
-      sendJson(Response, 201, Answer);
+      sendJson(Response, 201, Json);
       return;
     }
-    this->sendCut(Answer.substr(0, Faults.TruncateAfter), Request, Response);
+    this->sendTruncated(Json.substr(0, Faults.TruncateAfter), Request,
+                        Response);
   }
 
-  /// A chunked answer without its last chunk.
-  void sendCut(const std::string &Part, HTTPServerRequest &Request,
-               HTTPServerResponse &Response) {
+  /// Sends a chunked response without its last chunk.
+  void sendTruncated(const std::string &Fragment, HTTPServerRequest &Request,
+                     HTTPServerResponse &Response) {
     Response.setStatusAndReason(HTTPServerResponse::HTTP_CREATED);
     Response.setChunkedTransferEncoding(true);
     std::ostream &Out = Response.send();
-    Out << Part;
+    Out << Fragment;
     Out.flush();
-    cutConnection(Request, Response);
+    shutDownConnection(Request, Response);
   }
 
   PlainServiceStandIn &Service;
@@ -180,15 +180,15 @@
   return ++this->Records;
 }
 
-void PlainServiceStandIn::waitWhile(const std::function<bool()> &Holds) {
+void PlainServiceStandIn::waitWhile(const std::function<bool()> &Condition) {
   std::unique_lock<std::mutex> Lock(this->Mutex);
   while (!this->Stopping) {
     Lock.unlock();
-    const bool Goes = Holds();
+    const bool StillHolds = Condition();
     Lock.lock();
-    if (!Goes)
+    if (!StillHolds)
       return;
-    this->Changed.wait_for(Lock, WaitSlice);
+    this->Changed.wait_for(Lock, PollInterval);
   }
 }
 
--- a/standin/PlainServiceStandIn.h
+++ b/standin/PlainServiceStandIn.h
@@ -13,9 +13,9 @@
 
 namespace parsleywing::standin {
 
-/// Takes the place of a plain service: `POST /records` writes a record. Counts
-/// executions by `X-Request-Id` and by `Idempotency-Key`; it does not drop
-/// repeated calls, so that a call that ran twice shows.
+/// Simulates a plain service in which `POST /records` creates a record. Counts
+/// executions by `X-Request-Id` and by `Idempotency-Key`. It does not
+/// deduplicate repeated calls, so that a test can detect a call that ran twice.
 class PlainServiceStandIn {
 public:
   explicit PlainServiceStandIn(std::string ListenAddress);
@@ -35,17 +35,17 @@
   void setFaults(const EngineFaults &F);
   EngineFaults faults() const;
 
-  // What the handlers of connections call.
+  // Called by the request handlers.
 
-  /// Writes one record; its number, from 1.
+  /// Creates a record and returns its number, starting at 1.
   std::uint64_t record(const std::string &Identity, const std::string &Key,
                        std::string Headers);
 
-  /// Ends like a crashed process, and is back after this time.
-  void crash(Duration BackAfter) { this->Server.crash(BackAfter); }
+  /// Simulates a crash; the service listens again after this delay.
+  void crash(Duration RestartDelay) { this->Server.crash(RestartDelay); }
 
-  /// Waits while this holds, or until the stand-in ends.
-  void waitWhile(const std::function<bool()> &Holds);
+  /// Waits while the condition holds, or until the stand-in stops.
+  void waitWhile(const std::function<bool()> &Condition);
 
 private:
   std::string Address;
--- a/standin/StoreData.cpp
+++ b/standin/StoreData.cpp
@@ -5,71 +5,72 @@
 namespace parsleywing::standin {
 
 void StoreData::advance(TimePoint Now) {
-  std::vector<LeaseId> Lapsed;
-  for (const auto &[Identity, Held] : this->Leases)
-    if (Now >= Held.Lapses)
-      Lapsed.push_back(Identity);
-  for (const LeaseId Identity : Lapsed)
-    this->revoke(Identity);
+  std::vector<LeaseId> Expired;
+  for (const auto &[Id, HeldLease] : this->Leases)
+    if (Now >= HeldLease.ExpiresAt)
+      Expired.push_back(Id);
+  for (const LeaseId Id : Expired)
+    this->revoke(Id);
 }
 
 StoreRange StoreData::range(const std::string &Key, const std::string &End,
                             bool Stale) const {
-  const auto &Source = Stale ? this->Frozen : this->Entries;
-  StoreRange Found;
-  Found.ReadRevision = this->Current;
+  const auto &Source = Stale ? this->StaleSnapshot : this->Entries;
+  StoreRange Result;
+  Result.ReadRevision = this->CurrentRevision;
   if (End.empty()) {
-    if (const auto Place = Source.find(Key); Place != Source.end())
-      Found.Entries.push_back(Place->second);
-    return Found;
+    if (const auto Position = Source.find(Key); Position != Source.end())
+      Result.Entries.push_back(Position->second);
+    return Result;
   }
-  for (auto Place = Source.lower_bound(Key); Place != Source.end(); ++Place) {
-    if (End != std::string(1, '\0') && Place->first >= End)
+  for (auto Position = Source.lower_bound(Key); Position != Source.end();
+       ++Position) {
+    if (End != std::string(1, '\0') && Position->first >= End)
       break;
-    Found.Entries.push_back(Place->second);
+    Result.Entries.push_back(Position->second);
   }
-  return Found;
+  return Result;
 }
 
-void StoreData::write(const StoreOperation &Step) {
-  StoreEntry &Entry = this->Entries[Step.Key];
-  Entry.Key = Step.Key;
-  Entry.Value = Step.Value;
+void StoreData::write(const StoreOperation &Operation) {
+  StoreEntry &Entry = this->Entries[Operation.Key];
+  Entry.Key = Operation.Key;
+  Entry.Value = Operation.Value;
   if (Entry.Version == 0)
-    Entry.CreateRevision = this->Current;
-  Entry.ModRevision = this->Current;
+    Entry.CreateRevision = this->CurrentRevision;
+  Entry.ModRevision = this->CurrentRevision;
   ++Entry.Version;
-  Entry.Lease = Step.Lease;
+  Entry.Lease = Operation.Lease;
   this->Changes.push_back({false, Entry});
 }
 
 void StoreData::remove(const std::string &Key) {
   if (this->Entries.erase(Key) == 0)
     return;
-  StoreEntry Gone;
-  Gone.Key = Key;
-  Gone.ModRevision = this->Current;
-  this->Changes.push_back({true, Gone});
+  StoreEntry Deleted;
+  Deleted.Key = Key;
+  Deleted.ModRevision = this->CurrentRevision;
+  this->Changes.push_back({true, Deleted});
 }
 
-Revision StoreData::put(const StoreOperation &Step) {
-  ++this->Current;
-  this->write(Step);
-  return this->Current;
+Revision StoreData::put(const StoreOperation &Operation) {
+  ++this->CurrentRevision;
+  this->write(Operation);
+  return this->CurrentRevision;
 }
 
-bool StoreData::holds(const StoreCompare &Compare) const {
-  const auto Place = this->Entries.find(Compare.Key);
-  const bool Present = Place != this->Entries.end();
+bool StoreData::isSatisfied(const StoreCompare &Compare) const {
+  const auto Position = this->Entries.find(Compare.Key);
+  const bool Exists = Position != this->Entries.end();
   switch (Compare.Target) {
   case CompareTarget::CreateRevision:
-    return (Present ? Place->second.CreateRevision : 0) ==
+    return (Exists ? Position->second.CreateRevision : 0) ==
            Compare.ExpectedRevision;
   case CompareTarget::ModRevision:
-    return (Present ? Place->second.ModRevision : 0) ==
+    return (Exists ? Position->second.ModRevision : 0) ==
            Compare.ExpectedRevision;
   case CompareTarget::Value:
-    return Present && Place->second.Value == Compare.ExpectedValue;
+    return Exists && Position->second.Value == Compare.ExpectedValue;
   }
   return false;
 }
@@ -79,52 +80,54 @@
   TransactionOutcome Outcome;
   Outcome.Succeeded =
       std::all_of(Transaction.Conditions.begin(), Transaction.Conditions.end(),
-                  [&](const StoreCompare &C) { return this->holds(C); });
-  const auto &Steps = Outcome.Succeeded ? Transaction.Then : Transaction.Else;
+                  [&](const StoreCompare &C) { return this->isSatisfied(C); });
+  const auto &Operations =
+      Outcome.Succeeded ? Transaction.Then : Transaction.Else;
   const bool Writes =
-      std::any_of(Steps.begin(), Steps.end(), [](const StoreOperation &Step) {
-        return Step.Kind != StoreOperationKind::Read;
-      });
+      std::any_of(Operations.begin(), Operations.end(),
+                  [](const StoreOperation &Operation) {
+                    return Operation.Kind != StoreOperationKind::Read;
+                  });
   if (Writes)
-    ++this->Current;
-  for (const StoreOperation &Step : Steps) {
-    if (Step.Kind == StoreOperationKind::Put)
-      this->write(Step);
-    else if (Step.Kind == StoreOperationKind::Delete)
-      this->remove(Step.Key);
+    ++this->CurrentRevision;
+  for (const StoreOperation &Operation : Operations) {
+    if (Operation.Kind == StoreOperationKind::Put)
+      this->write(Operation);
+    else if (Operation.Kind == StoreOperationKind::Delete)
+      this->remove(Operation.Key);
     else
-      Outcome.Reads.push_back(this->range(Step.Key, {}, Stale));
+      Outcome.Reads.push_back(this->range(Operation.Key, {}, Stale));
   }
-  Outcome.CommitRevision = this->Current;
+  Outcome.CommitRevision = this->CurrentRevision;
   return Outcome;
 }
 
-LeaseId StoreData::grant(std::chrono::seconds Life, LeaseId Wanted,
+LeaseId StoreData::grant(std::chrono::seconds Ttl, LeaseId RequestedId,
                          TimePoint Now) {
-  if (this->Leases.count(Wanted) > 0)
+  if (this->Leases.count(RequestedId) > 0)
     return 0;
-  const LeaseId Identity = Wanted != 0 ? Wanted : ++this->NextLease;
-  this->Leases[Identity] = {Life, Now + Life};
-  return Identity;
+  const LeaseId Id = RequestedId != 0 ? RequestedId : ++this->LastLease;
+  this->Leases[Id] = {Ttl, Now + Ttl};
+  return Id;
 }
 
-std::chrono::seconds StoreData::keepAlive(LeaseId Identity, TimePoint Now) {
-  const auto Place = this->Leases.find(Identity);
-  if (Place == this->Leases.end())
+std::chrono::seconds StoreData::keepAlive(LeaseId Id, TimePoint Now) {
+  const auto Position = this->Leases.find(Id);
+  if (Position == this->Leases.end())
     return std::chrono::seconds(0);
-  Place->second.Lapses = Now + Place->second.Life;
-  return Place->second.Life;
+  Position->second.ExpiresAt = Now + Position->second.Ttl;
+  return Position->second.Ttl;
 }
 
-bool StoreData::revoke(LeaseId Identity) {
-  if (this->Leases.erase(Identity) == 0)
+bool StoreData::revoke(LeaseId Id) {
+  if (this->Leases.erase(Id) == 0)
     return false;
   std::vector<std::string> Keys;
   for (const auto &[Key, Entry] : this->Entries)
-    if (Entry.Lease == Identity)
+    if (Entry.Lease == Id)
       Keys.push_back(Key);
   if (!Keys.empty())
-    ++this->Current;
+    ++this->CurrentRevision;
   for (const std::string &Key : Keys)
     this->remove(Key);
   return true;
--- a/standin/StoreData.h
+++ b/standin/StoreData.h
@@ -11,48 +11,50 @@
 
 namespace parsleywing::standin {
 
-/// The keys, leases and changes of the store's stand-in, in memory. Not safe
-/// from several threads: the stand-in locks around it.
+/// The keys, leases and changes of the store's stand-in, held in memory. Not
+/// thread-safe; the stand-in locks a mutex around each call.
 class StoreData {
 public:
-  /// Lets leases lapse that are due. Called before every other call.
+  /// Revokes expired leases. Must be called before every other call.
   void advance(TimePoint Now);
 
   StoreRange range(const std::string &Key, const std::string &End,
                    bool Stale) const;
-  Revision put(const StoreOperation &Step);
+  Revision put(const StoreOperation &Operation);
   TransactionOutcome commit(const StoreTransaction &Transaction, bool Stale);
 
-  /// Zero where the wanted identity is in use.
-  LeaseId grant(std::chrono::seconds Life, LeaseId Wanted, TimePoint Now);
-  /// Zero where the lease is unknown or has lapsed.
+  /// Grants a lease with the requested ID, or with a new one if that is zero.
+  /// Returns zero if the ID is in use.
+  LeaseId grant(std::chrono::seconds Ttl, LeaseId RequestedId, TimePoint Now);
+  /// Renews a lease and returns its TTL, or zero if the lease is unknown or has
+  /// expired.
   std::chrono::seconds keepAlive(LeaseId Lease, TimePoint Now);
   bool revoke(LeaseId Lease);
-  bool knowsLease(LeaseId Lease) const { return this->Leases.count(Lease) > 0; }
+  bool hasLease(LeaseId Lease) const { return this->Leases.count(Lease) > 0; }
 
-  /// Changes since the start, the oldest first; never shortened.
+  /// All changes since the start, oldest first. Never compacted.
   const std::vector<StoreChange> &changes() const { return this->Changes; }
-  Revision revision() const { return this->Current; }
+  Revision revision() const { return this->CurrentRevision; }
 
-  /// From here on stale reads see the keys as they are now.
-  void freezeStaleReads() { this->Frozen = this->Entries; }
+  /// Captures the current entries; stale reads return them from now on.
+  void captureStaleSnapshot() { this->StaleSnapshot = this->Entries; }
 
 private:
   struct Lease {
-    std::chrono::seconds Life;
-    TimePoint Lapses;
+    std::chrono::seconds Ttl;
+    TimePoint ExpiresAt;
   };
 
-  bool holds(const StoreCompare &Compare) const;
-  void write(const StoreOperation &Step);
+  bool isSatisfied(const StoreCompare &Compare) const;
+  void write(const StoreOperation &Operation);
   void remove(const std::string &Key);
 
   std::map<std::string, StoreEntry> Entries;
-  std::map<std::string, StoreEntry> Frozen;
+  std::map<std::string, StoreEntry> StaleSnapshot;
   std::map<LeaseId, Lease> Leases;
   std::vector<StoreChange> Changes;
-  Revision Current = 1;
-  LeaseId NextLease = 1000;
+  Revision CurrentRevision = 1;
+  LeaseId LastLease = 1000;
 };
 
 } // namespace parsleywing::standin
--- a/standin/StoreHandler.cpp
+++ b/standin/StoreHandler.cpp
@@ -23,11 +23,11 @@
 constexpr int Ok = 200;
 constexpr int BadRequest = 400;
 constexpr int NotFound = 404;
-constexpr int TooManyCalls = 429;
+constexpr int TooManyRequests = 429;
 constexpr int Unavailable = 503;
-constexpr std::chrono::milliseconds WatchStep(20);
+constexpr std::chrono::milliseconds WatchPollInterval(20);
 
-const std::map<std::string, StoreCall> &paths() {
+const std::map<std::string, StoreCall> &callPaths() {
   static const std::map<std::string, StoreCall> Paths{
       {"/v3/kv/range", StoreCall::Range},
       {"/v3/kv/put", StoreCall::Put},
@@ -44,7 +44,7 @@
          Kind == StoreCall::LeaseGrant;
 }
 
-std::string textOf(const Object &Message, const std::string &Name) {
+std::string decodedField(const Object &Message, const std::string &Name) {
   return Message.has(Name) ? fromBase64(Message.getValue<std::string>(Name))
                            : std::string();
 }
@@ -62,51 +62,51 @@
   return Message;
 }
 
-void setHeader(Object &Answer, Revision At) {
+void setHeader(Object &Reply, Revision Current) {
   Object::Ptr Header = new Object;
-  Header->set("revision", std::to_string(At));
-  Answer.set("header", Header);
+  Header->set("revision", std::to_string(Current));
+  Reply.set("header", Header);
 }
 
-void setEntries(Object &Answer, const StoreRange &Found, bool KeysOnly) {
+void setEntries(Object &Reply, const StoreRange &Found, bool KeysOnly) {
   Array::Ptr Entries = new Array;
   for (const StoreEntry &Entry : Found.Entries)
     Entries->add(entryJson(Entry, KeysOnly));
-  Answer.set("kvs", Entries);
-  Answer.set("count", std::to_string(Found.Entries.size()));
+  Reply.set("kvs", Entries);
+  Reply.set("count", std::to_string(Found.Entries.size()));
 }
 
-StoreCompare compareOf(const Object &Message) {
+StoreCompare parseCompare(const Object &Message) {
   const auto Target = Message.getValue<std::string>("target");
-  const std::string Key = textOf(Message, "key");
+  const std::string Key = decodedField(Message, "key");
   if (Target == "CREATE")
     return keyCreateRevisionIs(Key, int64Field(Message, "create_revision"));
   if (Target == "MOD")
     return keyModRevisionIs(Key, int64Field(Message, "mod_revision"));
-  return keyValueIs(Key, textOf(Message, "value"));
+  return keyValueIs(Key, decodedField(Message, "value"));
 }
 
-StoreOperation stepOf(const Object &Message) {
+StoreOperation parseOperation(const Object &Message) {
   if (const Object::Ptr Put = Message.getObject("request_put"))
-    return putKey(textOf(*Put, "key"), textOf(*Put, "value"),
+    return putKey(decodedField(*Put, "key"), decodedField(*Put, "value"),
                   int64Field(*Put, "lease"));
   if (const Object::Ptr Delete = Message.getObject("request_delete_range"))
-    return deleteKey(textOf(*Delete, "key"));
-  return readKey(textOf(*Message.getObject("request_range"), "key"));
+    return deleteKey(decodedField(*Delete, "key"));
+  return readKey(decodedField(*Message.getObject("request_range"), "key"));
 }
 
 template <typename Item, typename Read>
-std::vector<Item> listOf(const Object &Message, const std::string &Name,
-                         Read One) {
+std::vector<Item> parseList(const Object &Message, const std::string &Name,
+                            Read ParseItem) {
   std::vector<Item> All;
   const Array::Ptr List = Message.getArray(Name);
   for (unsigned Index = 0; List && Index < List->size(); ++Index)
-    All.push_back(One(*List->getObject(Index)));
+    All.push_back(ParseItem(*List->getObject(Index)));
   return All;
 }
 
-/// A deletion names the key and its own revision only.
-Object::Ptr deletedJson(const StoreEntry &Entry) {
+/// An event of a deleted key has only the key and the revision of the deletion.
+Object::Ptr deletedEntryJson(const StoreEntry &Entry) {
   Object::Ptr Message = new Object;
   Message->set("key", toBase64(Entry.Key));
   Message->set("mod_revision", std::to_string(Entry.ModRevision));
@@ -117,26 +117,26 @@
   Object::Ptr Message = new Object;
   if (Change.Deleted)
     Message->set("type", "DELETE");
-  Message->set("kv", Change.Deleted ? deletedJson(Change.Entry)
+  Message->set("kv", Change.Deleted ? deletedEntryJson(Change.Entry)
                                     : entryJson(Change.Entry, false));
   return Message;
 }
 
-void sendJson(HTTPServerResponse &Response, int Status, const Object &Answer) {
+void sendJson(HTTPServerResponse &Response, int Status, const Object &Reply) {
   Response.setStatus(static_cast<HTTPServerResponse::HTTPStatus>(Status));
   Response.setContentType("application/json");
-  const std::string Text = internal::stringify(Answer);
+  const std::string Text = internal::stringify(Reply);
   Response.setContentLength(static_cast<std::streamsize>(Text.size()));
   Response.send() << Text << std::flush;
 }
 
 void closeConnection(HTTPServerRequest &Request, HTTPServerResponse &Response) {
   Response.setKeepAlive(false);
-  auto &Connected = dynamic_cast<Poco::Net::HTTPServerRequestImpl &>(Request);
+  auto &RequestImpl = dynamic_cast<Poco::Net::HTTPServerRequestImpl &>(Request);
   try {
-    Connected.socket().shutdown();
+    RequestImpl.socket().shutdown();
   } catch (const Poco::Exception &) {
-    // The other side closed first.
+    // The peer has already closed the connection.
   }
 }
 
@@ -169,7 +169,7 @@
   assign(Body, "callsPerSecond", Faults.CallsPerSecond);
 }
 
-bool takeOne(int &Count) {
+bool consumeOne(int &Count) {
   if (Count <= 0)
     return false;
   --Count;
@@ -183,35 +183,36 @@
          this->Store.SilentConnections.count(Peer) > 0;
 }
 
-bool StoreHandler::overRate() {
+bool StoreHandler::isOverRateLimit() {
   const int Limit = this->Store.Faults.CallsPerSecond;
   if (Limit == 0)
     return false;
   const TimePoint Now = this->Store.Time.now();
-  const std::chrono::duration<double> Passed = Now - this->Store.RateFilled;
-  this->Store.RateFilled = Now;
+  const std::chrono::duration<double> Elapsed =
+      Now - this->Store.RateRefilledAt;
+  this->Store.RateRefilledAt = Now;
   this->Store.RateTokens =
-      std::min<double>(Limit, this->Store.RateTokens + Passed.count() * Limit);
+      std::min<double>(Limit, this->Store.RateTokens + Elapsed.count() * Limit);
   if (this->Store.RateTokens < 1)
     return true;
   this->Store.RateTokens -= 1;
   return false;
 }
 
-void StoreHandler::holdWhile(Lock &Held,
+void StoreHandler::waitWhile(Lock &Guard,
                              const std::function<bool()> &Condition) {
   this->Store.Changed.wait(
-      Held, [&] { return this->Store.Stopping || !Condition(); });
+      Guard, [&] { return this->Store.Stopping || !Condition(); });
 }
 
 void StoreHandler::handleRequest(HTTPServerRequest &Request,
                                  HTTPServerResponse &Response) {
   try {
-    const auto Place = paths().find(Request.getURI());
-    if (Place == paths().end())
+    const auto Found = callPaths().find(Request.getURI());
+    if (Found == callPaths().end())
       this->serveControl(Request, Response);
     else
-      this->serveCall(Place->second, Request, Response);
+      this->serveCall(Found->second, Request, Response);
   } catch (const Poco::Exception &) {
     Response.setKeepAlive(false);
   }
@@ -224,76 +225,79 @@
   Poco::StreamCopier::copyToString(Request.stream(), Text);
   const auto Body = internal::parseMessage(Text);
   StoreStandIn &S = this->Store;
-  Lock Held(S.Mutex);
+  Lock Guard(S.Mutex);
   S.Connections.insert(Peer);
-  ++S.Counts[static_cast<std::size_t>(Kind)];
+  ++S.CallCounts[static_cast<std::size_t>(Kind)];
   if (this->isSilent(Peer)) {
-    this->holdWhile(Held, [&] { return this->isSilent(Peer); });
-    Held.unlock();
+    this->waitWhile(Guard, [&] { return this->isSilent(Peer); });
+    Guard.unlock();
     return closeConnection(Request, Response);
   }
-  const bool Limited = this->overRate();
-  if (S.Faults.Refuse || Limited || !Body) {
-    Held.unlock();
-    return sendJson(Response, Limited ? TooManyCalls : Unavailable, Object());
+  const bool RateLimited = this->isOverRateLimit();
+  if (S.Faults.Refuse || RateLimited || !Body) {
+    Guard.unlock();
+    return sendJson(Response, RateLimited ? TooManyRequests : Unavailable,
+                    Object());
   }
   if (Kind == StoreCall::Watch) {
-    Held.unlock();
+    Guard.unlock();
     return this->serveWatch(**Body, Request, Response);
   }
-  if (isWrite(Kind) && takeOne(S.Faults.LoseRequests)) {
-    Held.unlock();
+  if (isWrite(Kind) && consumeOne(S.Faults.LoseRequests)) {
+    Guard.unlock();
     return closeConnection(Request, Response);
   }
-  if (isWrite(Kind) && takeOne(S.Faults.LateWrites))
-    S.Changed.wait_for(Held, std::chrono::milliseconds(S.Faults.LateMs),
+  if (isWrite(Kind) && consumeOne(S.Faults.LateWrites))
+    S.Changed.wait_for(Guard, std::chrono::milliseconds(S.Faults.LateMs),
                        [&] { return S.Stopping; });
   S.advance(S.Time.now());
-  Object Answer;
-  const int Status = this->perform(Kind, **Body, Answer);
+  Object Reply;
+  const int Status = this->perform(Kind, **Body, Reply);
   S.Changed.notify_all();
-  const bool Lose = isWrite(Kind) && takeOne(S.Faults.LoseReplies);
-  if (!Lose && S.Faults.LagMs > 0)
-    S.Changed.wait_for(Held, std::chrono::milliseconds(S.Faults.LagMs),
+  const bool LoseReply = isWrite(Kind) && consumeOne(S.Faults.LoseReplies);
+  if (!LoseReply && S.Faults.LagMs > 0)
+    S.Changed.wait_for(Guard, std::chrono::milliseconds(S.Faults.LagMs),
                        [&] { return S.Stopping; });
-  this->holdWhile(Held, [&] { return S.Faults.Stall; });
-  Held.unlock();
-  if (Lose)
+  this->waitWhile(Guard, [&] { return S.Faults.Stall; });
+  Guard.unlock();
+  if (LoseReply)
     return closeConnection(Request, Response);
-  sendJson(Response, Status, Answer);
+  sendJson(Response, Status, Reply);
 }
 
-int StoreHandler::perform(StoreCall Kind, const Object &Body, Object &Answer) {
+int StoreHandler::perform(StoreCall Kind, const Object &Body, Object &Reply) {
   StoreData &Data = this->Store.Data;
   const bool Stale = this->Store.Faults.Stale;
   if (Kind == StoreCall::Range) {
-    const StoreRange Found =
-        Data.range(textOf(Body, "key"), textOf(Body, "range_end"), Stale);
-    setHeader(Answer, Found.ReadRevision);
-    setEntries(Answer, Found, Body.optValue("keys_only", false));
+    const StoreRange Found = Data.range(decodedField(Body, "key"),
+                                        decodedField(Body, "range_end"), Stale);
+    setHeader(Reply, Found.ReadRevision);
+    setEntries(Reply, Found, Body.optValue("keys_only", false));
     return Ok;
   }
   if (Kind == StoreCall::Put) {
-    const StoreOperation Step = putKey(
-        textOf(Body, "key"), textOf(Body, "value"), int64Field(Body, "lease"));
-    if (Step.Lease != 0 && !Data.knowsLease(Step.Lease))
+    const StoreOperation Operation =
+        putKey(decodedField(Body, "key"), decodedField(Body, "value"),
+               int64Field(Body, "lease"));
+    if (Operation.Lease != 0 && !Data.hasLease(Operation.Lease))
       return NotFound;
-    setHeader(Answer, Data.put(Step));
+    setHeader(Reply, Data.put(Operation));
     return Ok;
   }
   if (Kind != StoreCall::Transaction)
-    return this->performLease(Kind, Body, Answer);
+    return this->performLease(Kind, Body, Reply);
   StoreTransaction Transaction;
-  Transaction.Conditions = listOf<StoreCompare>(Body, "compare", compareOf);
-  Transaction.Then = listOf<StoreOperation>(Body, "success", stepOf);
-  Transaction.Else = listOf<StoreOperation>(Body, "failure", stepOf);
-  for (const StoreOperation &Step : Transaction.Then)
-    if (Step.Lease != 0 && !Data.knowsLease(Step.Lease))
+  Transaction.Conditions =
+      parseList<StoreCompare>(Body, "compare", parseCompare);
+  Transaction.Then = parseList<StoreOperation>(Body, "success", parseOperation);
+  Transaction.Else = parseList<StoreOperation>(Body, "failure", parseOperation);
+  for (const StoreOperation &Operation : Transaction.Then)
+    if (Operation.Lease != 0 && !Data.hasLease(Operation.Lease))
       return NotFound;
   const TransactionOutcome Outcome = Data.commit(Transaction, Stale);
-  setHeader(Answer, Outcome.CommitRevision);
+  setHeader(Reply, Outcome.CommitRevision);
   if (Outcome.Succeeded)
-    Answer.set("succeeded", true);
+    Reply.set("succeeded", true);
   Array::Ptr Responses = new Array;
   for (const StoreRange &Read : Outcome.Reads) {
     Object::Ptr Range = new Object;
@@ -302,121 +306,122 @@
     Response->set("response_range", Range);
     Responses->add(Response);
   }
-  Answer.set("responses", Responses);
+  Reply.set("responses", Responses);
   return Ok;
 }
 
 int StoreHandler::performLease(StoreCall Kind, const Object &Body,
-                               Object &Answer) {
+                               Object &Reply) {
   StoreData &Data = this->Store.Data;
   const TimePoint Now = this->Store.Time.now();
   if (Kind == StoreCall::LeaseGrant) {
-    const std::chrono::seconds Life(int64Field(Body, "TTL"));
-    const LeaseId Granted = Data.grant(Life, int64Field(Body, "ID"), Now);
+    const std::chrono::seconds Ttl(int64Field(Body, "TTL"));
+    const LeaseId Granted = Data.grant(Ttl, int64Field(Body, "ID"), Now);
     if (Granted == 0)
       return BadRequest;
-    Answer.set("ID", std::to_string(Granted));
-    Answer.set("TTL", std::to_string(Life.count()));
+    Reply.set("ID", std::to_string(Granted));
+    Reply.set("TTL", std::to_string(Ttl.count()));
     return Ok;
   }
   const LeaseId Lease = int64Field(Body, "ID");
   if (Kind == StoreCall::LeaseRevoke)
     return Data.revoke(Lease) ? Ok : NotFound;
-  Object::Ptr Inner = new Object;
-  Inner->set("ID", std::to_string(Lease));
-  const std::chrono::seconds Left = Data.keepAlive(Lease, Now);
-  if (Left.count() > 0)
-    Inner->set("TTL", std::to_string(Left.count()));
-  Answer.set("result", Inner);
+  Object::Ptr Result = new Object;
+  Result->set("ID", std::to_string(Lease));
+  const std::chrono::seconds Remaining = Data.keepAlive(Lease, Now);
+  if (Remaining.count() > 0)
+    Result->set("TTL", std::to_string(Remaining.count()));
+  Reply.set("result", Result);
   return Ok;
 }
 
 void StoreHandler::serveWatch(const Object &Body, HTTPServerRequest &Request,
                               HTTPServerResponse &Response) {
-  const Object::Ptr Wanted = Body.getObject("create_request");
-  const std::string Key = textOf(*Wanted, "key");
-  std::string End = textOf(*Wanted, "range_end");
+  const Object::Ptr CreateRequest = Body.getObject("create_request");
+  const std::string Key = decodedField(*CreateRequest, "key");
+  std::string End = decodedField(*CreateRequest, "range_end");
   if (End.empty())
     End = Key + '\0';
   const std::string Peer = Request.clientAddress().toString();
   StoreStandIn &S = this->Store;
-  Lock Held(S.Mutex);
-  Revision Next = int64Field(*Wanted, "start_revision");
-  if (Next == 0)
-    Next = S.Data.revision() + 1;
-  std::size_t Seen = 0;
-  ++S.Waiting;
-  Held.unlock();
+  Lock Guard(S.Mutex);
+  Revision StartRevision = int64Field(*CreateRequest, "start_revision");
+  if (StartRevision == 0)
+    StartRevision = S.Data.revision() + 1;
+  std::size_t NextChange = 0;
+  ++S.WaitingWatches;
+  Guard.unlock();
   Response.setChunkedTransferEncoding(true);
   Response.setContentType("application/json");
   std::ostream &Out = Response.send();
   Out << "{\"result\":{\"created\":true}}\n" << std::flush;
-  auto &Connected = dynamic_cast<Poco::Net::HTTPServerRequestImpl &>(Request);
-  Held.lock();
+  auto &RequestImpl = dynamic_cast<Poco::Net::HTTPServerRequestImpl &>(Request);
+  Guard.lock();
   while (!S.Stopping && Out.good()) {
-    S.Changed.wait_for(Held, WatchStep);
+    S.Changed.wait_for(Guard, WatchPollInterval);
     S.advance(S.Time.now());
     if (this->isSilent(Peer))
       continue;
     std::vector<StoreChange> Batch;
-    for (; Seen < S.Data.changes().size(); ++Seen) {
-      const StoreChange &Change = S.Data.changes()[Seen];
-      if (Change.Entry.ModRevision < Next || Change.Entry.Key < Key ||
-          Change.Entry.Key >= End || takeOne(S.Faults.WatchDrop))
+    for (; NextChange < S.Data.changes().size(); ++NextChange) {
+      const StoreChange &Change = S.Data.changes()[NextChange];
+      if (Change.Entry.ModRevision < StartRevision || Change.Entry.Key < Key ||
+          Change.Entry.Key >= End || consumeOne(S.Faults.WatchDrop))
         continue;
       Batch.push_back(Change);
     }
     if (S.Faults.WatchReorder)
       std::reverse(Batch.begin(), Batch.end());
     if (!Batch.empty() && S.Faults.WatchDelayMs > 0)
-      S.Changed.wait_for(Held, std::chrono::milliseconds(S.Faults.WatchDelayMs),
+      S.Changed.wait_for(Guard,
+                         std::chrono::milliseconds(S.Faults.WatchDelayMs),
                          [&] { return S.Stopping; });
-    const Revision At = S.Data.revision();
-    Held.unlock();
+    const Revision Current = S.Data.revision();
+    Guard.unlock();
     if (!Batch.empty()) {
       Array::Ptr Events = new Array;
       for (const StoreChange &Change : Batch)
         Events->add(changeJson(Change));
-      Object::Ptr Inner = new Object;
-      setHeader(*Inner, At);
-      Inner->set("events", Events);
+      Object::Ptr Result = new Object;
+      setHeader(*Result, Current);
+      Result->set("events", Events);
       Object Line;
-      Line.set("result", Inner);
+      Line.set("result", Result);
       Out << internal::stringify(Line) << '\n' << std::flush;
     }
-    const bool Left = Connected.socket().poll(Poco::Timespan(0),
-                                              Poco::Net::Socket::SELECT_READ);
-    Held.lock();
-    if (Left)
+    const bool Disconnected = RequestImpl.socket().poll(
+        Poco::Timespan(0), Poco::Net::Socket::SELECT_READ);
+    Guard.lock();
+    if (Disconnected)
       break;
   }
-  --S.Waiting;
+  --S.WaitingWatches;
   Response.setKeepAlive(false);
 }
 
 void StoreHandler::serveControl(HTTPServerRequest &Request,
                                 HTTPServerResponse &Response) {
   const std::string &Path = Request.getURI();
-  Object Answer;
+  Object Reply;
   if (Path == "/standin/counts") {
     for (const auto &[Kind, Name] : StoreCallNames)
-      Answer.set(std::string(Name), this->Store.calls(Kind));
-    Answer.set("waiting-watches", this->Store.watches());
-    return sendJson(Response, Ok, Answer);
+      Reply.set(std::string(Name), this->Store.calls(Kind));
+    Reply.set("waiting-watches", this->Store.watches());
+    return sendJson(Response, Ok, Reply);
   }
   std::string Text;
   Poco::StreamCopier::copyToString(Request.stream(), Text);
   const auto Body = internal::parseMessage(Text);
   if (!Body)
-    return sendJson(Response, NotFound, Answer);
+    return sendJson(Response, NotFound, Reply);
   if (Path == "/standin/vms") {
     this->Store.setVm((*Body)->getValue<std::string>("name"),
                       (*Body)->optValue("state", std::string()));
-    return sendJson(Response, Ok, Answer);
+    return sendJson(Response, Ok, Reply);
   }
   if (Path != "/standin/faults")
-    return sendJson(Response, NotFound, Answer);
-  sendJson(Response, Ok, Answer);
+    return sendJson(Response, NotFound, Reply);
+  sendJson(Response, Ok, Reply);
   this->Store.changeFaults(
       [&](StoreFaults &Faults) { readFaults(**Body, Faults); });
 }
--- a/standin/StoreHandler.h
+++ b/standin/StoreHandler.h
@@ -10,7 +10,7 @@
 
 namespace parsleywing::standin {
 
-/// Serves one call on the store's stand-in.
+/// Handles one call to the store's stand-in.
 class StoreHandler : public Poco::Net::HTTPRequestHandler {
 public:
   explicit StoreHandler(StoreStandIn &S) : Store(S) {}
@@ -29,12 +29,12 @@
                   Poco::Net::HTTPServerRequest &Request,
                   Poco::Net::HTTPServerResponse &Response);
   int perform(StoreCall Kind, const Poco::JSON::Object &Body,
-              Poco::JSON::Object &Answer);
+              Poco::JSON::Object &Reply);
   int performLease(StoreCall Kind, const Poco::JSON::Object &Body,
-                   Poco::JSON::Object &Answer);
+                   Poco::JSON::Object &Reply);
   bool isSilent(const std::string &Peer) const;
-  bool overRate();
-  void holdWhile(Lock &Held, const std::function<bool()> &Condition);
+  bool isOverRateLimit();
+  void waitWhile(Lock &Guard, const std::function<bool()> &Condition);
 
   StoreStandIn &Store;
 };
--- a/standin/StoreStandIn.cpp
+++ b/standin/StoreStandIn.cpp
@@ -36,9 +36,9 @@
   }
   this->Changed.notify_all();
   {
-    std::lock_guard<std::mutex> Lock(this->AwayMutex);
-    if (this->Away.joinable())
-      this->Away.join();
+    std::lock_guard<std::mutex> Lock(this->OutageMutex);
+    if (this->OutageThread.joinable())
+      this->OutageThread.join();
   }
   if (this->Server)
     this->Server->stopAll(true);
@@ -48,7 +48,7 @@
 
 void StoreStandIn::start() {
   this->Pool = std::make_unique<Poco::ThreadPool>(2, MaxThreads);
-  this->Bound = this->Options.Address;
+  this->BoundAddress = this->Options.Address;
   this->listen();
 }
 
@@ -60,15 +60,15 @@
   Params->setMaxKeepAliveRequests(0);
   Params->setKeepAliveTimeout(Poco::Timespan(60, 0));
   Poco::Net::ServerSocket Socket;
-  Socket.bind(Poco::Net::SocketAddress(this->Bound), true, false);
+  Socket.bind(Poco::Net::SocketAddress(this->BoundAddress), true, false);
   Socket.listen(MaxThreads);
-  this->Bound = Socket.address().toString();
+  this->BoundAddress = Socket.address().toString();
   this->Server = std::make_unique<Poco::Net::HTTPServer>(
       new StoreHandlerFactory(*this), *this->Pool, Socket, Params);
   this->Server->start();
 }
 
-std::string StoreStandIn::address() const { return this->Bound; }
+std::string StoreStandIn::address() const { return this->BoundAddress; }
 
 void StoreStandIn::changeFaults(
     const std::function<void(StoreFaults &)> &Change) {
@@ -79,7 +79,7 @@
     const bool WasSilent = this->Faults.SilentExisting;
     Change(this->Faults);
     if (this->Faults.Stale && !WasStale)
-      this->Data.freezeStaleReads();
+      this->Data.captureStaleSnapshot();
     if (this->Faults.SilentExisting && !WasSilent)
       this->SilentConnections = this->Connections;
     if (!this->Faults.SilentExisting)
@@ -88,14 +88,14 @@
   }
   this->Changed.notify_all();
   if (AwayMs > 0)
-    this->goAway(std::chrono::milliseconds(AwayMs));
+    this->startOutage(std::chrono::milliseconds(AwayMs));
 }
 
-void StoreStandIn::goAway(std::chrono::milliseconds Time) {
-  std::lock_guard<std::mutex> Away(this->AwayMutex);
-  if (this->Away.joinable())
-    this->Away.join();
-  this->Away = std::thread([this, Time] {
+void StoreStandIn::startOutage(std::chrono::milliseconds Time) {
+  std::lock_guard<std::mutex> OutageLock(this->OutageMutex);
+  if (this->OutageThread.joinable())
+    this->OutageThread.join();
+  this->OutageThread = std::thread([this, Time] {
     this->leave();
     std::unique_lock<std::mutex> Lock(this->Mutex);
     this->Changed.wait_for(Lock, Time, [this] { return this->Stopping; });
@@ -113,7 +113,7 @@
 
 void StoreStandIn::advance(TimePoint Now) {
   this->Data.advance(Now);
-  while (!this->VmChanges.empty() && this->VmChanges.front().Due <= Now) {
+  while (!this->VmChanges.empty() && this->VmChanges.front().DueAt <= Now) {
     const VmChange Change = this->VmChanges.front();
     this->VmChanges.pop_front();
     const std::string Key = this->Options.VmPrefix + Change.Name;
@@ -137,18 +137,18 @@
 
 std::uint64_t StoreStandIn::calls(StoreCall Kind) const {
   std::lock_guard<std::mutex> Lock(this->Mutex);
-  return this->Counts[static_cast<std::size_t>(Kind)];
+  return this->CallCounts[static_cast<std::size_t>(Kind)];
 }
 
 std::uint64_t StoreStandIn::allCalls() const {
   std::lock_guard<std::mutex> Lock(this->Mutex);
-  return std::accumulate(this->Counts.begin(), this->Counts.end(),
+  return std::accumulate(this->CallCounts.begin(), this->CallCounts.end(),
                          std::uint64_t{0});
 }
 
 int StoreStandIn::watches() const {
   std::lock_guard<std::mutex> Lock(this->Mutex);
-  return this->Waiting;
+  return this->WaitingWatches;
 }
 
 StoreRange StoreStandIn::peek(const std::string &Prefix) const {
--- a/standin/StoreStandIn.h
+++ b/standin/StoreStandIn.h
@@ -21,35 +21,36 @@
 
 struct StoreOptions {
   std::string Address;
-  /// The list of live and leaving VMs stands under this prefix.
+  /// The list of live and leaving VMs has its keys under this prefix.
   std::string VmPrefix = "vms/";
-  /// What leases lapse by.
+  /// The clock that expires leases.
   Clock Time = Clock::steady();
 };
 
-/// What the stand-in does wrong. The names of the fields, in lower case first,
-/// are those of the JSON object of `POST /standin/faults`.
+/// Faults that a test injects into the stand-in. The names of the fields with a
+/// lower-case first letter are those of the JSON object of `POST
+/// /standin/faults`.
 struct StoreFaults {
-  bool Stall = false;          ///< Hold every reply until this is cleared.
-  bool Silent = false;         ///< Take every call and never answer it.
-  bool SilentExisting = false; ///< The same on connections open at the order.
-  bool Refuse = false;         ///< Answer 503 without an effect.
-  bool Stale = false;          ///< Serve reads as of the moment of the order.
-  bool WatchReorder = false;   ///< Turn the order of each batch of changes.
+  bool Stall = false;          ///< Delay every reply until this is cleared.
+  bool Silent = false;         ///< Accept every call but never reply.
+  bool SilentExisting = false; ///< The same on connections open when it is set.
+  bool Refuse = false;         ///< Reply 503 and have no effect.
+  bool Stale = false;          ///< Serve reads as of when this was set.
+  bool WatchReorder = false;   ///< Reverse the order of each batch of changes.
   int LoseReplies = 0;         ///< Close after the effect of the next N writes.
   int LoseRequests = 0; ///< Close before the effect of the next N writes.
   int LateWrites = 0;   ///< The next N writes take effect `LateMs` later.
   int LateMs = 0;
-  int LagMs = 0;          ///< Wait before each reply.
-  int AwayMs = 0;         ///< Close everything and refuse connections so long.
-  int WatchDelayMs = 0;   ///< Pass changes on so much later.
-  int WatchDrop = 0;      ///< Lose the next N changes on watches.
-  int VmLagMs = 0;        ///< The list of VMs shows changes so much later.
-  int CallsPerSecond = 0; ///< Answer 429 above this rate; zero is no limit.
+  int LagMs = 0;  ///< Delay of each reply.
+  int AwayMs = 0; ///< Close all connections and refuse new ones this long.
+  int WatchDelayMs = 0;   ///< Delay changes on watches.
+  int WatchDrop = 0;      ///< Drop the next N changes on watches.
+  int VmLagMs = 0;        ///< Delay of changes to the list of VMs.
+  int CallsPerSecond = 0; ///< Reply 429 above this rate; zero is no limit.
 };
 
-/// Takes the place of the platform's key-value service and of its list of VMs:
-/// the few calls that the product makes, in memory, with faults to order.
+/// Simulates the platform's key-value store and its list of VMs in memory: it
+/// implements the calls that the product makes and can inject faults.
 class StoreStandIn {
 public:
   explicit StoreStandIn(StoreOptions O);
@@ -59,39 +60,41 @@
   StoreStandIn &operator=(const StoreStandIn &) = delete;
 
   void start();
-  /// The address with the port that the system chose where it was zero.
+  /// The listen address, with the port that the system chose if it was zero.
   std::string address() const;
 
-  /// Changes the faults in one step.
+  /// Changes the faults atomically.
   void changeFaults(const std::function<void(StoreFaults &)> &Change);
 
-  /// Closes everything and refuses connections until `comeBack`. For tests
-  /// that say themselves how long an outage lasts; not beside `AwayMs`.
+  /// Closes all connections and refuses new ones until `comeBack`. For tests
+  /// that control the length of an outage themselves; must not be combined with
+  /// `AwayMs`.
   void leave();
   void comeBack() { this->listen(); }
 
-  /// Sets the state of a VM in the list: "live", "leaving", or empty for gone.
+  /// Sets the state of a VM in the list: "live", "leaving", or empty to remove
+  /// it.
   void setVm(const std::string &Name, const std::string &State);
 
-  /// Calls of this kind since the start, refused ones too.
+  /// The number of calls of this kind since the start, including refused ones.
   std::uint64_t calls(StoreCall Kind) const;
   std::uint64_t allCalls() const;
-  /// Waiting watches now.
+  /// The number of open watches.
   int watches() const;
 
-  /// Reads a key past all faults.
+  /// Reads the keys under a prefix, unaffected by faults.
   StoreRange peek(const std::string &Prefix) const;
 
 private:
   friend class StoreHandler;
   struct VmChange {
-    TimePoint Due;
+    TimePoint DueAt;
     std::string Name;
     std::string State;
   };
 
   void listen();
-  void goAway(std::chrono::milliseconds Time);
+  void startOutage(std::chrono::milliseconds Time);
   void advance(TimePoint Now);
 
   StoreOptions Options;
@@ -101,18 +104,18 @@
   StoreData Data;
   StoreFaults Faults;
   std::list<VmChange> VmChanges;
-  std::array<std::uint64_t, StoreCallNames.size()> Counts{};
-  int Waiting = 0;
+  std::array<std::uint64_t, StoreCallNames.size()> CallCounts{};
+  int WaitingWatches = 0;
   bool Stopping = false;
   double RateTokens = 0;
-  TimePoint RateFilled;
+  TimePoint RateRefilledAt;
   std::set<std::string> Connections;
   std::set<std::string> SilentConnections;
   std::unique_ptr<Poco::ThreadPool> Pool;
   std::unique_ptr<Poco::Net::HTTPServer> Server;
-  std::string Bound;
-  std::mutex AwayMutex;
-  std::thread Away;
+  std::string BoundAddress;
+  std::mutex OutageMutex;
+  std::thread OutageThread;
 };
 
 } // namespace parsleywing::standin
