--- a/demo/DemoMain.cpp
+++ b/demo/DemoMain.cpp
@@ -71,8 +71,8 @@
 
 /// Sends one request on an open connection and counts its outcome. The outcome
 /// of a truncated response is unknown.
-void sendRequest(const Load &Run, Router &Target, Account &Caller,
-                 const Poco::Net::StreamSocket &Connection) {
+void sendAndCount(const Load &Run, Router &Target, Account &Caller,
+                  const Poco::Net::StreamSocket &Connection) {
   const std::string Body =
       R"({"model":"advisory","stream":true,"input":"tokens=)" +
       std::to_string(TokensPerRequest) + R"("})";
@@ -104,7 +104,7 @@
     try {
       const Poco::Net::StreamSocket Connection{
           Poco::Net::SocketAddress(Target.Address)};
-      sendRequest(Run, Target, Caller, Connection);
+      sendAndCount(Run, Target, Caller, Connection);
     } catch (const Poco::Exception &) {
       Index = (Index + 1) % Run.Routers.size();
       std::this_thread::sleep_for(PauseAfterRefusal);
--- a/src/Peer/PeerOutbox.cpp
+++ b/src/Peer/PeerOutbox.cpp
@@ -61,8 +61,8 @@
     return std::nullopt;
   const std::size_t Bytes =
       Best->Content.Parts.size() + PeerHeaderBytes + UdpOverheadBytes;
-  if (!this->Budget.take(Now, static_cast<std::int64_t>(Bytes),
-                         Best->Content.Urgent))
+  if (!this->Budget.consume(Now, static_cast<std::int64_t>(Bytes),
+                            Best->Content.Urgent))
     return std::nullopt;
   OutgoingBatch Ready = std::move(Best->Content);
   this->Batches.erase(Best);
