--- a/bench/FleetFaults.cpp
+++ b/bench/FleetFaults.cpp
@@ -111,16 +111,16 @@
       Load.samples().begin() + static_cast<std::ptrdiff_t>(End));
   const std::size_t First = FaultMarks.front().Sample;
   const std::size_t Fault = FaultMarks[Index].Sample;
-  FaultResult Results{FaultMarks[Index].Fault, Service, 0, 0, std::nullopt};
-  Results.MaxGapBefore =
+  FaultResult Result{FaultMarks[Index].Fault, Service, 0, 0, std::nullopt};
+  Result.MaxGapBefore =
       largestRecentGap(Samples, Accounts, Length, First, Length);
-  Results.MaxGapAfter = largestRecentGap(Samples, Accounts, Fault, End, Length);
+  Result.MaxGapAfter = largestRecentGap(Samples, Accounts, Fault, End, Length);
   const auto SamplesUntilRecovered = samplesUntilRecovered(
-      Samples, Accounts, Fault, Length, Results.MaxGapBefore);
+      Samples, Accounts, Fault, Length, Result.MaxGapBefore);
   if (SamplesUntilRecovered)
-    Results.RecoverySeconds = std::chrono::duration<double>(Interval).count() *
-                              static_cast<double>(*SamplesUntilRecovered);
-  return Results;
+    Result.RecoverySeconds = std::chrono::duration<double>(Interval).count() *
+                             static_cast<double>(*SamplesUntilRecovered);
+  return Result;
 }
 
 AccountRecord totalOf(const LoadGenerator &Load) {
@@ -205,7 +205,7 @@
                  const FaultReport &Report, bool Markdown) {
   const std::string Policy = std::string("policy ") + nameOf(Report.Policy);
   if (!Report.Error.empty()) {
-    printTable(Out, {{"faults", Policy}, {"results", Report.Error}}, Markdown);
+    printTable(Out, {{"faults", Policy}, {"figures", Report.Error}}, Markdown);
     return;
   }
   Table Rows{{"fault, " + std::to_string(Plan.Routers) + " routers, " + Policy,
--- a/bench/FleetLatency.cpp
+++ b/bench/FleetLatency.cpp
@@ -87,7 +87,7 @@
     this->Rate = static_cast<double>(this->Completed) / Elapsed.count();
   }
 
-  PathLatency figures() const {
+  PathLatency results() const {
     return {percentile(this->Seconds, 0.5), percentile(this->Seconds, 0.99),
             this->Rate, this->Failed};
   }
@@ -143,8 +143,8 @@
   }
   Direct.measureThroughput(Callers);
   Routed.measureThroughput(Callers);
-  Results.Direct = Direct.figures();
-  Results.Routed = Routed.figures();
+  Results.Direct = Direct.results();
+  Results.Routed = Routed.results();
   if (Stop())
     Results.Error = "interrupted";
   return Results;
--- a/bench/FleetMeasurement.cpp
+++ b/bench/FleetMeasurement.cpp
@@ -223,17 +223,17 @@
     const ServiceTotals Totals = totalsOf(Load, Service.Name);
     const double Capacity = Service.Engines * Plan.MaxRunning *
                             MillisecondsPerSecond / Plan.StepMilliseconds;
-    ServiceResult Results;
-    Results.Name = Service.Name;
-    Results.Accounts = Totals.Accounts;
-    Results.Backlogged = Totals.Backlogged.size();
-    Results.Gap = serviceGap(Load.samples(), Totals.Backlogged);
+    ServiceResult Result;
+    Result.Name = Service.Name;
+    Result.Accounts = Totals.Accounts;
+    Result.Backlogged = Totals.Backlogged.size();
+    Result.Gap = serviceGap(Load.samples(), Totals.Backlogged);
     if (Totals.BackloggedShares > 0)
-      Results.FairRate =
+      Result.FairRate =
           Totals.BackloggedTokens / Totals.BackloggedShares / Seconds;
-    Results.Utilisation = Totals.Tokens / (Capacity * Seconds);
-    Results.FirstToken = firstTokenTimes(Totals.FirstTokenSeconds);
-    All.push_back(Results);
+    Result.Utilisation = Totals.Tokens / (Capacity * Seconds);
+    Result.FirstToken = firstTokenTimes(Totals.FirstTokenSeconds);
+    All.push_back(Result);
   }
   return All;
 }
--- a/bench/FleetMeasurement.h
+++ b/bench/FleetMeasurement.h
@@ -39,9 +39,8 @@
   /// The generated tokens as a fraction of what the engines could have
   /// generated.
   double Utilisation = 0;
-  /// The running requests that the engines reported, as a fraction of their
-  /// capacity, and the average number of waiting requests per engine that they
-  /// reported.
+  /// What the engines reported: running requests as a fraction of their
+  /// capacity, and the average number of waiting requests per engine.
   double RunningFraction = 0;
   double WaitingPerEngine = 0;
   /// Times to first token of the backlogged accounts' requests.
--- a/bench/FleetReport.cpp
+++ b/bench/FleetReport.cpp
@@ -100,7 +100,7 @@
 
 Table accountTable(const FleetResults &F) {
   Table Rows{{"account", "share", "routers", "open", "tokens", "tokens/share",
-              "min waiting", "outcomes", "invalid", "truncated"}};
+              "min waiting", "outcomes", "invalid", "cut"}};
   for (const AccountResult &A : F.Accounts)
     Rows.push_back(
         {A.Account.Name, formatDecimal(A.Account.Share, 0),
@@ -167,11 +167,11 @@
 
 void printResults(std::ostream &Out, const DeploymentPlan &Plan,
                   const FleetResults &F, bool Markdown) {
-  const std::string Name = Plan.Name.empty() ? "custom" : Plan.Name;
+  const std::string Name = Plan.Name.empty() ? "slope" : Plan.Name;
   Table Rows{{Name + ", " + std::to_string(Plan.Routers) + " routers",
               std::string("policy ") + nameOf(F.Policy)}};
   if (!F.Error.empty()) {
-    Rows.push_back({"results", F.Error});
+    Rows.push_back({"figures", F.Error});
     printTable(Out, Rows, Markdown);
     return;
   }
--- a/bench/LoadGenerator.h
+++ b/bench/LoadGenerator.h
@@ -132,7 +132,7 @@
   bool receive(Poco::Net::StreamSocket &Stream, Connection &C);
   void close(const Poco::Net::Socket &Socket);
   void recordResult(const Connection &C);
-  void scheduleNext(std::size_t Account, Duration After);
+  void scheduleNext(std::size_t Account, Duration Delay);
   void takeSample();
 
   std::vector<LoadAccount> Accounts;
