--- a/bench/FairnessTableBench.cpp
+++ b/bench/FairnessTableBench.cpp
@@ -28,13 +28,13 @@
       Setup.Fairness.ReturnSlack = Slack;
       FairnessFleet Fleet(Setup);
       Fleet.run(std::chrono::seconds(15));
-      Fleet.startMeasure();
+      Fleet.startMeasurement();
       Fleet.run(std::chrono::seconds(Seconds));
       const bool Shared = std::holds_alternative<SharedPolicy>(Policy);
       std::printf("%-11s %7zu %9.0f %9.0f %6.3f %8.0f %8.1f %6u\n",
                   Shared ? "shared" : "local-only", Routers, Fleet.gap(),
                   Fleet.bound(), Fleet.utilisation(), Fleet.bytesPerSecond(),
-                  Fleet.slotMovesPerSecond(), Fleet.mostAboveDeclared());
+                  Fleet.slotMovesPerSecond(), Fleet.maxAboveDeclared());
     }
   return 0;
 }
--- a/src/Decision/Configuration/ConfigurationKeeper.cpp
+++ b/src/Decision/Configuration/ConfigurationKeeper.cpp
@@ -51,17 +51,17 @@
 ConfigurationKeeper::handle(TimePoint At, const ConfigurationEvent &Event) {
   this->Now = At;
   std::visit([this](const auto &Each) { this->on(Each); }, Event);
-  return std::exchange(this->Out, {});
+  return std::exchange(this->PendingActions, {});
 }
 
-bool ConfigurationKeeper::joining() const {
+bool ConfigurationKeeper::isJoining() const {
   return this->ActiveGeneration == 0 &&
          (!this->JoinUntil || this->Now < *this->JoinUntil);
 }
 
 void ConfigurationKeeper::recordGeneration(std::uint64_t Generation) {
-  if (Generation > this->Highest) {
-    this->Highest = Generation;
+  if (Generation > this->HighestKnown) {
+    this->HighestKnown = Generation;
     this->HighestHolder.reset();
   }
 }
@@ -69,38 +69,38 @@
 // News from the store.
 
 void ConfigurationKeeper::on(const ManifestRead &Event) {
-  this->StoreAnswers = true;
+  this->StoreReachable = true;
   this->ReadPending = false;
   this->ReadBackoff = Duration::zero();
   this->NextRead.reset();
   const std::uint64_t Generation = Event.Manifest.Generation;
   this->recordGeneration(Generation);
   if (Generation <= this->ActiveGeneration) {
-    this->StaleNews += Generation < this->ActiveGeneration ? 1 : 0;
+    this->StaleUpdates += Generation < this->ActiveGeneration ? 1 : 0;
     return;
   }
   if (this->Loading && this->Loading->Generation >= Generation)
     return;
-  if (Generation < this->Highest && this->ActiveGeneration == 0) {
-    ++this->StaleNews;
+  if (Generation < this->HighestKnown && this->ActiveGeneration == 0) {
+    ++this->StaleUpdates;
     return;
   }
   this->Loading = Event.Manifest;
   this->LoadingParts.clear();
   this->LoadingSince = this->Now;
-  if (!this->peersComeFirst())
+  if (!this->prefersPeers())
     this->requestParts();
 }
 
 /// A whole text comes from another router if any is known to have it: a zone
 /// that restarts at once would else use up the store's rate.
-bool ConfigurationKeeper::peersComeFirst() const {
+bool ConfigurationKeeper::prefersPeers() const {
   return this->ActiveGeneration == 0 && this->HighestHolder &&
-         this->Tries < this->Settings.MaxPeerAttempts;
+         this->FailedRequests < this->Settings.MaxPeerAttempts;
 }
 
 void ConfigurationKeeper::requestParts() {
-  if (!this->Loading || this->joining())
+  if (!this->Loading || this->isJoining())
     return;
   std::set<std::string> Held;
   if (this->ActiveGeneration != 0)
@@ -115,7 +115,7 @@
   if (this->LoadingParts.empty())
     this->assemble({});
   else
-    this->Out.emplace_back(
+    this->PendingActions.emplace_back(
         ReadParts{this->Loading->Generation, this->LoadingParts});
 }
 
@@ -170,15 +170,15 @@
 }
 
 void ConfigurationKeeper::on(const StoreFailed &) {
-  this->StoreAnswers = false;
+  this->StoreReachable = false;
   this->ReadPending = false;
   this->Loading.reset();
-  this->readStoreSoon();
+  this->scheduleStoreRead();
 }
 
 /// Waits a random part of a time that doubles, so that routers that lost the
 /// store together do not come back to it together.
-void ConfigurationKeeper::readStoreSoon() {
+void ConfigurationKeeper::scheduleStoreRead() {
   if (this->ReadPending || this->NextRead)
     return;
   this->ReadBackoff =
@@ -194,13 +194,13 @@
   this->NextRead.reset();
   this->ReadPending = true;
   this->ReadPendingSince = this->Now;
-  this->Out.emplace_back(ReadManifest{});
+  this->PendingActions.emplace_back(ReadManifest{});
 }
 
 // News from other routers.
 
 void ConfigurationKeeper::on(const ConfigurationMessageReceived &Event) {
-  this->LastHeard = this->Now;
+  this->LastReceivedAt = this->Now;
   std::visit([&](const auto &Each) { this->receive(Event.From, Each); },
              Event.Message);
 }
@@ -226,9 +226,9 @@
   if (Message.Generation == this->ActiveGeneration)
     return;
   this->recordGeneration(Message.Generation);
-  if (Message.Generation == this->Highest)
+  if (Message.Generation == this->HighestKnown)
     this->HighestHolder = From;
-  if (!this->joining() && !this->CurrentRequest)
+  if (!this->isJoining() && !this->CurrentRequest)
     this->requestFrom(From);
 }
 
@@ -255,11 +255,11 @@
     this->send(From, std::move(Answer), true);
     return;
   }
-  if (this->LastWholeSent &&
-      this->Now - *this->LastWholeSent < this->Settings.MinSnapshotInterval)
+  if (this->LastSnapshotSentAt && this->Now - *this->LastSnapshotSentAt <
+                                      this->Settings.MinSnapshotInterval)
     return;
-  this->LastWholeSent = this->Now;
-  ++this->WholesSent;
+  this->LastSnapshotSentAt = this->Now;
+  ++this->SnapshotsSent;
   this->send(From,
              ConfigurationSnapshot{this->ActiveGeneration, this->Text.hash(),
                                    this->Text.fullText()},
@@ -284,7 +284,7 @@
   if (this->CurrentRequest && this->CurrentRequest->Peer == From)
     this->CurrentRequest.reset();
   this->recordGeneration(Message.Generation);
-  if (Message.Generation <= this->ActiveGeneration || this->joining())
+  if (Message.Generation <= this->ActiveGeneration || this->isJoining())
     return;
   this->adoptSnapshot(ConfigurationText(Message.Text), Message.Generation,
                       Message.Hash, Source::Peers);
@@ -302,10 +302,10 @@
     // configuration under the same number, unseen. It is undone.
     this->Text.apply(Undo);
     ++this->WrongHashes;
-    this->readStoreSoon();
+    this->scheduleStoreRead();
     return;
   }
-  this->keepStep(Step);
+  this->retainStep(Step);
   this->activate(Step.To, Step.Delta, From);
 }
 
@@ -313,13 +313,13 @@
                                         std::uint64_t Generation,
                                         const TextHash &Hash, Source From) {
   // Before its restart this router may have had the highest it heard of.
-  if (this->ActiveGeneration == 0 && Generation < this->Highest) {
-    ++this->StaleNews;
+  if (this->ActiveGeneration == 0 && Generation < this->HighestKnown) {
+    ++this->StaleUpdates;
     return;
   }
   if (Whole.hash() != Hash) {
     ++this->WrongHashes;
-    this->readStoreSoon();
+    this->scheduleStoreRead();
     return;
   }
   ConfigurationDelta Changes = this->Text.deltaTo(Whole);
@@ -334,22 +334,22 @@
   PARSLEYWING_INVARIANT(Generation > this->ActiveGeneration,
                         "the generation in force only rises");
   PARSLEYWING_INVARIANT(this->ActiveGeneration != 0 ||
-                            Generation >= this->Highest,
+                            Generation >= this->HighestKnown,
                         "a start takes the highest generation heard of");
   this->ActiveGeneration = Generation;
   this->ActiveSource = From;
-  this->ActivatedWithoutStore = From == Source::Peers && !this->StoreAnswers;
+  this->ActivatedWithoutStore = From == Source::Peers && !this->StoreReachable;
   this->recordGeneration(Generation);
-  this->Tries = 0;
+  this->FailedRequests = 0;
   if (this->Loading && this->Loading->Generation <= Generation)
     this->Loading.reset();
-  this->Out.emplace_back(ActivateConfiguration{
+  this->PendingActions.emplace_back(ActivateConfiguration{
       Generation, std::make_shared<const std::string>(this->Text.fullText()),
       std::move(Changes)});
   this->announceNow();
 }
 
-void ConfigurationKeeper::keepStep(ConfigurationStep Step) {
+void ConfigurationKeeper::retainStep(ConfigurationStep Step) {
   this->StepBytes += sizeOf(Step);
   this->Steps.push_back(std::move(Step));
   while (this->Steps.size() > this->Settings.KeepSteps ||
@@ -360,38 +360,39 @@
   }
 }
 
-// Telling others.
+// Telling otherRouters.
 
 void ConfigurationKeeper::send(RouterId To, ConfigurationMessage Message,
                                bool Urgent) {
   const bool Bulk = sizeOf(Message) > this->Settings.DatagramBytes;
-  this->Out.emplace_back(
+  this->PendingActions.emplace_back(
       SendConfigurationMessage{To, Bulk, Urgent, std::move(Message)});
 }
 
-std::vector<RouterId> ConfigurationKeeper::others(bool OwnZone) const {
+std::vector<RouterId> ConfigurationKeeper::otherRouters(bool OwnZone) const {
   std::uint32_t Zone = 0;
-  for (const Member &Each : this->Current.Members)
-    if (Each.Router == this->Current.Self)
+  for (const Member &Each : this->CurrentView.Members)
+    if (Each.Router == this->CurrentView.Self)
       Zone = Each.Zone;
   std::vector<RouterId> Found;
-  for (const Member &Each : this->Current.Members)
-    if (Each.Router != this->Current.Self && (!OwnZone || Each.Zone == Zone))
+  for (const Member &Each : this->CurrentView.Members)
+    if (Each.Router != this->CurrentView.Self &&
+        (!OwnZone || Each.Zone == Zone))
       Found.push_back(Each.Router);
   return Found;
 }
 
-std::optional<RouterId> ConfigurationKeeper::randomOther(bool OwnZone) {
-  std::vector<RouterId> Found = this->others(OwnZone);
+std::optional<RouterId> ConfigurationKeeper::randomOtherRouter(bool OwnZone) {
+  std::vector<RouterId> Found = this->otherRouters(OwnZone);
   if (Found.empty() && OwnZone)
-    Found = this->others(false);
+    Found = this->otherRouters(false);
   if (Found.empty())
     return std::nullopt;
   return Found[this->Random() % Found.size()];
 }
 
 void ConfigurationKeeper::announceNow() {
-  std::vector<RouterId> Found = this->others(true);
+  std::vector<RouterId> Found = this->otherRouters(true);
   const std::size_t Count = std::min(Found.size(), this->Settings.FanOut);
   for (std::size_t Index = 0; Index < Count; ++Index) {
     std::swap(Found[Index],
@@ -409,7 +410,7 @@
     return;
   this->NextAnnounce = this->Now + this->Settings.AnnounceEvery;
   const bool OwnZone = this->Random() % CrossZoneEvery != 0;
-  if (const auto Peer = this->randomOther(OwnZone))
+  if (const auto Peer = this->randomOtherRouter(OwnZone))
     this->send(*Peer, ConfigurationAnnounce{this->ActiveGeneration}, false);
 }
 
@@ -417,39 +418,39 @@
 
 bool ConfigurationKeeper::isRelay() const {
   std::uint32_t Zone = 0;
-  for (const Member &Each : this->Current.Members)
-    if (Each.Router == this->Current.Self)
+  for (const Member &Each : this->CurrentView.Members)
+    if (Each.Router == this->CurrentView.Self)
       Zone = Each.Zone;
-  const std::uint64_t Own = rendezvousScore(this->Current.Self.Value, Zone);
+  const std::uint64_t Own = rendezvousScore(this->CurrentView.Self.Value, Zone);
   std::size_t Before = 0;
-  for (const Member &Each : this->Current.Members)
-    if (Each.Router != this->Current.Self && Each.Zone == Zone &&
+  for (const Member &Each : this->CurrentView.Members)
+    if (Each.Router != this->CurrentView.Self && Each.Zone == Zone &&
         !Each.Draining && rendezvousScore(Each.Router.Value, Zone) > Own)
       ++Before;
   return Before < this->Settings.RelaysPerZone;
 }
 
-void ConfigurationKeeper::checkRelay() {
+void ConfigurationKeeper::updateRelayRole() {
   const bool Relay = this->isRelay();
   if (Relay == this->Watching)
     return;
   this->Watching = Relay;
   if (Relay)
-    this->Out.emplace_back(WatchManifest{});
+    this->PendingActions.emplace_back(WatchManifest{});
   else
-    this->Out.emplace_back(StopWatching{});
+    this->PendingActions.emplace_back(StopWatching{});
 }
 
 void ConfigurationKeeper::on(const ViewChanged &Event) {
-  this->Current = Event.Current;
-  this->checkRelay();
+  this->CurrentView = Event.Current;
+  this->updateRelayRole();
   if (this->JoinUntil)
     return;
   this->JoinUntil = this->Now + this->Settings.JoinWait;
-  this->LastHeard = this->Now;
+  this->LastReceivedAt = this->Now;
   this->NextRead = this->Now;
   this->readStoreIfDue();
-  std::vector<RouterId> Asked = this->others(false);
+  std::vector<RouterId> Asked = this->otherRouters(false);
   std::shuffle(Asked.begin(), Asked.end(), this->Random);
   if (Asked.size() > PeersAskedAtStart)
     Asked.resize(PeersAskedAtStart);
@@ -462,20 +463,21 @@
     return;
   if (this->CurrentRequest) {
     this->CurrentRequest.reset();
-    ++this->Tries;
+    ++this->FailedRequests;
     this->HighestHolder.reset();
     if (this->ActiveGeneration == 0)
-      this->readStoreSoon();
+      this->scheduleStoreRead();
   }
-  const bool FromStore = this->Loading && !this->peersComeFirst();
-  if (this->ActiveGeneration >= this->Highest || this->joining() || FromStore)
+  const bool FromStore = this->Loading && !this->prefersPeers();
+  if (this->ActiveGeneration >= this->HighestKnown || this->isJoining() ||
+      FromStore)
     return;
-  if (this->Tries >= this->Settings.MaxPeerAttempts) {
-    this->Tries = 0;
-    this->readStoreSoon();
+  if (this->FailedRequests >= this->Settings.MaxPeerAttempts) {
+    this->FailedRequests = 0;
+    this->scheduleStoreRead();
   }
   const auto Peer =
-      this->HighestHolder ? this->HighestHolder : this->randomOther(true);
+      this->HighestHolder ? this->HighestHolder : this->randomOtherRouter(true);
   if (Peer)
     this->requestFrom(*Peer);
 }
@@ -485,16 +487,17 @@
     return;
   if (this->Loading && this->Now - this->LoadingSince >= ReadPatience)
     this->Loading.reset();
-  if (this->Loading && this->LoadingParts.empty() && !this->joining() &&
-      !this->peersComeFirst()) {
+  if (this->Loading && this->LoadingParts.empty() && !this->isJoining() &&
+      !this->prefersPeers()) {
     if (this->ActiveGeneration == 0 &&
-        this->Loading->Generation < this->Highest)
+        this->Loading->Generation < this->HighestKnown)
       this->Loading.reset();
     else
       this->requestParts();
   }
   this->retryRequest();
-  const bool Isolated = this->Now - this->LastHeard >= this->Settings.Isolation;
+  const bool Isolated =
+      this->Now - this->LastReceivedAt >= this->Settings.Isolation;
   const bool Alone = this->Watching || Isolated || this->ActiveGeneration == 0;
   if (Alone && !this->ReadPending && !this->NextRead) {
     const Duration Half = this->Settings.ReadEvery / 2;
@@ -514,12 +517,12 @@
   Dump->set("sections", this->Text.sections());
   Dump->set("from", std::string(nameOf(Names, this->ActiveSource)));
   Dump->set("takenWithoutStore", this->ActivatedWithoutStore);
-  Dump->set("storeAnswers", this->StoreAnswers);
-  Dump->set("highestHeardOf", this->Highest);
+  Dump->set("storeAnswers", this->StoreReachable);
+  Dump->set("highestHeardOf", this->HighestKnown);
   Dump->set("relay", this->Watching);
-  Dump->set("staleNews", this->StaleNews);
+  Dump->set("staleNews", this->StaleUpdates);
   Dump->set("wrongHashes", this->WrongHashes);
-  Dump->set("wholesSent", this->WholesSent);
+  Dump->set("wholesSent", this->SnapshotsSent);
   Dump->set("stepsKept", this->Steps.size());
   Dump->set("stepBytes", this->StepBytes);
   return Dump;
--- a/src/Decision/Configuration/ConfigurationKeeper.h
+++ b/src/Decision/Configuration/ConfigurationKeeper.h
@@ -16,7 +16,7 @@
 
 namespace parsleywing {
 
-/// What the keeper is told.
+/// The events that the keeper handles.
 using ConfigurationEvent =
     std::variant<ManifestRead, PartsRead, StoreFailed,
                  ConfigurationMessageReceived, ViewChanged, Tick>;
@@ -30,42 +30,47 @@
 struct ConfigurationKeeperSettings {
   /// Routers of each availability zone that watch the store.
   std::size_t RelaysPerZone = 2;
-  /// Members of the own zone told at once of a new generation.
+  /// Routers of the own zone to which a new generation is announced
+  /// immediately.
   std::size_t FanOut = 3;
-  /// A random member is told the generation in force so often.
+  /// Interval at which the active generation is announced to a random router.
   Duration AnnounceEvery = std::chrono::seconds(1);
-  /// A relay reads the manifest so often beside its watch.
+  /// Interval at which a relay reads the manifest in addition to its watch.
   Duration ReadEvery = std::chrono::seconds(10);
-  /// Without a word from any other router for so long, the store is read.
+  /// Without a message from any other router for this long, the store is read.
   Duration Isolation = std::chrono::seconds(10);
-  /// A start listens so long for the highest generation that others know.
+  /// How long a starting router waits to learn the highest generation that
+  /// other routers know.
   Duration JoinWait = std::chrono::milliseconds(1500);
-  /// Time for a peer to deliver what was wanted of it.
+  /// Time for a peer to respond to a request for steps.
   Duration RequestTimeout = std::chrono::seconds(1);
-  /// The same where the whole text is wanted.
+  /// Time for a peer to respond if the complete text is needed.
   Duration SnapshotTimeout = std::chrono::seconds(5);
-  /// Tries with other routers before the store is read instead.
+  /// Failed requests to other routers before the store is read instead.
   int MaxPeerAttempts = 2;
-  /// Steps kept for others, and their bytes in all.
+  /// Number of steps retained for other routers, and their total size in bytes.
   std::size_t KeepSteps = 256;
   std::size_t KeepStepBytes = 1U << 20U;
-  /// The largest message for a datagram.
+  /// The largest message that is sent as a datagram.
   std::size_t DatagramBytes = 1200;
-  /// At most one whole text is sent to others in this time.
+  /// Minimum time between two complete texts sent to other routers.
   Duration MinSnapshotInterval = std::chrono::milliseconds(500);
-  /// As the operators' side cuts the text.
+  /// Must equal the part size that the operators' tool uses when it splits the
+  /// text.
   std::size_t MaxPartBytes = 256U << 10U;
   std::uint64_t Seed = 1;
 };
 
-/// Decides which generation of the configuration is in force at one router.
-/// The generation only rises: old, late and reordered news change nothing. A
-/// router that starts without memory first asks others and the store, and puts
-/// in force nothing lower than what it heard of, lest it go back behind what
-/// it had before its restart. Does no I/O and reads no clock.
+/// Decides which generation of the configuration is active at one router. The
+/// generation only increases: old, late and reordered updates change nothing. A
+/// router that starts without state first queries other routers and the store,
+/// and activates nothing lower than the highest generation it has learned of,
+/// so that a restart does not revert to an older configuration. Performs no I/O
+/// and has no clock of its own.
 ///
-/// One or two routers a zone watch the store; the others learn of a generation
-/// from random members and fetch the steps from whoever told them.
+/// One or two routers per zone watch the store. The others learn of a
+/// generation from random routers and request the steps from the router that
+/// announced it.
 class ConfigurationKeeper {
 public:
   explicit ConfigurationKeeper(ConfigurationKeeperSettings S)
@@ -73,7 +78,7 @@
 
   ConfigurationActions handle(TimePoint Now, const ConfigurationEvent &Event);
 
-  /// The generation in force; zero before the first.
+  /// The active generation; zero before the first one.
   std::uint64_t generation() const { return this->ActiveGeneration; }
   const ConfigurationText &text() const { return this->Text; }
 
@@ -81,7 +86,7 @@
 
 private:
   enum class Source { None, Store, Peers };
-  /// A wanted generation, and the router it is wanted from.
+  /// A request for newer steps, and the router it was sent to.
   struct SentRequest {
     RouterId Peer;
     TimePoint Deadline;
@@ -99,35 +104,35 @@
   void receive(RouterId From, const ConfigurationSteps &Message);
   void receive(RouterId From, const ConfigurationSnapshot &Message);
 
-  bool joining() const;
+  bool isJoining() const;
   void recordGeneration(std::uint64_t Generation);
   void requestFrom(RouterId Peer);
   void retryRequest();
-  void readStoreSoon();
+  void scheduleStoreRead();
   void readStoreIfDue();
-  bool peersComeFirst() const;
+  bool prefersPeers() const;
   void requestParts();
-  void assemble(const std::map<std::string, std::string> &Read);
+  void assemble(const std::map<std::string, std::string> &PartTexts);
   void adoptStep(const ConfigurationStep &Step, Source From);
-  void adoptSnapshot(ConfigurationText Whole, std::uint64_t Generation,
+  void adoptSnapshot(ConfigurationText NewText, std::uint64_t Generation,
                      const TextHash &Hash, Source From);
   void activate(std::uint64_t Generation, ConfigurationDelta Changes,
                 Source From);
-  void keepStep(ConfigurationStep Step);
+  void retainStep(ConfigurationStep Step);
   void announce();
   void announceNow();
-  void checkRelay();
+  void updateRelayRole();
   bool isRelay() const;
-  std::vector<RouterId> others(bool OwnZone) const;
-  std::optional<RouterId> randomOther(bool OwnZone);
+  std::vector<RouterId> otherRouters(bool OwnZone) const;
+  std::optional<RouterId> randomOtherRouter(bool OwnZone);
   void send(RouterId To, ConfigurationMessage Message, bool Urgent);
 
   ConfigurationKeeperSettings Settings;
   std::mt19937_64 Random;
   TimePoint Now;
-  ConfigurationActions Out;
+  ConfigurationActions PendingActions;
 
-  View Current;
+  View CurrentView;
   std::uint64_t ActiveGeneration = 0;
   ConfigurationText Text;
   Source ActiveSource = Source::None;
@@ -135,15 +140,15 @@
   std::deque<ConfigurationStep> Steps;
   std::size_t StepBytes = 0;
 
-  /// The highest generation heard of, from whomever.
-  std::uint64_t Highest = 0;
+  /// The highest generation that any source has reported.
+  std::uint64_t HighestKnown = 0;
   std::optional<RouterId> HighestHolder;
   std::optional<TimePoint> JoinUntil;
   std::optional<SentRequest> CurrentRequest;
-  int Tries = 0;
+  int FailedRequests = 0;
 
   bool Watching = false;
-  bool StoreAnswers = false;
+  bool StoreReachable = false;
   bool ReadPending = false;
   TimePoint ReadPendingSince;
   std::optional<TimePoint> NextRead;
@@ -153,12 +158,12 @@
   TimePoint LoadingSince;
 
   std::optional<TimePoint> NextAnnounce;
-  TimePoint LastHeard;
-  std::optional<TimePoint> LastWholeSent;
+  TimePoint LastReceivedAt;
+  std::optional<TimePoint> LastSnapshotSentAt;
 
-  std::uint64_t StaleNews = 0;
+  std::uint64_t StaleUpdates = 0;
   std::uint64_t WrongHashes = 0;
-  std::uint64_t WholesSent = 0;
+  std::uint64_t SnapshotsSent = 0;
 };
 
 } // namespace parsleywing
--- a/src/Decision/Configuration/ConfigurationManifest.h
+++ b/src/Decision/Configuration/ConfigurationManifest.h
@@ -9,15 +9,15 @@
 
 namespace parsleywing {
 
-/// Names one accepted configuration: its number, whose it is, and the parts
-/// that make up its text.
+/// Describes one accepted configuration: its generation, who applied it, and
+/// the parts that make up its text.
 struct ConfigurationManifest {
   std::uint64_t Generation = 0;
   std::string ApplyId;
   std::string Operator;
-  /// When it was applied, by the operator's wall clock, for a person.
+  /// When it was applied, by the operator's wall clock. For human readers only.
   std::string Time;
-  /// Of the whole text, whatever its parts.
+  /// The hash of the complete text; it does not depend on the split into parts.
   TextHash Hash;
   std::vector<TextHash> Parts;
 };
--- a/src/Decision/Configuration/ConfigurationMessages.h
+++ b/src/Decision/Configuration/ConfigurationMessages.h
@@ -10,8 +10,8 @@
 
 namespace parsleywing {
 
-/// What leads from one generation to a later one, and the hash of the text
-/// that results.
+/// The changes from one generation to a later one, and the hash of the
+/// resulting text.
 struct ConfigurationStep {
   std::uint64_t From = 0;
   std::uint64_t To = 0;
@@ -23,28 +23,31 @@
   }
 };
 
-/// The sender has this generation in force; zero where it has none yet.
+/// Announces the generation that is active at the sender; zero if it has none
+/// yet.
 struct ConfigurationAnnounce {
   std::uint64_t Generation = 0;
 
   template <class Archive> void serialize(Archive &Ar) { Ar(Generation); }
 };
 
-/// The sender has this generation and asks for what came after it.
+/// The sender has this generation and requests the steps that follow it.
 struct ConfigurationRequest {
   std::uint64_t From = 0;
 
   template <class Archive> void serialize(Archive &Ar) { Ar(From); }
 };
 
-/// The steps that follow a wanted generation, each from the end of the last.
+/// The steps that follow the requested generation. Each step starts at the
+/// generation at which the previous one ends.
 struct ConfigurationSteps {
   std::vector<ConfigurationStep> Steps;
 
   template <class Archive> void serialize(Archive &Ar) { Ar(Steps); }
 };
 
-/// A whole text, for a router that has none or is too far behind.
+/// A complete text, for a router that has none or whose generation is older
+/// than all retained steps.
 struct ConfigurationSnapshot {
   std::uint64_t Generation = 0;
   TextHash Hash;
@@ -55,7 +58,7 @@
   }
 };
 
-/// What routers tell each other of the configuration.
+/// The messages that routers exchange about the configuration.
 using ConfigurationMessage =
     std::variant<ConfigurationAnnounce, ConfigurationRequest,
                  ConfigurationSteps, ConfigurationSnapshot>;
--- a/src/Decision/Configuration/ConfigurationText.h
+++ b/src/Decision/Configuration/ConfigurationText.h
@@ -9,9 +9,10 @@
 
 namespace parsleywing {
 
-/// The hash of a set of sections: the sum of the 128-bit hashes of each, so
-/// that a change of one section costs the hash of that section alone. It tells
-/// different texts apart; it is no defence against one made to collide.
+/// The hash of a set of sections: the sum of the 128-bit hashes of the
+/// sections, so that the change of one section requires hashing that section
+/// only. It detects different texts, but is not collision resistant against an
+/// attacker.
 struct TextHash {
   std::uint64_t Low = 0;
   std::uint64_t High = 0;
@@ -21,17 +22,18 @@
   template <class Archive> void serialize(Archive &Ar) { Ar(Low, High); }
 };
 
-/// 32 lower-case hexadecimal digits.
+/// Formats the hash as 32 lower-case hexadecimal digits.
 std::string toString(const TextHash &Hash);
 
-/// Zero where the text is not one that `toString` makes.
+/// Parses the output of `toString`. Returns a zero hash if the length is wrong.
 TextHash textHashOf(std::string_view Digits);
 
-/// The hash of some bytes by themselves: the address of a part in the store.
+/// The hash of a byte string, which is the address of a part in the store.
 TextHash hashBytes(std::string_view Bytes);
 
-/// What turns the sections of one generation into those of another. `Changed`
-/// is itself declarations text, of the changed and new sections.
+/// The changes from the sections of one generation to those of another.
+/// `Changed` is itself declarations text and contains the changed and new
+/// sections.
 struct ConfigurationDelta {
   std::vector<std::string> Removed;
   std::string Changed;
@@ -39,34 +41,34 @@
   template <class Archive> void serialize(Archive &Ar) { Ar(Removed, Changed); }
 };
 
-/// A declarations file as sections under their header lines, in the order of
-/// the headers, so that equal declarations are equal text whatever the order
-/// they were written in. Text before the first section has the empty header; a
-/// header that comes twice keeps both its texts, joined.
+/// A declarations file, split into sections by header line. The sections are
+/// sorted by header, so that equal declarations have equal text regardless of
+/// their order in the file. Text before the first section has the empty header.
+/// The texts of a header that occurs twice are joined.
 class ConfigurationText {
 public:
   ConfigurationText() = default;
   explicit ConfigurationText(std::string_view File);
 
-  /// The whole text, in the order of the headers. Costs a copy of all of it.
+  /// The complete text, sorted by header. Copies all of it.
   std::string fullText() const;
 
   TextHash hash() const { return this->Sum; }
   std::size_t sections() const { return this->Sections.size(); }
 
-  /// What leads from here to `Next`. Compares every section.
+  /// The changes from this text to `Next`. Compares every section.
   ConfigurationDelta deltaTo(const ConfigurationText &Next) const;
 
-  /// Applies a delta in place and returns the one that undoes it. Costs what
-  /// the delta holds.
+  /// Applies a delta in place and returns the delta that undoes it. The cost is
+  /// proportional to the size of the delta.
   ConfigurationDelta apply(const ConfigurationDelta &Delta);
 
-  /// The text of one section, empty where there is none.
+  /// The text of one section; empty if there is no such section.
   std::string_view section(const std::string &Header) const;
 
-  /// The whole text cut into parts of at most `MaxBytes`, unless one section
-  /// alone is larger. Most cuts follow from the headers, so that a change of
-  /// one section changes one part.
+  /// Splits the complete text into parts of at most `MaxBytes`, unless a single
+  /// section is larger. Most boundaries are determined by the headers, so that
+  /// the change of one section usually changes one part only.
   std::vector<std::string> parts(std::size_t MaxBytes) const;
 
 private:
--- a/src/Decision/Configuration/ConfigurationTypes.h
+++ b/src/Decision/Configuration/ConfigurationTypes.h
@@ -9,22 +9,22 @@
 
 namespace parsleywing {
 
-/// The store's manifest, from a read or a watch. May be old, and may come in
-/// any order.
+/// The store's manifest, from a read or a watch. It may be out of date, and
+/// manifests may arrive in any order.
 struct ManifestRead {
   ConfigurationManifest Manifest;
 };
 
-/// The texts of the parts that `ReadParts` named, in its order.
+/// The texts of the parts that `ReadParts` named, in the same order.
 struct PartsRead {
   std::uint64_t Generation;
   std::vector<std::string> Texts;
 };
 
-/// A read of the store that was asked for failed.
+/// A requested read of the store failed.
 struct StoreFailed {};
 
-/// Another router told something.
+/// A message from another router was received.
 struct ConfigurationMessageReceived {
   RouterId From;
   ConfigurationMessage Message;
@@ -35,31 +35,31 @@
 
 struct StopWatching {};
 
-/// Read the manifest once: `ManifestRead` or `StoreFailed` follows.
+/// Read the manifest once. `ManifestRead` or `StoreFailed` follows.
 struct ReadManifest {};
 
-/// Read these parts: `PartsRead` or `StoreFailed` follows.
+/// Read these parts. `PartsRead` or `StoreFailed` follows.
 struct ReadParts {
   std::uint64_t Generation;
   std::vector<TextHash> Parts;
 };
 
-/// Send a message to another router; it may be lost.
+/// Send a message to another router. The message may be lost.
 struct SendConfigurationMessage {
   RouterId To;
-  /// Too large for a datagram.
+  /// The message is too large for a datagram.
   bool Bulk;
-  /// Not to be held back to share a datagram with others.
+  /// The message must not be delayed in order to share a datagram with others.
   bool Urgent;
   ConfigurationMessage Message;
 };
 
-/// This generation is in force from now on; it is higher than all before.
+/// Activates a generation; it is higher than all generations activated before.
 struct ActivateConfiguration {
   std::uint64_t Generation;
   std::shared_ptr<const std::string> Text;
-  /// What changed since the last generation put in force; all of the text
-  /// where there was none.
+  /// The changes since the previously active generation; the complete text if
+  /// there was none.
   ConfigurationDelta Changes;
 };
 
--- a/src/Decision/Fairness/AccountHome.h
+++ b/src/Decision/Fairness/AccountHome.h
@@ -10,20 +10,23 @@
 
 namespace parsleywing {
 
-/// Adds up what all routers charged the accounts whose home is here. Costs one
-/// look-up and a pass over the pair's routers for each contribution.
+/// Aggregates the tokens that all routers charged to the (account, service)
+/// pairs whose home is this router. Each contribution costs one lookup and a
+/// pass over the routers that charge the pair.
 class AccountHome {
 public:
   explicit AccountHome(Duration TakeoverTime) : Takeover(TakeoverTime) {}
 
-  /// Counts the contribution unless a newer one of that process came before,
-  /// and gives what the sender is to be told.
+  /// Records the contribution, unless a newer one of the same process has been
+  /// recorded, and returns the reply to the sender.
   ContributionReply applyContribution(TimePoint Now, RouterId From,
-                                      Incarnation Life, std::uint32_t Version,
-                                      const Contribution &Said);
+                                      Incarnation IncarnationNumber,
+                                      std::uint32_t Version,
+                                      const Contribution &Received);
 
-  /// Forgets the pairs whose home is elsewhere now. If they come back, old
-  /// parts would make the total too small; an empty start takes over instead.
+  /// Removes the pairs whose home is now another router. If such a pair
+  /// returned, its old contributions would make the total too small; a new
+  /// entry takes the total over from the entry routers instead.
   template <typename Predicate> void keepOnly(Predicate IsHere) {
     std::erase_if(this->Totals,
                   [&](const auto &Entry) { return !IsHere(Entry.first); });
@@ -32,17 +35,18 @@
   std::size_t pairs() const { return this->Totals.size(); }
 
 private:
-  struct Part {
+  struct RouterTotal {
     Incarnation IncarnationNumber = 0;
     std::uint32_t Version = 0;
     double Tokens = 0;
   };
   struct Total {
-    std::map<RouterId, Part> Parts;
-    /// Tokens of processes that are gone or never reported here.
+    std::map<RouterId, RouterTotal> RouterTotals;
+    /// Tokens charged by processes that have ended, or that never reported to
+    /// this home.
     double Base = 0;
-    /// The largest total that an entry router believed during the takeover.
-    double Believed = 0;
+    /// The largest total that an entry router reported during the takeover.
+    double MaxReported = 0;
     bool TakingOver = true;
     TimePoint Since;
     float Lift = 0;
--- a/src/Decision/Fairness/AccountLedger.cpp
+++ b/src/Decision/Fairness/AccountLedger.cpp
@@ -50,11 +50,11 @@
       std::max(0.0, Position.virtualTime() - (VirtualTime + MaxDebt));
 }
 
-void AccountLedger::bound(PairId Pair, double Middle, double MaxDebt) {
-  this->raiseTo(Pair, Middle - MaxDebt);
+void AccountLedger::bound(PairId Pair, double Median, double MaxDebt) {
+  this->raiseTo(Pair, Median - MaxDebt);
   LedgerEntry &Position = this->at(Pair);
   Position.Forgiven +=
-      std::max(0.0, Position.virtualTime() - (Middle + MaxDebt));
+      std::max(0.0, Position.virtualTime() - (Median + MaxDebt));
 }
 
 void AccountLedger::raiseTo(PairId Pair, double Floor) {
@@ -84,24 +84,25 @@
   this->Changed.insert(Pair);
 }
 
-bool AccountLedger::applyReply(TimePoint Now, RouterId Home, Incarnation Life,
+bool AccountLedger::applyReply(TimePoint Now, RouterId Home,
+                               Incarnation IncarnationNumber,
                                std::uint32_t Sequence,
-                               const ContributionReply &Answer) {
-  LedgerEntry *Position = this->find(Answer.Pair);
+                               const ContributionReply &Reply) {
+  LedgerEntry *Position = this->find(Reply.Pair);
   if (Position == nullptr)
     return false;
   const bool SameHome =
-      Position->Home == Home && Position->HomeIncarnation == Life;
-  if (SameHome && Sequence <= Position->AnswerSequence)
+      Position->Home == Home && Position->HomeIncarnation == IncarnationNumber;
+  if (SameHome && Sequence <= Position->ReplySequence)
     return false;
   Position->Home = Home;
-  Position->HomeIncarnation = Life;
-  Position->AnswerSequence = Sequence;
-  Position->Others = Answer.Others;
+  Position->HomeIncarnation = IncarnationNumber;
+  Position->ReplySequence = Sequence;
+  Position->Others = Reply.Others;
   Position->ConfirmedAt = Now;
   Position->Confirmed = true;
   Position->Provisional = 0;
-  Position->Lift = std::max(Position->Lift, Answer.Lift);
+  Position->Lift = std::max(Position->Lift, Reply.Lift);
   return true;
 }
 
--- a/src/Decision/Fairness/AccountLedger.h
+++ b/src/Decision/Fairness/AccountLedger.h
@@ -11,35 +11,38 @@
 
 namespace parsleywing {
 
-/// The name of an (account, service) pair in messages and tables.
+/// Computes the name of an (account, service) pair in messages and tables.
 PairId pairOf(AccountId Account, ServiceId Service);
 
-/// Where one account stands in the virtual time of one service, as this
-/// router knows it.
+/// The virtual time of one account at one service, as this router knows it: the
+/// tokens charged to the account divided by its share, with the adjustments
+/// below.
 struct LedgerEntry {
   AccountId Account;
   ServiceId Service;
   double Share = 1;
-  /// Tokens this process charged.
+  /// Tokens charged by this process.
   double Own = 0;
-  /// Tokens all other processes charged, as the home last said.
+  /// Tokens charged by all other processes, as in the last reply of the home.
   double Others = 0;
-  /// Tokens a share added for idle times. Merged by maximum everywhere.
+  /// Tokens per share added for idle times. Merged by maximum at the home and
+  /// at all entry routers.
   float Lift = 0;
-  /// Tokens a share of debt that this router forgave.
+  /// Tokens per share of debt that this router has forgiven.
   double Forgiven = 0;
-  /// Tokens a share that stand in for what the home has not yet told. Never
-  /// sent: added to a total that comes later, they would count twice.
+  /// Tokens per share that are used until the home replies. Never sent: on top
+  /// of a total that the home reports later, they would be counted twice.
   double Provisional = 0;
-  /// Whether the home's word is recent enough to lift the position for good.
+  /// Whether the reply of the home is recent enough to base a permanent
+  /// increase of the virtual time on it.
   bool Confirmed = false;
-  /// When the home answered last.
+  /// When the last reply of the home was received.
   TimePoint ConfirmedAt;
-  /// Tokens charged for requests that are not over.
+  /// Tokens charged for requests that have not ended.
   double InFlight = 0;
   std::uint32_t RequestsInFlight = 0;
 
-  /// In tokens a share.
+  /// Tokens per share.
   double virtualTime() const {
     return (this->Own + this->Others) / this->Share + this->Lift +
            this->Provisional - this->Forgiven;
@@ -50,48 +53,51 @@
 private:
   RouterId Home;
   Incarnation HomeIncarnation = 0;
-  std::uint32_t AnswerSequence = 0;
+  std::uint32_t ReplySequence = 0;
 };
 
-/// The positions of the accounts that entered here. It keeps what this process
-/// charged for as long as it lives, because a contribution that forgot some of
-/// it would look like a refund. Each operation costs one look-up.
+/// The virtual times of the accounts whose requests entered the fleet at this
+/// router. The tokens charged by this process are kept for its lifetime,
+/// because a contribution that omitted some of them would look like a refund.
+/// Each operation costs one lookup.
 class AccountLedger {
 public:
-  /// Finds or makes the position.
+  /// Finds or creates the entry.
   LedgerEntry &open(AccountId Account, ServiceId Service, double Share);
 
-  /// Nothing where the pair never entered here.
+  /// Returns null if no request of the pair has entered here.
   LedgerEntry *find(PairId Pair);
   LedgerEntry &at(PairId Pair);
 
-  /// Adds to, or takes back from, what this process charged.
+  /// Adds to, or subtracts from, the tokens charged by this process.
   void charge(PairId Pair, double Change);
 
-  /// Brings a position that re-enters within the bounds: at least the virtual
-  /// time, at most MaxDebt ahead of it.
+  /// Limits the virtual time of a pair that becomes active again: at least
+  /// `VirtualTime`, at most `MaxDebt` above it.
   void reenter(PairId Pair, double VirtualTime, double MaxDebt);
 
-  /// Keeps a backlogged position within MaxDebt of the others, so that what a
-  /// partition left is paid back in bounded time.
-  void bound(PairId Pair, double Middle, double MaxDebt);
+  /// Keeps the virtual time of a backlogged pair within `MaxDebt` of `Median`,
+  /// so that differences left by a partition are paid back in bounded time.
+  void bound(PairId Pair, double Median, double MaxDebt);
 
-  /// Raises a position that lies below the floor.
+  /// Raises the virtual time to `Floor` if it is lower.
   void raiseTo(PairId Pair, double Floor);
 
-  /// Keeps the position where it is while the share changes.
+  /// Changes the share without changing the virtual time.
   void setShare(PairId Pair, double Share);
 
-  /// Takes a home's answer unless a newer one of the same home came before.
-  bool applyReply(TimePoint Now, RouterId Home, Incarnation Life,
-                  std::uint32_t Sequence, const ContributionReply &Answer);
+  /// Applies a reply of the home, unless a newer one of the same home process
+  /// has been applied.
+  bool applyReply(TimePoint Now, RouterId Home, Incarnation IncarnationNumber,
+                  std::uint32_t Sequence, const ContributionReply &Reply);
 
-  /// From now on the home's last word counts as old, until it answers again.
+  /// Treats the last reply of the home as outdated until the next one.
   void markUnconfirmed(PairId Pair);
 
   Contribution contributionOf(PairId Pair) const;
 
-  /// The pairs charged or lifted since the last call, in order.
+  /// Returns the pairs whose contribution has changed since the last call, in
+  /// ascending order.
   std::set<PairId> takeChanged();
 
   const std::unordered_map<PairId, LedgerEntry> &all() const {
--- a/src/Decision/Fairness/DigestTable.h
+++ b/src/Decision/Fairness/DigestTable.h
@@ -12,22 +12,24 @@
 
 namespace parsleywing {
 
-/// Set in `ServiceDigest::Waiting` where requests wait while none of the
-/// service runs at that router. The count takes the other bits.
+/// Set in `ServiceDigest::Waiting` if requests are queued at a router that runs
+/// no request of the service. The other bits hold the number of queued
+/// requests.
 inline constexpr std::uint16_t StarvedBit = 0x8000;
 
-/// What this router knows of the queues of others: for each service, those
-/// routers where requests wait. Copies are advanced as slots are given, so
-/// that the same router does not look the neediest until its next digest.
+/// The queues of other routers as this router knows them: for each service, the
+/// routers at which requests are queued. An entry is advanced when its router
+/// is granted a slot, so that the router is not selected again and again until
+/// its next digest arrives.
 class DigestTable {
 public:
   explicit DigestTable(Duration TimeToLive) : Lifetime(TimeToLive) {}
 
   void update(TimePoint Now, RouterId From, const ServiceDigest &Digest);
 
-  /// Forgets routers that are not in the view.
+  /// Removes routers that are not in the view.
   void dropGone(const View &Current);
-  /// Forgets what is too old. Costs a pass over all digests.
+  /// Removes expired digests. Costs a pass over all digests.
   void dropOld(TimePoint Now);
 
   struct Candidate {
@@ -35,24 +37,26 @@
     double Tag = 0;
     bool Starved = false;
   };
-  /// The lowest tag among Count routers drawn at random, and among all where
-  /// nothing runs: these are few, and have no slot of their own to wait for.
+  /// Returns the router with the lowest tag among `Count` routers drawn at
+  /// random and all starved routers. Starved routers are few, and have no slot
+  /// of their own that could become free.
   std::optional<Candidate> sample(ServiceId Service, std::size_t Count,
                                   std::mt19937_64 &Random) const;
 
-  /// The router was given a slot, or one was left to it.
+  /// Advances the entry of a router after a slot was granted or left to it.
   void advance(ServiceId Service, RouterId Router, double Step);
 
-  /// The routers where requests wait.
+  /// The routers at which requests are queued.
   std::vector<RouterId> waitingAt(ServiceId Service) const;
   bool anyWaiting(ServiceId Service) const;
-  /// The lowest and the median tag of routers where requests wait. One router
-  /// with a false tag, such as after an empty restart, hardly moves the median.
+  /// The lowest and the median tag of the routers at which requests are queued.
+  /// One router with a wrong tag, such as after a restart without state, hardly
+  /// changes the median.
   std::optional<double> lowest(ServiceId Service) const;
   std::optional<double> median(ServiceId Service) const;
-  /// The highest virtual time of any router where nothing waited.
+  /// The highest virtual time reported by a router without queued requests.
   double idleTime(ServiceId Service) const;
-  /// Whether any router ever said anything of the service.
+  /// Whether any router has sent a digest for the service.
   bool knows(ServiceId Service) const {
     return this->DigestsByService.contains(Service);
   }
@@ -63,11 +67,11 @@
     double Tag = 0;
     std::uint32_t Waiting = 0;
     bool Starved = false;
-    TimePoint Taken;
+    TimePoint ReceivedAt;
   };
   struct ServiceDigests {
-    std::vector<Entry> Waiting;
-    double IdleTime = 0;
+    std::vector<Entry> Entries;
+    double IdleVirtualTime = 0;
   };
 
   const ServiceDigests *find(ServiceId Service) const;
--- a/src/Decision/Fairness/FairMessage.h
+++ b/src/Decision/Fairness/FairMessage.h
@@ -9,15 +9,16 @@
 
 namespace parsleywing {
 
-/// Names an (account, service) pair in messages; see `pairOf`.
+/// Identifies an (account, service) pair in messages; see `pairOf`.
 using PairId = std::uint64_t;
 
-/// What a router says of its queue for one service.
+/// The state of a router's queue for one service.
 struct ServiceDigest {
   std::uint64_t Service = 0;
-  /// Tokens a share; where nothing waits, the service's virtual time there.
+  /// Tokens per share. If no request is queued, the virtual time of the service
+  /// at that router.
   double LowestTag = 0;
-  /// Requests waiting, at most 65,535.
+  /// The number of queued requests, at most 32,767, and `StarvedBit`.
   std::uint16_t Waiting = 0;
 
   template <class Archive> void serialize(Archive &Ar) {
@@ -25,15 +26,16 @@
   }
 };
 
-/// From an entry router to the account's home. The message's sequence number
-/// is its version.
+/// Sent by an entry router to the home of the pair. The sequence number of the
+/// message is the version of the contribution.
 struct Contribution {
   PairId Pair = 0;
-  /// Tokens charged by this process so far.
+  /// Tokens charged by the sending process so far.
   double Own = 0;
-  /// What it believes all others charged; only a new home makes use of it.
+  /// The sender's estimate of the tokens charged by all other processes; used
+  /// only by a new home.
   float Others = 0;
-  /// Tokens a share by which idle times lifted the position.
+  /// Tokens per share added for idle times.
   float Lift = 0;
 
   template <class Archive> void serialize(Archive &Ar) {
@@ -41,8 +43,8 @@
   }
 };
 
-/// From an account's home to an entry router. It leaves out what the entry
-/// router itself contributed, so that the receiver adds its own exact figure.
+/// Sent by the home of a pair to an entry router. It excludes the entry
+/// router's own contribution, so that the receiver can add its exact own value.
 struct ContributionReply {
   PairId Pair = 0;
   double Others = 0;
@@ -53,13 +55,13 @@
   }
 };
 
-/// From a server's owner to a holder of slots. The counters only grow, so that
-/// loss, doubling and reordering of messages do no harm.
+/// Sent by the owner of a server to a holder of slots. The counters only
+/// increase, so that loss, duplication and reordering of messages do no harm.
 struct SlotGrant {
   std::uint64_t Server = 0;
   std::uint32_t Granted = 0;
   std::uint32_t ReturnedSeen = 0;
-  /// The holder gives back what it holds above this.
+  /// The holder returns the slots that it holds above this number.
   std::uint16_t MaxHeld = 0;
 
   template <class Archive> void serialize(Archive &Ar) {
@@ -67,7 +69,7 @@
   }
 };
 
-/// From a holder of slots to the server's owner.
+/// Sent by a holder of slots to the owner of the server.
 struct SlotReport {
   std::uint64_t Server = 0;
   std::uint32_t GrantedSeen = 0;
@@ -78,12 +80,12 @@
   }
 };
 
-/// Everything that one router has to say to another at one time.
+/// All data that one router sends to another at one time.
 struct FairMessage {
-  /// Grows with each message of a process, whoever receives it.
+  /// Increases with each message that a process sends, to any receiver.
   std::uint32_t Sequence = 0;
-  /// Low half of the receiver's incarnation; slot counters of an earlier
-  /// process of that name are void.
+  /// The low half of the receiver's incarnation number. Slot counters for an
+  /// earlier process of the same name are ignored.
   std::uint32_t ToIncarnation = 0;
   std::vector<ServiceDigest> Digests;
   std::vector<Contribution> Contributions;
@@ -100,8 +102,8 @@
     compact(Ar, this->Reports);
   }
 
-  /// The bytes that `serialize` gives in a portable binary archive, without
-  /// the datagram's own headers.
+  /// The number of bytes that `serialize` writes to a portable binary archive,
+  /// without datagram headers.
   std::size_t bytes() const {
     return 18 + 18 * this->Digests.size() + 24 * this->Contributions.size() +
            20 * this->Replies.size() + 18 * this->Grants.size() +
@@ -109,7 +111,8 @@
   }
 
 private:
-  /// A list with a length of two bytes rather than the library's eight.
+  /// Serializes a list with a length field of two bytes instead of cereal's
+  /// eight.
   template <class Archive, class Entry>
   static void compact(Archive &Ar, std::vector<Entry> &Entries) {
     auto Count = static_cast<std::uint16_t>(Entries.size());
@@ -120,15 +123,16 @@
   }
 };
 
-/// Another router's scheduler has something to say.
+/// A message from the scheduler of another router was received.
 struct FairMessageReceived {
   RouterId From;
   Incarnation IncarnationNumber = 0;
   FairMessage Message;
 };
 
-/// Pass this on to another router's scheduler. It may be lost; what matters is
-/// said again. An urgent one should not wait for other traffic.
+/// Send this message to the scheduler of another router. It may be lost;
+/// important data is sent again. An urgent message must not wait for other
+/// traffic.
 struct SendFairMessage {
   RouterId To;
   bool Urgent = false;
--- a/src/Decision/Fairness/FairQueue.h
+++ b/src/Decision/Fairness/FairQueue.h
@@ -13,10 +13,10 @@
 
 namespace parsleywing {
 
-/// The requests that wait here for one service: first come, first served
-/// within an account, the lowest tag first between accounts. Accounts that
-/// have too much in flight come after all others. Each operation costs
-/// O(log accounts), a withdrawal O(the account's queue).
+/// The requests that are queued at this router for one service: in order of
+/// arrival within an account, lowest tag first between accounts. Accounts with
+/// too many tokens in flight come after all others. Each operation costs O(log
+/// accounts), a withdrawal O(length of the account's queue).
 class FairQueue {
 public:
   struct QueuedRequest {
@@ -26,19 +26,20 @@
 
   void push(PairId Pair, QueuedRequest Request, double Tag, bool Capped);
 
-  /// Takes out the first request of a pair that waits.
+  /// Removes and returns the first request of a pair that has queued requests.
   QueuedRequest pop(PairId Pair);
 
-  /// Takes out a request; false where it does not wait for this pair.
+  /// Removes a request. Returns false if it is not queued for this pair.
   bool withdraw(PairId Pair, RequestId Request);
 
-  /// Puts a waiting pair where its new tag belongs. Nothing for others.
+  /// Moves a queued pair to the position of its new tag. Other pairs are
+  /// ignored.
   void reposition(PairId Pair, double Tag, bool Capped);
 
-  /// The pair whose turn it is.
+  /// The pair that is served next.
   std::optional<PairId> next() const;
 
-  /// The request whose turn it is.
+  /// The request that is served next.
   std::optional<RequestId> nextRequest() const {
     const std::optional<PairId> Pair = this->next();
     if (!Pair)
@@ -46,14 +47,14 @@
     return this->Queues.at(*Pair).Requests.front().Request;
   }
 
-  /// The lowest tag of any pair that waits.
+  /// The lowest tag of all queued pairs.
   std::optional<double> lowestTag() const;
 
   bool waits(PairId Pair) const { return this->Queues.contains(Pair); }
   std::size_t size() const { return this->Count; }
   bool empty() const { return this->Count == 0; }
 
-  /// The pairs that wait.
+  /// All queued pairs.
   std::vector<PairId> pairs() const;
 
 private:
@@ -64,8 +65,8 @@
   };
   using Order = std::set<std::pair<double, PairId>>;
 
-  Order &orderOf(const Queue &Of) {
-    return Of.Capped ? this->CappedOrder : this->ReadyOrder;
+  Order &orderOf(const Queue &Entry) {
+    return Entry.Capped ? this->CappedOrder : this->ReadyOrder;
   }
   void removeIfEmpty(PairId Pair);
 
--- a/src/Decision/Fairness/FairScheduler.cpp
+++ b/src/Decision/Fairness/FairScheduler.cpp
@@ -23,13 +23,13 @@
 FairnessActions FairScheduler::handle(TimePoint At,
                                       const FairnessEvent &Event) {
   this->Now = At;
-  if (!this->Started)
-    this->Started = At;
+  if (!this->StartedAt)
+    this->StartedAt = At;
   std::visit([this](const auto &E) { this->on(E); }, Event);
-  this->settleAll();
+  this->scheduleDirty();
   if (this->Outgoing.anyUrgent())
     this->flush();
-  return std::exchange(this->Pending, {});
+  return std::exchange(this->PendingActions, {});
 }
 
 bool FairScheduler::shared() const {
@@ -47,11 +47,11 @@
                         "a request is queued before it runs");
   this->WaitingRequests[Event.Request] = Pair;
   if (Event.Avoid != ServerId{})
-    this->Avoided[Event.Request] = Event.Avoid;
+    this->AvoidedServers[Event.Request] = Event.Avoid;
   Service.Queue.push(
       Pair, {Event.Request, static_cast<double>(Event.EstimatedTokens)},
       Position.virtualTime(), this->isCapped(Position));
-  this->Dirty.insert(Event.Service);
+  this->DirtyServices.insert(Event.Service);
 }
 
 void FairScheduler::on(const RequestWithdrawn &Event) {
@@ -61,8 +61,8 @@
   const ServiceId Service = this->Ledger.at(Found->second).Service;
   this->Services[Service].Queue.withdraw(Found->second, Event.Request);
   this->WaitingRequests.erase(Found);
-  this->Avoided.erase(Event.Request);
-  this->Dirty.insert(Service);
+  this->AvoidedServers.erase(Event.Request);
+  this->DirtyServices.insert(Service);
 }
 
 void FairScheduler::on(const RequestCharged &Event) {
@@ -89,7 +89,7 @@
   this->reposition(Request.Pair);
   --this->Services[Request.Service].Running;
   this->Slots.release(this->Now, Request.Server);
-  this->afterRelease(Request.Server, Request.Service);
+  this->onSlotReleased(Request.Server, Request.Service);
 }
 
 void FairScheduler::on(const LoadReported &Event) {
@@ -116,22 +116,23 @@
 }
 
 void FairScheduler::on(const ViewChanged &Event) {
-  const View Before = std::exchange(this->Current, Event.Current);
-  this->Homes.clear();
-  this->Digests.dropGone(this->Current);
-  this->Outgoing.dropGone(this->Current);
-  this->Owner.dropGone(this->Current);
+  const View Before = std::exchange(this->CurrentView, Event.Current);
+  this->HomeCache.clear();
+  this->Digests.dropGone(this->CurrentView);
+  this->Outgoing.dropGone(this->CurrentView);
+  this->Owner.dropGone(this->CurrentView);
   this->updateOwnership();
-  this->Home.keepOnly(
-      [this](PairId Pair) { return this->homeOf(Pair) == this->Current.Self; });
-  this->greet(Before);
+  this->Home.keepOnly([this](PairId Pair) {
+    return this->homeOf(Pair) == this->CurrentView.Self;
+  });
+  this->sendDigestsToNew(Before);
 }
 
 void FairScheduler::on(const Tick &) {
   if (!this->shared())
     return;
-  if (this->OwnershipOpens && this->Now >= *this->OwnershipOpens) {
-    this->OwnershipOpens.reset();
+  if (this->GrantsStartAt && this->Now >= *this->GrantsStartAt) {
+    this->GrantsStartAt.reset();
     for (ServerId Server : this->Owner.servers())
       this->refreshServer(Server);
   }
@@ -143,7 +144,7 @@
     this->sendContributions();
   if (this->Now >= this->NextResend)
     this->resend();
-  this->settleAll();
+  this->scheduleDirty();
   this->flush();
 }
 
@@ -223,7 +224,7 @@
 void FairScheduler::admit(ServiceId Id, ServiceState &Service) {
   while (!Service.Queue.empty() && !Service.Free.empty())
     this->admitOne(Service);
-  this->noteWaiting(Id, Service);
+  this->updateBurst(Id, Service);
 }
 
 void FairScheduler::admitOne(ServiceState &Service) {
@@ -243,8 +244,8 @@
   this->charge(Found->second, this->estimateOf(Service, First.Cost));
   this->Slots.use(this->Now, Server);
   this->refreshServer(Server);
-  ++this->Counted.Admitted;
-  this->Pending.emplace_back(AdmitRequest{First.Request, Server});
+  ++this->Counters.Admitted;
+  this->PendingActions.emplace_back(AdmitRequest{First.Request, Server});
 }
 
 /// The server with the most free slots, or the next one where the request
@@ -252,7 +253,7 @@
 ServerId FairScheduler::serverFor(const ServiceState &Service,
                                   RequestId Request) {
   const ServerId First = Service.Free.begin()->second;
-  const auto Avoid = this->Avoided.extract(Request);
+  const auto Avoid = this->AvoidedServers.extract(Request);
   if (Avoid.empty() || Avoid.mapped() != First || Service.Free.size() == 1)
     return First;
   return std::next(Service.Free.begin())->second;
@@ -263,19 +264,19 @@
   const std::optional<RequestId> Next = Service.Queue.nextRequest();
   if (!Next)
     return false;
-  const auto Found = this->Avoided.find(*Next);
-  return Found != this->Avoided.end() && Found->second == Server;
+  const auto Found = this->AvoidedServers.find(*Next);
+  return Found != this->AvoidedServers.end() && Found->second == Server;
 }
 
-void FairScheduler::settleAll() {
-  while (!this->Dirty.empty()) {
-    const ServiceId Id = *this->Dirty.begin();
-    this->Dirty.erase(this->Dirty.begin());
-    this->settle(Id);
+void FairScheduler::scheduleDirty() {
+  while (!this->DirtyServices.empty()) {
+    const ServiceId Id = *this->DirtyServices.begin();
+    this->DirtyServices.erase(this->DirtyServices.begin());
+    this->scheduleService(Id);
   }
 }
 
-void FairScheduler::settle(ServiceId Id) {
+void FairScheduler::scheduleService(ServiceId Id) {
   ServiceState &Service = this->Services[Id];
   this->admit(Id, Service);
   if (this->shared()) {
@@ -283,7 +284,7 @@
     this->returnIdleSlots(Id, Service);
     this->distribute(Id, Service);
   }
-  this->noteWaiting(Id, Service);
+  this->updateBurst(Id, Service);
   if (this->shared())
     this->sendStarvedDigest(Id, Service);
   this->checkInvariants(Id);
@@ -338,10 +339,10 @@
   Whole->set("queues", Queues);
   Whole->set("slots", Held);
   Whole->set("owned-servers", Owned);
-  Whole->set("messages-sent", this->Counted.MessagesSent);
-  Whole->set("bytes-sent", this->Counted.BytesSent);
-  Whole->set("slots-granted", this->Counted.SlotsGranted);
-  Whole->set("slots-returned", this->Counted.SlotsReturned);
+  Whole->set("messages-sent", this->Counters.MessagesSent);
+  Whole->set("bytes-sent", this->Counters.BytesSent);
+  Whole->set("slots-granted", this->Counters.SlotsGranted);
+  Whole->set("slots-returned", this->Counters.SlotsReturned);
   return Whole;
 }
 
--- a/src/Decision/Fairness/FairScheduler.h
+++ b/src/Decision/Fairness/FairScheduler.h
@@ -22,40 +22,41 @@
 
 namespace parsleywing {
 
-/// Decides which waiting request goes to which backend server, and when, so
-/// that accounts get their shares across the fleet and no server idles while
-/// work waits. One instance a router; docs/FAIRNESS.md has the reasons. Does
-/// no I/O and reads no clock: the same events give the same actions.
+/// Decides which queued request is sent to which backend server, and when, so
+/// that accounts receive their shares across the fleet and no server idles
+/// while requests are queued. There is one instance per router;
+/// docs/FAIRNESS.md explains the design. Performs no I/O and has no clock of
+/// its own: the same events result in the same actions.
 class FairScheduler {
 public:
   explicit FairScheduler(FairnessSettings S = {});
 
   FairnessActions handle(TimePoint Now, const FairnessEvent &Event);
 
-  const FairnessCounters &counters() const { return this->Counted; }
+  const FairnessCounters &counters() const { return this->Counters; }
 
-  /// Positions, queues and slots, for the process's state dump.
+  /// Virtual times, queues and slots, for the state dump of the process.
   Poco::JSON::Object::Ptr dump() const;
 
 private:
   struct ServiceState {
     FairQueue Queue;
-    /// The tag of the last admission, which never goes back.
+    /// The highest tag of all admitted requests.
     double VirtualTime = 0;
     double MeanCost = 0;
-    /// Mean of cost over share: how far one admission moves a tag.
+    /// Mean of cost divided by share: how far one admission advances a tag.
     double MeanStep = 0;
-    /// Requests that run.
+    /// The number of running requests.
     std::size_t Running = 0;
-    /// Servers with idle slots here, those with the most first.
+    /// Servers with idle slots at this router, those with the most slots first.
     std::set<std::pair<std::int64_t, ServerId>> Free;
-    /// Owned servers with slots to give away.
+    /// Owned servers with slots to grant.
     std::set<ServerId> OwnedFree;
-    ServerId LastGiven;
-    bool ToldWaiting = false;
+    ServerId LastGranted;
+    bool ReportedWaiting = false;
     TimePoint LastBurst;
-    std::size_t BurstLeft = 0;
-    TimePoint LastWant;
+    std::size_t RemainingBurst = 0;
+    TimePoint LastStarvedDigest;
   };
   struct ServerState {
     std::uint32_t MaxConcurrent = 0;
@@ -76,7 +77,7 @@
   };
   struct PeerState {
     Incarnation IncarnationNumber = 0;
-    std::uint32_t Newest = 0;
+    std::uint32_t LastSequence = 0;
   };
 
   void on(const RequestQueued &Event);
@@ -104,8 +105,8 @@
   double estimateOf(const ServiceState &Service, double Hint) const;
   double virtualTime(ServiceId Id, const ServiceState &Service) const;
   void learnCost(const RunningRequest &Request);
-  void settle(ServiceId Id);
-  void settleAll();
+  void scheduleService(ServiceId Id);
+  void scheduleDirty();
   void checkInvariants(ServiceId Id) const;
 
   // Slots.
@@ -115,8 +116,8 @@
   void returnIdleSlots(ServiceId Id, ServiceState &Service);
   bool mustReturnSlot(ServerId Id, const SlotLease &Lease) const;
   bool isAhead(ServiceId Id, ServiceState &Service, double Steps);
-  void passOn(ServerId Id, ServiceId Service);
-  void afterRelease(ServerId Id, ServiceId Service);
+  void returnToOwner(ServerId Id, ServiceId Service);
+  void onSlotReleased(ServerId Id, ServiceId Service);
   void distribute(ServiceId Id, ServiceState &Service);
   bool grantOne(ServiceId Id, ServiceState &Service, ServerId Server);
   void updateDeclarations();
@@ -125,7 +126,7 @@
   void recall();
   void expireIdle();
 
-  // Exchange.
+  // Exchange with other routers.
   const Member *memberOf(RouterId Router) const;
   Incarnation ownIncarnation() const;
   std::vector<RouterId> peers() const;
@@ -133,8 +134,8 @@
   bool maySendDigest(ServiceId Id) const;
   ServiceDigest digestOf(ServiceId Id) const;
   void queueDigests(RouterId Peer, bool Urgent);
-  void greet(const View &Before);
-  void noteWaiting(ServiceId Id, ServiceState &Service);
+  void sendDigestsToNew(const View &PreviousView);
+  void updateBurst(ServiceId Id, ServiceState &Service);
   void sendBursts();
   void sendStarvedDigest(ServiceId Id, ServiceState &Service);
   void sendDigests();
@@ -143,29 +144,29 @@
   void boundDebts();
   void resend();
   void flush();
-  void fill(RouterId To, const Outbox::PendingMessage &Letter);
+  void fill(RouterId To, const Outbox::PendingMessage &Content);
   void send(RouterId To, bool Urgent, FairMessage Message);
   void applyDigest(RouterId From, const ServiceDigest &Digest);
-  void applyReply(RouterId From, Incarnation Life, std::uint32_t Sequence,
-                  const ContributionReply &Said);
+  void applyReply(RouterId From, Incarnation IncarnationNumber,
+                  std::uint32_t Sequence, const ContributionReply &Reply);
   void applyGrant(const FairMessageReceived &Event, const SlotGrant &Grant);
   void applyReport(const FairMessageReceived &Event, const SlotReport &Report);
 
   FairnessSettings Settings;
   std::mt19937_64 Random;
-  FairnessCounters Counted;
-  FairnessActions Pending;
+  FairnessCounters Counters;
+  FairnessActions PendingActions;
   TimePoint Now;
-  std::optional<TimePoint> Started;
+  std::optional<TimePoint> StartedAt;
 
   DeclarationsPtr ActiveDeclarations = std::make_shared<Declarations>();
-  View Current;
+  View CurrentView;
   std::map<ServiceId, ServiceState> Services;
   std::map<ServerId, ServerState> Servers;
   std::unordered_map<RequestId, PairId> WaitingRequests;
-  std::unordered_map<RequestId, ServerId> Avoided;
+  std::unordered_map<RequestId, ServerId> AvoidedServers;
   std::unordered_map<RequestId, RunningRequest> Running;
-  std::set<ServiceId> Dirty;
+  std::set<ServiceId> DirtyServices;
 
   AccountLedger Ledger;
   AccountHome Home;
@@ -173,7 +174,7 @@
   SlotTable Slots;
   SlotOwner Owner;
   Outbox Outgoing;
-  std::unordered_map<PairId, RouterId> Homes;
+  std::unordered_map<PairId, RouterId> HomeCache;
   std::unordered_map<RouterId, PeerState> Peers;
   std::uint32_t Sequence = 0;
   std::size_t DigestCursor = 0;
@@ -181,7 +182,7 @@
   TimePoint NextContributions;
   Duration ContributionCycle{0};
   TimePoint NextResend;
-  std::optional<TimePoint> OwnershipOpens;
+  std::optional<TimePoint> GrantsStartAt;
 };
 
 } // namespace parsleywing
--- a/src/Decision/Fairness/FairnessTypes.h
+++ b/src/Decision/Fairness/FairnessTypes.h
@@ -10,47 +10,47 @@
 
 namespace parsleywing {
 
-/// A request waits for a server from now on.
+/// A request is queued for a server from now on.
 struct RequestQueued {
   RequestId Request;
   AccountId Account;
   ServiceId Service;
   std::uint64_t EstimatedTokens;
-  /// It failed there last: taken only where no other server has a free slot.
-  /// Zero where there is none.
+  /// The server at which the request failed last. It is used only if no other
+  /// server has a free slot. Zero if there is none.
   ServerId Avoid = {};
 };
 
-/// A waiting request is no longer wanted.
+/// A queued request is withdrawn.
 struct RequestWithdrawn {
   RequestId Request;
 };
 
-/// An admitted request has cost so many tokens in all up to now.
+/// The total cost of an admitted request so far.
 struct RequestCharged {
   RequestId Request;
   std::uint64_t Tokens;
 };
 
-/// An admitted request is over, at this whole cost; its slot is free.
+/// An admitted request has ended with this total cost; its slot is free.
 struct RequestReleased {
   RequestId Request;
   std::uint64_t Tokens;
 };
 
-/// What the scheduler is told.
+/// The events that the scheduler handles.
 using FairnessEvent =
     std::variant<RequestQueued, RequestWithdrawn, RequestCharged,
                  RequestReleased, LoadReported, ServerConditionChanged,
                  DeclarationsChanged, ViewChanged, FairMessageReceived, Tick>;
 
-/// Let this waiting request go to this server now.
+/// Send this queued request to this server now.
 struct AdmitRequest {
   RequestId Request;
   ServerId Server;
 };
 
-/// What the scheduler asks for.
+/// The actions that the scheduler requests.
 using FairnessAction = std::variant<AdmitRequest, SendFairMessage>;
 
 using FairnessActions = std::vector<FairnessAction>;
--- a/src/Decision/Fairness/Outbox.cpp
+++ b/src/Decision/Fairness/Outbox.cpp
@@ -6,7 +6,7 @@
 namespace parsleywing {
 
 Outbox::PendingMessage &Outbox::to(TimePoint Now, RouterId Peer, bool Urgent) {
-  const TimePoint Due = Urgent ? Now : Now + this->Flush;
+  const TimePoint Due = Urgent ? Now : Now + this->FlushDelay;
   auto [Found, New] = this->Messages.try_emplace(Peer);
   if (New || Due < Found->second.Due)
     Found->second.Due = Due;
--- a/src/Decision/Fairness/Outbox.h
+++ b/src/Decision/Fairness/Outbox.h
@@ -11,13 +11,13 @@
 
 namespace parsleywing {
 
-/// What is to be said to each peer, by name only: the figures are filled in
-/// when the message leaves, so that a name noted twice costs nothing and what
-/// leaves is never old.
+/// The data that is to be sent to each peer, by name only. The values are
+/// filled in when the message is sent, so that data added twice is sent once
+/// and is always up to date.
 class Outbox {
 public:
-  /// What is not urgent waits for `FlushInterval` to share a datagram.
-  explicit Outbox(Duration FlushInterval) : Flush(FlushInterval) {}
+  /// Data that is not urgent waits for `FlushInterval` to share a datagram.
+  explicit Outbox(Duration FlushInterval) : FlushDelay(FlushInterval) {}
 
   struct PendingMessage {
     bool Urgent = false;
@@ -29,20 +29,20 @@
     std::set<ServerId> Reports;
   };
 
-  /// The letter to this peer, begun if there is none. An urgent one leaves when
-  /// the event that caused it has been handled.
+  /// Returns the message to this peer and creates it if necessary. An urgent
+  /// message is sent as soon as the event that caused it has been handled.
   PendingMessage &to(TimePoint Now, RouterId Peer, bool Urgent);
 
-  /// Whether anything should leave at once.
+  /// Whether any message must be sent immediately.
   bool anyUrgent() const { return this->Urgent; }
 
-  /// Takes out the letters that are urgent or due.
+  /// Removes and returns the messages that are urgent or due.
   std::map<RouterId, PendingMessage> takeDue(TimePoint Now);
 
   void dropGone(const View &Current);
 
 private:
-  Duration Flush;
+  Duration FlushDelay;
   std::map<RouterId, PendingMessage> Messages;
   bool Urgent = false;
 };
--- a/src/Decision/Fairness/SchedulerExchange.cpp
+++ b/src/Decision/Fairness/SchedulerExchange.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-/// Distinguish the routers that greet a newcomer.
+/// Distinguish the routers that sendDigestsToNew a newcomer.
 constexpr std::array<std::uint64_t, 3> GreetingKeys{
     0x9e3779b97f4a7c15, 0xbf58476d1ce4e5b9, 0x94d049bb133111eb};
 
@@ -25,36 +25,37 @@
 
 const Member *FairScheduler::memberOf(RouterId Router) const {
   const auto Found = std::lower_bound(
-      this->Current.Members.begin(), this->Current.Members.end(), Router,
+      this->CurrentView.Members.begin(), this->CurrentView.Members.end(),
+      Router,
       [](const Member &M, RouterId Wanted) { return M.Router < Wanted; });
-  return Found == this->Current.Members.end() || Found->Router != Router
+  return Found == this->CurrentView.Members.end() || Found->Router != Router
              ? nullptr
              : &*Found;
 }
 
 Incarnation FairScheduler::ownIncarnation() const {
-  const Member *Self = this->memberOf(this->Current.Self);
+  const Member *Self = this->memberOf(this->CurrentView.Self);
   return Self == nullptr ? 0 : Self->IncarnationNumber;
 }
 
 std::vector<RouterId> FairScheduler::peers() const {
   std::vector<RouterId> All;
-  for (const Member &M : this->Current.Members)
-    if (M.Router != this->Current.Self)
+  for (const Member &M : this->CurrentView.Members)
+    if (M.Router != this->CurrentView.Self)
       All.push_back(M.Router);
   return All;
 }
 
 RouterId FairScheduler::homeOf(PairId Pair) {
-  auto [Found, New] = this->Homes.try_emplace(Pair);
+  auto [Found, New] = this->HomeCache.try_emplace(Pair);
   if (New)
-    Found->second = ownerOf(this->Current, Pair);
+    Found->second = ownerOf(this->CurrentView, Pair);
   return Found->second;
 }
 
 bool FairScheduler::maySendDigest(ServiceId Id) const {
   return this->Digests.knows(Id) ||
-         this->Now >= *this->Started + this->Settings.StartupQuietPeriod;
+         this->Now >= *this->StartedAt + this->Settings.StartupQuietPeriod;
 }
 
 ServiceDigest FairScheduler::digestOf(ServiceId Id) const {
@@ -73,38 +74,41 @@
       this->Outgoing.to(this->Now, Peer, Urgent).Digests.insert(Id);
 }
 
-void FairScheduler::greet(const View &Before) {
+void FairScheduler::sendDigestsToNew(const View &Before) {
   if (!this->shared())
     return;
-  for (const Member &M : this->Current.Members) {
-    if (M.Router == this->Current.Self || std::ranges::count(Before.Members, M))
+  for (const Member &M : this->CurrentView.Members) {
+    if (M.Router == this->CurrentView.Self ||
+        std::ranges::count(Before.Members, M))
       continue;
     for (std::uint64_t Key : GreetingKeys)
-      if (ownerOf(this->Current, M.Router.Value ^ Key) == this->Current.Self)
+      if (ownerOf(this->CurrentView, M.Router.Value ^ Key) ==
+          this->CurrentView.Self)
         this->queueDigests(M.Router, true);
   }
 }
 
-void FairScheduler::noteWaiting(ServiceId Id, ServiceState &Service) {
+void FairScheduler::updateBurst(ServiceId Id, ServiceState &Service) {
   const bool Waits = !Service.Queue.empty();
-  if (Waits == Service.ToldWaiting || !this->shared() ||
+  if (Waits == Service.ReportedWaiting || !this->shared() ||
       !this->maySendDigest(Id))
     return;
   // A queue that comes and goes is left to the digests of each interval.
   if (this->Now < Service.LastBurst + this->Settings.DigestInterval &&
       Service.LastBurst != TimePoint{})
     return;
-  Service.ToldWaiting = Waits;
+  Service.ReportedWaiting = Waits;
   Service.LastBurst = this->Now;
-  Service.BurstLeft = this->Settings.DigestBurst;
+  Service.RemainingBurst = this->Settings.DigestBurst;
 }
 
 void FairScheduler::sendStarvedDigest(ServiceId Id, ServiceState &Service) {
   if (Service.Queue.empty() || Service.Running > 0 ||
       !this->maySendDigest(Id) ||
-      this->Now < Service.LastWant + this->Settings.StarvedDigestInterval)
+      this->Now <
+          Service.LastStarvedDigest + this->Settings.StarvedDigestInterval)
     return;
-  Service.LastWant = this->Now;
+  Service.LastStarvedDigest = this->Now;
   const std::vector<RouterId> All = this->Digests.waitingAt(Id);
   const std::size_t Count =
       std::min(this->Settings.StarvedDigestFanout, All.size());
@@ -115,17 +119,17 @@
 
 void FairScheduler::sendBursts() {
   for (auto &[Id, Service] : this->Services) {
-    this->noteWaiting(Id, Service);
+    this->updateBurst(Id, Service);
     this->sendStarvedDigest(Id, Service);
-    if (Service.BurstLeft == 0)
+    if (Service.RemainingBurst == 0)
       continue;
     const std::vector<RouterId> All = this->peers();
-    Service.BurstLeft = std::min(Service.BurstLeft, All.size());
-    const std::size_t Count = std::min(BurstPerTick, Service.BurstLeft);
+    Service.RemainingBurst = std::min(Service.RemainingBurst, All.size());
+    const std::size_t Count = std::min(BurstPerTick, Service.RemainingBurst);
     for (std::size_t Sent = 0; Sent < Count; ++Sent)
       this->Outgoing.to(this->Now, All[this->DigestCursor++ % All.size()], true)
           .Digests.insert(Id);
-    Service.BurstLeft -= Count;
+    Service.RemainingBurst -= Count;
   }
 }
 
@@ -159,7 +163,7 @@
   std::set<RouterId> HomesTold;
   for (PairId Pair : Due) {
     this->contribute(Pair, false);
-    if (this->homeOf(Pair) != this->Current.Self)
+    if (this->homeOf(Pair) != this->CurrentView.Self)
       HomesTold.insert(this->homeOf(Pair));
   }
   // Both directions, since this router answers about as much as it asks.
@@ -176,7 +180,7 @@
 
 void FairScheduler::contribute(PairId Pair, bool Urgent) {
   const RouterId At = this->homeOf(Pair);
-  if (At != this->Current.Self) {
+  if (At != this->CurrentView.Self) {
     this->Outgoing.to(this->Now, At, Urgent).Contributions.insert(Pair);
     return;
   }
@@ -193,11 +197,11 @@
   const Duration After = this->Settings.ResendInterval;
   for (ServerId Server : this->Slots.unacknowledged(this->Now, After)) {
     const RouterId To = this->Slots.find(Server)->Owner;
-    if (To != this->Current.Self)
+    if (To != this->CurrentView.Self)
       this->Outgoing.to(this->Now, To, false).Reports.insert(Server);
   }
   for (const SlotOwner::Due &Due : this->Owner.unacknowledged(this->Now, After))
-    if (Due.Holder != this->Current.Self)
+    if (Due.Holder != this->CurrentView.Self)
       this->Outgoing.to(this->Now, Due.Holder, true).Grants.insert(Due.Server);
 }
 
@@ -244,9 +248,10 @@
 void FairScheduler::send(RouterId To, bool Urgent, FairMessage Message) {
   Message.Sequence = ++this->Sequence;
   Message.ToIncarnation = lowHalf(this->memberOf(To)->IncarnationNumber);
-  ++this->Counted.MessagesSent;
-  this->Counted.BytesSent += Message.bytes() + DatagramHeaderBytes;
-  this->Pending.emplace_back(SendFairMessage{To, Urgent, std::move(Message)});
+  ++this->Counters.MessagesSent;
+  this->Counters.BytesSent += Message.bytes() + DatagramHeaderBytes;
+  this->PendingActions.emplace_back(
+      SendFairMessage{To, Urgent, std::move(Message)});
 }
 
 void FairScheduler::on(const FairMessageReceived &Event) {
@@ -255,7 +260,7 @@
     return;
   if (Event.IncarnationNumber > Peer.IncarnationNumber)
     Peer = {Event.IncarnationNumber, 0};
-  ++this->Counted.MessagesReceived;
+  ++this->Counters.MessagesReceived;
   const FairMessage &Message = Event.Message;
   for (const Contribution &Said : Message.Contributions)
     this->Outgoing.to(this->Now, Event.From, false).Replies[Said.Pair] =
@@ -266,9 +271,9 @@
     this->applyReply(Event.From, Event.IncarnationNumber, Message.Sequence,
                      Said);
   // Slots and digests of a message that was overtaken are old news.
-  if (Message.Sequence <= Peer.Newest)
+  if (Message.Sequence <= Peer.LastSequence)
     return;
-  Peer.Newest = Message.Sequence;
+  Peer.LastSequence = Message.Sequence;
   for (const ServiceDigest &Digest : Message.Digests)
     this->applyDigest(Event.From, Digest);
   if (Message.ToIncarnation != lowHalf(this->ownIncarnation()))
@@ -285,7 +290,7 @@
   const ServiceId Id{Digest.Service};
   const bool First = !this->Digests.knows(Id);
   this->Digests.update(this->Now, From, Digest);
-  this->Dirty.insert(Id);
+  this->DirtyServices.insert(Id);
   if (!First)
     return;
   // A process that began empty takes over the others' virtual time, so that
@@ -325,7 +330,7 @@
   for (ServiceId Service : this->Servers[Id].Services)
     if (Lease.idle() > 0 && this->isAhead(Service, this->Services[Service],
                                           this->Settings.GrantSlack))
-      this->passOn(Id, Service);
+      this->returnToOwner(Id, Service);
   this->refreshServer(Id);
 }
 
--- a/src/Decision/Fairness/SchedulerSlots.cpp
+++ b/src/Decision/Fairness/SchedulerSlots.cpp
@@ -8,7 +8,7 @@
 namespace parsleywing {
 
 void FairScheduler::markDirty(const ServerState &Server) {
-  this->Dirty.insert(Server.Services.begin(), Server.Services.end());
+  this->DirtyServices.insert(Server.Services.begin(), Server.Services.end());
 }
 
 void FairScheduler::refreshServer(ServerId Id) {
@@ -35,10 +35,10 @@
 
 void FairScheduler::returnSlot(ServerId Id, bool Urgent) {
   this->Slots.returnSlot(Id);
-  ++this->Counted.SlotsReturned;
+  ++this->Counters.SlotsReturned;
   const SlotLease &Lease = *this->Slots.find(Id);
-  if (Lease.Owner == this->Current.Self)
-    this->Owner.takeBackOwn(Id, this->Current.Self);
+  if (Lease.Owner == this->CurrentView.Self)
+    this->Owner.takeBackOwn(Id, this->CurrentView.Self);
   else
     this->Outgoing.to(this->Now, Lease.Owner, Urgent).Reports.insert(Id);
   this->refreshServer(Id);
@@ -48,7 +48,7 @@
   const bool OthersWait = this->Digests.anyWaiting(Id);
   std::vector<ServerId> Idle;
   for (const auto &[Free, Server] : Service.Free)
-    if (OthersWait || this->Slots.find(Server)->Owner == this->Current.Self)
+    if (OthersWait || this->Slots.find(Server)->Owner == this->CurrentView.Self)
       Idle.push_back(Server);
   for (ServerId Server : Idle)
     while (this->Slots.find(Server)->idle() > 0)
@@ -56,8 +56,9 @@
 }
 
 bool FairScheduler::mustReturnSlot(ServerId Id, const SlotLease &Lease) const {
-  const bool Limited = this->Now < Lease.KeepUntil;
-  return !this->Servers.at(Id).usable() || Lease.Owner == this->Current.Self ||
+  const bool Limited = this->Now < Lease.MaxHeldUntil;
+  return !this->Servers.at(Id).usable() ||
+         Lease.Owner == this->CurrentView.Self ||
          (Limited && Lease.held() > Lease.MaxHeld);
 }
 
@@ -76,7 +77,7 @@
   return true;
 }
 
-void FairScheduler::passOn(ServerId Id, ServiceId Service) {
+void FairScheduler::returnToOwner(ServerId Id, ServiceId Service) {
   const SlotLease &Lease = *this->Slots.find(Id);
   // The owner decides with this router's present tag, not an old one.
   if (this->maySendDigest(Service))
@@ -84,14 +85,14 @@
   this->returnSlot(Id, true);
 }
 
-void FairScheduler::afterRelease(ServerId Id, ServiceId Service) {
+void FairScheduler::onSlotReleased(ServerId Id, ServiceId Service) {
   const SlotLease &Lease = *this->Slots.find(Id);
   if (this->shared() && Lease.idle() > 0) {
     if (this->mustReturnSlot(Id, Lease)) {
       this->returnSlot(Id, true);
     } else if (this->isAhead(Service, this->Services[Service],
                              this->Settings.ReturnSlack)) {
-      this->passOn(Id, Service);
+      this->returnToOwner(Id, Service);
     }
   }
   this->refreshServer(Id);
@@ -100,7 +101,7 @@
 
 void FairScheduler::distribute(ServiceId Id, ServiceState &Service) {
   while (!Service.OwnedFree.empty()) {
-    auto Next = Service.OwnedFree.upper_bound(Service.LastGiven);
+    auto Next = Service.OwnedFree.upper_bound(Service.LastGranted);
     if (Next == Service.OwnedFree.end())
       Next = Service.OwnedFree.begin();
     if (this->isAvoidedByNext(Service, *Next) &&
@@ -109,7 +110,7 @@
     const ServerId Server = *Next;
     if (!this->grantOne(Id, Service, Server))
       return;
-    Service.LastGiven = Server;
+    Service.LastGranted = Server;
   }
 }
 
@@ -120,9 +121,9 @@
       this->Digests.sample(Id, this->Settings.SampleSize, this->Random);
   if (!Own && !Other)
     return false;
-  ++this->Counted.SlotsGranted;
+  ++this->Counters.SlotsGranted;
   if (Own && (!Other || *Own <= Other->Tag)) {
-    this->Owner.grant(Server, this->Current.Self, this->ownIncarnation());
+    this->Owner.grant(Server, this->CurrentView.Self, this->ownIncarnation());
     this->Slots.grantOwn(Server);
     this->refreshServer(Server);
     this->admit(Id, Service);
@@ -168,36 +169,37 @@
     this->updateEqualParts();
     return;
   }
-  const bool Alone = this->Current.Members.size() <= 1;
-  const TimePoint GiveFrom =
+  const bool Alone = this->CurrentView.Members.size() <= 1;
+  const TimePoint FirstGrantAt =
       Alone ? this->Now : this->Now + this->Settings.TakeoverWait;
   for (auto &[Id, Server] : this->Servers) {
-    const RouterId Holder = ownerOf(this->Current, Id.Value);
-    const bool Mine = Holder == this->Current.Self && Server.Declared;
+    const RouterId Holder = ownerOf(this->CurrentView, Id.Value);
+    const bool Mine = Holder == this->CurrentView.Self && Server.Declared;
     const Member *Found = this->memberOf(Holder);
     this->Slots.setOwner(Id, Holder,
                          Found == nullptr ? 0 : Found->IncarnationNumber);
     const bool Before = this->Owner.owns(Id);
     if (Mine)
-      this->Owner.add(Id, Server.MaxConcurrent, GiveFrom);
+      this->Owner.add(Id, Server.MaxConcurrent, FirstGrantAt);
     else
       this->Owner.remove(Id);
     if (Mine && !Before)
-      this->Owner.adoptOwn(Id, {this->Current.Self, this->ownIncarnation()},
+      this->Owner.adoptOwn(Id, {this->CurrentView.Self, this->ownIncarnation()},
                            this->Slots.find(Id)->held());
     this->refreshServer(Id);
   }
-  this->OwnershipOpens = GiveFrom;
+  this->GrantsStartAt = FirstGrantAt;
 }
 
 void FairScheduler::updateEqualParts() {
   const auto Routers = static_cast<std::uint32_t>(
-      std::max<std::size_t>(1, this->Current.Members.size()));
+      std::max<std::size_t>(1, this->CurrentView.Members.size()));
   for (auto &[Id, Server] : this->Servers) {
     const std::uint64_t Key = Id.Value;
-    const std::uint64_t Score = rendezvousScore(this->Current.Self.Value, Key);
+    const std::uint64_t Score =
+        rendezvousScore(this->CurrentView.Self.Value, Key);
     const auto Rank =
-        std::ranges::count_if(this->Current.Members, [&](const Member &M) {
+        std::ranges::count_if(this->CurrentView.Members, [&](const Member &M) {
           return rendezvousScore(M.Router.Value, Key) > Score;
         });
     const std::uint32_t Rest = Server.MaxConcurrent % Routers;
@@ -224,7 +226,7 @@
     this->refreshServer(Server);
   }
   for (const SlotOwner::Due &Due : this->Owner.recall())
-    if (Due.Holder != this->Current.Self)
+    if (Due.Holder != this->CurrentView.Self)
       this->Outgoing.to(this->Now, Due.Holder, false).Grants.insert(Due.Server);
 }
 
--- a/src/Decision/Fairness/SlotOwner.cpp
+++ b/src/Decision/Fairness/SlotOwner.cpp
@@ -7,11 +7,11 @@
 namespace parsleywing {
 
 void SlotOwner::add(ServerId Server, std::uint32_t MaxConcurrent,
-                    TimePoint GiveFrom) {
+                    TimePoint GrantsStartAt) {
   auto [Found, New] = this->Owned.try_emplace(Server);
   if (New) {
     Found->second.Window = AdmissionWindow(MaxConcurrent);
-    Found->second.GiveFrom = GiveFrom;
+    Found->second.GrantsStartAt = GrantsStartAt;
     return;
   }
   Found->second.Window.setMax(MaxConcurrent);
@@ -27,7 +27,7 @@
       };
       const bool Gone = std::ranges::none_of(Current.Members, Same);
       if (Gone)
-        Owner.Out -= Holder.second.held();
+        Owner.GrantedSlots -= Holder.second.held();
       return Gone;
     });
   }
@@ -42,46 +42,48 @@
 
 std::uint32_t SlotOwner::freeSlots(TimePoint Now, ServerId Server) const {
   const auto Found = this->Owned.find(Server);
-  if (Found == this->Owned.end() || Now < Found->second.GiveFrom)
+  if (Found == this->Owned.end() || Now < Found->second.GrantsStartAt)
     return 0;
   const std::uint32_t Size = Found->second.Window.size();
-  return Size > Found->second.Out ? Size - Found->second.Out : 0;
+  return Size > Found->second.GrantedSlots ? Size - Found->second.GrantedSlots
+                                           : 0;
 }
 
-void SlotOwner::grant(ServerId Server, RouterId To, Incarnation Life) {
+void SlotOwner::grant(ServerId Server, RouterId To,
+                      Incarnation IncarnationNumber) {
   OwnedServer &Owner = this->Owned.at(Server);
-  PARSLEYWING_INVARIANT(Owner.Out < Owner.Window.size(),
+  PARSLEYWING_INVARIANT(Owner.GrantedSlots < Owner.Window.size(),
                         "no more slots are given than the window has");
   Holding &Holder = Owner.Holders[To];
-  if (Holder.IncarnationNumber != Life) {
-    Owner.Out -= Holder.held();
+  if (Holder.IncarnationNumber != IncarnationNumber) {
+    Owner.GrantedSlots -= Holder.held();
     Holder = Holding{};
-    Holder.IncarnationNumber = Life;
+    Holder.IncarnationNumber = IncarnationNumber;
   }
   ++Holder.Granted;
-  ++Owner.Out;
+  ++Owner.GrantedSlots;
   Holder.LastGrant = TimePoint{};
   this->Unacknowledged.emplace(Server, To);
 }
 
-bool SlotOwner::applyReport(RouterId From, Incarnation Life,
+bool SlotOwner::applyReport(RouterId From, Incarnation IncarnationNumber,
                             const SlotReport &Report) {
   const auto Found = this->Owned.find(ServerId{Report.Server});
   if (Found == this->Owned.end() || Report.Returned > Report.GrantedSeen)
     return false;
   OwnedServer &Owner = Found->second;
   Holding &Holder = Owner.Holders[From];
-  if (Life < Holder.IncarnationNumber)
+  if (IncarnationNumber < Holder.IncarnationNumber)
     return false;
   const std::uint32_t Before = Holder.held();
-  if (Life > Holder.IncarnationNumber) {
+  if (IncarnationNumber > Holder.IncarnationNumber) {
     Holder = Holding{};
-    Holder.IncarnationNumber = Life;
+    Holder.IncarnationNumber = IncarnationNumber;
   }
   Holder.Granted = std::max(Holder.Granted, Report.GrantedSeen);
   Holder.Acknowledged = std::max(Holder.Acknowledged, Report.GrantedSeen);
   Holder.Returned = std::max(Holder.Returned, Report.Returned);
-  Owner.Out = Owner.Out - Before + Holder.held();
+  Owner.GrantedSlots = Owner.GrantedSlots - Before + Holder.held();
   if (Holder.Acknowledged >= Holder.Granted)
     this->Unacknowledged.erase({ServerId{Report.Server}, From});
   return Holder.held() < Before;
@@ -105,19 +107,19 @@
   if (Holder.held() == 0)
     return;
   ++Holder.Returned;
-  --Found->second.Out;
+  --Found->second.GrantedSlots;
 }
 
 void SlotOwner::adoptOwn(ServerId Server, const Member &Self,
                          std::uint32_t Held) {
   OwnedServer &Owner = this->Owned.at(Server);
   Holding &Holder = Owner.Holders[Self.Router];
-  Owner.Out -= Holder.held();
+  Owner.GrantedSlots -= Holder.held();
   Holder = Holding{};
   Holder.IncarnationNumber = Self.IncarnationNumber;
   Holder.Granted = Held;
   Holder.Acknowledged = Held;
-  Owner.Out += Held;
+  Owner.GrantedSlots += Held;
 }
 
 SlotGrant SlotOwner::grantOf(TimePoint Now, ServerId Server, RouterId To) {
@@ -153,13 +155,14 @@
     const std::uint32_t Size = Owner.Window.size();
     for (auto &[Router, Holder] : Owner.Holders) {
       const std::uint32_t Held = Holder.held();
-      if (Owner.Out <= Size || Held == 0) {
+      if (Owner.GrantedSlots <= Size || Held == 0) {
         Holder.MaxHeld = NoLimit;
         continue;
       }
       // Each gives up its part of the excess, rounded up.
-      const std::uint32_t Excess = Owner.Out - Size;
-      const std::uint32_t Cut = (Held * Excess + Owner.Out - 1) / Owner.Out;
+      const std::uint32_t Excess = Owner.GrantedSlots - Size;
+      const std::uint32_t Cut =
+          (Held * Excess + Owner.GrantedSlots - 1) / Owner.GrantedSlots;
       Holder.MaxHeld = static_cast<std::uint16_t>(Held - Cut);
       All.push_back({Server, Router});
     }
@@ -177,7 +180,7 @@
 
 std::uint32_t SlotOwner::outAt(ServerId Server) const {
   const auto Found = this->Owned.find(Server);
-  return Found == this->Owned.end() ? 0 : Found->second.Out;
+  return Found == this->Owned.end() ? 0 : Found->second.GrantedSlots;
 }
 
 } // namespace parsleywing
--- a/src/Decision/Fairness/SlotOwner.h
+++ b/src/Decision/Fairness/SlotOwner.h
@@ -14,38 +14,40 @@
 
 namespace parsleywing {
 
-/// The slots of the servers that this router owns, and who holds them. Two
-/// owners at once make a server briefly busier and nothing worse. Each
-/// operation costs O(log servers).
+/// The slots of the servers that this router owns, and the routers that hold
+/// them. Two simultaneous owners can overload a server for a short time, but do
+/// no other harm. Each operation costs O(log servers).
 class SlotOwner {
 public:
-  /// From now on this router owns the server. It gives nothing away before
-  /// GiveFrom, so that holders can report what they hold.
-  void add(ServerId Server, std::uint32_t MaxConcurrent, TimePoint GiveFrom);
+  /// Makes this router the owner of the server. No slots are granted before
+  /// `GrantsStartAt`, so that holders can report the slots that they hold.
+  void add(ServerId Server, std::uint32_t MaxConcurrent,
+           TimePoint GrantsStartAt);
   void remove(ServerId Server) { this->Owned.erase(Server); }
   bool owns(ServerId Server) const { return this->Owned.contains(Server); }
 
-  /// Slots of routers that are gone, or restarted, are free again. Gives the
-  /// servers that have more free slots now.
+  /// Frees the slots of routers that have left the view or restarted.
   void dropGone(const View &Current);
 
   AdmissionWindow &windowOf(ServerId Server);
 
-  /// Free slots that may be given away now.
+  /// The number of free slots that may be granted now.
   std::uint32_t freeSlots(TimePoint Now, ServerId Server) const;
 
-  void grant(ServerId Server, RouterId To, Incarnation Life);
+  void grant(ServerId Server, RouterId To, Incarnation IncarnationNumber);
 
-  /// Takes a holder's counters; true where slots came back.
-  bool applyReport(RouterId From, Incarnation Life, const SlotReport &Report);
+  /// Applies the counters of a holder. Returns whether slots were returned.
+  bool applyReport(RouterId From, Incarnation IncarnationNumber,
+                   const SlotReport &Report);
 
-  /// Whether the holder counts as this router does. Where not, it must be
-  /// told, or slots stay out that nobody holds.
+  /// Whether the holder's counters equal those of this router. If not, the
+  /// holder must be sent a grant, since slots that nobody holds would otherwise
+  /// remain counted as granted.
   bool agrees(RouterId From, const SlotReport &Report) const;
 
-  /// This router itself gave a slot back.
+  /// Records that this router returned one of its own slots.
   void takeBackOwn(ServerId Server, RouterId Self);
-  /// This router holds so many at a server that it begins to own.
+  /// Records the slots that this router holds at a server that it now owns.
   void adoptOwn(ServerId Server, const Member &Self, std::uint32_t Held);
 
   SlotGrant grantOf(TimePoint Now, ServerId Server, RouterId To);
@@ -54,11 +56,11 @@
     ServerId Server;
     RouterId Holder;
   };
-  /// Grants that the holder has not acknowledged for so long.
+  /// Grants that the holder has not acknowledged within `After`.
   std::vector<Due> unacknowledged(TimePoint Now, Duration After) const;
 
-  /// Sets limits where more slots are out than the window has; gives the
-  /// holders that must hear of it.
+  /// Limits the holders if more slots are granted than the window permits, and
+  /// returns the holders to notify.
   std::vector<Due> recall();
 
   std::vector<ServerId> servers() const;
@@ -78,9 +80,9 @@
   struct OwnedServer {
     AdmissionWindow Window;
     std::map<RouterId, Holding> Holders;
-    /// Sum of what the holders hold.
-    std::uint32_t Out = 0;
-    TimePoint GiveFrom;
+    /// The number of slots that all holders hold.
+    std::uint32_t GrantedSlots = 0;
+    TimePoint GrantsStartAt;
   };
 
   std::map<ServerId, OwnedServer> Owned;
--- a/src/Decision/Fairness/SlotTable.cpp
+++ b/src/Decision/Fairness/SlotTable.cpp
@@ -11,11 +11,12 @@
   return Found == this->Leases.end() ? nullptr : &Found->second;
 }
 
-void SlotTable::applyGrant(TimePoint Now, RouterId From, Incarnation Life,
-                           const SlotGrant &Grant, Duration KeepFor) {
+void SlotTable::applyGrant(TimePoint Now, RouterId From,
+                           Incarnation IncarnationNumber,
+                           const SlotGrant &Grant, Duration LimitLifetime) {
   const ServerId Server{Grant.Server};
   SlotLease &Lease = this->Leases[Server];
-  if (Lease.Owner != From || Lease.OwnerIncarnation != Life)
+  if (Lease.Owner != From || Lease.OwnerIncarnation != IncarnationNumber)
     return;
   // A grant without news is one that the owner sent again for want of an
   // acknowledgement. One with a lower count is from an owner that forgot: its
@@ -44,16 +45,16 @@
         std::min(Lease.ReturnedSeen,
                  Lease.Granted - std::min(Lease.InUse, Lease.Granted)));
   Lease.MaxHeld = Grant.MaxHeld;
-  Lease.KeepUntil = Now + KeepFor;
+  Lease.MaxHeldUntil = Now + LimitLifetime;
   if (Lease.ReturnedSeen >= Lease.Returned && Lease.LastReport != TimePoint{})
     this->Unacknowledged.erase(Server);
-  this->touch(Server, Lease);
+  this->updateIdle(Server, Lease);
 }
 
 void SlotTable::grantOwn(ServerId Server) {
   SlotLease &Lease = this->Leases[Server];
   ++Lease.Granted;
-  this->touch(Server, Lease);
+  this->updateIdle(Server, Lease);
 }
 
 void SlotTable::returnSlot(ServerId Server) {
@@ -61,39 +62,40 @@
   PARSLEYWING_INVARIANT(Lease.idle() > 0, "only an idle slot is given back");
   ++Lease.Returned;
   this->Unacknowledged.insert(Server);
-  this->touch(Server, Lease);
+  this->updateIdle(Server, Lease);
 }
 
 void SlotTable::setPart(ServerId Server, std::uint32_t Slots) {
   SlotLease &Lease = this->Leases[Server];
   Lease.Granted = Slots;
   Lease.Returned = 0;
-  this->touch(Server, Lease);
+  this->updateIdle(Server, Lease);
 }
 
-void SlotTable::setOwner(ServerId Server, RouterId Owner, Incarnation Life) {
+void SlotTable::setOwner(ServerId Server, RouterId Owner,
+                         Incarnation IncarnationNumber) {
   SlotLease &Lease = this->Leases[Server];
-  if (Lease.Owner == Owner && Lease.OwnerIncarnation == Life)
+  if (Lease.Owner == Owner && Lease.OwnerIncarnation == IncarnationNumber)
     return;
   Lease.Owner = Owner;
-  Lease.OwnerIncarnation = Life;
+  Lease.OwnerIncarnation = IncarnationNumber;
   Lease.Granted = Lease.held();
   Lease.Returned = 0;
   Lease.ReturnedSeen = 0;
-  Lease.KeepUntil = TimePoint{};
+  Lease.MaxHeldUntil = TimePoint{};
   Lease.LastReport = TimePoint{};
   if (Lease.Granted > 0)
     this->Unacknowledged.insert(Server);
   else
     this->Unacknowledged.erase(Server);
-  this->touch(Server, Lease);
+  this->updateIdle(Server, Lease);
 }
 
 void SlotTable::use(TimePoint, ServerId Server) {
   SlotLease &Lease = this->Leases[Server];
   PARSLEYWING_INVARIANT(Lease.idle() > 0, "an admitted request has a slot");
   ++Lease.InUse;
-  this->touch(Server, Lease);
+  this->updateIdle(Server, Lease);
 }
 
 void SlotTable::release(TimePoint Now, ServerId Server) {
@@ -101,7 +103,7 @@
   PARSLEYWING_INVARIANT(Lease.InUse > 0, "a released slot was in use");
   --Lease.InUse;
   Lease.IdleSince = Now;
-  this->touch(Server, Lease);
+  this->updateIdle(Server, Lease);
 }
 
 SlotReport SlotTable::reportOf(TimePoint Now, ServerId Server) {
@@ -122,7 +124,7 @@
   return Due;
 }
 
-void SlotTable::touch(ServerId Server, SlotLease &Lease) {
+void SlotTable::updateIdle(ServerId Server, SlotLease &Lease) {
   if (Lease.idle() > 0)
     this->Idle.insert(Server);
   else
--- a/src/Decision/Fairness/SlotTable.h
+++ b/src/Decision/Fairness/SlotTable.h
@@ -20,9 +20,9 @@
   std::uint32_t Returned = 0;
   std::uint32_t ReturnedSeen = 0;
   std::uint32_t InUse = 0;
-  /// The owner's limit, void after KeepUntil.
+  /// The limit set by the owner, valid until `MaxHeldUntil`.
   std::uint32_t MaxHeld = std::numeric_limits<std::uint16_t>::max();
-  TimePoint KeepUntil;
+  TimePoint MaxHeldUntil;
   TimePoint IdleSince;
   TimePoint LastReport;
 
@@ -32,34 +32,36 @@
   }
 };
 
-/// The slots that this router holds. A slot in use may outlive its lease when
-/// the equal parts of the baseline shrink; in the shared policy never.
+/// The slots that this router holds. With `LocalOnlyPolicy`, a request may use
+/// a slot that is no longer held after the equal parts have shrunk. With
+/// `SharedPolicy` this cannot happen.
 class SlotTable {
 public:
   const SlotLease *find(ServerId Server) const;
 
-  /// Takes the owner's counters. Only the highest count.
-  void applyGrant(TimePoint Now, RouterId From, Incarnation Life,
-                  const SlotGrant &Grant, Duration KeepFor);
+  /// Applies the counters of the owner. Each counter keeps its highest value.
+  /// The limit in the grant expires after `LimitLifetime`.
+  void applyGrant(TimePoint Now, RouterId From, Incarnation IncarnationNumber,
+                  const SlotGrant &Grant, Duration LimitLifetime);
 
-  /// One more or fewer slot by this router's own decision as owner.
+  /// Adds a slot that this router grants itself as the owner.
   void grantOwn(ServerId Server);
 
-  /// Gives back one idle slot.
+  /// Returns one idle slot.
   void returnSlot(ServerId Server);
 
-  /// The baseline's part: a fixed number of slots.
+  /// Sets the number of slots for `LocalOnlyPolicy`.
   void setPart(ServerId Server, std::uint32_t Slots);
 
-  /// A new owner counts from what is held now.
-  void setOwner(ServerId Server, RouterId Owner, Incarnation Life);
+  /// Changes the owner. The counters restart from the slots that are held now.
+  void setOwner(ServerId Server, RouterId Owner, Incarnation IncarnationNumber);
 
   void use(TimePoint Now, ServerId Server);
   void release(TimePoint Now, ServerId Server);
 
   SlotReport reportOf(TimePoint Now, ServerId Server);
 
-  /// Servers whose owner has not acknowledged what it was told for so long.
+  /// Servers whose owner has not acknowledged the last report within `After`.
   std::vector<ServerId> unacknowledged(TimePoint Now, Duration After);
 
   /// Servers with idle slots.
@@ -67,7 +69,7 @@
   const std::map<ServerId, SlotLease> &all() const { return this->Leases; }
 
 private:
-  void touch(ServerId Server, SlotLease &Lease);
+  void updateIdle(ServerId Server, SlotLease &Lease);
 
   std::map<ServerId, SlotLease> Leases;
   std::set<ServerId> Idle;
--- a/src/Decision/Membership/MemberList.cpp
+++ b/src/Decision/Membership/MemberList.cpp
@@ -21,8 +21,10 @@
           Member.Refutation, Member.Status, Member.Draining};
 }
 
-std::uint64_t memberHash(RouterId Router, Incarnation Life, bool Draining) {
-  return rendezvousScore(Router.Value, Life * 2 + (Draining ? 1 : 0));
+std::uint64_t memberHash(RouterId Router, Incarnation IncarnationNumber,
+                         bool Draining) {
+  return rendezvousScore(Router.Value,
+                         IncarnationNumber * 2 + (Draining ? 1 : 0));
 }
 
 RumourOutcome MemberList::apply(TimePoint Now, const MemberRumour &Rumour,
@@ -45,8 +47,8 @@
   Known->Draining = Rumour.Draining;
   this->setStatus(Now, *Known, Rumour.Status);
   if (Returned)
-    this->countReturn(Now, *Known);
-  this->noteChange();
+    this->recordReturn(Now, *Known);
+  this->onChange();
   return RumourOutcome::Adopted;
 }
 
@@ -60,7 +62,7 @@
       return RumourOutcome::Stale;
   } else if (Record == nullptr) {
     return RumourOutcome::MissingRecord;
-  } else if (!this->takeOverAddress(Now, *Record)) {
+  } else if (!this->claimAddress(Now, *Record)) {
     return RumourOutcome::Stale;
   }
   KnownMember Fresh;
@@ -69,26 +71,26 @@
                               Known->Record.IncarnationNumber,
                           "incarnations never go back");
     Fresh = *Known;
-    Fresh.EverHeard = false;
+    Fresh.EverReceived = false;
   }
   if (Record != nullptr)
     Fresh.Record = *Record;
   Fresh.Record.IncarnationNumber = Rumour.IncarnationNumber;
   Fresh.Refutation = Rumour.Refutation;
   Fresh.Draining = Rumour.Draining;
-  Fresh.Introduced = Now;
+  Fresh.FirstSeenAt = Now;
   this->setStatus(Now, Fresh, Rumour.Status);
   if (Known != nullptr)
-    this->countReturn(Now, Fresh);
+    this->recordReturn(Now, Fresh);
   this->Members[Rumour.Router] = std::move(Fresh);
-  this->noteChange();
+  this->onChange();
   return RumourOutcome::Adopted;
 }
 
 /// An address belongs to the latest life seen there. Without this rule the
 /// router that stood there before would be taken for alive as long as its
 /// successor answers at its address.
-bool MemberList::takeOverAddress(TimePoint Now, const RouterRecord &Record) {
+bool MemberList::claimAddress(TimePoint Now, const RouterRecord &Record) {
   for (auto &[Router, Other] : this->Members) {
     if (Router == Record.Router || Other.Status == MemberStatus::Dead ||
         Other.Record.PeerAddress != Record.PeerAddress)
@@ -100,21 +102,21 @@
   return true;
 }
 
-void MemberList::countReturn(TimePoint Now, KnownMember &Member) {
-  if (Member.Returns > 0 && Now - Member.LastReturn > this->Damping.Window)
-    Member.Returns = 0;
-  ++Member.Returns;
+void MemberList::recordReturn(TimePoint Now, KnownMember &Member) {
+  if (Member.ReturnCount > 0 && Now - Member.LastReturn > this->Damping.Window)
+    Member.ReturnCount = 0;
+  ++Member.ReturnCount;
   Member.LastReturn = Now;
-  if (Member.Returns < 2)
+  if (Member.ReturnCount < 2)
     return;
   Duration Hold = this->Damping.FirstHold;
-  for (unsigned Step = 2; Step < Member.Returns && Hold < this->Damping.MaxHold;
-       ++Step)
+  for (unsigned Step = 2;
+       Step < Member.ReturnCount && Hold < this->Damping.MaxHold; ++Step)
     Hold *= 2;
-  Member.HeldUntil = Now + std::min(Hold, this->Damping.MaxHold);
-  this->NextRelease = this->NextRelease
-                          ? std::min(*this->NextRelease, Member.HeldUntil)
-                          : Member.HeldUntil;
+  Member.HiddenUntil = Now + std::min(Hold, this->Damping.MaxHold);
+  this->NextUnhide = this->NextUnhide
+                         ? std::min(*this->NextUnhide, Member.HiddenUntil)
+                         : Member.HiddenUntil;
 }
 
 void MemberList::setStatus(TimePoint Now, KnownMember &Member,
@@ -123,7 +125,7 @@
   Member.StatusSince = Now;
 }
 
-void MemberList::noteChange() {
+void MemberList::onChange() {
   this->VisibleChanged = true;
   this->Hash = 0;
   this->Suspects = 0;
@@ -137,14 +139,14 @@
 }
 
 bool MemberList::takeVisibleChanged(TimePoint Now) {
-  if (this->NextRelease && *this->NextRelease <= Now) {
+  if (this->NextUnhide && *this->NextUnhide <= Now) {
     this->VisibleChanged = true;
-    this->NextRelease.reset();
+    this->NextUnhide.reset();
     for (const auto &[Router, Known] : this->Members)
-      if (Known.HeldUntil > Now)
-        this->NextRelease = this->NextRelease
-                                ? std::min(*this->NextRelease, Known.HeldUntil)
-                                : Known.HeldUntil;
+      if (Known.HiddenUntil > Now)
+        this->NextUnhide = this->NextUnhide
+                               ? std::min(*this->NextUnhide, Known.HiddenUntil)
+                               : Known.HiddenUntil;
   }
   return std::exchange(this->VisibleChanged, false);
 }
@@ -154,15 +156,15 @@
   if (Silent == nullptr || Silent->Status != MemberStatus::Alive)
     return false;
   this->setStatus(Now, *Silent, MemberStatus::Suspect);
-  this->noteChange();
+  this->onChange();
   return true;
 }
 
 void MemberList::heard(TimePoint Now, RouterId Router) {
   KnownMember *Known = this->mutableFind(Router);
   PARSLEYWING_INVARIANT(Known != nullptr, "only known members are heard");
-  Known->LastHeard = Now;
-  Known->EverHeard = true;
+  Known->LastReceivedAt = Now;
+  Known->EverReceived = true;
   if (Known->Status == MemberStatus::Suspect)
     Known->StatusSince = Now;
 }
@@ -180,7 +182,7 @@
     Expired.push_back(Router);
   }
   if (!Expired.empty())
-    this->noteChange();
+    this->onChange();
   return Expired;
 }
 
@@ -234,7 +236,7 @@
 std::vector<Member> MemberList::visible(TimePoint Now) const {
   std::vector<Member> Visible;
   for (const auto &[Router, Known] : this->Members)
-    if (Known.Status != MemberStatus::Dead && Known.HeldUntil <= Now)
+    if (Known.Status != MemberStatus::Dead && Known.HiddenUntil <= Now)
       Visible.push_back({Router, Known.Record.IncarnationNumber, Known.Draining,
                          Known.Record.Zone});
   return Visible;
--- a/src/Decision/Membership/MemberList.h
+++ b/src/Decision/Membership/MemberList.h
@@ -8,87 +8,92 @@
 
 namespace parsleywing {
 
-/// What one router knows of another.
+/// The state of another router as this router knows it.
 struct KnownMember {
   RouterRecord Record;
   std::uint32_t Refutation = 0;
   MemberStatus Status = MemberStatus::Alive;
   bool Draining = false;
-  TimePoint Introduced;  ///< When this life was first heard of.
-  TimePoint StatusSince; ///< When it got its status.
-  TimePoint LastHeard;   ///< When a message of this life came directly.
-  bool EverHeard = false;
-  unsigned Returns = 0; ///< In a row, each within the window of the last.
+  TimePoint FirstSeenAt; ///< When this incarnation became known.
+  TimePoint StatusSince; ///< When the status was set.
+  /// When a message of this incarnation was last received directly.
+  TimePoint LastReceivedAt;
+  bool EverReceived = false;
+  /// Consecutive returns, each within `DampingSettings::Window` of the last.
+  unsigned ReturnCount = 0;
   TimePoint LastReturn;
-  TimePoint HeldUntil; ///< Kept out of the view until then.
+  TimePoint HiddenUntil; ///< Excluded from the view until then.
 };
 
-/// How long a router that comes and goes is kept out of the view. Each change
-/// of the view moves owners; a router that flaps would move them each time and
-/// one would see servers owned by turns. The first return counts at once; each
-/// further one within the window waits twice as long as the one before.
+/// How long a router that repeatedly leaves and returns is excluded from the
+/// view. Each change of the view moves the ownership of servers; without
+/// damping, a flapping router would move it each time, and servers would be
+/// owned in alternation. The first return takes effect immediately. Each
+/// further one within the window doubles the delay.
 struct DampingSettings {
   Duration Window = std::chrono::minutes(2);
   Duration FirstHold = std::chrono::seconds(4);
   Duration MaxHold = std::chrono::seconds(30);
 };
 
-/// What became of a rumour.
+/// The result of applying a rumour.
 enum class RumourOutcome : std::uint8_t {
-  Stale,         ///< Known already or overtaken.
-  Adopted,       ///< News, to be passed on.
-  MissingRecord, ///< About a life whose addresses are not known.
-  AboutSelf,     ///< The table itself answers it.
+  Stale,         ///< Already known, or superseded.
+  Adopted,       ///< New, and to be passed on.
+  MissingRecord, ///< About an incarnation whose addresses are unknown.
+  AboutSelf,     ///< To be answered by the table.
 };
 
-/// The routers known to one router, dead ones included, and the rules by which
-/// claims about them overtake each other: the higher life, then the higher
-/// refutation, then the worse status.
+/// The routers known to one router, including dead ones, and the precedence of
+/// rumours about them: the higher incarnation number, then the higher
+/// refutation number, then the worse status.
 class MemberList {
 public:
   MemberList(RouterId Self, DampingSettings Damping)
       : Self(Self), Damping(Damping) {}
 
-  /// Takes over a claim where it beats what is known. `Record` is that of the
-  /// claimed life, or null where the message had none.
+  /// Applies a rumour if it takes precedence over what is known. `Record` is
+  /// the record of that incarnation, or null if the message contains none.
   RumourOutcome apply(TimePoint Now, const MemberRumour &Rumour,
                       const RouterRecord *Record);
 
-  /// Suspects a member that does not answer this router. False where it is
-  /// not known, or suspect or dead already.
+  /// Marks a member that does not respond to this router as suspect. Returns
+  /// false if it is unknown, or not alive.
   bool suspect(TimePoint Now, RouterId Router);
 
-  /// Declares dead those suspect for longer than `Timeout`, and returns them.
+  /// Declares members dead that have been suspect for longer than `Timeout`,
+  /// and returns them.
   std::vector<RouterId> expireSuspects(TimePoint Now, Duration Timeout);
 
-  /// Starts all suspicions anew, after this process itself stood still.
+  /// Restarts the timeouts of all suspicions after this process was paused.
   void restartSuspicions(TimePoint Now);
 
-  /// Forgets those dead for longer than `Age`.
+  /// Removes members that have been dead for longer than `Age`.
   void forgetDead(TimePoint Now, Duration Age);
 
-  /// Notes a message that came directly from this life of the member. It gets
-  /// the full time to contradict where it is suspect.
+  /// Records a message received directly from this incarnation of the member.
+  /// If the member is suspect, the timeout of the suspicion restarts.
   void heard(TimePoint Now, RouterId Router);
 
   const KnownMember *find(RouterId Router) const;
   const std::map<RouterId, KnownMember> &all() const { return this->Members; }
 
-  /// Whether some router, dead or not, is known at this address.
+  /// Whether a router that is not dead is known at this address.
   bool knowsAliveAt(const std::string &PeerAddress) const;
 
-  /// The members not dead, in the order of their identities.
+  /// The members that are not dead, ordered by identity.
   std::vector<RouterId> notDead() const;
   std::vector<RouterId> dead() const;
 
-  /// The members of the view, without the router itself.
+  /// The members of the view, without this router.
   std::vector<Member> visible(TimePoint Now) const;
 
-  /// Sums up all members not dead; equal lists have equal sums.
+  /// The sum of the hashes of all members that are not dead. Equal lists have
+  /// equal hashes.
   std::uint64_t hash() const { return this->Hash; }
 
-  /// Whether `visible` may differ from the last time this was asked: a member
-  /// changed, or one is held out of the view no longer.
+  /// Whether the result of `visible` may have changed since the last call: a
+  /// member changed, or is no longer excluded from the view.
   bool takeVisibleChanged(TimePoint Now);
 
 private:
@@ -96,26 +101,28 @@
   void setStatus(TimePoint Now, KnownMember &Member, MemberStatus Status);
   RumourOutcome introduce(TimePoint Now, const MemberRumour &Rumour,
                           const RouterRecord *Record);
-  bool takeOverAddress(TimePoint Now, const RouterRecord &Record);
-  void countReturn(TimePoint Now, KnownMember &Member);
-  void noteChange();
+  bool claimAddress(TimePoint Now, const RouterRecord &Record);
+  void recordReturn(TimePoint Now, KnownMember &Member);
+  void onChange();
 
   RouterId Self;
   DampingSettings Damping;
   std::map<RouterId, KnownMember> Members;
 
-  // Kept beside the members, as each message asks for them.
+  // Maintained separately, because they are read for each message.
   std::uint64_t Hash = 0;
   std::size_t Suspects = 0;
   bool VisibleChanged = true;
-  std::optional<TimePoint> NextRelease; ///< Of the members held out of view.
+  /// When the next exclusion from the view ends.
+  std::optional<TimePoint> NextUnhide;
 };
 
-/// The claim that states what is known of this member.
+/// The rumour that states what is known of this member.
 MemberRumour rumourOf(const KnownMember &Member);
 
-/// The part of a member in `MemberList::hash`.
-std::uint64_t memberHash(RouterId Router, Incarnation Life, bool Draining);
+/// The contribution of one member to `MemberList::hash`.
+std::uint64_t memberHash(RouterId Router, Incarnation IncarnationNumber,
+                         bool Draining);
 
 } // namespace parsleywing
 
--- a/src/Decision/Membership/MembershipTable.cpp
+++ b/src/Decision/Membership/MembershipTable.cpp
@@ -35,9 +35,10 @@
 }
 
 const RouterRecord *recordIn(const MembershipMessage &Message, RouterId Router,
-                             Incarnation Life) {
+                             Incarnation IncarnationNumber) {
   for (const RouterRecord &Record : Message.Records)
-    if (Record.Router == Router && Record.IncarnationNumber == Life)
+    if (Record.Router == Router &&
+        Record.IncarnationNumber == IncarnationNumber)
       return &Record;
   return nullptr;
 }
@@ -57,19 +58,19 @@
       Members(this->Settings.Self.Router, this->Settings.Damping),
       Random(this->Settings.RandomSeed) {
   const RouterRecord &Self = this->Settings.Self;
-  this->Current.Self = Self.Router;
-  this->Current.Members = {
+  this->CurrentView.Self = Self.Router;
+  this->CurrentView.Members = {
       {Self.Router, Self.IncarnationNumber, false, Self.Zone}};
 }
 
 std::vector<MembershipAction>
 MembershipTable::handle(TimePoint Now, const MembershipEvent &Event) {
-  if (this->Over)
+  if (this->IsSuperseded)
     return {};
   std::visit([&](const auto &Value) { this->on(Now, Value); }, Event);
-  if (!this->Over)
+  if (!this->IsSuperseded)
     this->publishView(Now);
-  return std::move(this->Actions);
+  return std::move(this->PendingActions);
 }
 
 const RouterRecord *MembershipTable::recordOf(RouterId Router) const {
@@ -88,10 +89,10 @@
   if (!this->acceptSender(Now, Event))
     return;
   this->applyRumours(Now, Event.Message);
-  if (this->Over)
+  if (this->IsSuperseded)
     return;
   this->compareViews(Now, Event);
-  this->answer(Now, Event);
+  this->respond(Now, Event);
 }
 
 /// Notes a direct sign of life, and turns away processes that were replaced.
@@ -110,9 +111,11 @@
     // A process that was paused while another took its name. Unless told, it
     // would believe for ever that it is the router of that name.
     if (!Event.Address.empty()) {
-      MembershipMessage Told = this->message(Now, MembershipKind::Gossip, 0);
+      MembershipMessage Told =
+          this->makeMessage(Now, MembershipKind::Gossip, 0);
       Told.Rumours = {rumourOf(*Known)};
-      this->Actions.push_back(ContactAddress{Event.Address, std::move(Told)});
+      this->PendingActions.push_back(
+          ContactAddress{Event.Address, std::move(Told)});
     }
     return false;
   }
@@ -127,7 +130,7 @@
     this->applyRumour(
         Now, Rumour, recordIn(Message, Rumour.Router, Rumour.IncarnationNumber),
         FromState);
-    if (this->Over)
+    if (this->IsSuperseded)
       return;
   }
   if (FromState)
@@ -138,9 +141,9 @@
                                   const RouterRecord *Record, bool FromState) {
   const KnownMember *Known = this->Members.find(Rumour.Router);
   const bool HeardLately =
-      Known != nullptr && Known->EverHeard &&
+      Known != nullptr && Known->EverReceived &&
       Known->Record.IncarnationNumber == Rumour.IncarnationNumber &&
-      Now - Known->LastHeard <= this->Settings.DirectTrust;
+      Now - Known->LastReceivedAt <= this->Settings.DirectTrust;
   // When two halves of a fleet meet, each believes the other dead. Were that
   // taken over, all would vanish from all views at once; as a suspicion it
   // leaves each the time to contradict.
@@ -154,10 +157,10 @@
     return this->refute(Rumour);
   if (Outcome != RumourOutcome::Adopted)
     return;
-  this->spread(Rumour.Router);
+  this->spreadRumour(Rumour.Router);
   Known = this->Members.find(Rumour.Router);
   if (Record != nullptr)
-    this->Actions.push_back(
+    this->PendingActions.push_back(
         PeerAddressLearned{Rumour.Router, Known->Record.PeerAddress});
 }
 
@@ -165,7 +168,7 @@
   if (Rumour.IncarnationNumber > this->Settings.Self.IncarnationNumber)
     return this->supersede(Rumour.IncarnationNumber);
   if (Rumour.IncarnationNumber < this->Settings.Self.IncarnationNumber) {
-    this->spread(this->Settings.Self.Router);
+    this->spreadRumour(this->Settings.Self.Router);
     return;
   }
   const bool Wrong = Rumour.Status != MemberStatus::Alive ||
@@ -174,14 +177,14 @@
     return;
   this->SelfRefutation = Rumour.Refutation + 1;
   ++this->Refutations;
-  this->spread(this->Settings.Self.Router);
+  this->spreadRumour(this->Settings.Self.Router);
 }
 
 void MembershipTable::supersede(Incarnation By) {
-  PARSLEYWING_INVARIANT(!this->Over, "a router is superseded once");
-  this->Over = true;
-  this->Actions.clear();
-  this->Actions.push_back(Superseded{By});
+  PARSLEYWING_INVARIANT(!this->IsSuperseded, "a router is superseded once");
+  this->IsSuperseded = true;
+  this->PendingActions.clear();
+  this->PendingActions.push_back(Superseded{By});
 }
 
 /// Views that stay different show that news was lost; then one router's whole
@@ -191,13 +194,14 @@
   if (Event.Message.Kind == MembershipKind::State)
     return;
   if (Event.Message.ViewHash == this->viewHash()) {
-    this->DisagreedSince.reset();
+    this->DisagreementSince.reset();
     this->Joined = true;
     return;
   }
-  if (!this->DisagreedSince)
-    this->DisagreedSince = Now;
-  const bool Lasting = Now - *this->DisagreedSince >= this->maxDisagreement();
+  if (!this->DisagreementSince)
+    this->DisagreementSince = Now;
+  const bool Lasting =
+      Now - *this->DisagreementSince >= this->maxDisagreement();
   if ((Lasting || !this->Joined) && Now >= this->NextStateRequest)
     this->requestState(Now, Event.From);
 }
@@ -210,8 +214,8 @@
              static_cast<Duration::rep>(this->Members.all().size());
 }
 
-void MembershipTable::answer(TimePoint Now,
-                             const MembershipMessageReceived &Event) {
+void MembershipTable::respond(TimePoint Now,
+                              const MembershipMessageReceived &Event) {
   const MembershipMessage &Message = Event.Message;
   const KnownMember *Sender = this->Members.find(Event.From);
   if (Sender == nullptr ||
@@ -220,7 +224,7 @@
   switch (Message.Kind) {
   case MembershipKind::Ping: {
     MembershipMessage Ack =
-        this->message(Now, MembershipKind::Ack, Message.Number);
+        this->makeMessage(Now, MembershipKind::Ack, Message.Number);
     const bool Introduced =
         recordIn(Message, Event.From, Event.IncarnationNumber) != nullptr;
     if (Introduced)
@@ -236,7 +240,7 @@
         this->ForwardedPings.size() >= MostRelays)
       return;
     MembershipMessage Ping =
-        this->message(Now, MembershipKind::Ping, ++this->LastNumber);
+        this->makeMessage(Now, MembershipKind::Ping, ++this->LastNumber);
     this->ForwardedPings[Ping.Number] = {Event.From, Message.Number, Now};
     this->send(Message.Target, std::move(Ping), true);
     return;
@@ -256,9 +260,9 @@
   if (Address.empty())
     return;
   MembershipMessage Ping =
-      this->message(Now, MembershipKind::Ping, ++this->LastNumber);
+      this->makeMessage(Now, MembershipKind::Ping, ++this->LastNumber);
   this->introduceSelf(Ping);
-  this->Actions.push_back(ContactAddress{Address, std::move(Ping)});
+  this->PendingActions.push_back(ContactAddress{Address, std::move(Ping)});
 }
 
 void MembershipTable::introduceSelf(MembershipMessage &Message) const {
@@ -269,20 +273,21 @@
 void MembershipTable::onAck(TimePoint Now,
                             const MembershipMessageReceived &Event) {
   const std::uint32_t Number = Event.Message.Number;
-  if (this->Pending && this->Pending->Number == Number)
-    this->Pending.reset();
+  if (this->PendingProbe && this->PendingProbe->Number == Number)
+    this->PendingProbe.reset();
   const auto Asked = this->ForwardedPings.find(Number);
   if (Asked == this->ForwardedPings.end())
     return;
   const ForwardedPing Answered = Asked->second;
   this->ForwardedPings.erase(Asked);
-  this->send(Answered.For,
-             this->message(Now, MembershipKind::Ack, Answered.Number), true);
+  this->send(Answered.Requester,
+             this->makeMessage(Now, MembershipKind::Ack, Answered.Number),
+             true);
 }
 
 void MembershipTable::on(TimePoint, const VmListChanged &Event) {
   for (const PlatformRouter &Hint : Event.Live)
-    this->considerHint(Hint);
+    this->applyHint(Hint);
   for (const PlatformRouter &Hint : Event.Leaving) {
     const KnownMember *Known = this->Members.find(Hint.Router);
     // The list lags: it may tell of a life long replaced, and it never
@@ -290,8 +295,8 @@
     if (Known != nullptr && Known->Status == MemberStatus::Alive &&
         (Hint.IncarnationNumber == 0 ||
          Hint.IncarnationNumber >= Known->Record.IncarnationNumber) &&
-        this->ProbeFirst.size() < MostContacts)
-      this->ProbeFirst.push_back(Hint.Router);
+        this->PriorityProbes.size() < MostContacts)
+      this->PriorityProbes.push_back(Hint.Router);
   }
 }
 
@@ -303,11 +308,11 @@
     if (Hint.Router == this->Settings.Self.Router &&
         Hint.IncarnationNumber > this->Settings.Self.IncarnationNumber)
       return this->supersede(Hint.IncarnationNumber);
-    this->considerHint(Hint);
+    this->applyHint(Hint);
   }
 }
 
-void MembershipTable::considerHint(const PlatformRouter &Hint) {
+void MembershipTable::applyHint(const PlatformRouter &Hint) {
   if (Hint.Router == this->Settings.Self.Router || Hint.PeerAddress.empty())
     return;
   const KnownMember *Known = this->Members.find(Hint.Router);
@@ -324,9 +329,9 @@
     return;
   this->SelfDraining = true;
   ++this->SelfRefutation;
-  this->spread(this->Settings.Self.Router);
-  for (RouterId Peer : this->pick(this->Settings.DrainPeers, {})) {
-    MembershipMessage Told = this->message(Now, MembershipKind::Gossip, 0);
+  this->spreadRumour(this->Settings.Self.Router);
+  for (RouterId Peer : this->pickRandom(this->Settings.DrainPeers, {})) {
+    MembershipMessage Told = this->makeMessage(Now, MembershipKind::Gossip, 0);
     Told.Rumours.push_back(this->selfRumour());
     this->send(Peer, std::move(Told), true);
   }
@@ -338,7 +343,7 @@
   // Stopped and woken, or starved of the processor: the acks that did not
   // come in that time say nothing about the others.
   if (this->LastTick && Now - *this->LastTick > this->Settings.MaxTickGap) {
-    this->Pending.reset();
+    this->PendingProbe.reset();
     this->Members.restartSuspicions(Now);
   }
   this->LastTick = Now;
@@ -346,7 +351,7 @@
   for (RouterId Dead :
        this->Members.expireSuspects(Now, this->Settings.SuspicionTimeout)) {
     ++this->Deaths;
-    this->spread(Dead);
+    this->spreadRumour(Dead);
   }
   if (Now >= this->NextPeriod)
     this->startPeriod(Now);
@@ -358,7 +363,7 @@
   this->concludeProbe(Now);
   this->Members.forgetDead(Now, this->Settings.DeadMemory);
   std::erase_if(this->ForwardedPings, [&](const auto &Asked) {
-    return Now - Asked.second.Started > RelayMemory;
+    return Now - Asked.second.StartedAt > RelayMemory;
   });
   this->probeDead(Now);
   this->contactSeeds(Now);
@@ -366,32 +371,32 @@
   if (!Target)
     return;
   MembershipMessage Ping =
-      this->message(Now, MembershipKind::Ping, ++this->LastNumber);
-  this->Pending = Probe{*Target, Ping.Number, Now, false};
+      this->makeMessage(Now, MembershipKind::Ping, ++this->LastNumber);
+  this->PendingProbe = Probe{*Target, Ping.Number, Now, false};
   this->send(*Target, std::move(Ping), true);
 }
 
 void MembershipTable::concludeProbe(TimePoint Now) {
-  if (!this->Pending)
+  if (!this->PendingProbe)
     return;
-  const RouterId Silent = this->Pending->Target;
-  this->Pending.reset();
+  const RouterId Silent = this->PendingProbe->Target;
+  this->PendingProbe.reset();
   if (!this->Members.suspect(Now, Silent))
     return;
   ++this->Suspicions;
-  this->spread(Silent);
+  this->spreadRumour(Silent);
 }
 
 void MembershipTable::probeIndirectly(TimePoint Now) {
-  if (!this->Pending || this->Pending->Indirect ||
-      Now - this->Pending->Sent < this->Settings.DirectTimeout)
+  if (!this->PendingProbe || this->PendingProbe->Indirect ||
+      Now - this->PendingProbe->SentAt < this->Settings.DirectTimeout)
     return;
-  this->Pending->Indirect = true;
-  for (RouterId Helper :
-       this->pick(this->Settings.IndirectProbes, this->Pending->Target)) {
-    MembershipMessage Request =
-        this->message(Now, MembershipKind::PingRequest, this->Pending->Number);
-    Request.Target = this->Pending->Target;
+  this->PendingProbe->Indirect = true;
+  for (RouterId Helper : this->pickRandom(this->Settings.IndirectProbes,
+                                          this->PendingProbe->Target)) {
+    MembershipMessage Request = this->makeMessage(
+        Now, MembershipKind::PingRequest, this->PendingProbe->Number);
+    Request.Target = this->PendingProbe->Target;
     this->send(Helper, std::move(Request), true);
   }
 }
@@ -405,7 +410,7 @@
     return;
   const RouterId Target = Dead[this->Random() % Dead.size()];
   MembershipMessage Ping =
-      this->message(Now, MembershipKind::Ping, ++this->LastNumber);
+      this->makeMessage(Now, MembershipKind::Ping, ++this->LastNumber);
   this->introduceSelf(Ping);
   this->send(Target, std::move(Ping), false);
 }
@@ -431,14 +436,14 @@
   if (this->Rumours.empty() || Now < this->NextGossip)
     return;
   this->NextGossip = Now + this->Settings.GossipInterval;
-  for (RouterId Peer : this->pick(this->Settings.GossipPeers, {}))
-    this->send(Peer, this->message(Now, MembershipKind::Gossip, 0), false);
+  for (RouterId Peer : this->pickRandom(this->Settings.GossipPeers, {}))
+    this->send(Peer, this->makeMessage(Now, MembershipKind::Gossip, 0), false);
 }
 
 std::optional<RouterId> MembershipTable::nextToProbe() {
-  if (!this->ProbeFirst.empty()) {
-    const RouterId Doubted = this->ProbeFirst.back();
-    this->ProbeFirst.pop_back();
+  if (!this->PriorityProbes.empty()) {
+    const RouterId Doubted = this->PriorityProbes.back();
+    this->PriorityProbes.pop_back();
     if (this->recordOf(Doubted) != nullptr)
       return Doubted;
   }
@@ -460,8 +465,9 @@
 
 // Sending.
 
-MembershipMessage MembershipTable::message(TimePoint Now, MembershipKind Kind,
-                                           std::uint32_t Number) {
+MembershipMessage MembershipTable::makeMessage(TimePoint Now,
+                                               MembershipKind Kind,
+                                               std::uint32_t Number) {
   MembershipMessage Message;
   Message.Kind = Kind;
   Message.Number = Number;
@@ -482,7 +488,7 @@
     Bytes += RumourBytes;
     const RouterRecord &Record = IsSelf ? this->Settings.Self : Known->Record;
     const bool Fresh = IsSelf || (Known->Status != MemberStatus::Dead &&
-                                  Now - Known->Introduced < RecordsFresh);
+                                  Now - Known->FirstSeenAt < RecordsFresh);
     if (!Fresh || Bytes + encodedSize(Record) > NewsBytes)
       continue;
     Message.Records.push_back(Record);
@@ -503,7 +509,7 @@
                            bool Urgent) {
   this->attachSuspicion(To, Message);
   const bool Bulk = Message.Kind == MembershipKind::State;
-  this->Actions.push_back(
+  this->PendingActions.push_back(
       SendMembershipMessage{To, std::move(Message), Urgent, Bulk});
 }
 
@@ -512,7 +518,7 @@
   if (this->Members.find(Asked.From) == nullptr)
     return;
   const bool WithRecords = Asked.Message.Number != RumoursSuffice;
-  MembershipMessage State = this->message(Now, MembershipKind::State, 0);
+  MembershipMessage State = this->makeMessage(Now, MembershipKind::State, 0);
   this->introduceSelf(State);
   for (const auto &[Router, Known] : this->Members.all()) {
     State.Rumours.push_back(rumourOf(Known));
@@ -531,27 +537,27 @@
     return;
   const bool AnyNew =
       std::ranges::any_of(this->Members.all(), [Now](const auto &Each) {
-        return Now - Each.second.Introduced < RecordsFresh;
+        return Now - Each.second.FirstSeenAt < RecordsFresh;
       });
   const bool RumoursDo =
-      this->Joined && this->DisagreedSince && !AnyNew &&
-      Now - *this->DisagreedSince <
+      this->Joined && this->DisagreementSince && !AnyNew &&
+      Now - *this->DisagreementSince <
           this->maxDisagreement() + this->Settings.StateInterval;
   const Duration Pause =
       this->Joined ? this->Settings.StateInterval : this->Settings.Period * 2;
   this->NextStateRequest = Now + Pause;
-  MembershipMessage Request = this->message(Now, MembershipKind::StateRequest,
-                                            RumoursDo ? RumoursSuffice : 0);
+  MembershipMessage Request = this->makeMessage(
+      Now, MembershipKind::StateRequest, RumoursDo ? RumoursSuffice : 0);
   this->introduceSelf(Request);
   this->send(From, std::move(Request), true);
 }
 
-void MembershipTable::spread(RouterId Router) {
+void MembershipTable::spreadRumour(RouterId Router) {
   this->Rumours.add(Router, timesToSpread(this->Members.all().size()));
 }
 
-std::vector<RouterId> MembershipTable::pick(std::size_t Count,
-                                            RouterId Except) {
+std::vector<RouterId> MembershipTable::pickRandom(std::size_t Count,
+                                                  RouterId Except) {
   std::vector<RouterId> Candidates;
   for (const auto &[Router, Known] : this->Members.all())
     if (Known.Status == MemberStatus::Alive && Router != Except)
@@ -595,10 +601,10 @@
                             Place->Router != Self.Router,
                         "the list of others does not hold the router itself");
   Next.Members.insert(Place, Own);
-  if (Next == this->Current)
+  if (Next == this->CurrentView)
     return;
-  this->Current = std::move(Next);
-  this->Actions.push_back(ViewChanged{this->Current});
+  this->CurrentView = std::move(Next);
+  this->PendingActions.push_back(ViewChanged{this->CurrentView});
 }
 
 Poco::JSON::Object::Ptr MembershipTable::dump() const {
@@ -612,15 +618,15 @@
     Entry->set("draining", Known.Draining);
     Entry->set("peer_address", Known.Record.PeerAddress);
     Entry->set("caller_address", Known.Record.CallerAddress);
-    Entry->set("returns", Known.Returns);
+    Entry->set("returns", Known.ReturnCount);
     Listed->add(Entry);
   }
   Poco::JSON::Object::Ptr Dump = new Poco::JSON::Object;
   Dump->set("name", this->Settings.Self.Name);
   Dump->set("life", this->Settings.Self.IncarnationNumber);
   Dump->set("draining", this->SelfDraining);
-  Dump->set("superseded", this->Over);
-  Dump->set("view_size", this->Current.Members.size());
+  Dump->set("superseded", this->IsSuperseded);
+  Dump->set("view_size", this->CurrentView.Members.size());
   Dump->set("news_waiting", this->Rumours.size());
   Dump->set("suspicions", this->Suspicions);
   Dump->set("deaths", this->Deaths);
--- a/src/Decision/Membership/MembershipTable.h
+++ b/src/Decision/Membership/MembershipTable.h
@@ -10,85 +10,90 @@
 
 namespace parsleywing {
 
-/// The times and bounds of the membership protocol.
+/// The intervals and limits of the membership protocol.
 struct MembershipSettings {
   RouterRecord Self;
-  /// IP:port of routers to ask first; some of them may be gone.
+  /// Addresses (IP:port) of the routers to contact first. Some of them may no
+  /// longer exist.
   std::vector<std::string> Seeds;
   std::uint64_t RandomSeed = 1;
 
-  /// Each period one member is pinged.
+  /// One member is pinged in each period.
   Duration Period = std::chrono::milliseconds(500);
-  /// Without an Ack for so long, others are asked to ping it too.
+  /// Without an Ack for this long, other members are asked to ping the target.
   Duration DirectTimeout = std::chrono::milliseconds(200);
   unsigned IndirectProbes = 3;
-  /// How long a suspect has to contradict before it counts as dead.
+  /// How long a suspect has to refute the suspicion before it is declared dead.
   Duration SuspicionTimeout = std::chrono::seconds(3);
-  /// A router heard directly within this time is not doubted on the word of
-  /// a list or of another router alone.
+  /// A router that was heard from directly within this time becomes only
+  /// suspect when another router's rumour says that it is dead.
   Duration DirectTrust = std::chrono::seconds(2);
 
   std::size_t RumoursPerMessage = 6;
-  /// Fresh news goes to `GossipPeers` members that often.
+  /// Interval at which new rumours are sent to `GossipPeers` members.
   Duration GossipInterval = std::chrono::milliseconds(250);
   unsigned GossipPeers = 2;
-  unsigned DrainPeers = 8; ///< Told at once when this router drains.
+  unsigned DrainPeers = 8; ///< Notified immediately when this router drains.
 
-  /// A dead member is pinged that often, one at a time, so that two halves of
-  /// a fleet find each other again.
+  /// Interval at which one dead member is pinged, so that the two sides of a
+  /// partition find each other again.
   Duration DeadProbeInterval = std::chrono::seconds(2);
   Duration DeadMemory = std::chrono::hours(2);
-  /// An unanswered seed is asked again that often.
+  /// Interval at which seeds are contacted after this router has joined. Seeds
+  /// that are known to be alive are skipped.
   Duration SeedInterval = std::chrono::seconds(10);
-  /// Views that differ for so long are evened out by a whole State.
+  /// How long views may differ, plus a time per member, before a State message
+  /// is requested.
   Duration MaxDisagreement = std::chrono::seconds(5);
   Duration MaxDisagreementPerMember = std::chrono::milliseconds(15);
-  /// At least so long between two requests for a State.
+  /// Minimum time between two requests for a State message.
   Duration StateInterval = std::chrono::seconds(10);
-  /// A longer gap between ticks means that this process itself stood still.
+  /// A longer gap between ticks means that this process itself was paused.
   Duration MaxTickGap = std::chrono::seconds(1);
 
   DampingSettings Damping;
 };
 
-/// Finds out which routers live, by gossip in the manner of SWIM: each period
-/// one ping, if need be through others, and news carried on pings and acks.
-/// The cost a second does not grow with the fleet, but for news. Deterministic:
-/// events in, actions out. Nothing that must hold may rest on its view.
+/// Detects which routers are alive, by gossip as in SWIM: one ping per period,
+/// indirect pings if needed, and rumours that piggyback on pings and acks.
+/// Without new rumours, the cost per second does not grow with the fleet.
+/// Deterministic: events in, actions out. No safety property may depend on its
+/// view.
 class MembershipTable {
 public:
   explicit MembershipTable(MembershipSettings Settings);
 
-  /// Takes one event and says what to do. Costs O(members) where something
-  /// changed and at each period; O(news) otherwise.
+  /// Handles one event and returns the actions to perform. Costs O(members) if
+  /// something changed and once per period, and O(rumours) otherwise.
   std::vector<MembershipAction> handle(TimePoint Now,
                                        const MembershipEvent &Event);
 
-  /// The view last given by `ViewChanged`; at first this router alone.
-  const View &view() const { return this->Current; }
+  /// The view last published by `ViewChanged`; initially this router alone.
+  const View &view() const { return this->CurrentView; }
 
-  /// Addresses of a member that is not dead, this router included; null else.
+  /// The addresses of a member that is not dead, or of this router; otherwise
+  /// null.
   const RouterRecord *recordOf(RouterId Router) const;
 
-  /// Whether a later process bears this router's name.
-  bool superseded() const { return this->Over; }
+  /// Whether a later process has this router's name.
+  bool superseded() const { return this->IsSuperseded; }
 
-  /// Members, their status, and counts of what happened.
+  /// The members, their status, and event counters.
   Poco::JSON::Object::Ptr dump() const;
 
 private:
   struct Probe {
     RouterId Target;
     std::uint32_t Number = 0;
-    TimePoint Sent;
+    TimePoint SentAt;
     bool Indirect = false;
   };
 
-  /// A ping made for another router.
+  /// A ping sent on behalf of another router.
   struct ForwardedPing {
-    RouterId For;
+    RouterId Requester;
     std::uint32_t Number = 0;
-    TimePoint Started;
+    TimePoint StartedAt;
   };
 
   void on(TimePoint Now, const MembershipMessageReceived &Event);
@@ -105,12 +110,12 @@
   void refute(const MemberRumour &Rumour);
   Duration maxDisagreement() const;
   void compareViews(TimePoint Now, const MembershipMessageReceived &Event);
-  void answer(TimePoint Now, const MembershipMessageReceived &Event);
+  void respond(TimePoint Now, const MembershipMessageReceived &Event);
   void onAck(TimePoint Now, const MembershipMessageReceived &Event);
   void requestIntroduction(TimePoint Now, const std::string &Address);
   void supersede(Incarnation By);
 
-  // Time.
+  // Timers.
   void startPeriod(TimePoint Now);
   void concludeProbe(TimePoint Now);
   void probeIndirectly(TimePoint Now);
@@ -118,18 +123,18 @@
   void contactSeeds(TimePoint Now);
   void gossip(TimePoint Now);
   std::optional<RouterId> nextToProbe();
-  void considerHint(const PlatformRouter &Hint);
+  void applyHint(const PlatformRouter &Hint);
 
   // Sending.
-  MembershipMessage message(TimePoint Now, MembershipKind Kind,
-                            std::uint32_t Number);
+  MembershipMessage makeMessage(TimePoint Now, MembershipKind Kind,
+                                std::uint32_t Number);
   void attachRumours(TimePoint Now, MembershipMessage &Message);
   void attachSuspicion(RouterId To, MembershipMessage &Message) const;
   void send(RouterId To, MembershipMessage Message, bool Urgent);
-  void sendState(TimePoint Now, const MembershipMessageReceived &Asked);
+  void sendState(TimePoint Now, const MembershipMessageReceived &Request);
   void requestState(TimePoint Now, RouterId From);
-  void spread(RouterId Router);
-  std::vector<RouterId> pick(std::size_t Count, RouterId Except);
+  void spreadRumour(RouterId Router);
+  std::vector<RouterId> pickRandom(std::size_t Count, RouterId Except);
   MemberRumour selfRumour() const;
   void introduceSelf(MembershipMessage &Message) const;
   std::uint64_t viewHash() const;
@@ -139,18 +144,19 @@
   MemberList Members;
   RumourQueue Rumours;
   std::mt19937_64 Random;
-  std::vector<MembershipAction> Actions;
-  View Current;
+  std::vector<MembershipAction> PendingActions;
+  View CurrentView;
 
   std::uint32_t SelfRefutation = 0;
   bool SelfDraining = false;
-  bool PublishedDraining = false; ///< As in `Current`.
-  bool Over = false;
+  bool PublishedDraining = false; ///< As in `CurrentView`.
+  bool IsSuperseded = false;
 
-  std::optional<Probe> Pending;
+  std::optional<Probe> PendingProbe;
   std::map<std::uint32_t, ForwardedPing> ForwardedPings;
   std::vector<RouterId> ProbeOrder;
-  std::vector<RouterId> ProbeFirst;  ///< Doubted by the platform's list.
+  /// To be probed first, since the platform's list names them as leaving.
+  std::vector<RouterId> PriorityProbes;
   std::vector<std::string> Contacts; ///< Addresses from the platform.
   std::uint32_t LastNumber = 0;
   std::size_t NextSeed = 0;
@@ -163,7 +169,7 @@
   TimePoint NextDeadProbe;
   TimePoint NextSeedContact;
   TimePoint NextStateRequest;
-  std::optional<TimePoint> DisagreedSince;
+  std::optional<TimePoint> DisagreementSince;
 
   std::uint64_t Suspicions = 0;
   std::uint64_t Deaths = 0;
--- a/src/Decision/Membership/MembershipTypes.h
+++ b/src/Decision/Membership/MembershipTypes.h
@@ -14,8 +14,8 @@
 
 namespace parsleywing {
 
-/// What one router believes of another, in the order in which a claim beats
-/// an equally fresh one.
+/// The status of a router in the opinion of another one, in ascending order of
+/// precedence among rumours with the same refutation number.
 enum class MemberStatus : std::uint8_t { Alive, Suspect, Dead };
 
 inline constexpr EnumNames<MemberStatus, 3> MemberStatusNames{{
@@ -24,14 +24,14 @@
     {MemberStatus::Dead, "dead"},
 }};
 
-/// Where a router process can be reached. It does not change in one life.
+/// The addresses of a router process. They do not change during its lifetime.
 struct RouterRecord {
   RouterId Router;
   Incarnation IncarnationNumber = 0;
   std::uint32_t Zone = 0; ///< Hash of the availability zone's name.
   std::string Name;
   std::string PeerAddress;   ///< IP:port of its peer sockets.
-  std::string CallerAddress; ///< IP:port where callers reach it.
+  std::string CallerAddress; ///< IP:port at which callers reach it.
 
   template <class Archive> void serialize(Archive &Ar) {
     Ar(this->Router.Value, this->IncarnationNumber, this->Zone, this->Name,
@@ -39,11 +39,13 @@
   }
 };
 
-/// A claim about a router, passed on from router to router. 22 bytes encoded.
+/// A statement about a router that is passed on from router to router. Encoded
+/// in 22 bytes.
 struct MemberRumour {
   RouterId Router;
   Incarnation IncarnationNumber = 0;
-  /// Raised by the router itself each time it contradicts a claim about it.
+  /// Incremented by the router itself each time it refutes a rumour about
+  /// itself.
   std::uint32_t Refutation = 0;
   MemberStatus Status = MemberStatus::Alive;
   bool Draining = false;
@@ -54,14 +56,15 @@
   }
 };
 
-/// What a membership message asks or answers.
+/// The type of a membership message.
 enum class MembershipKind : std::uint8_t {
-  Ping,         ///< Answer with an Ack of the same number.
-  Ack,          ///< The answer to a Ping or, passed on, to a PingRequest.
-  PingRequest,  ///< Ping `Target` and pass its Ack on to the sender.
-  Gossip,       ///< Only carries rumours.
-  StateRequest, ///< Answer with a State.
-  State,        ///< All rumours and records the sender has; goes in bulk.
+  Ping,         ///< Requests an Ack with the same number.
+  Ack,          ///< Confirms a Ping or, forwarded, a PingRequest.
+  PingRequest,  ///< Requests to ping `Target` and to forward its Ack to the
+                ///< sender.
+  Gossip,       ///< Carries rumours only.
+  StateRequest, ///< Requests a State.
+  State, ///< All rumours and records of the sender; sent over the bulk channel.
 };
 
 inline constexpr EnumNames<MembershipKind, 6> MembershipKindNames{{
@@ -77,7 +80,7 @@
 struct MembershipMessage {
   MembershipKind Kind = MembershipKind::Gossip;
   std::uint32_t Number = 0; ///< Matches an Ack to its Ping.
-  RouterId Target;          ///< Of a PingRequest; else zero.
+  RouterId Target;          ///< Set in a PingRequest; otherwise zero.
   /// Hash of the sender's view; equal views have equal hashes.
   std::uint64_t ViewHash = 0;
   std::vector<MemberRumour> Rumours;
@@ -89,23 +92,25 @@
   }
 };
 
-/// A message came from a router process; the transport checked its origin.
+/// A message from a router process was received. The transport has
+/// authenticated the sender.
 struct MembershipMessageReceived {
   RouterId From;
   Incarnation IncarnationNumber = 0;
   MembershipMessage Message;
-  /// IP:port it came from; empty for bulk.
+  /// IP:port of the sender; empty for bulk messages.
   std::string Address;
 };
 
-/// A router as the platform knows it. Where the life is not known it is zero.
+/// A router as listed by the platform. An unknown incarnation number is zero.
 struct PlatformRouter {
   RouterId Router;
   Incarnation IncarnationNumber = 0;
   std::string PeerAddress;
 };
 
-/// The platform's list of VMs, which lags: it only suggests whom to ask.
+/// The platform's list of VMs. It lags behind, so it only selects which routers
+/// to ping.
 struct VmListChanged {
   std::vector<PlatformRouter> Live;
   std::vector<PlatformRouter> Leaving;
@@ -116,14 +121,15 @@
   std::vector<PlatformRouter> Holders;
 };
 
-/// Time went on. Wanted every 50 ms or so; a late one delays, nothing else.
+/// Time has passed. Expected about every 50 ms; a late tick only delays the
+/// protocol.
 struct MembershipTick {};
 
 using MembershipEvent =
     std::variant<MembershipMessageReceived, VmListChanged, LeaseListed,
                  MembershipTick, DrainRequested>;
 
-/// Send to a router whose address was given by `PeerAddressLearned`.
+/// Send to a router whose address was reported by `PeerAddressLearned`.
 struct SendMembershipMessage {
   RouterId To;
   MembershipMessage Message;
@@ -137,14 +143,14 @@
   MembershipMessage Message;
 };
 
-/// Where to reach a router from now on. Comes before any send to it.
+/// The address of a router from now on. Precedes any message to it.
 struct PeerAddressLearned {
   RouterId Router;
   std::string Address;
 };
 
-/// A later process bears this router's name: this one must take no callers,
-/// own nothing and end. Given once.
+/// A later process has this router's name. This process must accept no callers,
+/// own nothing, and exit. Reported once.
 struct Superseded {
   Incarnation By = 0;
 };
--- a/src/Decision/Membership/OwnerCache.h
+++ b/src/Decision/Membership/OwnerCache.h
@@ -9,26 +9,27 @@
 
 namespace parsleywing {
 
-/// Remembers the owner of each key that was asked for, and gives the same
-/// answers as `ownerOf`. A change of the view costs one pass over the
-/// remembered keys with one hash a key for each owner that joined, and a full
-/// computation for the keys of owners that left; `ownerOf` costs one hash a
-/// member at each call. Keys not asked for cost nothing. About 40 bytes a key.
-/// Not for keys that never recur, such as requests.
+/// Caches the owner of each key that was looked up; returns the same owners as
+/// the free function `ownerOf`. A view change costs one pass over the cached
+/// keys, with one hash per key for each router that joined and a complete
+/// computation for the keys of routers that left. The free function costs one
+/// hash per member for each call. Keys that were not looked up cost nothing.
+/// Uses about 40 bytes per key. Not intended for keys that do not recur, such
+/// as requests.
 class OwnerCache {
 public:
   explicit OwnerCache(const View &Current);
 
-  /// Takes over a view and returns the remembered keys whose owner it moves, in
-  /// no particular order.
+  /// Applies a view and returns the cached keys whose owner changes, in no
+  /// particular order.
   std::vector<std::uint64_t> update(const View &Next);
 
-  /// The owner of this key in the view taken over last.
+  /// The owner of this key in the view applied last.
   RouterId ownerOf(std::uint64_t Key);
 
   std::size_t size() const { return this->Owners.size(); }
 
-  /// Forgets all keys, as when the declarations were replaced.
+  /// Removes all keys, for instance after the declarations were replaced.
   void clear() { this->Owners.clear(); }
 
 private:
@@ -40,7 +41,8 @@
   Owner compute(std::uint64_t Key) const;
 
   RouterId Self;
-  std::vector<RouterId> Candidates; ///< Members that do not drain, in order.
+  std::vector<RouterId>
+      Candidates; ///< Members that are not draining, in ascending order.
   std::unordered_map<std::uint64_t, Owner> Owners;
 };
 
--- a/src/Decision/Membership/RumourQueue.cpp
+++ b/src/Decision/Membership/RumourQueue.cpp
@@ -4,12 +4,12 @@
 
 namespace parsleywing {
 
-std::vector<RouterId> RumourQueue::take(std::size_t Most) {
+std::vector<RouterId> RumourQueue::take(std::size_t MaxCount) {
   std::vector<std::pair<unsigned, RouterId>> ByNews;
-  ByNews.reserve(this->Left.size());
-  for (const auto &[Router, Times] : this->Left)
+  ByNews.reserve(this->RemainingSends.size());
+  for (const auto &[Router, Times] : this->RemainingSends)
     ByNews.emplace_back(Times, Router);
-  const std::size_t Count = std::min(Most, ByNews.size());
+  const std::size_t Count = std::min(MaxCount, ByNews.size());
   std::partial_sort(ByNews.begin(),
                     ByNews.begin() + static_cast<std::ptrdiff_t>(Count),
                     ByNews.end(), [](const auto &Left, const auto &Right) {
@@ -22,8 +22,8 @@
   for (std::size_t Index = 0; Index < Count; ++Index) {
     const RouterId Router = ByNews[Index].second;
     Taken.push_back(Router);
-    if (--this->Left[Router] == 0)
-      this->Left.erase(Router);
+    if (--this->RemainingSends[Router] == 0)
+      this->RemainingSends.erase(Router);
   }
   return Taken;
 }
--- a/src/Decision/Membership/RumourQueue.h
+++ b/src/Decision/Membership/RumourQueue.h
@@ -9,22 +9,25 @@
 
 namespace parsleywing {
 
-/// The routers of which there is news, each with how often it still is to be
-/// passed on. What went out least goes first, so that fresh news is not held
-/// up by old news.
+/// The routers whose rumours are still to be passed on, each with the remaining
+/// number of transmissions. Rumours with the fewest transmissions so far are
+/// sent first, so that old rumours do not delay new ones.
 class RumourQueue {
 public:
-  /// Starts passing on news of this router afresh, `Times` times.
-  void add(RouterId Router, unsigned Times) { this->Left[Router] = Times; }
+  /// Passes on the rumour about this router `Times` times, counted from now.
+  void add(RouterId Router, unsigned Times) {
+    this->RemainingSends[Router] = Times;
+  }
 
-  /// Up to `Most` routers whose news goes into the next message.
-  std::vector<RouterId> take(std::size_t Most);
+  /// Returns up to `MaxCount` routers whose rumours are included in the next
+  /// message.
+  std::vector<RouterId> take(std::size_t MaxCount);
 
-  bool empty() const { return this->Left.empty(); }
-  std::size_t size() const { return this->Left.size(); }
+  bool empty() const { return this->RemainingSends.empty(); }
+  std::size_t size() const { return this->RemainingSends.size(); }
 
 private:
-  std::map<RouterId, unsigned> Left;
+  std::map<RouterId, unsigned> RemainingSends;
 };
 
 } // namespace parsleywing
--- a/src/Decision/Membership/View.h
+++ b/src/Decision/Membership/View.h
@@ -8,25 +8,26 @@
 
 namespace parsleywing {
 
-/// Tells a router process from an earlier or later one of the same name. Drawn
-/// from the wall clock at start, so a later process has the higher number.
+/// Distinguishes a router process from earlier and later ones of the same name.
+/// Taken from the wall clock at the start, so that a later process has a higher
+/// number.
 using Incarnation = std::uint64_t;
 
-/// One router as another sees it.
+/// One router in a view.
 struct Member {
   RouterId Router;
   Incarnation IncarnationNumber = 0;
-  /// It takes no new callers and owns nothing, but still finishes its work.
+  /// It accepts no new callers and owns nothing, but finishes its current work.
   bool Draining = false;
-  /// The hash of its availability zone's name; equal in every process.
+  /// The hash of its availability zone's name; equal in all processes.
   std::uint32_t Zone = 0;
 
   friend bool operator==(const Member &, const Member &) = default;
 };
 
-/// The routers that one router believes alive, itself among them, in the order
-/// of their identities. Views of two routers may differ at any time; nothing
-/// that must hold rests on their being equal.
+/// The routers that one router believes alive, including itself, ordered by
+/// identity. The views of two routers may differ at any time; no safety
+/// property may depend on their being equal.
 struct View {
   RouterId Self;
   std::vector<Member> Members;
@@ -34,17 +35,17 @@
   friend bool operator==(const View &, const View &) = default;
 };
 
-/// The routers believed alive changed.
+/// The set of routers believed alive has changed.
 struct ViewChanged {
   View Current;
 };
 
-/// The operator or the platform wants this router to finish what it holds and
+/// The operator or the platform requests that this router finish its work and
 /// leave.
 struct DrainRequested {};
 
-/// The member that owns the key by rendezvous hashing, among those that do not
-/// drain; the router itself where there is no other. Costs one hash a member.
+/// The owner of the key by rendezvous hashing among the members that are not
+/// draining; this router if there are none. Costs one hash per member.
 RouterId ownerOf(const View &Current, std::uint64_t Key);
 
 } // namespace parsleywing
--- a/test/Decision/FairnessFleet.cpp
+++ b/test/Decision/FairnessFleet.cpp
@@ -31,47 +31,47 @@
   for (std::size_t I = 0; I < S.Accounts; ++I) {
     // Every fourth account is large: more share, more entries, a long queue.
     const bool Large = I % 4 == 0;
-    ToyAccount Account;
+    SimulatedAccount Account;
     Account.Name = idOf<AccountId>("account-" + std::to_string(I));
     Account.Share = Large ? 4 : 1;
-    Account.WaitingGoal = Large ? 24 : 6;
+    Account.TargetQueueLength = Large ? 24 : 6;
     const std::size_t Entries = std::min<std::size_t>(S.Routers, Large ? 4 : 2);
-    while (Account.Entries.size() < Entries) {
+    while (Account.EntryRouters.size() < Entries) {
       // Uneven: low-numbered routers get more callers.
       const std::size_t At =
-          std::min(this->pick(S.Routers), this->pick(S.Routers));
-      if (!std::ranges::count(Account.Entries, At))
-        Account.Entries.push_back(At);
+          std::min(this->drawIndex(S.Routers), this->drawIndex(S.Routers));
+      if (!std::ranges::count(Account.EntryRouters, At))
+        Account.EntryRouters.push_back(At);
     }
     All.Accounts[Account.Name].Share =
         static_cast<std::uint32_t>(Account.Share);
     this->Accounts.push_back(Account);
   }
-  this->InForce = std::make_shared<const Declarations>(All);
+  this->ActiveDeclarations = std::make_shared<const Declarations>(All);
   for (std::size_t I = 0; I < S.Routers; ++I) {
-    ToyRouter Router;
+    SimulatedRouter Router;
     Router.Name = idOf<RouterId>("router-" + std::to_string(I));
     this->Routers.push_back(std::move(Router));
   }
   std::ranges::sort(this->Routers, {},
-                    [](const ToyRouter &R) { return R.Name.Value; });
+                    [](const SimulatedRouter &R) { return R.Name.Value; });
   for (std::size_t I = 0; I < S.Routers; ++I) {
     this->restart(I);
     this->ViewDue[I] = this->Time.now();
   }
-  this->startMeasure();
+  this->startMeasurement();
 }
 
-bool FairnessFleet::chance(double Probability) {
-  return this->between(0, 1) < Probability;
+bool FairnessFleet::drawBool(double Probability) {
+  return this->drawUniform(0, 1) < Probability;
 }
 
-double FairnessFleet::between(double Low, double High) {
+double FairnessFleet::drawUniform(double Low, double High) {
   return Low +
          (High - Low) * static_cast<double>(this->Random() >> 11) * 0x1p-53;
 }
 
-std::size_t FairnessFleet::pick(std::size_t Count) {
+std::size_t FairnessFleet::drawIndex(std::size_t Count) {
   return static_cast<std::size_t>(this->Random() % Count);
 }
 
@@ -84,59 +84,63 @@
 void FairnessFleet::step() {
   this->Time.advance(Step);
   ++this->Steps;
-  this->tellViews();
+  this->deliverViews();
   this->deliver();
-  this->arrive();
+  this->generateRequests();
   for (std::size_t I = 0; I < this->Servers.size(); ++I)
     this->runEngine(I);
   if (this->Steps % StepsPerReport == 0)
     this->reportLoads();
   for (std::size_t I = 0; I < this->Routers.size(); ++I)
-    this->give(I, Tick{});
+    this->handleEvent(I, Tick{});
   if (this->Steps % 10 == 0)
     this->measure();
 }
 
-void FairnessFleet::give(std::size_t Router, const FairnessEvent &Event) {
-  ToyRouter &At = this->Routers[Router];
+void FairnessFleet::handleEvent(std::size_t Router,
+                                const FairnessEvent &Event) {
+  SimulatedRouter &At = this->Routers[Router];
   for (const FairnessAction &Wanted :
        At.Scheduler->handle(this->Time.now(), Event))
     std::visit(
-        Overloaded{[&](const AdmitRequest &A) {
-                     ToyRequest &Request = this->Requests.at(A.Request.Value);
-                     PARSLEYWING_INVARIANT(!Request.Server, "admitted once");
-                     const auto Server = std::ranges::find(
-                         this->Servers, A.Server, &ToyServer::Name);
-                     PARSLEYWING_INVARIANT(
-                         At.Conditions[A.Server] == ServerCondition::Usable,
-                         "no work for a server known to leave");
-                     Request.Server = Server - this->Servers.begin();
-                     --At.Waiting[Request.Account];
-                     Server->Requests.push_back(A.Request.Value);
-                   },
-                   [&](const SendFairMessage &A) { this->post(Router, A); }},
+        Overloaded{
+            [&](const AdmitRequest &A) {
+              SimulatedRequest &Request = this->Requests.at(A.Request.Value);
+              PARSLEYWING_INVARIANT(!Request.Server, "admitted once");
+              const auto Server = std::ranges::find(this->Servers, A.Server,
+                                                    &SimulatedServer::Name);
+              PARSLEYWING_INVARIANT(At.Conditions[A.Server] ==
+                                        ServerCondition::Usable,
+                                    "no work for a server known to leave");
+              Request.Server = Server - this->Servers.begin();
+              --At.Waiting[Request.Account];
+              Server->Requests.push_back(A.Request.Value);
+            },
+            [&](const SendFairMessage &A) { this->sendMessage(Router, A); }},
         Wanted);
 }
 
-void FairnessFleet::post(std::size_t From, const SendFairMessage &Message) {
+void FairnessFleet::sendMessage(std::size_t From,
+                                const SendFairMessage &Message) {
   const auto To =
-      std::ranges::find(this->Routers, Message.To, &ToyRouter::Name);
-  if (this->Routers[From].Cut != To->Cut)
+      std::ranges::find(this->Routers, Message.To, &SimulatedRouter::Name);
+  if (this->Routers[From].Disconnected != To->Disconnected)
     return;
-  const std::size_t Copies = this->chance(this->Setup.Loss)       ? 0
-                             : this->chance(this->Setup.Doubling) ? 2
-                                                                  : 1;
+  const std::size_t Copies = this->drawBool(this->Setup.Loss)          ? 0
+                             : this->drawBool(this->Setup.Duplication) ? 2
+                                                                       : 1;
   for (std::size_t I = 0; I < Copies; ++I) {
     // One in fifty is late enough to be overtaken.
-    const double Delay = this->chance(0.02) ? this->between(0.1, 2)
-                                            : this->between(0.001, 0.015);
+    const double Delay = this->drawBool(0.02) ? this->drawUniform(0.1, 2)
+                                              : this->drawUniform(0.001, 0.015);
     const TimePoint Due =
         this->Time.now() + Duration(static_cast<Duration::rep>(Delay * 1e6));
     this->Network.emplace(
-        Due, Datagram{Due,
-                      static_cast<std::size_t>(To - this->Routers.begin()),
-                      {this->Routers[From].Name, this->Routers[From].Life,
-                       Message.Message}});
+        Due,
+        Datagram{Due,
+                 static_cast<std::size_t>(To - this->Routers.begin()),
+                 {this->Routers[From].Name,
+                  this->Routers[From].IncarnationNumber, Message.Message}});
   }
 }
 
@@ -144,92 +148,93 @@
   while (!this->Network.empty() &&
          this->Network.begin()->first <= this->Time.now()) {
     const Datagram Next = this->Network.extract(this->Network.begin()).mapped();
-    this->give(Next.To, Next.Content);
+    this->handleEvent(Next.To, Next.Content);
   }
 }
 
-void FairnessFleet::arrive() {
+void FairnessFleet::generateRequests() {
   for (std::size_t I = 0; I < this->Accounts.size(); ++I)
-    for (std::size_t Entry : this->Accounts[I].Entries)
-      while (this->Routers[Entry].Waiting[I] < this->Accounts[I].WaitingGoal) {
-        ToyRequest Request;
+    for (std::size_t Entry : this->Accounts[I].EntryRouters)
+      while (this->Routers[Entry].Waiting[I] <
+             this->Accounts[I].TargetQueueLength) {
+        SimulatedRequest Request;
         Request.Account = I;
         Request.Router = Entry;
         Request.Cost =
-            this->between(this->Setup.SmallestCost, this->Setup.LargestCost);
+            this->drawUniform(this->Setup.MinCost, this->Setup.MaxCost);
         const double Error =
-            std::pow(this->Setup.HintError, this->between(-1, 1));
+            std::pow(this->Setup.HintError, this->drawUniform(-1, 1));
         const std::uint64_t Name = this->NextRequest++;
         this->Requests[Name] = Request;
         ++this->Routers[Entry].Waiting[I];
-        this->give(Entry,
-                   RequestQueued{
+        this->handleEvent(
+            Entry, RequestQueued{
                        RequestId{Name}, this->Accounts[I].Name, Service,
                        static_cast<std::uint64_t>(1 + Request.Cost * Error)});
       }
 }
 
 void FairnessFleet::runEngine(std::size_t Server) {
-  ToyServer &Engine = this->Servers[Server];
+  SimulatedServer &Engine = this->Servers[Server];
   const std::size_t Running =
       std::min<std::size_t>(Engine.Requests.size(), this->Setup.Concurrency);
   if (Engine.Condition == ServerCondition::Usable) {
-    this->Slots += this->Setup.Concurrency;
-    this->Busy += static_cast<double>(Running);
+    this->CapacitySteps += this->Setup.Concurrency;
+    this->BusySteps += static_cast<double>(Running);
   }
   const auto Above = static_cast<std::uint32_t>(Engine.Requests.size());
   if (Above > this->Setup.MaxConcurrent)
-    this->MostAbove =
-        std::max(this->MostAbove, Above - this->Setup.MaxConcurrent);
+    this->MaxAbove =
+        std::max(this->MaxAbove, Above - this->Setup.MaxConcurrent);
   std::vector<std::uint64_t> Now(Engine.Requests.begin(),
                                  Engine.Requests.begin() +
                                      static_cast<std::ptrdiff_t>(Running));
   for (std::uint64_t Name : Now) {
-    ToyRequest &Request = this->Requests.at(Name);
+    SimulatedRequest &Request = this->Requests.at(Name);
     const double Tokens = std::min(this->Setup.TokensPerSecond * StepSeconds,
-                                   Request.Cost - Request.Done);
-    Request.Done += Tokens;
+                                   Request.Cost - Request.CompletedTokens);
+    Request.CompletedTokens += Tokens;
     this->Accounts[Request.Account].Served += Tokens;
     const std::size_t Router = Request.Router;
-    if (Request.Done < Request.Cost) {
-      if (Request.Done < Request.Reported + 50)
+    if (Request.CompletedTokens < Request.Cost) {
+      if (Request.CompletedTokens < Request.ReportedTokens + 50)
         continue;
-      Request.Reported = Request.Done;
-      this->give(Router,
-                 RequestCharged{RequestId{Name},
-                                static_cast<std::uint64_t>(Request.Done)});
+      Request.ReportedTokens = Request.CompletedTokens;
+      this->handleEvent(Router, RequestCharged{RequestId{Name},
+                                               static_cast<std::uint64_t>(
+                                                   Request.CompletedTokens)});
       continue;
     }
     const auto Whole = static_cast<std::uint64_t>(std::llround(Request.Cost));
     std::erase(Engine.Requests, Name);
     this->Requests.erase(Name);
-    this->give(Router, RequestReleased{RequestId{Name}, Whole});
+    this->handleEvent(Router, RequestReleased{RequestId{Name}, Whole});
   }
 }
 
 void FairnessFleet::reportLoads() {
-  for (ToyServer &Engine : this->Servers) {
+  for (SimulatedServer &Engine : this->Servers) {
     const auto All = static_cast<std::uint32_t>(Engine.Requests.size());
     const std::uint32_t Running = std::min(All, this->Setup.Concurrency);
-    Engine.OldLoads.emplace_back(Running, All - Running);
-    if (Engine.OldLoads.size() <= ReportLag)
+    Engine.PendingReports.emplace_back(Running, All - Running);
+    if (Engine.PendingReports.size() <= ReportLag)
       continue;
-    const auto [R, W] = Engine.OldLoads.front();
-    Engine.OldLoads.pop_front();
+    const auto [R, W] = Engine.PendingReports.front();
+    Engine.PendingReports.pop_front();
     for (std::size_t I = 0; I < this->Routers.size(); ++I)
-      this->give(I, LoadReported{Engine.Name, R, W});
+      this->handleEvent(I, LoadReported{Engine.Name, R, W});
   }
 }
 
 View FairnessFleet::viewOf(std::size_t Router) const {
   View Seen{this->Routers[Router].Name, {}};
-  for (const ToyRouter &Other : this->Routers)
-    if (Other.Cut == this->Routers[Router].Cut)
-      Seen.Members.push_back({Other.Name, Other.Life, false});
+  for (const SimulatedRouter &Other : this->Routers)
+    if (Other.Disconnected == this->Routers[Router].Disconnected)
+      Seen.Members.push_back({Other.Name, Other.IncarnationNumber, false});
   return Seen;
 }
 
-void FairnessFleet::tellViews() {
+void FairnessFleet::deliverViews() {
   for (auto At = this->ViewDue.begin(); At != this->ViewDue.end();) {
     const auto [Router, Due] = *At;
     if (Due > this->Time.now()) {
@@ -237,27 +242,27 @@
       continue;
     }
     At = this->ViewDue.erase(At);
-    this->give(Router, ViewChanged{this->viewOf(Router)});
+    this->handleEvent(Router, ViewChanged{this->viewOf(Router)});
   }
 }
 
-void FairnessFleet::cutOff(std::size_t Router, bool Cut) {
-  this->Routers[Router].Cut = Cut;
+void FairnessFleet::setDisconnected(std::size_t Router, bool Disconnected) {
+  this->Routers[Router].Disconnected = Disconnected;
   for (std::size_t I = 0; I < this->Routers.size(); ++I)
     this->ViewDue[I] =
         this->Time.now() +
-        Duration(static_cast<Duration::rep>(this->between(0.5e6, 2e6)));
+        Duration(static_cast<Duration::rep>(this->drawUniform(0.5e6, 2e6)));
 }
 
 void FairnessFleet::restart(std::size_t Router) {
-  ToyRouter &At = this->Routers[Router];
+  SimulatedRouter &At = this->Routers[Router];
   if (At.Scheduler) {
-    this->LostBytes += At.Scheduler->counters().BytesSent;
-    this->LostMoves += At.Scheduler->counters().SlotsGranted;
+    this->EndedBytes += At.Scheduler->counters().BytesSent;
+    this->EndedMoves += At.Scheduler->counters().SlotsGranted;
   }
-  ++At.Life;
+  ++At.IncarnationNumber;
   FairnessSettings Own = this->Setup.Fairness;
-  Own.Seed = this->Setup.Seed * 1000003 + Router * 7919 + At.Life;
+  Own.Seed = this->Setup.Seed * 1000003 + Router * 7919 + At.IncarnationNumber;
   At.Scheduler.emplace(Own);
   At.Waiting.assign(this->Accounts.size(), 0);
   // Its streams break with it; its callers come again.
@@ -270,17 +275,18 @@
     this->Requests.erase(This);
   }
   At.Conditions.clear();
-  this->give(Router, DeclarationsChanged{this->InForce});
-  this->give(Router, ViewChanged{this->viewOf(Router)});
-  for (const ToyServer &Server : this->Servers) {
+  this->handleEvent(Router, DeclarationsChanged{this->ActiveDeclarations});
+  this->handleEvent(Router, ViewChanged{this->viewOf(Router)});
+  for (const SimulatedServer &Server : this->Servers) {
     At.Conditions[Server.Name] = Server.Condition;
-    this->give(Router, ServerConditionChanged{Server.Name, Server.Condition});
+    this->handleEvent(Router,
+                      ServerConditionChanged{Server.Name, Server.Condition});
   }
   for (std::size_t I = 0; I < this->Routers.size(); ++I)
     if (I != Router)
       this->ViewDue[I] =
           this->Time.now() +
-          Duration(static_cast<Duration::rep>(this->between(0.2e6, 2e6)));
+          Duration(static_cast<Duration::rep>(this->drawUniform(0.2e6, 2e6)));
 }
 
 void FairnessFleet::setCondition(std::size_t Server,
@@ -289,43 +295,43 @@
   const ServerId Name = this->Servers[Server].Name;
   for (std::size_t I = 0; I < this->Routers.size(); ++I) {
     this->Routers[I].Conditions[Name] = Condition;
-    this->give(I, ServerConditionChanged{Name, Condition});
+    this->handleEvent(I, ServerConditionChanged{Name, Condition});
   }
 }
 
-void FairnessFleet::setWaitingGoal(std::size_t Account, std::size_t Requests) {
-  this->Accounts[Account].WaitingGoal = Requests;
+void FairnessFleet::setQueueLength(std::size_t Account, std::size_t Requests) {
+  this->Accounts[Account].TargetQueueLength = Requests;
 }
 
 void FairnessFleet::enterOnlyAt(std::size_t Router) {
-  for (ToyAccount &Account : this->Accounts)
-    Account.Entries = {Router};
+  for (SimulatedAccount &Account : this->Accounts)
+    Account.EntryRouters = {Router};
 }
 
 std::uint64_t FairnessFleet::bytes() const {
-  std::uint64_t Sum = this->LostBytes;
-  for (const ToyRouter &Router : this->Routers)
+  std::uint64_t Sum = this->EndedBytes;
+  for (const SimulatedRouter &Router : this->Routers)
     Sum += Router.Scheduler->counters().BytesSent;
   return Sum;
 }
 
 std::uint64_t FairnessFleet::moves() const {
-  std::uint64_t Sum = this->LostMoves;
-  for (const ToyRouter &Router : this->Routers)
+  std::uint64_t Sum = this->EndedMoves;
+  for (const SimulatedRouter &Router : this->Routers)
     Sum += Router.Scheduler->counters().SlotsGranted;
   return Sum;
 }
 
-void FairnessFleet::startMeasure() {
-  this->MeasuredFrom = this->Time.now();
-  this->Slots = 0;
-  this->Busy = 0;
-  this->MostAbove = 0;
+void FairnessFleet::startMeasurement() {
+  this->MeasurementStart = this->Time.now();
+  this->CapacitySteps = 0;
+  this->BusySteps = 0;
+  this->MaxAbove = 0;
   this->BytesAtStart = this->bytes();
   this->MovesAtStart = this->moves();
-  for (ToyAccount &Account : this->Accounts) {
+  for (SimulatedAccount &Account : this->Accounts) {
     Account.ServedAtStart = Account.Served;
-    Account.Measured = Account.WaitingGoal > 0;
+    Account.Measured = Account.TargetQueueLength > 0;
   }
   this->Differences.assign(this->Accounts.size() * this->Accounts.size(),
                            {0, 0});
@@ -333,7 +339,7 @@
 
 void FairnessFleet::measure() {
   const auto Got = [this](std::size_t I) {
-    const ToyAccount &Account = this->Accounts[I];
+    const SimulatedAccount &Account = this->Accounts[I];
     return (Account.Served - Account.ServedAtStart) / Account.Share;
   };
   for (std::size_t I = 0; I < this->Accounts.size(); ++I)
@@ -354,12 +360,12 @@
 }
 
 double FairnessFleet::utilisation() const {
-  return this->Slots == 0 ? 1 : this->Busy / this->Slots;
+  return this->CapacitySteps == 0 ? 1 : this->BusySteps / this->CapacitySteps;
 }
 
 double FairnessFleet::bytesPerSecond() const {
   const double Seconds =
-      std::chrono::duration<double>(this->Time.now() - this->MeasuredFrom)
+      std::chrono::duration<double>(this->Time.now() - this->MeasurementStart)
           .count();
   return static_cast<double>(this->bytes() - this->BytesAtStart) / Seconds /
          static_cast<double>(this->Routers.size());
@@ -367,14 +373,14 @@
 
 double FairnessFleet::slotMovesPerSecond() const {
   const double Seconds =
-      std::chrono::duration<double>(this->Time.now() - this->MeasuredFrom)
+      std::chrono::duration<double>(this->Time.now() - this->MeasurementStart)
           .count();
   return static_cast<double>(this->moves() - this->MovesAtStart) / Seconds;
 }
 
 std::vector<double> FairnessFleet::served() const {
   std::vector<double> All;
-  for (const ToyAccount &Account : this->Accounts)
+  for (const SimulatedAccount &Account : this->Accounts)
     if (Account.Measured)
       All.push_back((Account.Served - Account.ServedAtStart) / Account.Share);
   return All;
@@ -382,7 +388,7 @@
 
 std::size_t FairnessFleet::waiting() const {
   std::size_t Sum = 0;
-  for (const ToyRouter &Router : this->Routers)
+  for (const SimulatedRouter &Router : this->Routers)
     for (std::size_t Waiting : Router.Waiting)
       Sum += Waiting;
   return Sum;
@@ -390,7 +396,7 @@
 
 double FairnessFleet::bound() const {
   double Shares = 0;
-  for (const ToyAccount &Account : this->Accounts)
+  for (const SimulatedAccount &Account : this->Accounts)
     if (Account.Measured)
       Shares += Account.Share;
   const double Engines = static_cast<double>(this->Setup.Servers);
@@ -404,8 +410,8 @@
   const double Exchange = Seconds(F.ContributionInterval) +
                           2 * Seconds(F.FlushInterval) +
                           2 * Seconds(F.DigestInterval);
-  const double InFlight = (SlotsAShare + 1) * this->Setup.LargestCost;
-  const double Slack = (F.ReturnSlack + 1) * this->Setup.LargestCost;
+  const double InFlight = (SlotsAShare + 1) * this->Setup.MaxCost;
+  const double Slack = (F.ReturnSlack + 1) * this->Setup.MaxCost;
   return 2 * (InFlight + Rate * Exchange + Slack);
 }
 
--- a/test/Decision/FairnessRandomTest.cpp
+++ b/test/Decision/FairnessRandomTest.cpp
@@ -40,7 +40,7 @@
     const std::size_t Router = Random() % Fleet.routers();
     switch (Random() % 6) {
     case 0:
-      Fleet.cutOff(Router, true);
+      Fleet.setDisconnected(Router, true);
       break;
     case 1:
       Fleet.restart(Router);
@@ -49,10 +49,10 @@
       Fleet.setCondition(Random() % 16, ServerCondition::Leaving);
       break;
     case 3:
-      Fleet.setWaitingGoal(Random() % 16, 200);
+      Fleet.setQueueLength(Random() % 16, 200);
       break;
     case 4:
-      Fleet.setWaitingGoal(Random() % 16, 0);
+      Fleet.setQueueLength(Random() % 16, 0);
       break;
     default:
       break;
@@ -63,10 +63,10 @@
 
 void mend(FairnessFleet &Fleet) {
   for (std::size_t I = 0; I < Fleet.routers(); ++I)
-    Fleet.cutOff(I, false);
+    Fleet.setDisconnected(I, false);
   for (std::size_t I = 0; I < 16; ++I) {
     Fleet.setCondition(I, ServerCondition::Usable);
-    Fleet.setWaitingGoal(I, I % 4 == 0 ? 24 : 6);
+    Fleet.setQueueLength(I, I % 4 == 0 ? 24 : 6);
   }
 }
 
@@ -88,20 +88,20 @@
     disturb(Fleet, Seed);
     mend(Fleet);
     Fleet.run(Restoration);
-    Fleet.startMeasure();
+    Fleet.startMeasurement();
     Fleet.run(Steady);
     const std::vector<double> Served = Fleet.served();
     std::fprintf(stderr,
                  "seed %llu: gap %.0f of %.0f, utilisation %.3f, above %u\n",
                  static_cast<unsigned long long>(Seed), Fleet.gap(),
-                 Fleet.bound(), Fleet.utilisation(), Fleet.mostAboveDeclared());
+                 Fleet.bound(), Fleet.utilisation(), Fleet.maxAboveDeclared());
     cr_expect_leq(Fleet.gap(), Fleet.bound(), "gap, seed %llu",
                   static_cast<unsigned long long>(Seed));
     cr_expect_leq(Fleet.gap(), NarrowBound, "narrow gap, seed %llu",
                   static_cast<unsigned long long>(Seed));
     cr_expect_geq(Fleet.utilisation(), 0.97, "utilisation, seed %llu",
                   static_cast<unsigned long long>(Seed));
-    cr_expect_eq(Fleet.mostAboveDeclared(), 0U, "slots, seed %llu",
+    cr_expect_eq(Fleet.maxAboveDeclared(), 0U, "slots, seed %llu",
                  static_cast<unsigned long long>(Seed));
     cr_expect_gt(std::ranges::min(Served), 0.0, "starved, seed %llu",
                  static_cast<unsigned long long>(Seed));
@@ -116,7 +116,7 @@
   FairnessFleet Fleet(setupOf(7));
   Fleet.enterOnlyAt(3);
   Fleet.run(std::chrono::seconds(15));
-  Fleet.startMeasure();
+  Fleet.startMeasurement();
   Fleet.run(std::chrono::seconds(30));
   cr_expect_geq(Fleet.utilisation(), 0.97, "utilisation %f",
                 Fleet.utilisation());
@@ -132,7 +132,7 @@
       Setup.Fairness.Policy = LocalOnlyPolicy{};
     FairnessFleet Fleet(Setup);
     Fleet.run(std::chrono::seconds(15));
-    Fleet.startMeasure();
+    Fleet.startMeasurement();
     Fleet.run(std::chrono::seconds(200));
     Gaps[Shared] = Fleet.gap();
     cr_expect_eq(Fleet.gap() > Fleet.bound(), Shared == 0, "gap %f of %f",
--- a/test/Decision/MembershipNetwork.h
+++ b/test/Decision/MembershipNetwork.h
@@ -16,17 +16,18 @@
 
 namespace parsleywing::test {
 
-/// Membership tables that exchange messages over a fake network under a paused
-/// clock. Datagrams take 2 to 20 ms (100 ms more where they wait for a batch),
-/// may be lost, and pass only between routers of one side of a partition.
+/// Membership tables that exchange messages over a fake network with a paused
+/// clock. Datagrams take 2 to 20 ms, plus 100 ms if they are batched, may be
+/// lost, and are delivered only between routers on the same side of a
+/// partition.
 class MembershipNetwork {
 public:
   struct Router {
     std::string Name;
     std::string Address;
-    Incarnation Life = 0;
+    Incarnation IncarnationNumber = 0;
     std::unique_ptr<MembershipTable> Table; ///< Null while crashed.
-    std::map<RouterId, std::string> Book;
+    std::map<RouterId, std::string> PeerAddresses;
     unsigned Side = 0;
     bool Paused = false;
     bool Superseded = false;
@@ -44,7 +45,7 @@
   };
 
   unsigned LossPercent = 0;
-  /// Datagrams between these two addresses are lost, either way.
+  /// Datagrams between these two addresses are lost in both directions.
   std::pair<std::string, std::string> BrokenPath;
   /// Changes the settings of each router that starts.
   std::function<void(MembershipSettings &)> Adjust;
@@ -67,21 +68,21 @@
     }
   }
 
-  /// Starts a process with no memory and a higher incarnation.
+  /// Starts a process without state and with a higher incarnation number.
   void start(std::size_t Index) {
-    Router &Starting = *this->Routers[Index];
-    Starting.Life = ++this->LastLife;
-    Starting.Book.clear();
-    Starting.Started = this->Now;
-    Starting.Superseded = false;
+    Router &Process = *this->Routers[Index];
+    Process.IncarnationNumber = ++this->LastIncarnation;
+    Process.PeerAddresses.clear();
+    Process.Started = this->Now;
+    Process.Superseded = false;
     MembershipSettings Settings;
-    Settings.Self = {Starting.id(), Starting.Life,    0,
-                     Starting.Name, Starting.Address, "10.0.0.1:8080"};
+    Settings.Self = {Process.id(), Process.IncarnationNumber, 0,
+                     Process.Name, Process.Address,           "10.0.0.1:8080"};
     Settings.Seeds = {addressOf(0), addressOf(1), addressOf(2)};
     Settings.RandomSeed = this->Random();
     if (this->Adjust)
       this->Adjust(Settings);
-    Starting.Table = std::make_unique<MembershipTable>(Settings);
+    Process.Table = std::make_unique<MembershipTable>(Settings);
   }
 
   void crash(std::size_t Index) { this->Routers[Index]->Table.reset(); }
@@ -97,7 +98,7 @@
       this->step();
   }
 
-  /// Runs until the condition holds; returns how long it took, or `Limit`.
+  /// Runs until the condition holds. Returns the elapsed time, or `Limit`.
   Duration runUntil(const std::function<bool()> &Condition, Duration Limit) {
     const TimePoint Start = this->Now;
     while (this->Now - Start < Limit && !Condition())
@@ -109,7 +110,7 @@
     const Router &Other = *this->Routers[Seen];
     for (const Member &Known : this->Routers[Viewer]->Table->view().Members)
       if (Known.Router == Other.id())
-        return Known.IncarnationNumber == Other.Life;
+        return Known.IncarnationNumber == Other.IncarnationNumber;
     return false;
   }
 
@@ -120,13 +121,13 @@
     return false;
   }
 
-  /// Whether each running router sees all running ones in its view of the
-  /// right life, and no other.
+  /// Whether the view of each running router contains exactly the running
+  /// routers, with their current incarnation numbers.
   bool agreed() const {
     std::vector<Member> Expected;
     for (const auto &Each : this->Routers)
       if (Each->runs())
-        Expected.push_back({Each->id(), Each->Life});
+        Expected.push_back({Each->id(), Each->IncarnationNumber});
     std::sort(Expected.begin(), Expected.end(),
               [](const Member &Left, const Member &Right) {
                 return Left.Router < Right.Router;
@@ -146,7 +147,8 @@
     return true;
   }
 
-  /// Whether all running routers but itself have (or have not) it in view.
+  /// Whether the views of all other running routers contain this router (or, if
+  /// `Wanted` is false, none of them does).
   bool knownByAll(std::size_t Index, bool Wanted) const {
     for (std::size_t Viewer = 0; Viewer < this->Routers.size(); ++Viewer) {
       if (Viewer == Index || !this->Routers[Viewer]->runs())
@@ -174,18 +176,19 @@
     std::string FromAddress;
     unsigned Side = 0;
     RouterId From;
-    Incarnation Life = 0;
-    RouterId Target; ///< Zero where only an address is known.
+    Incarnation IncarnationNumber = 0;
+    RouterId Target; ///< Zero if only an address is known.
     MembershipMessage Message;
     bool Bulk = false;
   };
 
   void step() {
     this->Now += std::chrono::milliseconds(10);
-    while (!this->Flying.empty() && this->Flying.begin()->first <= this->Now) {
-      const Delivery Arrived = std::move(this->Flying.begin()->second);
-      this->Flying.erase(this->Flying.begin());
-      this->deliver(Arrived);
+    while (!this->InFlight.empty() &&
+           this->InFlight.begin()->first <= this->Now) {
+      const Delivery Received = std::move(this->InFlight.begin()->second);
+      this->InFlight.erase(this->InFlight.begin());
+      this->deliver(Received);
     }
     const std::size_t Turn = ++this->Steps;
     for (std::size_t Index = 0; Index < this->Routers.size(); ++Index)
@@ -194,19 +197,19 @@
         this->handle(Index, MembershipTick{});
   }
 
-  void deliver(const Delivery &Arrived) {
+  void deliver(const Delivery &Received) {
     for (auto &Each : this->Routers) {
-      // The process that started last holds the address.
-      if (!Each->runs() || Each->Address != Arrived.To ||
-          Each->Side != Arrived.Side)
+      // Only a running process receives datagrams at its address.
+      if (!Each->runs() || Each->Address != Received.To ||
+          Each->Side != Received.Side)
         continue;
-      if (Arrived.Target != RouterId{} && Arrived.Target != Each->id())
+      if (Received.Target != RouterId{} && Received.Target != Each->id())
         continue;
-      this->perform(*Each,
-                    Each->Table->handle(
-                        this->Now, MembershipMessageReceived{
-                                       Arrived.From, Arrived.Life,
-                                       Arrived.Message, Arrived.FromAddress}));
+      this->perform(
+          *Each, Each->Table->handle(
+                     this->Now, MembershipMessageReceived{
+                                    Received.From, Received.IncarnationNumber,
+                                    Received.Message, Received.FromAddress}));
       return;
     }
   }
@@ -215,17 +218,17 @@
     for (const MembershipAction &Action : Actions)
       std::visit(Overloaded{
                      [&](const SendMembershipMessage &Send) {
-                       const auto Known = Actor.Book.find(Send.To);
-                       if (Known != Actor.Book.end())
-                         this->fly(Actor, Known->second, Send.To, Send.Message,
-                                   Send.Urgent, Send.Bulk);
+                       const auto Known = Actor.PeerAddresses.find(Send.To);
+                       if (Known != Actor.PeerAddresses.end())
+                         this->transmit(Actor, Known->second, Send.To,
+                                        Send.Message, Send.Urgent, Send.Bulk);
                      },
                      [&](const ContactAddress &Contact) {
-                       this->fly(Actor, Contact.Address, {}, Contact.Message,
-                                 false, false);
+                       this->transmit(Actor, Contact.Address, {},
+                                      Contact.Message, false, false);
                      },
                      [&](const PeerAddressLearned &Learned) {
-                       Actor.Book[Learned.Router] = Learned.Address;
+                       Actor.PeerAddresses[Learned.Router] = Learned.Address;
                      },
                      [&](const ViewChanged &) { ++Actor.ViewChanges; },
                      [&](const Superseded &) { Actor.Superseded = true; },
@@ -233,8 +236,8 @@
                  Action);
   }
 
-  void fly(Router &Actor, const std::string &To, RouterId Target,
-           const MembershipMessage &Message, bool Urgent, bool Bulk) {
+  void transmit(Router &Actor, const std::string &To, RouterId Target,
+                const MembershipMessage &Message, bool Urgent, bool Bulk) {
     const std::size_t Size = PeerCodec::encodePart(Message).size() +
                              PeerHeaderBytes + UdpOverheadBytes;
     ++Actor.Messages;
@@ -250,18 +253,18 @@
       return;
     const Duration Delay = std::chrono::milliseconds(
         (Urgent ? 0 : 100) + 2 + static_cast<int>(this->Random() % 19));
-    this->Flying.emplace(this->Now + Delay,
-                         Delivery{To, Bulk ? "" : Actor.Address, Actor.Side,
-                                  Actor.id(), Actor.Life, Target, Message,
-                                  Bulk});
+    this->InFlight.emplace(this->Now + Delay,
+                           Delivery{To, Bulk ? "" : Actor.Address, Actor.Side,
+                                    Actor.id(), Actor.IncarnationNumber, Target,
+                                    Message, Bulk});
   }
 
   std::mt19937_64 Random;
   TimePoint Now;
-  Incarnation LastLife = 0;
+  Incarnation LastIncarnation = 0;
   std::size_t Steps = 0;
   std::vector<std::unique_ptr<Router>> Routers;
-  std::multimap<TimePoint, Delivery> Flying;
+  std::multimap<TimePoint, Delivery> InFlight;
 };
 
 } // namespace parsleywing::test
--- a/test/Decision/MembershipTest.cpp
+++ b/test/Decision/MembershipTest.cpp
@@ -108,10 +108,12 @@
   MembershipMessage State;
   State.Kind = MembershipKind::State;
   for (std::size_t Index = 2; Index < 8; ++Index)
-    State.Rumours.push_back({Network.at(Index).id(), Network.at(Index).Life, 0,
+    State.Rumours.push_back({Network.at(Index).id(),
+                             Network.at(Index).IncarnationNumber, 0,
                              MemberStatus::Dead, false});
   Network.handle(0, MembershipMessageReceived{Network.at(1).id(),
-                                              Network.at(1).Life, State, ""});
+                                              Network.at(1).IncarnationNumber,
+                                              State, ""});
   for (int Step = 0; Step < 300; ++Step) {
     cr_assert_eq(Network.at(0).Table->view().Members.size(), 8);
     Network.run(50ms);
@@ -167,12 +169,13 @@
   const RouterId Sleeper = Network.at(2).id();
   MembershipTable &Table = *Network.at(2).Table;
   // A suspicion is pending at the moment of the pause.
-  const MemberRumour Doubt{Network.at(5).id(), Network.at(5).Life, 0,
-                           MemberStatus::Suspect, false};
+  const MemberRumour Doubt{Network.at(5).id(), Network.at(5).IncarnationNumber,
+                           0, MemberStatus::Suspect, false};
   MembershipMessage News;
   News.Rumours = {Doubt};
   Network.handle(2, MembershipMessageReceived{Network.at(1).id(),
-                                              Network.at(1).Life, News, ""});
+                                              Network.at(1).IncarnationNumber,
+                                              News, ""});
   Network.at(2).Paused = true;
   Network.run(30s);
   Network.at(2).Paused = false;
@@ -260,8 +263,9 @@
   const MembershipNetwork::Router &Named = Network.at(3);
   for (std::size_t Index = 0; Index < 8; ++Index)
     if (Index != 3)
-      Network.handle(
-          Index, VmListChanged{{}, {{Named.id(), Named.Life, Named.Address}}});
+      Network.handle(Index, VmListChanged{{},
+                                          {{Named.id(), Named.IncarnationNumber,
+                                            Named.Address}}});
   for (int Step = 0; Step < 100; ++Step) {
     Network.run(100ms);
     cr_assert(Network.knownByAll(3, true));
@@ -275,8 +279,9 @@
   const std::size_t Late = Network.add("late", "10.3.0.1:7400");
   Network.run(5s);
   cr_assert_not(Network.knownByAll(Late, true));
-  Network.handle(Late, LeaseListed{{{Network.at(4).id(), Network.at(4).Life,
-                                     Network.at(4).Address}}});
+  Network.handle(
+      Late, LeaseListed{{{Network.at(4).id(), Network.at(4).IncarnationNumber,
+                          Network.at(4).Address}}});
   cr_assert(becomes(
       Network, [&] { return Network.agreed(); }, 10s));
 }
