--- a/src/Decision/Configuration/ConfigurationKeeper.cpp
+++ b/src/Decision/Configuration/ConfigurationKeeper.cpp
@@ -10,17 +10,17 @@
 
 namespace {
 
-constexpr Duration FirstReadBackoff = std::chrono::seconds(1);
-constexpr Duration LongestReadBackoff = std::chrono::seconds(16);
-/// A read without an answer for so long is taken for lost.
-constexpr Duration ReadPatience = std::chrono::seconds(10);
-constexpr std::size_t PeersAskedAtStart = 5;
-/// One announcement in so many crosses zones.
-constexpr std::uint64_t CrossZoneEvery = 4;
+constexpr Duration InitialReadBackoff = std::chrono::seconds(1);
+constexpr Duration MaxReadBackoff = std::chrono::seconds(16);
+/// A read without a response for this long is considered lost.
+constexpr Duration ReadTimeout = std::chrono::seconds(10);
+constexpr std::size_t PeersQueriedAtStart = 5;
+/// One in this many announcements goes to a router of any zone.
+constexpr std::uint64_t AnnouncementsPerCrossZone = 4;
 
 std::size_t sizeOf(const ConfigurationStep &Step) {
-  constexpr std::size_t Numbers = 48;
-  std::size_t Size = Numbers + Step.Delta.Changed.size();
+  constexpr std::size_t FixedBytes = 48;
+  std::size_t Size = FixedBytes + Step.Delta.Changed.size();
   for (const std::string &Header : Step.Delta.Removed)
     Size += Header.size() + sizeof(std::uint64_t);
   return Size;
@@ -66,7 +66,7 @@
   }
 }
 
-// News from the store.
+// Updates from the store.
 
 void ConfigurationKeeper::on(const ManifestRead &Event) {
   this->StoreReachable = true;
@@ -92,8 +92,9 @@
     this->requestParts();
 }
 
-/// A whole text comes from another router if any is known to have it: a zone
-/// that restarts at once would else use up the store's rate.
+/// A starting router requests the complete text from another router if one is
+/// known to have it. Otherwise, a zone that restarts at once would exhaust the
+/// rate limit of the store.
 bool ConfigurationKeeper::prefersPeers() const {
   return this->ActiveGeneration == 0 && this->HighestHolder &&
          this->FailedRequests < this->Settings.MaxPeerAttempts;
@@ -102,14 +103,14 @@
 void ConfigurationKeeper::requestParts() {
   if (!this->Loading || this->isJoining())
     return;
-  std::set<std::string> Held;
+  std::set<std::string> KnownHashes;
   if (this->ActiveGeneration != 0)
     for (const std::string &Part :
          this->Text.parts(this->Settings.MaxPartBytes))
-      Held.insert(toString(hashBytes(Part)));
+      KnownHashes.insert(toString(hashBytes(Part)));
   this->LoadingParts.clear();
   for (const TextHash &Part : this->Loading->Parts)
-    if (Held.insert(toString(Part)).second)
+    if (KnownHashes.insert(toString(Part)).second)
       this->LoadingParts.push_back(Part);
   this->LoadingSince = this->Now;
   if (this->LoadingParts.empty())
@@ -123,50 +124,53 @@
   if (!this->Loading || Event.Generation != this->Loading->Generation ||
       Event.Texts.size() != this->LoadingParts.size())
     return;
-  std::map<std::string, std::string> Read;
+  std::map<std::string, std::string> PartTexts;
   for (std::size_t Index = 0; Index < Event.Texts.size(); ++Index)
-    Read[toString(this->LoadingParts[Index])] = Event.Texts[Index];
-  this->assemble(Read);
+    PartTexts[toString(this->LoadingParts[Index])] = Event.Texts[Index];
+  this->assemble(PartTexts);
 }
 
-/// Turns what differs between the parts held and the manifest's into a step.
-/// Costs one hash of the text held, and otherwise what the changed parts hold.
+/// Computes a step from the differences between the parts of the active text
+/// and those of the manifest. Costs one hash over the active text; the other
+/// costs are proportional to the changed parts.
 void ConfigurationKeeper::assemble(
-    const std::map<std::string, std::string> &Read) {
+    const std::map<std::string, std::string> &PartTexts) {
   const ConfigurationManifest Manifest = *std::exchange(this->Loading, {});
   if (Manifest.Generation <= this->ActiveGeneration)
     return;
-  std::map<std::string, std::string> Old;
+  std::map<std::string, std::string> OldParts;
   if (this->ActiveGeneration != 0)
     for (std::string &Part : this->Text.parts(this->Settings.MaxPartBytes)) {
       std::string Hash = toString(hashBytes(Part));
-      Old[std::move(Hash)] = std::move(Part);
+      OldParts[std::move(Hash)] = std::move(Part);
     }
-  std::string Before;
-  std::string After;
+  std::string OldText;
+  std::string NewText;
   for (const TextHash &Part : Manifest.Parts) {
     const std::string Hash = toString(Part);
-    if (Old.erase(Hash) > 0)
+    if (OldParts.erase(Hash) > 0)
       continue;
-    const auto Place = Read.find(Hash);
-    if (Place == Read.end()) {
-      // A step from another router changed the parts held in the meantime.
+    const auto Found = PartTexts.find(Hash);
+    if (Found == PartTexts.end()) {
+      // The active text has changed in the meantime because of a step from
+      // another router.
       this->Loading = Manifest;
       this->requestParts();
       return;
     }
-    After += Place->second;
+    NewText += Found->second;
   }
-  for (const auto &[Hash, Part] : Old)
-    Before += Part;
+  for (const auto &[Hash, Part] : OldParts)
+    OldText += Part;
   if (this->ActiveGeneration == 0) {
-    this->adoptSnapshot(ConfigurationText(After), Manifest.Generation,
+    this->adoptSnapshot(ConfigurationText(NewText), Manifest.Generation,
                         Manifest.Hash, Source::Store);
     return;
   }
-  this->adoptStep({this->ActiveGeneration, Manifest.Generation, Manifest.Hash,
-                   ConfigurationText(Before).deltaTo(ConfigurationText(After))},
-                  Source::Store);
+  this->adoptStep(
+      {this->ActiveGeneration, Manifest.Generation, Manifest.Hash,
+       ConfigurationText(OldText).deltaTo(ConfigurationText(NewText))},
+      Source::Store);
 }
 
 void ConfigurationKeeper::on(const StoreFailed &) {
@@ -176,18 +180,18 @@
   this->scheduleStoreRead();
 }
 
-/// Waits a random part of a time that doubles, so that routers that lost the
-/// store together do not come back to it together.
+/// Waits a random part of a delay that doubles, so that routers that lost the
+/// store at the same time do not return to it at the same time.
 void ConfigurationKeeper::scheduleStoreRead() {
   if (this->ReadPending || this->NextRead)
     return;
   this->ReadBackoff =
-      std::clamp(this->ReadBackoff * 2, FirstReadBackoff, LongestReadBackoff);
+      std::clamp(this->ReadBackoff * 2, InitialReadBackoff, MaxReadBackoff);
   this->NextRead = this->Now + randomUpTo(this->ReadBackoff, this->Random);
 }
 
 void ConfigurationKeeper::readStoreIfDue() {
-  if (this->ReadPending && this->Now - this->ReadPendingSince >= ReadPatience)
+  if (this->ReadPending && this->Now - this->ReadPendingSince >= ReadTimeout)
     this->ReadPending = false;
   if (this->ReadPending || !this->NextRead || this->Now < *this->NextRead)
     return;
@@ -197,7 +201,7 @@
   this->PendingActions.emplace_back(ReadManifest{});
 }
 
-// News from other routers.
+// Updates from other routers.
 
 void ConfigurationKeeper::on(const ConfigurationMessageReceived &Event) {
   this->LastReceivedAt = this->Now;
@@ -208,17 +212,18 @@
 void ConfigurationKeeper::receive(RouterId From,
                                   const ConfigurationAnnounce &Message) {
   if (Message.Generation < this->ActiveGeneration) {
-    // The sender is behind: small steps go at once, else it must ask.
-    ConfigurationSteps Answer;
+    // The sender is behind. Small steps are sent immediately; larger ones only
+    // on request.
+    ConfigurationSteps Response;
     bool Found = false;
     for (const ConfigurationStep &Step : this->Steps) {
       Found = Found || Step.From == Message.Generation;
       if (Found)
-        Answer.Steps.push_back(Step);
+        Response.Steps.push_back(Step);
     }
     if (Found &&
-        sizeOf(ConfigurationMessage(Answer)) <= this->Settings.DatagramBytes)
-      this->send(From, std::move(Answer), true);
+        sizeOf(ConfigurationMessage(Response)) <= this->Settings.DatagramBytes)
+      this->send(From, std::move(Response), true);
     else
       this->send(From, ConfigurationAnnounce{this->ActiveGeneration}, true);
     return;
@@ -244,15 +249,15 @@
                                   const ConfigurationRequest &Message) {
   if (Message.From >= this->ActiveGeneration)
     return;
-  ConfigurationSteps Answer;
+  ConfigurationSteps Response;
   bool Found = false;
   for (const ConfigurationStep &Step : this->Steps) {
     Found = Found || Step.From == Message.From;
     if (Found)
-      Answer.Steps.push_back(Step);
+      Response.Steps.push_back(Step);
   }
   if (Found) {
-    this->send(From, std::move(Answer), true);
+    this->send(From, std::move(Response), true);
     return;
   }
   if (this->LastSnapshotSentAt && this->Now - *this->LastSnapshotSentAt <
@@ -290,16 +295,17 @@
                       Message.Hash, Source::Peers);
 }
 
-// Putting in force.
+// Activation.
 
 void ConfigurationKeeper::adoptStep(const ConfigurationStep &Step,
                                     Source From) {
   PARSLEYWING_INVARIANT(Step.From == this->ActiveGeneration,
-                        "a step begins at the generation in force");
+                        "a step starts at the active generation");
   const ConfigurationDelta Undo = this->Text.apply(Step.Delta);
   if (this->Text.hash() != Step.Hash) {
-    // A step that does not give its text would leave this router with another
-    // configuration under the same number, unseen. It is undone.
+    // With a step that does not result in its text, this router would have a
+    // different configuration under the same generation, undetected. The step
+    // is undone.
     this->Text.apply(Undo);
     ++this->WrongHashes;
     this->scheduleStoreRead();
@@ -309,21 +315,21 @@
   this->activate(Step.To, Step.Delta, From);
 }
 
-void ConfigurationKeeper::adoptSnapshot(ConfigurationText Whole,
+void ConfigurationKeeper::adoptSnapshot(ConfigurationText NewText,
                                         std::uint64_t Generation,
                                         const TextHash &Hash, Source From) {
-  // Before its restart this router may have had the highest it heard of.
+  // Before its restart, this router may have had the highest known generation.
   if (this->ActiveGeneration == 0 && Generation < this->HighestKnown) {
     ++this->StaleUpdates;
     return;
   }
-  if (Whole.hash() != Hash) {
+  if (NewText.hash() != Hash) {
     ++this->WrongHashes;
     this->scheduleStoreRead();
     return;
   }
-  ConfigurationDelta Changes = this->Text.deltaTo(Whole);
-  this->Text = std::move(Whole);
+  ConfigurationDelta Changes = this->Text.deltaTo(NewText);
+  this->Text = std::move(NewText);
   this->Steps.clear();
   this->StepBytes = 0;
   this->activate(Generation, std::move(Changes), From);
@@ -332,10 +338,10 @@
 void ConfigurationKeeper::activate(std::uint64_t Generation,
                                    ConfigurationDelta Changes, Source From) {
   PARSLEYWING_INVARIANT(Generation > this->ActiveGeneration,
-                        "the generation in force only rises");
-  PARSLEYWING_INVARIANT(this->ActiveGeneration != 0 ||
-                            Generation >= this->HighestKnown,
-                        "a start takes the highest generation heard of");
+                        "the active generation only increases");
+  PARSLEYWING_INVARIANT(
+      this->ActiveGeneration != 0 || Generation >= this->HighestKnown,
+      "the first active generation is at least the highest known");
   this->ActiveGeneration = Generation;
   this->ActiveSource = From;
   this->ActivatedWithoutStore = From == Source::Peers && !this->StoreReachable;
@@ -360,7 +366,7 @@
   }
 }
 
-// Telling otherRouters.
+// Messages to other routers.
 
 void ConfigurationKeeper::send(RouterId To, ConfigurationMessage Message,
                                bool Urgent) {
@@ -374,30 +380,30 @@
   for (const Member &Each : this->CurrentView.Members)
     if (Each.Router == this->CurrentView.Self)
       Zone = Each.Zone;
-  std::vector<RouterId> Found;
+  std::vector<RouterId> Routers;
   for (const Member &Each : this->CurrentView.Members)
     if (Each.Router != this->CurrentView.Self &&
         (!OwnZone || Each.Zone == Zone))
-      Found.push_back(Each.Router);
-  return Found;
+      Routers.push_back(Each.Router);
+  return Routers;
 }
 
 std::optional<RouterId> ConfigurationKeeper::randomOtherRouter(bool OwnZone) {
-  std::vector<RouterId> Found = this->otherRouters(OwnZone);
-  if (Found.empty() && OwnZone)
-    Found = this->otherRouters(false);
-  if (Found.empty())
+  std::vector<RouterId> Routers = this->otherRouters(OwnZone);
+  if (Routers.empty() && OwnZone)
+    Routers = this->otherRouters(false);
+  if (Routers.empty())
     return std::nullopt;
-  return Found[this->Random() % Found.size()];
+  return Routers[this->Random() % Routers.size()];
 }
 
 void ConfigurationKeeper::announceNow() {
-  std::vector<RouterId> Found = this->otherRouters(true);
-  const std::size_t Count = std::min(Found.size(), this->Settings.FanOut);
+  std::vector<RouterId> Routers = this->otherRouters(true);
+  const std::size_t Count = std::min(Routers.size(), this->Settings.FanOut);
   for (std::size_t Index = 0; Index < Count; ++Index) {
-    std::swap(Found[Index],
-              Found[Index + this->Random() % (Found.size() - Index)]);
-    this->send(Found[Index], ConfigurationAnnounce{this->ActiveGeneration},
+    std::swap(Routers[Index],
+              Routers[Index + this->Random() % (Routers.size() - Index)]);
+    this->send(Routers[Index], ConfigurationAnnounce{this->ActiveGeneration},
                true);
   }
 }
@@ -409,25 +415,26 @@
   if (this->Now < *this->NextAnnounce)
     return;
   this->NextAnnounce = this->Now + this->Settings.AnnounceEvery;
-  const bool OwnZone = this->Random() % CrossZoneEvery != 0;
+  const bool OwnZone = this->Random() % AnnouncementsPerCrossZone != 0;
   if (const auto Peer = this->randomOtherRouter(OwnZone))
     this->send(*Peer, ConfigurationAnnounce{this->ActiveGeneration}, false);
 }
 
-// The view and the passing of time.
+// View changes and timers.
 
 bool ConfigurationKeeper::isRelay() const {
   std::uint32_t Zone = 0;
   for (const Member &Each : this->CurrentView.Members)
     if (Each.Router == this->CurrentView.Self)
       Zone = Each.Zone;
-  const std::uint64_t Own = rendezvousScore(this->CurrentView.Self.Value, Zone);
-  std::size_t Before = 0;
+  const std::uint64_t OwnScore =
+      rendezvousScore(this->CurrentView.Self.Value, Zone);
+  std::size_t HigherCount = 0;
   for (const Member &Each : this->CurrentView.Members)
     if (Each.Router != this->CurrentView.Self && Each.Zone == Zone &&
-        !Each.Draining && rendezvousScore(Each.Router.Value, Zone) > Own)
-      ++Before;
-  return Before < this->Settings.RelaysPerZone;
+        !Each.Draining && rendezvousScore(Each.Router.Value, Zone) > OwnScore)
+      ++HigherCount;
+  return HigherCount < this->Settings.RelaysPerZone;
 }
 
 void ConfigurationKeeper::updateRelayRole() {
@@ -450,11 +457,11 @@
   this->LastReceivedAt = this->Now;
   this->NextRead = this->Now;
   this->readStoreIfDue();
-  std::vector<RouterId> Asked = this->otherRouters(false);
-  std::shuffle(Asked.begin(), Asked.end(), this->Random);
-  if (Asked.size() > PeersAskedAtStart)
-    Asked.resize(PeersAskedAtStart);
-  for (const RouterId Peer : Asked)
+  std::vector<RouterId> Peers = this->otherRouters(false);
+  std::shuffle(Peers.begin(), Peers.end(), this->Random);
+  if (Peers.size() > PeersQueriedAtStart)
+    Peers.resize(PeersQueriedAtStart);
+  for (const RouterId Peer : Peers)
     this->send(Peer, ConfigurationAnnounce{0}, true);
 }
 
@@ -485,7 +492,7 @@
 void ConfigurationKeeper::on(const Tick &) {
   if (!this->JoinUntil)
     return;
-  if (this->Loading && this->Now - this->LoadingSince >= ReadPatience)
+  if (this->Loading && this->Now - this->LoadingSince >= ReadTimeout)
     this->Loading.reset();
   if (this->Loading && this->LoadingParts.empty() && !this->isJoining() &&
       !this->prefersPeers()) {
--- a/src/Decision/Configuration/ConfigurationText.cpp
+++ b/src/Decision/Configuration/ConfigurationText.cpp
@@ -9,10 +9,10 @@
 
 namespace {
 
-constexpr std::size_t DigitsOfHalf = 16;
-constexpr int Hexadecimal = 16;
-/// One header in so many begins a part.
-constexpr std::uint64_t SectionsPerPart = 128;
+constexpr std::size_t DigitsPerHalf = 16;
+constexpr int HexadecimalBase = 16;
+/// On average, one header in this many starts a new part.
+constexpr std::uint64_t AverageSectionsPerPart = 128;
 
 std::string_view trimmed(std::string_view Line) {
   const std::size_t First = Line.find_first_not_of(" \t\r\n");
@@ -21,7 +21,7 @@
   return Line.substr(First, Line.find_last_not_of(" \t\r\n") - First + 1);
 }
 
-/// The header of a line that begins a section, else nothing.
+/// The header if the line starts a section; otherwise an empty string.
 std::string_view headerOf(std::string_view Line) {
   const std::string_view Text = trimmed(Line);
   if (Text.size() < 2 || Text.front() != '[' || Text.back() != ']')
@@ -29,39 +29,40 @@
   return Text;
 }
 
-/// Calls `Take(header, text)` for each section, in the order of the file.
+/// Calls `Visit(Header, Text)` for each section, in the order of the file.
 template <typename Visitor>
-void forEachSection(std::string_view File, Visitor Take) {
+void forEachSection(std::string_view File, Visitor Visit) {
   std::string_view Header;
-  std::size_t Begin = 0;
-  std::size_t Place = 0;
-  while (Place < File.size()) {
-    std::size_t End = File.find('\n', Place);
-    End = End == std::string_view::npos ? File.size() : End + 1;
-    const std::string_view Next = headerOf(File.substr(Place, End - Place));
-    if (!Next.empty()) {
-      if (Place > Begin)
-        Take(Header, File.substr(Begin, Place - Begin));
-      Header = Next;
-      Begin = Place;
+  std::size_t SectionBegin = 0;
+  std::size_t LineBegin = 0;
+  while (LineBegin < File.size()) {
+    std::size_t LineEnd = File.find('\n', LineBegin);
+    LineEnd = LineEnd == std::string_view::npos ? File.size() : LineEnd + 1;
+    const std::string_view NextHeader =
+        headerOf(File.substr(LineBegin, LineEnd - LineBegin));
+    if (!NextHeader.empty()) {
+      if (LineBegin > SectionBegin)
+        Visit(Header, File.substr(SectionBegin, LineBegin - SectionBegin));
+      Header = NextHeader;
+      SectionBegin = LineBegin;
     }
-    Place = End;
+    LineBegin = LineEnd;
   }
-  if (File.size() > Begin)
-    Take(Header, File.substr(Begin));
+  if (File.size() > SectionBegin)
+    Visit(Header, File.substr(SectionBegin));
 }
 
 std::string withNewline(std::string_view Text) {
-  std::string Whole(Text);
-  if (Whole.empty() || Whole.back() != '\n')
-    Whole += '\n';
-  return Whole;
+  std::string Terminated(Text);
+  if (Terminated.empty() || Terminated.back() != '\n')
+    Terminated += '\n';
+  return Terminated;
 }
 
 std::uint64_t parseHalf(std::string_view Digits) {
   std::uint64_t Number = 0;
   std::from_chars(Digits.data(), Digits.data() + Digits.size(), Number,
-                  Hexadecimal);
+                  HexadecimalBase);
   return Number;
 }
 
@@ -77,10 +78,10 @@
 }
 
 TextHash textHashOf(std::string_view Digits) {
-  if (Digits.size() != 2 * DigitsOfHalf)
+  if (Digits.size() != 2 * DigitsPerHalf)
     return {};
-  return {parseHalf(Digits.substr(DigitsOfHalf)),
-          parseHalf(Digits.substr(0, DigitsOfHalf))};
+  return {parseHalf(Digits.substr(DigitsPerHalf)),
+          parseHalf(Digits.substr(0, DigitsPerHalf))};
 }
 
 TextHash hashBytes(std::string_view Bytes) {
@@ -106,30 +107,30 @@
 }
 
 void ConfigurationText::remove(const std::string &Header) {
-  const auto Place = this->Sections.find(Header);
-  if (Place == this->Sections.end())
+  const auto Found = this->Sections.find(Header);
+  if (Found == this->Sections.end())
     return;
-  const TextHash Hash = hashBytes(Place->second);
+  const TextHash Hash = hashBytes(Found->second);
   this->Sum.Low -= Hash.Low;
   this->Sum.High -= Hash.High;
-  this->Sections.erase(Place);
+  this->Sections.erase(Found);
 }
 
 std::string_view ConfigurationText::section(const std::string &Header) const {
-  const auto Place = this->Sections.find(Header);
-  return Place == this->Sections.end() ? std::string_view()
-                                       : std::string_view(Place->second);
+  const auto Found = this->Sections.find(Header);
+  return Found == this->Sections.end() ? std::string_view()
+                                       : std::string_view(Found->second);
 }
 
 std::string ConfigurationText::fullText() const {
   std::size_t Size = 0;
   for (const auto &[Header, Text] : this->Sections)
     Size += Text.size();
-  std::string Whole;
-  Whole.reserve(Size);
+  std::string Joined;
+  Joined.reserve(Size);
   for (const auto &[Header, Text] : this->Sections)
-    Whole += Text;
-  return Whole;
+    Joined += Text;
+  return Joined;
 }
 
 ConfigurationDelta
@@ -164,8 +165,9 @@
 std::vector<std::string> ConfigurationText::parts(std::size_t MaxBytes) const {
   std::vector<std::string> Parts;
   for (const auto &[Header, Text] : this->Sections) {
-    const bool Cut = hashName(Header) % SectionsPerPart == 0;
-    if (Parts.empty() || Cut || Parts.back().size() + Text.size() > MaxBytes)
+    const bool Boundary = hashName(Header) % AverageSectionsPerPart == 0;
+    if (Parts.empty() || Boundary ||
+        Parts.back().size() + Text.size() > MaxBytes)
       Parts.emplace_back();
     Parts.back() += Text;
   }
