--- a/src/Decision/Fairness/AccountHome.cpp
+++ b/src/Decision/Fairness/AccountHome.cpp
@@ -8,8 +8,8 @@
 
 double AccountHome::Total::sum() const {
   double Sum = this->Base;
-  for (const auto &[Router, Counted] : this->RouterTotals)
-    Sum += Counted.Tokens;
+  for (const auto &[Router, Sender] : this->RouterTotals)
+    Sum += Sender.Tokens;
   return Sum;
 }
 
@@ -18,35 +18,36 @@
                                                  std::uint32_t Version,
                                                  const Contribution &Received) {
   PARSLEYWING_INVARIANT(Received.Own >= 0, "contributions are never negative");
-  auto [Position, IsNew] = this->Totals.try_emplace(Received.Pair);
-  Total &Pair = Position->second;
+  auto [Found, IsNew] = this->Totals.try_emplace(Received.Pair);
+  Total &PairTotal = Found->second;
   if (IsNew)
-    Pair.Since = Now;
-  RouterTotal &Counted = Pair.RouterTotals[From];
-  if (IncarnationNumber > Counted.IncarnationNumber) {
-    // An empty restart: what the earlier process charged stays charged.
-    Pair.Base += Counted.Tokens;
-    Counted = RouterTotal{IncarnationNumber, 0, 0};
+    PairTotal.Since = Now;
+  RouterTotal &Sender = PairTotal.RouterTotals[From];
+  if (IncarnationNumber > Sender.IncarnationNumber) {
+    // After a restart, the tokens that the earlier process charged still count.
+    PairTotal.Base += Sender.Tokens;
+    Sender = RouterTotal{IncarnationNumber, 0, 0};
   }
-  if (IncarnationNumber == Counted.IncarnationNumber &&
-      Version > Counted.Version) {
-    Counted.Version = Version;
-    Counted.Tokens = Received.Own;
-    Pair.Lift = std::max(Pair.Lift, Received.Lift);
-    if (Pair.TakingOver)
-      Pair.MaxReported =
-          std::max(Pair.MaxReported, Received.Own + Received.Others);
+  if (IncarnationNumber == Sender.IncarnationNumber &&
+      Version > Sender.Version) {
+    Sender.Version = Version;
+    Sender.Tokens = Received.Own;
+    PairTotal.Lift = std::max(PairTotal.Lift, Received.Lift);
+    if (PairTotal.TakingOver)
+      PairTotal.MaxReported =
+          std::max(PairTotal.MaxReported, Received.Own + Received.Others);
   }
-  // Only a new home believes the others: later a total that sank by a true-up
-  // would be raised again by routers that do not know of it yet.
-  const double Missing = std::max(0.0, Pair.MaxReported - Pair.sum());
-  if (Pair.TakingOver && Now >= Pair.Since + this->Takeover) {
-    Pair.TakingOver = false;
-    Pair.Base += Missing;
-    Pair.MaxReported = 0;
+  // Only a new home uses the totals that entry routers report. Later, a total
+  // that was corrected downwards would be raised again by routers that do not
+  // know of the correction yet.
+  const double Missing = std::max(0.0, PairTotal.MaxReported - PairTotal.sum());
+  if (PairTotal.TakingOver && Now >= PairTotal.Since + this->Takeover) {
+    PairTotal.TakingOver = false;
+    PairTotal.Base += Missing;
+    PairTotal.MaxReported = 0;
   }
-  const double Whole = Pair.sum() + (Pair.TakingOver ? Missing : 0);
-  return {Received.Pair, std::max(0.0, Whole - Counted.Tokens), Pair.Lift};
+  const double Sum = PairTotal.sum() + (PairTotal.TakingOver ? Missing : 0);
+  return {Received.Pair, std::max(0.0, Sum - Sender.Tokens), PairTotal.Lift};
 }
 
 } // namespace parsleywing
--- a/src/Decision/Fairness/AccountLedger.cpp
+++ b/src/Decision/Fairness/AccountLedger.cpp
@@ -15,12 +15,12 @@
 
 LedgerEntry &AccountLedger::open(AccountId Account, ServiceId Service,
                                  double Share) {
-  LedgerEntry &Position = this->Entries[pairOf(Account, Service)];
-  Position.Account = Account;
-  Position.Service = Service;
-  if (Position.Own == 0 && Position.Others == 0)
-    Position.Share = Share;
-  return Position;
+  LedgerEntry &Entry = this->Entries[pairOf(Account, Service)];
+  Entry.Account = Account;
+  Entry.Service = Service;
+  if (Entry.Own == 0 && Entry.Others == 0)
+    Entry.Share = Share;
+  return Entry;
 }
 
 LedgerEntry *AccountLedger::find(PairId Pair) {
@@ -31,52 +31,51 @@
 LedgerEntry &AccountLedger::at(PairId Pair) {
   const auto Found = this->Entries.find(Pair);
   PARSLEYWING_INVARIANT(Found != this->Entries.end(),
-                        "a pair with requests has a position");
+                        "a pair with requests has a ledger entry");
   return Found->second;
 }
 
 void AccountLedger::charge(PairId Pair, double Change) {
-  LedgerEntry &Position = this->at(Pair);
-  Position.Own += Change;
-  PARSLEYWING_INVARIANT(Position.Own >= -0.5,
+  LedgerEntry &Entry = this->at(Pair);
+  Entry.Own += Change;
+  PARSLEYWING_INVARIANT(Entry.Own >= -0.5,
                         "no more is refunded than was charged");
   this->Changed.insert(Pair);
 }
 
 void AccountLedger::reenter(PairId Pair, double VirtualTime, double MaxDebt) {
   this->raiseTo(Pair, VirtualTime);
-  LedgerEntry &Position = this->at(Pair);
-  Position.Forgiven +=
-      std::max(0.0, Position.virtualTime() - (VirtualTime + MaxDebt));
+  LedgerEntry &Entry = this->at(Pair);
+  Entry.Forgiven +=
+      std::max(0.0, Entry.virtualTime() - (VirtualTime + MaxDebt));
 }
 
 void AccountLedger::bound(PairId Pair, double Median, double MaxDebt) {
   this->raiseTo(Pair, Median - MaxDebt);
-  LedgerEntry &Position = this->at(Pair);
-  Position.Forgiven +=
-      std::max(0.0, Position.virtualTime() - (Median + MaxDebt));
+  LedgerEntry &Entry = this->at(Pair);
+  Entry.Forgiven += std::max(0.0, Entry.virtualTime() - (Median + MaxDebt));
 }
 
 void AccountLedger::raiseTo(PairId Pair, double Floor) {
-  LedgerEntry &Position = this->at(Pair);
-  const double Missing = Floor - Position.virtualTime();
+  LedgerEntry &Entry = this->at(Pair);
+  const double Missing = Floor - Entry.virtualTime();
   if (Missing <= 0)
     return;
-  if (!Position.Confirmed) {
-    Position.Provisional += Missing;
+  if (!Entry.Confirmed) {
+    Entry.Provisional += Missing;
     return;
   }
-  // Rounded up, so that the position is not below the floor afterwards.
-  Position.Lift = std::nextafterf(static_cast<float>(Position.Lift + Missing),
-                                  std::numeric_limits<float>::infinity());
+  // Rounded up, so that the virtual time is not below the floor afterwards.
+  Entry.Lift = std::nextafterf(static_cast<float>(Entry.Lift + Missing),
+                               std::numeric_limits<float>::infinity());
   this->Changed.insert(Pair);
 }
 
 void AccountLedger::setShare(PairId Pair, double Share) {
-  LedgerEntry &Position = this->at(Pair);
-  const double Before = Position.virtualTime();
-  Position.Share = Share;
-  Position.Forgiven += Position.virtualTime() - Before;
+  LedgerEntry &Entry = this->at(Pair);
+  const double Before = Entry.virtualTime();
+  Entry.Share = Share;
+  Entry.Forgiven += Entry.virtualTime() - Before;
 }
 
 void AccountLedger::markUnconfirmed(PairId Pair) {
@@ -88,28 +87,28 @@
                                Incarnation IncarnationNumber,
                                std::uint32_t Sequence,
                                const ContributionReply &Reply) {
-  LedgerEntry *Position = this->find(Reply.Pair);
-  if (Position == nullptr)
+  LedgerEntry *Entry = this->find(Reply.Pair);
+  if (Entry == nullptr)
     return false;
   const bool SameHome =
-      Position->Home == Home && Position->HomeIncarnation == IncarnationNumber;
-  if (SameHome && Sequence <= Position->ReplySequence)
+      Entry->Home == Home && Entry->HomeIncarnation == IncarnationNumber;
+  if (SameHome && Sequence <= Entry->ReplySequence)
     return false;
-  Position->Home = Home;
-  Position->HomeIncarnation = IncarnationNumber;
-  Position->ReplySequence = Sequence;
-  Position->Others = Reply.Others;
-  Position->ConfirmedAt = Now;
-  Position->Confirmed = true;
-  Position->Provisional = 0;
-  Position->Lift = std::max(Position->Lift, Reply.Lift);
+  Entry->Home = Home;
+  Entry->HomeIncarnation = IncarnationNumber;
+  Entry->ReplySequence = Sequence;
+  Entry->Others = Reply.Others;
+  Entry->ConfirmedAt = Now;
+  Entry->Confirmed = true;
+  Entry->Provisional = 0;
+  Entry->Lift = std::max(Entry->Lift, Reply.Lift);
   return true;
 }
 
 Contribution AccountLedger::contributionOf(PairId Pair) const {
-  const LedgerEntry &Position = this->Entries.at(Pair);
-  return {Pair, std::max(0.0, Position.Own),
-          static_cast<float>(Position.Others), Position.Lift};
+  const LedgerEntry &Entry = this->Entries.at(Pair);
+  return {Pair, std::max(0.0, Entry.Own), static_cast<float>(Entry.Others),
+          Entry.Lift};
 }
 
 std::set<PairId> AccountLedger::takeChanged() {
--- a/src/Decision/Fairness/AdmissionWindow.cpp
+++ b/src/Decision/Fairness/AdmissionWindow.cpp
@@ -16,7 +16,8 @@
                              const FairnessSettings &Settings) {
   this->LastReport = Now;
   if (Waiting > Settings.EngineQueueTarget) {
-    // The report is late: another cut before this one shows would overshoot.
+    // Load reports are delayed: a second reduction before the first one is
+    // visible in the reports would overshoot.
     if (Now < this->LastCut + Settings.WindowSettle)
       return;
     this->LastCut = Now;
--- a/src/Decision/Fairness/FairQueue.cpp
+++ b/src/Decision/Fairness/FairQueue.cpp
@@ -21,7 +21,7 @@
 FairQueue::QueuedRequest FairQueue::pop(PairId Pair) {
   const auto Found = this->Queues.find(Pair);
   PARSLEYWING_INVARIANT(Found != this->Queues.end(),
-                        "a pair whose turn it is waits");
+                        "the pair that is served next has queued requests");
   const QueuedRequest First = Found->second.Requests.front();
   Found->second.Requests.pop_front();
   --this->Count;
@@ -33,26 +33,26 @@
   const auto Found = this->Queues.find(Pair);
   if (Found == this->Queues.end())
     return false;
-  const std::size_t Taken =
-      std::erase_if(Found->second.Requests, [&](const QueuedRequest &W) {
-        return W.Request == Request;
+  const std::size_t RemovedCount =
+      std::erase_if(Found->second.Requests, [&](const QueuedRequest &Each) {
+        return Each.Request == Request;
       });
-  this->Count -= Taken;
+  this->Count -= RemovedCount;
   this->removeIfEmpty(Pair);
-  return Taken > 0;
+  return RemovedCount > 0;
 }
 
 void FairQueue::reposition(PairId Pair, double Tag, bool Capped) {
   const auto Found = this->Queues.find(Pair);
   if (Found == this->Queues.end())
     return;
-  Queue &Waits = Found->second;
-  if (Waits.Tag == Tag && Waits.Capped == Capped)
+  Queue &Entry = Found->second;
+  if (Entry.Tag == Tag && Entry.Capped == Capped)
     return;
-  this->orderOf(Waits).erase({Waits.Tag, Pair});
-  Waits.Tag = Tag;
-  Waits.Capped = Capped;
-  this->orderOf(Waits).emplace(Tag, Pair);
+  this->orderOf(Entry).erase({Entry.Tag, Pair});
+  Entry.Tag = Tag;
+  Entry.Capped = Capped;
+  this->orderOf(Entry).emplace(Tag, Pair);
 }
 
 std::optional<PairId> FairQueue::next() const {
@@ -65,17 +65,17 @@
 
 std::optional<double> FairQueue::lowestTag() const {
   std::optional<double> Lowest;
-  for (const Order *From : {&this->ReadyOrder, &this->CappedOrder})
-    if (!From->empty())
+  for (const Order *Each : {&this->ReadyOrder, &this->CappedOrder})
+    if (!Each->empty())
       Lowest =
-          std::min(Lowest.value_or(From->begin()->first), From->begin()->first);
+          std::min(Lowest.value_or(Each->begin()->first), Each->begin()->first);
   return Lowest;
 }
 
 std::vector<PairId> FairQueue::pairs() const {
   std::vector<PairId> All;
-  for (const Order *From : {&this->ReadyOrder, &this->CappedOrder})
-    for (const auto &[Tag, Pair] : *From)
+  for (const Order *Each : {&this->ReadyOrder, &this->CappedOrder})
+    for (const auto &[Tag, Pair] : *Each)
       All.push_back(Pair);
   return All;
 }
--- a/src/Decision/Fairness/FairScheduler.cpp
+++ b/src/Decision/Fairness/FairScheduler.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-/// Weight of one ended request in the learnt means.
+/// Weight of one ended request in the moving averages.
 constexpr double LearningRate = 0.05;
 
 } // namespace
@@ -16,7 +16,8 @@
 FairScheduler::FairScheduler(FairnessSettings S)
     : Settings(S), Random(S.Seed), Home(S.HomeTakeover),
       Digests(S.DigestLifetime), Outgoing(S.FlushInterval) {
-  // Routers that begin together would otherwise all tell the same peers.
+  // A random start, so that routers that start together do not all send to the
+  // same peers.
   this->DigestCursor = this->Random() >> 32;
 }
 
@@ -39,9 +40,9 @@
 void FairScheduler::on(const RequestQueued &Event) {
   const PairId Pair = pairOf(Event.Account, Event.Service);
   ServiceState &Service = this->Services[Event.Service];
-  LedgerEntry &Position = this->Ledger.open(Event.Account, Event.Service,
-                                            this->shareOf(Event.Account));
-  if (Position.RequestsInFlight == 0 && !Service.Queue.waits(Pair))
+  LedgerEntry &Entry = this->Ledger.open(Event.Account, Event.Service,
+                                         this->shareOf(Event.Account));
+  if (Entry.RequestsInFlight == 0 && !Service.Queue.waits(Pair))
     this->reenter(Pair, Service);
   PARSLEYWING_INVARIANT(!this->Running.contains(Event.Request),
                         "a request is queued before it runs");
@@ -50,7 +51,7 @@
     this->AvoidedServers[Event.Request] = Event.Avoid;
   Service.Queue.push(
       Pair, {Event.Request, static_cast<double>(Event.EstimatedTokens)},
-      Position.virtualTime(), this->isCapped(Position));
+      Entry.virtualTime(), this->isCapped(Entry));
   this->DirtyServices.insert(Event.Service);
 }
 
@@ -69,7 +70,8 @@
   const auto Found = this->Running.find(Event.Request);
   if (Found == this->Running.end())
     return;
-  // While it runs the estimate stands; only what goes beyond it is charged.
+  // While the request runs, the estimate remains charged; only tokens beyond it
+  // are charged additionally.
   const auto Tokens = static_cast<double>(Event.Tokens);
   if (Tokens > Found->second.Charged)
     this->charge(Found->second, Tokens);
@@ -83,9 +85,9 @@
   this->Running.erase(Found);
   this->charge(Request, static_cast<double>(Event.Tokens));
   this->learnCost(Request);
-  LedgerEntry &Position = this->Ledger.at(Request.Pair);
-  Position.InFlight = std::max(0.0, Position.InFlight - Request.Charged);
-  --Position.RequestsInFlight;
+  LedgerEntry &Entry = this->Ledger.at(Request.Pair);
+  Entry.InFlight = std::max(0.0, Entry.InFlight - Request.Charged);
+  --Entry.RequestsInFlight;
   this->reposition(Request.Pair);
   --this->Services[Request.Service].Running;
   this->Slots.release(this->Now, Request.Server);
@@ -116,7 +118,7 @@
 }
 
 void FairScheduler::on(const ViewChanged &Event) {
-  const View Before = std::exchange(this->CurrentView, Event.Current);
+  const View PreviousView = std::exchange(this->CurrentView, Event.Current);
   this->HomeCache.clear();
   this->Digests.dropGone(this->CurrentView);
   this->Outgoing.dropGone(this->CurrentView);
@@ -125,7 +127,7 @@
   this->Home.keepOnly([this](PairId Pair) {
     return this->homeOf(Pair) == this->CurrentView.Self;
   });
-  this->sendDigestsToNew(Before);
+  this->sendDigestsToNew(PreviousView);
 }
 
 void FairScheduler::on(const Tick &) {
@@ -155,15 +157,15 @@
              : std::max(1U, Found->second.Share);
 }
 
-bool FairScheduler::isCapped(const LedgerEntry &Position) const {
-  return Position.RequestsInFlight > 0 &&
-         Position.InFlight >= this->Settings.InFlightCap * Position.Share;
+bool FairScheduler::isCapped(const LedgerEntry &Entry) const {
+  return Entry.RequestsInFlight > 0 &&
+         Entry.InFlight >= this->Settings.InFlightCap * Entry.Share;
 }
 
 void FairScheduler::reposition(PairId Pair) {
-  const LedgerEntry &Position = this->Ledger.at(Pair);
-  this->Services[Position.Service].Queue.reposition(
-      Pair, Position.virtualTime(), this->isCapped(Position));
+  const LedgerEntry &Entry = this->Ledger.at(Pair);
+  this->Services[Entry.Service].Queue.reposition(Pair, Entry.virtualTime(),
+                                                 this->isCapped(Entry));
 }
 
 void FairScheduler::charge(RunningRequest &Request, double Tokens) {
@@ -175,31 +177,32 @@
 }
 
 void FairScheduler::reenter(PairId Pair, ServiceState &Service) {
-  LedgerEntry &Position = this->Ledger.at(Pair);
-  const bool Fresh = Position.Confirmed &&
-                     this->Now <= Position.ConfirmedAt +
-                                      this->Settings.ContributionInterval +
-                                      this->ContributionCycle;
+  LedgerEntry &Entry = this->Ledger.at(Pair);
+  const bool Fresh =
+      Entry.Confirmed && this->Now <= Entry.ConfirmedAt +
+                                          this->Settings.ContributionInterval +
+                                          this->ContributionCycle;
   if (!this->shared()) {
-    Position.Confirmed = true;
+    Entry.Confirmed = true;
   } else if (!Fresh) {
-    // Others may have charged the account meanwhile. A lift computed from the
-    // old total would stay on top of what they charged.
+    // Other routers may have charged the account in the meantime. An increase
+    // of the virtual time computed from the old total would come on top of
+    // their charges.
     this->Ledger.markUnconfirmed(Pair);
     this->contribute(Pair, true);
   }
-  this->Ledger.reenter(Pair, this->virtualTime(Position.Service, Service),
+  this->Ledger.reenter(Pair, this->virtualTime(Entry.Service, Service),
                        this->Settings.MaxDebt);
 }
 
 double FairScheduler::virtualTime(ServiceId Id,
                                   const ServiceState &Service) const {
-  const std::optional<double> Own = Service.Queue.lowestTag();
-  const std::optional<double> Known = this->Digests.lowest(Id);
-  if (Own && Known)
-    return std::min(*Own, *Known);
-  if (Own || Known)
-    return Own ? *Own : *Known;
+  const std::optional<double> OwnTag = Service.Queue.lowestTag();
+  const std::optional<double> OtherTag = this->Digests.lowest(Id);
+  if (OwnTag && OtherTag)
+    return std::min(*OwnTag, *OtherTag);
+  if (OwnTag || OtherTag)
+    return OwnTag ? *OwnTag : *OtherTag;
   return std::max(Service.VirtualTime, this->Digests.idleTime(Id));
 }
 
@@ -213,12 +216,12 @@
 
 void FairScheduler::learnCost(const RunningRequest &Request) {
   ServiceState &Service = this->Services[Request.Service];
-  const auto Learn = [](double &Mean, double Value) {
+  const auto UpdateMean = [](double &Mean, double Value) {
     Mean = Mean > 0 ? Mean + (Value - Mean) * LearningRate : Value;
   };
-  Learn(Service.MeanCost, Request.Charged);
-  Learn(Service.MeanStep,
-        Request.Charged / this->Ledger.at(Request.Pair).Share);
+  UpdateMean(Service.MeanCost, Request.Charged);
+  UpdateMean(Service.MeanStep,
+             Request.Charged / this->Ledger.at(Request.Pair).Share);
 }
 
 void FairScheduler::admit(ServiceId Id, ServiceState &Service) {
@@ -229,17 +232,17 @@
 
 void FairScheduler::admitOne(ServiceState &Service) {
   const PairId Pair = *Service.Queue.next();
-  LedgerEntry &Position = this->Ledger.at(Pair);
-  Service.VirtualTime = std::max(Service.VirtualTime, Position.virtualTime());
+  LedgerEntry &Entry = this->Ledger.at(Pair);
+  Service.VirtualTime = std::max(Service.VirtualTime, Entry.virtualTime());
   const FairQueue::QueuedRequest First = Service.Queue.pop(Pair);
   const ServerId Server = this->serverFor(Service, First.Request);
   PARSLEYWING_INVARIANT(this->Servers.at(Server).usable(),
-                        "only a usable server gets work");
+                        "requests are admitted to usable servers only");
   this->WaitingRequests.erase(First.Request);
   auto [Found, New] = this->Running.try_emplace(
-      First.Request, RunningRequest{Pair, Position.Service, Server, 0});
+      First.Request, RunningRequest{Pair, Entry.Service, Server, 0});
   PARSLEYWING_INVARIANT(New, "a request is admitted once");
-  ++Position.RequestsInFlight;
+  ++Entry.RequestsInFlight;
   ++Service.Running;
   this->charge(Found->second, this->estimateOf(Service, First.Cost));
   this->Slots.use(this->Now, Server);
@@ -248,8 +251,9 @@
   this->PendingActions.emplace_back(AdmitRequest{First.Request, Server});
 }
 
-/// The server with the most free slots, or the next one where the request
-/// failed there last. A hint: no slot stays idle because of it.
+/// Returns the server with the most free slots, or the next one if the request
+/// last failed there. This is a preference only: no slot remains idle because
+/// of it.
 ServerId FairScheduler::serverFor(const ServiceState &Service,
                                   RequestId Request) {
   const ServerId First = Service.Free.begin()->second;
@@ -292,58 +296,59 @@
 
 void FairScheduler::checkInvariants(ServiceId Id) const {
   const ServiceState &Service = this->Services.at(Id);
-  PARSLEYWING_INVARIANT(Service.Queue.empty() || Service.Free.empty(),
-                        "no slot here is idle while work that it fits waits");
+  PARSLEYWING_INVARIANT(
+      Service.Queue.empty() || Service.Free.empty(),
+      "no slot is idle while a request that can use it is queued");
 }
 
 Poco::JSON::Object::Ptr FairScheduler::dump() const {
-  Poco::JSON::Object::Ptr Whole = new Poco::JSON::Object;
-  Poco::JSON::Array::Ptr Positions = new Poco::JSON::Array;
-  for (const auto &[Pair, Position] : this->Ledger.all()) {
-    Poco::JSON::Object::Ptr One = new Poco::JSON::Object;
-    One->set("account", Position.Account.Value);
-    One->set("service", Position.Service.Value);
-    One->set("position", Position.virtualTime());
-    One->set("own-tokens", Position.Own);
-    One->set("others-tokens", Position.Others);
-    One->set("in-flight", Position.RequestsInFlight);
-    Positions->add(One);
+  Poco::JSON::Object::Ptr Dump = new Poco::JSON::Object;
+  Poco::JSON::Array::Ptr Accounts = new Poco::JSON::Array;
+  for (const auto &[Pair, Entry] : this->Ledger.all()) {
+    Poco::JSON::Object::Ptr Item = new Poco::JSON::Object;
+    Item->set("account", Entry.Account.Value);
+    Item->set("service", Entry.Service.Value);
+    Item->set("position", Entry.virtualTime());
+    Item->set("own-tokens", Entry.Own);
+    Item->set("others-tokens", Entry.Others);
+    Item->set("in-flight", Entry.RequestsInFlight);
+    Accounts->add(Item);
   }
   Poco::JSON::Array::Ptr Queues = new Poco::JSON::Array;
   for (const auto &[Id, Service] : this->Services) {
-    Poco::JSON::Object::Ptr One = new Poco::JSON::Object;
-    One->set("service", Id.Value);
-    One->set("waiting", Service.Queue.size());
-    One->set("lowest-tag", Service.Queue.lowestTag().value_or(0));
-    One->set("virtual-time", Service.VirtualTime);
-    Queues->add(One);
+    Poco::JSON::Object::Ptr Item = new Poco::JSON::Object;
+    Item->set("service", Id.Value);
+    Item->set("waiting", Service.Queue.size());
+    Item->set("lowest-tag", Service.Queue.lowestTag().value_or(0));
+    Item->set("virtual-time", Service.VirtualTime);
+    Queues->add(Item);
   }
-  Poco::JSON::Array::Ptr Held = new Poco::JSON::Array;
+  Poco::JSON::Array::Ptr HeldSlots = new Poco::JSON::Array;
   for (const auto &[Server, Lease] : this->Slots.all()) {
-    Poco::JSON::Object::Ptr One = new Poco::JSON::Object;
-    One->set("server", Server.Value);
-    One->set("owner", Lease.Owner.Value);
-    One->set("held", Lease.held());
-    One->set("in-use", Lease.InUse);
-    Held->add(One);
+    Poco::JSON::Object::Ptr Item = new Poco::JSON::Object;
+    Item->set("server", Server.Value);
+    Item->set("owner", Lease.Owner.Value);
+    Item->set("held", Lease.held());
+    Item->set("in-use", Lease.InUse);
+    HeldSlots->add(Item);
   }
   Poco::JSON::Array::Ptr Owned = new Poco::JSON::Array;
   for (ServerId Server : this->Owner.servers()) {
-    Poco::JSON::Object::Ptr One = new Poco::JSON::Object;
-    One->set("server", Server.Value);
-    One->set("slots-out", this->Owner.outAt(Server));
-    Owned->add(One);
+    Poco::JSON::Object::Ptr Item = new Poco::JSON::Object;
+    Item->set("server", Server.Value);
+    Item->set("slots-out", this->Owner.outAt(Server));
+    Owned->add(Item);
   }
-  Whole->set("policy", this->shared() ? "shared" : "local-only");
-  Whole->set("positions", Positions);
-  Whole->set("queues", Queues);
-  Whole->set("slots", Held);
-  Whole->set("owned-servers", Owned);
-  Whole->set("messages-sent", this->Counters.MessagesSent);
-  Whole->set("bytes-sent", this->Counters.BytesSent);
-  Whole->set("slots-granted", this->Counters.SlotsGranted);
-  Whole->set("slots-returned", this->Counters.SlotsReturned);
-  return Whole;
+  Dump->set("policy", this->shared() ? "shared" : "local-only");
+  Dump->set("positions", Accounts);
+  Dump->set("queues", Queues);
+  Dump->set("slots", HeldSlots);
+  Dump->set("owned-servers", Owned);
+  Dump->set("messages-sent", this->Counters.MessagesSent);
+  Dump->set("bytes-sent", this->Counters.BytesSent);
+  Dump->set("slots-granted", this->Counters.SlotsGranted);
+  Dump->set("slots-returned", this->Counters.SlotsReturned);
+  return Dump;
 }
 
 } // namespace parsleywing
--- a/src/Decision/Fairness/Outbox.cpp
+++ b/src/Decision/Fairness/Outbox.cpp
@@ -18,10 +18,10 @@
 std::map<RouterId, Outbox::PendingMessage> Outbox::takeDue(TimePoint Now) {
   std::map<RouterId, PendingMessage> Due;
   this->Urgent = false;
-  for (auto At = this->Messages.begin(); At != this->Messages.end();) {
-    const auto This = At++;
-    if (Now >= This->second.Due)
-      Due.insert(this->Messages.extract(This));
+  for (auto Next = this->Messages.begin(); Next != this->Messages.end();) {
+    const auto Current = Next++;
+    if (Now >= Current->second.Due)
+      Due.insert(this->Messages.extract(Current));
   }
   return Due;
 }
--- a/src/Decision/Fairness/SchedulerExchange.cpp
+++ b/src/Decision/Fairness/SchedulerExchange.cpp
@@ -1,4 +1,4 @@
-// The part of FairScheduler that talks with other routers.
+// The part of FairScheduler that exchanges messages with other routers.
 #include "Decision/Fairness/FairScheduler.h"
 
 #include "Runtime/Invariant.h"
@@ -10,15 +10,16 @@
 
 namespace {
 
-/// Distinguish the routers that sendDigestsToNew a newcomer.
-constexpr std::array<std::uint64_t, 3> GreetingKeys{
+/// Each key selects one router that sends its digests to a new router.
+constexpr std::array<std::uint64_t, 3> NewRouterKeys{
     0x9e3779b97f4a7c15, 0xbf58476d1ce4e5b9, 0x94d049bb133111eb};
 
-/// Messages a tick that one beginning of waiting may cause.
-constexpr std::size_t BurstPerTick = 8;
+/// Digests per tick and service that a change between queued requests and none
+/// may cause.
+constexpr std::size_t MaxBurstPerTick = 8;
 
-std::uint32_t lowHalf(Incarnation Life) {
-  return static_cast<std::uint32_t>(Life);
+std::uint32_t lowHalf(Incarnation IncarnationNumber) {
+  return static_cast<std::uint32_t>(IncarnationNumber);
 }
 
 } // namespace
@@ -26,8 +27,7 @@
 const Member *FairScheduler::memberOf(RouterId Router) const {
   const auto Found = std::lower_bound(
       this->CurrentView.Members.begin(), this->CurrentView.Members.end(),
-      Router,
-      [](const Member &M, RouterId Wanted) { return M.Router < Wanted; });
+      Router, [](const Member &M, RouterId Key) { return M.Router < Key; });
   return Found == this->CurrentView.Members.end() || Found->Router != Router
              ? nullptr
              : &*Found;
@@ -47,8 +47,8 @@
 }
 
 RouterId FairScheduler::homeOf(PairId Pair) {
-  auto [Found, New] = this->HomeCache.try_emplace(Pair);
-  if (New)
+  auto [Found, IsNew] = this->HomeCache.try_emplace(Pair);
+  if (IsNew)
     Found->second = ownerOf(this->CurrentView, Pair);
   return Found->second;
 }
@@ -63,8 +63,9 @@
   const std::size_t Waiting =
       std::min<std::size_t>(Service.Queue.size(), StarvedBit - 1);
   const bool Starved = Waiting > 0 && Service.Running == 0;
-  const double Idle = std::max(Service.VirtualTime, this->Digests.idleTime(Id));
-  return {Id.Value, Service.Queue.lowestTag().value_or(Idle),
+  const double IdleVirtualTime =
+      std::max(Service.VirtualTime, this->Digests.idleTime(Id));
+  return {Id.Value, Service.Queue.lowestTag().value_or(IdleVirtualTime),
           static_cast<std::uint16_t>(Waiting | (Starved ? StarvedBit : 0))};
 }
 
@@ -74,14 +75,14 @@
       this->Outgoing.to(this->Now, Peer, Urgent).Digests.insert(Id);
 }
 
-void FairScheduler::sendDigestsToNew(const View &Before) {
+void FairScheduler::sendDigestsToNew(const View &PreviousView) {
   if (!this->shared())
     return;
   for (const Member &M : this->CurrentView.Members) {
     if (M.Router == this->CurrentView.Self ||
-        std::ranges::count(Before.Members, M))
+        std::ranges::count(PreviousView.Members, M))
       continue;
-    for (std::uint64_t Key : GreetingKeys)
+    for (std::uint64_t Key : NewRouterKeys)
       if (ownerOf(this->CurrentView, M.Router.Value ^ Key) ==
           this->CurrentView.Self)
         this->queueDigests(M.Router, true);
@@ -89,15 +90,16 @@
 }
 
 void FairScheduler::updateBurst(ServiceId Id, ServiceState &Service) {
-  const bool Waits = !Service.Queue.empty();
-  if (Waits == Service.ReportedWaiting || !this->shared() ||
+  const bool Waiting = !Service.Queue.empty();
+  if (Waiting == Service.ReportedWaiting || !this->shared() ||
       !this->maySendDigest(Id))
     return;
-  // A queue that comes and goes is left to the digests of each interval.
+  // A queue that alternates between empty and not empty is left to the periodic
+  // digests.
   if (this->Now < Service.LastBurst + this->Settings.DigestInterval &&
       Service.LastBurst != TimePoint{})
     return;
-  Service.ReportedWaiting = Waits;
+  Service.ReportedWaiting = Waiting;
   Service.LastBurst = this->Now;
   Service.RemainingBurst = this->Settings.DigestBurst;
 }
@@ -125,7 +127,7 @@
       continue;
     const std::vector<RouterId> All = this->peers();
     Service.RemainingBurst = std::min(Service.RemainingBurst, All.size());
-    const std::size_t Count = std::min(BurstPerTick, Service.RemainingBurst);
+    const std::size_t Count = std::min(MaxBurstPerTick, Service.RemainingBurst);
     for (std::size_t Sent = 0; Sent < Count; ++Sent)
       this->Outgoing.to(this->Now, All[this->DigestCursor++ % All.size()], true)
           .Digests.insert(Id);
@@ -145,11 +147,11 @@
 
 void FairScheduler::boundDebts() {
   for (auto &[Id, Service] : this->Services) {
-    const std::optional<double> Middle = this->Digests.median(Id);
-    if (!Middle)
+    const std::optional<double> Median = this->Digests.median(Id);
+    if (!Median)
       continue;
     for (PairId Pair : Service.Queue.pairs()) {
-      this->Ledger.bound(Pair, *Middle, this->Settings.MaxDebt);
+      this->Ledger.bound(Pair, *Median, this->Settings.MaxDebt);
       this->reposition(Pair);
     }
   }
@@ -160,16 +162,17 @@
   for (const auto &[Id, Service] : this->Services)
     for (PairId Pair : Service.Queue.pairs())
       Due.insert(Pair);
-  std::set<RouterId> HomesTold;
+  std::set<RouterId> Homes;
   for (PairId Pair : Due) {
     this->contribute(Pair, false);
     if (this->homeOf(Pair) != this->CurrentView.Self)
-      HomesTold.insert(this->homeOf(Pair));
+      Homes.insert(this->homeOf(Pair));
   }
-  // Both directions, since this router answers about as much as it asks.
+  // Covers both directions, since this router sends about as many replies as
+  // contributions.
   const double Bytes =
       static_cast<double>(Due.size()) * 44 +
-      static_cast<double>(HomesTold.size()) * 2 *
+      static_cast<double>(Homes.size()) * 2 *
           static_cast<double>(DatagramHeaderBytes + FairMessage{}.bytes());
   const double Seconds = Bytes / this->Settings.ContributionBytesPerSecond;
   this->ContributionCycle =
@@ -179,16 +182,16 @@
 }
 
 void FairScheduler::contribute(PairId Pair, bool Urgent) {
-  const RouterId At = this->homeOf(Pair);
-  if (At != this->CurrentView.Self) {
-    this->Outgoing.to(this->Now, At, Urgent).Contributions.insert(Pair);
+  const RouterId PairHome = this->homeOf(Pair);
+  if (PairHome != this->CurrentView.Self) {
+    this->Outgoing.to(this->Now, PairHome, Urgent).Contributions.insert(Pair);
     return;
   }
   const std::uint32_t Version = ++this->Sequence;
-  const ContributionReply Answer =
-      this->Home.applyContribution(this->Now, At, this->ownIncarnation(),
+  const ContributionReply Reply =
+      this->Home.applyContribution(this->Now, PairHome, this->ownIncarnation(),
                                    Version, this->Ledger.contributionOf(Pair));
-  this->applyReply(At, this->ownIncarnation(), Version, Answer);
+  this->applyReply(PairHome, this->ownIncarnation(), Version, Reply);
 }
 
 void FairScheduler::resend() {
@@ -206,43 +209,43 @@
 }
 
 void FairScheduler::flush() {
-  for (const auto &[To, Letter] : this->Outgoing.takeDue(this->Now))
+  for (const auto &[To, Content] : this->Outgoing.takeDue(this->Now))
     if (this->memberOf(To) != nullptr)
-      this->fill(To, Letter);
+      this->fill(To, Content);
 }
 
-void FairScheduler::fill(RouterId To, const Outbox::PendingMessage &Letter) {
+void FairScheduler::fill(RouterId To, const Outbox::PendingMessage &Content) {
   FairMessage Message;
-  const auto Cut = [&] {
+  const auto SendIfFull = [&] {
     if (Message.bytes() < this->Settings.MaxMessageBytes - 24)
       return;
-    this->send(To, Letter.Urgent, std::move(Message));
+    this->send(To, Content.Urgent, std::move(Message));
     Message = FairMessage{};
   };
-  for (ServiceId Id : Letter.Digests) {
+  for (ServiceId Id : Content.Digests) {
     Message.Digests.push_back(this->digestOf(Id));
-    Cut();
+    SendIfFull();
   }
-  for (PairId Pair : Letter.Contributions) {
+  for (PairId Pair : Content.Contributions) {
     Message.Contributions.push_back(this->Ledger.contributionOf(Pair));
-    Cut();
+    SendIfFull();
   }
-  for (const auto &[Pair, Answer] : Letter.Replies) {
-    Message.Replies.push_back(Answer);
-    Cut();
+  for (const auto &[Pair, Reply] : Content.Replies) {
+    Message.Replies.push_back(Reply);
+    SendIfFull();
   }
-  for (ServerId Server : Letter.Grants) {
+  for (ServerId Server : Content.Grants) {
     if (!this->Owner.owns(Server))
       continue;
     Message.Grants.push_back(this->Owner.grantOf(this->Now, Server, To));
-    Cut();
+    SendIfFull();
   }
-  for (ServerId Server : Letter.Reports) {
+  for (ServerId Server : Content.Reports) {
     Message.Reports.push_back(this->Slots.reportOf(this->Now, Server));
-    Cut();
+    SendIfFull();
   }
   if (Message.bytes() > FairMessage{}.bytes())
-    this->send(To, Letter.Urgent, std::move(Message));
+    this->send(To, Content.Urgent, std::move(Message));
 }
 
 void FairScheduler::send(RouterId To, bool Urgent, FairMessage Message) {
@@ -262,15 +265,16 @@
     Peer = {Event.IncarnationNumber, 0};
   ++this->Counters.MessagesReceived;
   const FairMessage &Message = Event.Message;
-  for (const Contribution &Said : Message.Contributions)
-    this->Outgoing.to(this->Now, Event.From, false).Replies[Said.Pair] =
+  for (const Contribution &Received : Message.Contributions)
+    this->Outgoing.to(this->Now, Event.From, false).Replies[Received.Pair] =
         this->Home.applyContribution(this->Now, Event.From,
                                      Event.IncarnationNumber, Message.Sequence,
-                                     Said);
-  for (const ContributionReply &Said : Message.Replies)
+                                     Received);
+  for (const ContributionReply &Reply : Message.Replies)
     this->applyReply(Event.From, Event.IncarnationNumber, Message.Sequence,
-                     Said);
-  // Slots and digests of a message that was overtaken are old news.
+                     Reply);
+  // Slots and digests of a message that was overtaken by a newer one are
+  // outdated.
   if (Message.Sequence <= Peer.LastSequence)
     return;
   Peer.LastSequence = Message.Sequence;
@@ -293,8 +297,9 @@
   this->DirtyServices.insert(Id);
   if (!First)
     return;
-  // A process that began empty takes over the others' virtual time, so that
-  // its accounts are not the neediest of the fleet merely for its ignorance.
+  // A process that starts without state adopts the virtual time of the other
+  // routers. Otherwise, its accounts would seem to be the most underserved of
+  // the fleet.
   ServiceState &Service = this->Services[Id];
   for (PairId Pair : Service.Queue.pairs()) {
     this->Ledger.raiseTo(Pair, Digest.LowestTag);
@@ -302,18 +307,19 @@
   }
 }
 
-void FairScheduler::applyReply(RouterId From, Incarnation Life,
-                               std::uint32_t Version,
-                               const ContributionReply &Said) {
-  const LedgerEntry *Position = this->Ledger.find(Said.Pair);
-  const bool Settling = Position != nullptr && !Position->Confirmed;
-  if (!this->Ledger.applyReply(this->Now, From, Life, Version, Said))
+void FairScheduler::applyReply(RouterId From, Incarnation IncarnationNumber,
+                               std::uint32_t Sequence,
+                               const ContributionReply &Reply) {
+  const LedgerEntry *Entry = this->Ledger.find(Reply.Pair);
+  const bool WasUnconfirmed = Entry != nullptr && !Entry->Confirmed;
+  if (!this->Ledger.applyReply(this->Now, From, IncarnationNumber, Sequence,
+                               Reply))
     return;
-  if (Settling)
-    this->Ledger.raiseTo(Said.Pair,
-                         this->virtualTime(Position->Service,
-                                           this->Services[Position->Service]));
-  this->reposition(Said.Pair);
+  if (WasUnconfirmed)
+    this->Ledger.raiseTo(
+        Reply.Pair,
+        this->virtualTime(Entry->Service, this->Services[Entry->Service]));
+  this->reposition(Reply.Pair);
 }
 
 void FairScheduler::applyGrant(const FairMessageReceived &Event,
@@ -326,7 +332,8 @@
   const SlotLease &Lease = *this->Slots.find(Id);
   while (Lease.idle() > 0 && this->mustReturnSlot(Id, Lease))
     this->returnSlot(Id, true);
-  // Many owners may have found this router behind by the same old digest.
+  // Several owners may have granted a slot to this router because of the same
+  // outdated digest.
   for (ServiceId Service : this->Servers[Id].Services)
     if (Lease.idle() > 0 && this->isAhead(Service, this->Services[Service],
                                           this->Settings.GrantSlack))
@@ -339,9 +346,9 @@
   const ServerId Id{Report.Server};
   if (!this->Owner.owns(Id))
     return;
-  const bool CameBack =
+  const bool SlotsReturned =
       this->Owner.applyReport(Event.From, Event.IncarnationNumber, Report);
-  if (CameBack || !this->Owner.agrees(Event.From, Report))
+  if (SlotsReturned || !this->Owner.agrees(Event.From, Report))
     this->Outgoing.to(this->Now, Event.From, false).Grants.insert(Id);
   this->refreshServer(Id);
 }
--- a/src/Decision/Fairness/SchedulerSlots.cpp
+++ b/src/Decision/Fairness/SchedulerSlots.cpp
@@ -63,23 +63,24 @@
 }
 
 bool FairScheduler::isAhead(ServiceId Id, ServiceState &Service, double Steps) {
-  const std::optional<double> Own = Service.Queue.lowestTag();
-  const auto Behind =
+  const std::optional<double> OwnTag = Service.Queue.lowestTag();
+  const auto Other =
       this->Digests.sample(Id, this->Settings.SampleSize, this->Random);
-  if (!Own || !Behind)
+  if (!OwnTag || !Other)
     return false;
-  // Slack saves moves between routers that all have slots. One that has none
-  // would wait for nothing else.
-  const double Slack = Behind->Starved ? 0 : Steps * Service.MeanStep;
-  if (*Own <= Behind->Tag + Slack)
+  // The slack avoids moves between routers that all have slots. A router
+  // without any slot would only be delayed by it.
+  const double Slack = Other->Starved ? 0 : Steps * Service.MeanStep;
+  if (*OwnTag <= Other->Tag + Slack)
     return false;
-  this->Digests.advance(Id, Behind->Router, Service.MeanStep);
+  this->Digests.advance(Id, Other->Router, Service.MeanStep);
   return true;
 }
 
 void FairScheduler::returnToOwner(ServerId Id, ServiceId Service) {
   const SlotLease &Lease = *this->Slots.find(Id);
-  // The owner decides with this router's present tag, not an old one.
+  // Lets the owner decide by the current tag of this router instead of an
+  // outdated one.
   if (this->maySendDigest(Service))
     this->Outgoing.to(this->Now, Lease.Owner, true).Digests.insert(Service);
   this->returnSlot(Id, true);
@@ -116,13 +117,13 @@
 
 bool FairScheduler::grantOne(ServiceId Id, ServiceState &Service,
                              ServerId Server) {
-  const std::optional<double> Own = Service.Queue.lowestTag();
+  const std::optional<double> OwnTag = Service.Queue.lowestTag();
   const auto Other =
       this->Digests.sample(Id, this->Settings.SampleSize, this->Random);
-  if (!Own && !Other)
+  if (!OwnTag && !Other)
     return false;
   ++this->Counters.SlotsGranted;
-  if (Own && (!Other || *Own <= Other->Tag)) {
+  if (OwnTag && (!Other || *OwnTag <= Other->Tag)) {
     this->Owner.grant(Server, this->CurrentView.Self, this->ownIncarnation());
     this->Slots.grantOwn(Server);
     this->refreshServer(Server);
@@ -130,7 +131,8 @@
     return true;
   }
   const Member *To = this->memberOf(Other->Router);
-  PARSLEYWING_INVARIANT(To != nullptr, "digests of routers in the view only");
+  PARSLEYWING_INVARIANT(To != nullptr,
+                        "digests are kept only for routers in the view");
   this->Owner.grant(Server, To->Router, To->IncarnationNumber);
   this->Digests.advance(Id, To->Router, Service.MeanStep);
   this->Outgoing.to(this->Now, To->Router, true).Grants.insert(Server);
@@ -149,17 +151,17 @@
     Server.Declared = false;
     Server.ListedFree = 0;
   }
-  for (const auto &[Id, Declared] : this->ActiveDeclarations->Servers) {
+  for (const auto &[Id, Declaration] : this->ActiveDeclarations->Servers) {
     this->Servers[Id].Declared = true;
-    this->Servers[Id].MaxConcurrent = Declared.MaxConcurrent;
+    this->Servers[Id].MaxConcurrent = Declaration.MaxConcurrent;
   }
-  for (const auto &[Name, Declared] : this->ActiveDeclarations->Services)
-    for (ServerId Server : Declared.Servers)
+  for (const auto &[Name, Declaration] : this->ActiveDeclarations->Services)
+    for (ServerId Server : Declaration.Servers)
       if (this->Servers.contains(Server))
         this->Servers[Server].Services.push_back(Name);
-  for (const auto &[Pair, Position] : this->Ledger.all())
-    if (this->shareOf(Position.Account) != Position.Share) {
-      this->Ledger.setShare(Pair, this->shareOf(Position.Account));
+  for (const auto &[Pair, Entry] : this->Ledger.all())
+    if (this->shareOf(Entry.Account) != Entry.Share) {
+      this->Ledger.setShare(Pair, this->shareOf(Entry.Account));
       this->reposition(Pair);
     }
 }
@@ -173,17 +175,18 @@
   const TimePoint FirstGrantAt =
       Alone ? this->Now : this->Now + this->Settings.TakeoverWait;
   for (auto &[Id, Server] : this->Servers) {
-    const RouterId Holder = ownerOf(this->CurrentView, Id.Value);
-    const bool Mine = Holder == this->CurrentView.Self && Server.Declared;
-    const Member *Found = this->memberOf(Holder);
-    this->Slots.setOwner(Id, Holder,
-                         Found == nullptr ? 0 : Found->IncarnationNumber);
-    const bool Before = this->Owner.owns(Id);
-    if (Mine)
+    const RouterId NewOwner = ownerOf(this->CurrentView, Id.Value);
+    const bool IsOwner = NewOwner == this->CurrentView.Self && Server.Declared;
+    const Member *OwnerMember = this->memberOf(NewOwner);
+    this->Slots.setOwner(
+        Id, NewOwner,
+        OwnerMember == nullptr ? 0 : OwnerMember->IncarnationNumber);
+    const bool WasOwner = this->Owner.owns(Id);
+    if (IsOwner)
       this->Owner.add(Id, Server.MaxConcurrent, FirstGrantAt);
     else
       this->Owner.remove(Id);
-    if (Mine && !Before)
+    if (IsOwner && !WasOwner)
       this->Owner.adoptOwn(Id, {this->CurrentView.Self, this->ownIncarnation()},
                            this->Slots.find(Id)->held());
     this->refreshServer(Id);
@@ -202,8 +205,8 @@
         std::ranges::count_if(this->CurrentView.Members, [&](const Member &M) {
           return rendezvousScore(M.Router.Value, Key) > Score;
         });
-    const std::uint32_t Rest = Server.MaxConcurrent % Routers;
-    const std::uint32_t Extra = Rank < static_cast<long>(Rest) ? 1 : 0;
+    const std::uint32_t Remainder = Server.MaxConcurrent % Routers;
+    const std::uint32_t Extra = Rank < static_cast<long>(Remainder) ? 1 : 0;
     this->Slots.setPart(Id, Server.MaxConcurrent / Routers + Extra);
     this->refreshServer(Id);
   }
--- a/src/Decision/Fairness/SlotOwner.cpp
+++ b/src/Decision/Fairness/SlotOwner.cpp
@@ -8,8 +8,8 @@
 
 void SlotOwner::add(ServerId Server, std::uint32_t MaxConcurrent,
                     TimePoint GrantsStartAt) {
-  auto [Found, New] = this->Owned.try_emplace(Server);
-  if (New) {
+  auto [Found, IsNew] = this->Owned.try_emplace(Server);
+  if (IsNew) {
     Found->second.Window = AdmissionWindow(MaxConcurrent);
     Found->second.GrantsStartAt = GrantsStartAt;
     return;
@@ -19,15 +19,15 @@
 
 void SlotOwner::dropGone(const View &Current) {
   for (auto &Entry : this->Owned) {
-    OwnedServer &Owner = Entry.second;
-    std::erase_if(Owner.Holders, [&](const auto &Holder) {
+    OwnedServer &OwnedEntry = Entry.second;
+    std::erase_if(OwnedEntry.Holders, [&](const auto &Holder) {
       const auto Same = [&](const Member &M) {
         return M.Router == Holder.first &&
                M.IncarnationNumber == Holder.second.IncarnationNumber;
       };
       const bool Gone = std::ranges::none_of(Current.Members, Same);
       if (Gone)
-        Owner.GrantedSlots -= Holder.second.held();
+        OwnedEntry.GrantedSlots -= Holder.second.held();
       return Gone;
     });
   }
@@ -36,7 +36,7 @@
 AdmissionWindow &SlotOwner::windowOf(ServerId Server) {
   const auto Found = this->Owned.find(Server);
   PARSLEYWING_INVARIANT(Found != this->Owned.end(),
-                        "the window of an owned server");
+                        "only owned servers have a window");
   return Found->second.Window;
 }
 
@@ -51,17 +51,17 @@
 
 void SlotOwner::grant(ServerId Server, RouterId To,
                       Incarnation IncarnationNumber) {
-  OwnedServer &Owner = this->Owned.at(Server);
-  PARSLEYWING_INVARIANT(Owner.GrantedSlots < Owner.Window.size(),
-                        "no more slots are given than the window has");
-  Holding &Holder = Owner.Holders[To];
+  OwnedServer &OwnedEntry = this->Owned.at(Server);
+  PARSLEYWING_INVARIANT(OwnedEntry.GrantedSlots < OwnedEntry.Window.size(),
+                        "no more slots are granted than the window permits");
+  Holding &Holder = OwnedEntry.Holders[To];
   if (Holder.IncarnationNumber != IncarnationNumber) {
-    Owner.GrantedSlots -= Holder.held();
+    OwnedEntry.GrantedSlots -= Holder.held();
     Holder = Holding{};
     Holder.IncarnationNumber = IncarnationNumber;
   }
   ++Holder.Granted;
-  ++Owner.GrantedSlots;
+  ++OwnedEntry.GrantedSlots;
   Holder.LastGrant = TimePoint{};
   this->Unacknowledged.emplace(Server, To);
 }
@@ -71,8 +71,8 @@
   const auto Found = this->Owned.find(ServerId{Report.Server});
   if (Found == this->Owned.end() || Report.Returned > Report.GrantedSeen)
     return false;
-  OwnedServer &Owner = Found->second;
-  Holding &Holder = Owner.Holders[From];
+  OwnedServer &OwnedEntry = Found->second;
+  Holding &Holder = OwnedEntry.Holders[From];
   if (IncarnationNumber < Holder.IncarnationNumber)
     return false;
   const std::uint32_t Before = Holder.held();
@@ -83,7 +83,7 @@
   Holder.Granted = std::max(Holder.Granted, Report.GrantedSeen);
   Holder.Acknowledged = std::max(Holder.Acknowledged, Report.GrantedSeen);
   Holder.Returned = std::max(Holder.Returned, Report.Returned);
-  Owner.GrantedSlots = Owner.GrantedSlots - Before + Holder.held();
+  OwnedEntry.GrantedSlots = OwnedEntry.GrantedSlots - Before + Holder.held();
   if (Holder.Acknowledged >= Holder.Granted)
     this->Unacknowledged.erase({ServerId{Report.Server}, From});
   return Holder.held() < Before;
@@ -112,14 +112,14 @@
 
 void SlotOwner::adoptOwn(ServerId Server, const Member &Self,
                          std::uint32_t Held) {
-  OwnedServer &Owner = this->Owned.at(Server);
-  Holding &Holder = Owner.Holders[Self.Router];
-  Owner.GrantedSlots -= Holder.held();
+  OwnedServer &OwnedEntry = this->Owned.at(Server);
+  Holding &Holder = OwnedEntry.Holders[Self.Router];
+  OwnedEntry.GrantedSlots -= Holder.held();
   Holder = Holding{};
   Holder.IncarnationNumber = Self.IncarnationNumber;
   Holder.Granted = Held;
   Holder.Acknowledged = Held;
-  Owner.GrantedSlots += Held;
+  OwnedEntry.GrantedSlots += Held;
 }
 
 SlotGrant SlotOwner::grantOf(TimePoint Now, ServerId Server, RouterId To) {
@@ -151,19 +151,20 @@
 std::vector<SlotOwner::Due> SlotOwner::recall() {
   constexpr auto NoLimit = std::numeric_limits<std::uint16_t>::max();
   std::vector<Due> All;
-  for (auto &[Server, Owner] : this->Owned) {
-    const std::uint32_t Size = Owner.Window.size();
-    for (auto &[Router, Holder] : Owner.Holders) {
+  for (auto &[Server, OwnedEntry] : this->Owned) {
+    const std::uint32_t Size = OwnedEntry.Window.size();
+    for (auto &[Router, Holder] : OwnedEntry.Holders) {
       const std::uint32_t Held = Holder.held();
-      if (Owner.GrantedSlots <= Size || Held == 0) {
+      if (OwnedEntry.GrantedSlots <= Size || Held == 0) {
         Holder.MaxHeld = NoLimit;
         continue;
       }
-      // Each gives up its part of the excess, rounded up.
-      const std::uint32_t Excess = Owner.GrantedSlots - Size;
-      const std::uint32_t Cut =
-          (Held * Excess + Owner.GrantedSlots - 1) / Owner.GrantedSlots;
-      Holder.MaxHeld = static_cast<std::uint16_t>(Held - Cut);
+      // Each holder returns its part of the excess, rounded up.
+      const std::uint32_t Excess = OwnedEntry.GrantedSlots - Size;
+      const std::uint32_t ReturnCount =
+          (Held * Excess + OwnedEntry.GrantedSlots - 1) /
+          OwnedEntry.GrantedSlots;
+      Holder.MaxHeld = static_cast<std::uint16_t>(Held - ReturnCount);
       All.push_back({Server, Router});
     }
   }
@@ -173,7 +174,7 @@
 std::vector<ServerId> SlotOwner::servers() const {
   std::vector<ServerId> All;
   All.reserve(this->Owned.size());
-  for (const auto &[Server, Owner] : this->Owned)
+  for (const auto &[Server, OwnedEntry] : this->Owned)
     All.push_back(Server);
   return All;
 }
--- a/src/Decision/Fairness/SlotTable.cpp
+++ b/src/Decision/Fairness/SlotTable.cpp
@@ -18,10 +18,11 @@
   SlotLease &Lease = this->Leases[Server];
   if (Lease.Owner != From || Lease.OwnerIncarnation != IncarnationNumber)
     return;
-  // A grant without news is one that the owner sent again for want of an
-  // acknowledgement. One with a lower count is from an owner that forgot: its
-  // view changed to and fro. Untold, it would count slots as out for ever that
-  // nobody holds, and the server would idle.
+  // A grant without changes was sent again because the owner has no
+  // acknowledgement. A grant with a lower count is from an owner that lost its
+  // counters, because its view changed back and forth. Without a report from
+  // this router, it would count slots as granted forever that nobody holds, and
+  // the server would idle.
   if (Grant.Granted < Lease.Granted ||
       (Grant.Granted == Lease.Granted &&
        Grant.ReturnedSeen <= Lease.ReturnedSeen)) {
@@ -32,13 +33,13 @@
     if (Lease.idle() == 0)
       Lease.IdleSince = Now;
     Lease.Granted = Grant.Granted;
-    // The owner gives until it hears that the slots arrived.
+    // The owner resends the grant until it receives an acknowledgement.
     this->Unacknowledged.insert(Server);
     Lease.LastReport = TimePoint{};
   }
   Lease.ReturnedSeen = std::max(Lease.ReturnedSeen, Grant.ReturnedSeen);
-  // An owner that kept its counters while this router believed in another one
-  // may know of more returns. What is in use is never taken away.
+  // An owner that kept its counters while this router believed in another owner
+  // may know of more returns. Slots in use are never removed.
   if (Lease.ReturnedSeen > Lease.Returned)
     Lease.Returned = std::max(
         Lease.Returned,
@@ -59,7 +60,7 @@
 
 void SlotTable::returnSlot(ServerId Server) {
   SlotLease &Lease = this->Leases[Server];
-  PARSLEYWING_INVARIANT(Lease.idle() > 0, "only an idle slot is given back");
+  PARSLEYWING_INVARIANT(Lease.idle() > 0, "only an idle slot is returned");
   ++Lease.Returned;
   this->Unacknowledged.insert(Server);
   this->updateIdle(Server, Lease);
