--- a/src/Decision/Membership/MemberList.cpp
+++ b/src/Decision/Membership/MemberList.cpp
@@ -9,7 +9,7 @@
 namespace parsleywing {
 namespace {
 
-bool beats(const MemberRumour &Rumour, const KnownMember &Known) {
+bool takesPrecedence(const MemberRumour &Rumour, const KnownMember &Known) {
   return std::tie(Rumour.Refutation, Rumour.Status) >
          std::tie(Known.Refutation, Known.Status);
 }
@@ -36,11 +36,12 @@
       Rumour.IncarnationNumber > Known->Record.IncarnationNumber)
     return this->introduce(Now, Rumour, Record);
   if (Rumour.IncarnationNumber < Known->Record.IncarnationNumber ||
-      !beats(Rumour, *Known))
+      !takesPrecedence(Rumour, *Known))
     return RumourOutcome::Stale;
-  PARSLEYWING_INVARIANT(Known->Status != MemberStatus::Dead ||
-                            Rumour.Refutation > Known->Refutation,
-                        "a dead member returns only by a higher refutation");
+  PARSLEYWING_INVARIANT(
+      Known->Status != MemberStatus::Dead ||
+          Rumour.Refutation > Known->Refutation,
+      "a dead member returns only with a higher refutation number");
   const bool Returned = Known->Status == MemberStatus::Dead &&
                         Rumour.Status != MemberStatus::Dead;
   Known->Refutation = Rumour.Refutation;
@@ -56,8 +57,8 @@
                                     const RouterRecord *Record) {
   KnownMember *Known = this->mutableFind(Rumour.Router);
   if (Rumour.Status == MemberStatus::Dead) {
-    // A life that is over already: only worth knowing where it ends one that
-    // is known.
+    // An incarnation that has already ended is relevant only if it supersedes a
+    // known one.
     if (Known == nullptr)
       return RumourOutcome::Stale;
   } else if (Record == nullptr) {
@@ -65,31 +66,31 @@
   } else if (!this->claimAddress(Now, *Record)) {
     return RumourOutcome::Stale;
   }
-  KnownMember Fresh;
+  KnownMember NewMember;
   if (Known != nullptr) {
     PARSLEYWING_INVARIANT(Rumour.IncarnationNumber >
                               Known->Record.IncarnationNumber,
-                          "incarnations never go back");
-    Fresh = *Known;
-    Fresh.EverReceived = false;
+                          "incarnation numbers never decrease");
+    NewMember = *Known;
+    NewMember.EverReceived = false;
   }
   if (Record != nullptr)
-    Fresh.Record = *Record;
-  Fresh.Record.IncarnationNumber = Rumour.IncarnationNumber;
-  Fresh.Refutation = Rumour.Refutation;
-  Fresh.Draining = Rumour.Draining;
-  Fresh.FirstSeenAt = Now;
-  this->setStatus(Now, Fresh, Rumour.Status);
+    NewMember.Record = *Record;
+  NewMember.Record.IncarnationNumber = Rumour.IncarnationNumber;
+  NewMember.Refutation = Rumour.Refutation;
+  NewMember.Draining = Rumour.Draining;
+  NewMember.FirstSeenAt = Now;
+  this->setStatus(Now, NewMember, Rumour.Status);
   if (Known != nullptr)
-    this->recordReturn(Now, Fresh);
-  this->Members[Rumour.Router] = std::move(Fresh);
+    this->recordReturn(Now, NewMember);
+  this->Members[Rumour.Router] = std::move(NewMember);
   this->onChange();
   return RumourOutcome::Adopted;
 }
 
-/// An address belongs to the latest life seen there. Without this rule the
-/// router that stood there before would be taken for alive as long as its
-/// successor answers at its address.
+/// Assigns an address to the latest incarnation seen there. Otherwise, a router
+/// that had the address before would be considered alive as long as its
+/// successor responds at that address.
 bool MemberList::claimAddress(TimePoint Now, const RouterRecord &Record) {
   for (auto &[Router, Other] : this->Members) {
     if (Router == Record.Router || Other.Status == MemberStatus::Dead ||
@@ -152,17 +153,18 @@
 }
 
 bool MemberList::suspect(TimePoint Now, RouterId Router) {
-  KnownMember *Silent = this->mutableFind(Router);
-  if (Silent == nullptr || Silent->Status != MemberStatus::Alive)
+  KnownMember *Known = this->mutableFind(Router);
+  if (Known == nullptr || Known->Status != MemberStatus::Alive)
     return false;
-  this->setStatus(Now, *Silent, MemberStatus::Suspect);
+  this->setStatus(Now, *Known, MemberStatus::Suspect);
   this->onChange();
   return true;
 }
 
 void MemberList::heard(TimePoint Now, RouterId Router) {
   KnownMember *Known = this->mutableFind(Router);
-  PARSLEYWING_INVARIANT(Known != nullptr, "only known members are heard");
+  PARSLEYWING_INVARIANT(Known != nullptr,
+                        "messages are recorded for known members only");
   Known->LastReceivedAt = Now;
   Known->EverReceived = true;
   if (Known->Status == MemberStatus::Suspect)
--- a/src/Decision/Membership/MembershipTable.cpp
+++ b/src/Decision/Membership/MembershipTable.cpp
@@ -9,25 +9,28 @@
 namespace parsleywing {
 namespace {
 
-/// Records go along with news of a life that is not older than this; by then
-/// a whole State has told those that missed it.
-constexpr Duration RecordsFresh = std::chrono::seconds(30);
-
-/// Estimated bytes of news in one message, so that it fits a datagram.
-constexpr std::size_t NewsBytes = 900;
+/// Records are attached to rumours about an incarnation that became known
+/// within this time. After that, routers that missed the record have received
+/// it in a State message.
+constexpr Duration MaxRecordAge = std::chrono::seconds(30);
+
+/// Estimated size of the rumours and records in one message, so that it fits
+/// into a datagram.
+constexpr std::size_t MaxRumourBytes = 900;
 constexpr std::size_t RumourBytes = 22;
 constexpr std::size_t RecordFixedBytes = 23;
 
-/// Bounds on what the platform's lists may make this router remember.
-constexpr std::size_t MostContacts = 64;
-constexpr std::size_t MostRelays = 64;
+/// Limits on the stored addresses and suspicions from the platform's lists, and
+/// on the pings that are forwarded for other routers.
+constexpr std::size_t MaxContacts = 64;
+constexpr std::size_t MaxForwardedPings = 64;
 
-/// The number of a request for a State without records. A router of an earlier
-/// version sends the records all the same.
-constexpr std::uint32_t RumoursSuffice = 1;
+/// The number in a StateRequest that requests a State without records. Routers
+/// of an earlier version ignore it and send the records.
+constexpr std::uint32_t WithoutRecords = 1;
 
-/// How long the router that asked for a ping is remembered.
-constexpr Duration RelayMemory = std::chrono::seconds(2);
+/// How long the requester of a forwarded ping is remembered.
+constexpr Duration ForwardedPingLifetime = std::chrono::seconds(2);
 
 std::size_t encodedSize(const RouterRecord &Record) {
   return RecordFixedBytes + Record.Name.size() + Record.PeerAddress.size() +
@@ -43,11 +46,11 @@
   return nullptr;
 }
 
-/// How often each router passes on a piece of news. Where all n routers send it
-/// to k others at random, about n / e^k never hear it; with k = log2(n) + 2
-/// that is less than one router in ten changes up to 400 routers. Those hear it
-/// by the repair of views that differ.
-unsigned timesToSpread(std::size_t Members) {
+/// How often each router passes on a rumour. If all n routers send it to k
+/// random others, about n / e^k never receive it. With k = log2(n) + 2, that is
+/// less than one router in ten changes for up to 400 routers. These learn of
+/// the change when differing views are repaired.
+unsigned transmissionCount(std::size_t Members) {
   return 2U + static_cast<unsigned>(std::bit_width(Members + 1));
 }
 
@@ -95,7 +98,8 @@
   this->respond(Now, Event);
 }
 
-/// Notes a direct sign of life, and turns away processes that were replaced.
+/// Records a message received directly, and rejects processes that have been
+/// replaced.
 bool MembershipTable::acceptSender(TimePoint Now,
                                    const MembershipMessageReceived &Event) {
   if (Event.From == this->Settings.Self.Router) {
@@ -108,14 +112,14 @@
       Event.IncarnationNumber > Known->Record.IncarnationNumber)
     return true;
   if (Event.IncarnationNumber < Known->Record.IncarnationNumber) {
-    // A process that was paused while another took its name. Unless told, it
-    // would believe for ever that it is the router of that name.
+    // The sender is a process that was paused while another one took its name.
+    // Unless it is notified, it continues to act under that name.
     if (!Event.Address.empty()) {
-      MembershipMessage Told =
+      MembershipMessage Notification =
           this->makeMessage(Now, MembershipKind::Gossip, 0);
-      Told.Rumours = {rumourOf(*Known)};
+      Notification.Rumours = {rumourOf(*Known)};
       this->PendingActions.push_back(
-          ContactAddress{Event.Address, std::move(Told)});
+          ContactAddress{Event.Address, std::move(Notification)});
     }
     return false;
   }
@@ -140,15 +144,15 @@
 void MembershipTable::applyRumour(TimePoint Now, MemberRumour Rumour,
                                   const RouterRecord *Record, bool FromState) {
   const KnownMember *Known = this->Members.find(Rumour.Router);
-  const bool HeardLately =
+  const bool HeardRecently =
       Known != nullptr && Known->EverReceived &&
       Known->Record.IncarnationNumber == Rumour.IncarnationNumber &&
       Now - Known->LastReceivedAt <= this->Settings.DirectTrust;
-  // When two halves of a fleet meet, each believes the other dead. Were that
-  // taken over, all would vanish from all views at once; as a suspicion it
-  // leaves each the time to contradict.
-  const bool Doubtful = FromState || HeardLately;
-  if (Known != nullptr && Rumour.Status == MemberStatus::Dead && Doubtful &&
+  // After a partition, each side believes the other one dead. If that were
+  // adopted, all routers would disappear from all views at once; as a
+  // suspicion, it leaves each router time to refute it.
+  const bool OnlySuspect = FromState || HeardRecently;
+  if (Known != nullptr && Rumour.Status == MemberStatus::Dead && OnlySuspect &&
       Known->Status != MemberStatus::Dead)
     Rumour.Status = MemberStatus::Suspect;
 
@@ -171,9 +175,9 @@
     this->spreadRumour(this->Settings.Self.Router);
     return;
   }
-  const bool Wrong = Rumour.Status != MemberStatus::Alive ||
-                     Rumour.Draining != this->SelfDraining;
-  if (!Wrong || Rumour.Refutation < this->SelfRefutation)
+  const bool MustRefute = Rumour.Status != MemberStatus::Alive ||
+                          Rumour.Draining != this->SelfDraining;
+  if (!MustRefute || Rumour.Refutation < this->SelfRefutation)
     return;
   this->SelfRefutation = Rumour.Refutation + 1;
   ++this->Refutations;
@@ -187,8 +191,8 @@
   this->PendingActions.push_back(Superseded{By});
 }
 
-/// Views that stay different show that news was lost; then one router's whole
-/// state is asked for.
+/// Views that differ for a long time indicate lost rumours, so the complete
+/// state of one router is requested.
 void MembershipTable::compareViews(TimePoint Now,
                                    const MembershipMessageReceived &Event) {
   if (Event.Message.Kind == MembershipKind::State)
@@ -206,8 +210,9 @@
     this->requestState(Now, Event.From);
 }
 
-/// Gossip evens out what it can first: after a partition that takes longer in a
-/// large fleet, and whole states then would cost more than they bring.
+/// Gossip is given time to repair the views first. After a partition, this
+/// takes longer in a large fleet, and State messages sent earlier would cost
+/// more than they bring.
 Duration MembershipTable::maxDisagreement() const {
   return this->Settings.MaxDisagreement +
          this->Settings.MaxDisagreementPerMember *
@@ -237,7 +242,7 @@
     return this->onAck(Now, Event);
   case MembershipKind::PingRequest: {
     if (this->recordOf(Message.Target) == nullptr ||
-        this->ForwardedPings.size() >= MostRelays)
+        this->ForwardedPings.size() >= MaxForwardedPings)
       return;
     MembershipMessage Ping =
         this->makeMessage(Now, MembershipKind::Ping, ++this->LastNumber);
@@ -253,8 +258,8 @@
   }
 }
 
-/// News of the sender's start was lost on its way here. A ping that introduces
-/// this router is answered by an ack that introduces the other.
+/// Sends a ping that introduces this router, since the record of the router at
+/// this address is missing here. The router introduces itself in its ack.
 void MembershipTable::requestIntroduction(TimePoint Now,
                                           const std::string &Address) {
   if (Address.empty())
@@ -275,13 +280,13 @@
   const std::uint32_t Number = Event.Message.Number;
   if (this->PendingProbe && this->PendingProbe->Number == Number)
     this->PendingProbe.reset();
-  const auto Asked = this->ForwardedPings.find(Number);
-  if (Asked == this->ForwardedPings.end())
+  const auto Found = this->ForwardedPings.find(Number);
+  if (Found == this->ForwardedPings.end())
     return;
-  const ForwardedPing Answered = Asked->second;
-  this->ForwardedPings.erase(Asked);
-  this->send(Answered.Requester,
-             this->makeMessage(Now, MembershipKind::Ack, Answered.Number),
+  const ForwardedPing Forwarded = Found->second;
+  this->ForwardedPings.erase(Found);
+  this->send(Forwarded.Requester,
+             this->makeMessage(Now, MembershipKind::Ack, Forwarded.Number),
              true);
 }
 
@@ -290,21 +295,21 @@
     this->applyHint(Hint);
   for (const PlatformRouter &Hint : Event.Leaving) {
     const KnownMember *Known = this->Members.find(Hint.Router);
-    // The list lags: it may tell of a life long replaced, and it never
-    // decides. A ping does.
+    // The list lags behind and may name an incarnation that was replaced long
+    // ago. It only triggers a ping, which decides.
     if (Known != nullptr && Known->Status == MemberStatus::Alive &&
         (Hint.IncarnationNumber == 0 ||
          Hint.IncarnationNumber >= Known->Record.IncarnationNumber) &&
-        this->PriorityProbes.size() < MostContacts)
+        this->PriorityProbes.size() < MaxContacts)
       this->PriorityProbes.push_back(Hint.Router);
   }
 }
 
 void MembershipTable::on(TimePoint, const LeaseListed &Event) {
   for (const PlatformRouter &Hint : Event.Holders) {
-    // Only a process of this name registers under it. A process that was
-    // frozen, and is cut off from all others, learns of its successor here
-    // alone; else both would serve under one name.
+    // Only a process of this name registers under it. For a process that was
+    // paused and is disconnected from all other routers, this is the only way
+    // to learn of its successor; otherwise, both would act under one name.
     if (Hint.Router == this->Settings.Self.Router &&
         Hint.IncarnationNumber > this->Settings.Self.IncarnationNumber)
       return this->supersede(Hint.IncarnationNumber);
@@ -316,11 +321,11 @@
   if (Hint.Router == this->Settings.Self.Router || Hint.PeerAddress.empty())
     return;
   const KnownMember *Known = this->Members.find(Hint.Router);
-  const bool News = Known == nullptr ||
-                    Hint.IncarnationNumber > Known->Record.IncarnationNumber;
-  const bool Listed = std::find(this->Contacts.begin(), this->Contacts.end(),
+  const bool IsNew = Known == nullptr ||
+                     Hint.IncarnationNumber > Known->Record.IncarnationNumber;
+  const bool Queued = std::find(this->Contacts.begin(), this->Contacts.end(),
                                 Hint.PeerAddress) != this->Contacts.end();
-  if (News && !Listed && this->Contacts.size() < MostContacts)
+  if (IsNew && !Queued && this->Contacts.size() < MaxContacts)
     this->Contacts.push_back(Hint.PeerAddress);
 }
 
@@ -331,17 +336,18 @@
   ++this->SelfRefutation;
   this->spreadRumour(this->Settings.Self.Router);
   for (RouterId Peer : this->pickRandom(this->Settings.DrainPeers, {})) {
-    MembershipMessage Told = this->makeMessage(Now, MembershipKind::Gossip, 0);
-    Told.Rumours.push_back(this->selfRumour());
-    this->send(Peer, std::move(Told), true);
+    MembershipMessage Notification =
+        this->makeMessage(Now, MembershipKind::Gossip, 0);
+    Notification.Rumours.push_back(this->selfRumour());
+    this->send(Peer, std::move(Notification), true);
   }
 }
 
-// Time.
+// Timers.
 
 void MembershipTable::on(TimePoint Now, const MembershipTick &) {
-  // Stopped and woken, or starved of the processor: the acks that did not
-  // come in that time say nothing about the others.
+  // This process was paused, or starved of CPU time. Acks missing since then
+  // say nothing about the other routers.
   if (this->LastTick && Now - *this->LastTick > this->Settings.MaxTickGap) {
     this->PendingProbe.reset();
     this->Members.restartSuspicions(Now);
@@ -362,8 +368,8 @@
   this->NextPeriod = Now + this->Settings.Period;
   this->concludeProbe(Now);
   this->Members.forgetDead(Now, this->Settings.DeadMemory);
-  std::erase_if(this->ForwardedPings, [&](const auto &Asked) {
-    return Now - Asked.second.StartedAt > RelayMemory;
+  std::erase_if(this->ForwardedPings, [&](const auto &Entry) {
+    return Now - Entry.second.StartedAt > ForwardedPingLifetime;
   });
   this->probeDead(Now);
   this->contactSeeds(Now);
@@ -379,12 +385,12 @@
 void MembershipTable::concludeProbe(TimePoint Now) {
   if (!this->PendingProbe)
     return;
-  const RouterId Silent = this->PendingProbe->Target;
+  const RouterId Target = this->PendingProbe->Target;
   this->PendingProbe.reset();
-  if (!this->Members.suspect(Now, Silent))
+  if (!this->Members.suspect(Now, Target))
     return;
   ++this->Suspicions;
-  this->spreadRumour(Silent);
+  this->spreadRumour(Target);
 }
 
 void MembershipTable::probeIndirectly(TimePoint Now) {
@@ -442,13 +448,13 @@
 
 std::optional<RouterId> MembershipTable::nextToProbe() {
   if (!this->PriorityProbes.empty()) {
-    const RouterId Doubted = this->PriorityProbes.back();
+    const RouterId Suspected = this->PriorityProbes.back();
     this->PriorityProbes.pop_back();
-    if (this->recordOf(Doubted) != nullptr)
-      return Doubted;
+    if (this->recordOf(Suspected) != nullptr)
+      return Suspected;
   }
-  // Each member once a round, in an order of its own for each router and
-  // round, so that no member is left out for longer than two rounds.
+  // Probes each member once per round, in an order that is shuffled for each
+  // router and round, so that no member is left out for longer than two rounds.
   for (int Round = 0; Round < 2; ++Round) {
     while (!this->ProbeOrder.empty()) {
       const RouterId Next = this->ProbeOrder.back();
@@ -487,16 +493,18 @@
     Message.Rumours.push_back(IsSelf ? this->selfRumour() : rumourOf(*Known));
     Bytes += RumourBytes;
     const RouterRecord &Record = IsSelf ? this->Settings.Self : Known->Record;
-    const bool Fresh = IsSelf || (Known->Status != MemberStatus::Dead &&
-                                  Now - Known->FirstSeenAt < RecordsFresh);
-    if (!Fresh || Bytes + encodedSize(Record) > NewsBytes)
+    const bool AttachRecord =
+        IsSelf || (Known->Status != MemberStatus::Dead &&
+                   Now - Known->FirstSeenAt < MaxRecordAge);
+    if (!AttachRecord || Bytes + encodedSize(Record) > MaxRumourBytes)
       continue;
     Message.Records.push_back(Record);
     Bytes += encodedSize(Record);
   }
 }
 
-/// Whoever is doubted must hear of it first, or it could not contradict.
+/// A suspected router must learn of the suspicion first, so that it can refute
+/// it.
 void MembershipTable::attachSuspicion(RouterId To,
                                       MembershipMessage &Message) const {
   const KnownMember *Known = this->Members.find(To);
@@ -514,10 +522,10 @@
 }
 
 void MembershipTable::sendState(TimePoint Now,
-                                const MembershipMessageReceived &Asked) {
-  if (this->Members.find(Asked.From) == nullptr)
+                                const MembershipMessageReceived &Request) {
+  if (this->Members.find(Request.From) == nullptr)
     return;
-  const bool WithRecords = Asked.Message.Number != RumoursSuffice;
+  const bool WithRecords = Request.Message.Number != WithoutRecords;
   MembershipMessage State = this->makeMessage(Now, MembershipKind::State, 0);
   this->introduceSelf(State);
   for (const auto &[Router, Known] : this->Members.all()) {
@@ -526,34 +534,35 @@
       State.Records.push_back(Known.Record);
   }
   ++this->StatesSent;
-  this->send(Asked.From, std::move(State), false);
+  this->send(Request.From, std::move(State), false);
 }
 
-/// After a partition all know each other's names and addresses from before:
-/// the rumours alone, with fewer bytes, even the views out. Where some router
-/// is new here, or that was not enough, all is asked for.
+/// After a partition, the routers know each other's names and addresses from
+/// before, so that rumours alone, which are smaller, are enough to make the
+/// views equal. Records are requested too if a router is new here or if rumours
+/// were not enough.
 void MembershipTable::requestState(TimePoint Now, RouterId From) {
   if (this->Members.find(From) == nullptr)
     return;
   const bool AnyNew =
       std::ranges::any_of(this->Members.all(), [Now](const auto &Each) {
-        return Now - Each.second.FirstSeenAt < RecordsFresh;
+        return Now - Each.second.FirstSeenAt < MaxRecordAge;
       });
-  const bool RumoursDo =
+  const bool RumoursSuffice =
       this->Joined && this->DisagreementSince && !AnyNew &&
       Now - *this->DisagreementSince <
           this->maxDisagreement() + this->Settings.StateInterval;
-  const Duration Pause =
+  const Duration Interval =
       this->Joined ? this->Settings.StateInterval : this->Settings.Period * 2;
-  this->NextStateRequest = Now + Pause;
+  this->NextStateRequest = Now + Interval;
   MembershipMessage Request = this->makeMessage(
-      Now, MembershipKind::StateRequest, RumoursDo ? RumoursSuffice : 0);
+      Now, MembershipKind::StateRequest, RumoursSuffice ? WithoutRecords : 0);
   this->introduceSelf(Request);
   this->send(From, std::move(Request), true);
 }
 
 void MembershipTable::spreadRumour(RouterId Router) {
-  this->Rumours.add(Router, timesToSpread(this->Members.all().size()));
+  this->Rumours.add(Router, transmissionCount(this->Members.all().size()));
 }
 
 std::vector<RouterId> MembershipTable::pickRandom(std::size_t Count,
@@ -592,15 +601,15 @@
   View Next{Self.Router, this->Members.visible(Now)};
   const Member Own{Self.Router, Self.IncarnationNumber, this->SelfDraining,
                    Self.Zone};
-  const auto Place =
+  const auto Position =
       std::lower_bound(Next.Members.begin(), Next.Members.end(), Own,
                        [](const Member &Left, const Member &Right) {
                          return Left.Router < Right.Router;
                        });
-  PARSLEYWING_INVARIANT(Place == Next.Members.end() ||
-                            Place->Router != Self.Router,
-                        "the list of others does not hold the router itself");
-  Next.Members.insert(Place, Own);
+  PARSLEYWING_INVARIANT(
+      Position == Next.Members.end() || Position->Router != Self.Router,
+      "the list of other members does not contain this router");
+  Next.Members.insert(Position, Own);
   if (Next == this->CurrentView)
     return;
   this->CurrentView = std::move(Next);
@@ -608,18 +617,18 @@
 }
 
 Poco::JSON::Object::Ptr MembershipTable::dump() const {
-  Poco::JSON::Array::Ptr Listed = new Poco::JSON::Array;
+  Poco::JSON::Array::Ptr MemberItems = new Poco::JSON::Array;
   for (const auto &[Router, Known] : this->Members.all()) {
-    Poco::JSON::Object::Ptr Entry = new Poco::JSON::Object;
-    Entry->set("name", Known.Record.Name);
-    Entry->set("life", Known.Record.IncarnationNumber);
-    Entry->set("refutation", Known.Refutation);
-    Entry->set("status", std::string(nameOf(MemberStatusNames, Known.Status)));
-    Entry->set("draining", Known.Draining);
-    Entry->set("peer_address", Known.Record.PeerAddress);
-    Entry->set("caller_address", Known.Record.CallerAddress);
-    Entry->set("returns", Known.ReturnCount);
-    Listed->add(Entry);
+    Poco::JSON::Object::Ptr Item = new Poco::JSON::Object;
+    Item->set("name", Known.Record.Name);
+    Item->set("life", Known.Record.IncarnationNumber);
+    Item->set("refutation", Known.Refutation);
+    Item->set("status", std::string(nameOf(MemberStatusNames, Known.Status)));
+    Item->set("draining", Known.Draining);
+    Item->set("peer_address", Known.Record.PeerAddress);
+    Item->set("caller_address", Known.Record.CallerAddress);
+    Item->set("returns", Known.ReturnCount);
+    MemberItems->add(Item);
   }
   Poco::JSON::Object::Ptr Dump = new Poco::JSON::Object;
   Dump->set("name", this->Settings.Self.Name);
@@ -632,7 +641,7 @@
   Dump->set("deaths", this->Deaths);
   Dump->set("refutations", this->Refutations);
   Dump->set("states_sent", this->StatesSent);
-  Dump->set("members", Listed);
+  Dump->set("members", MemberItems);
   return Dump;
 }
 
--- a/src/Decision/Membership/OwnerCache.cpp
+++ b/src/Decision/Membership/OwnerCache.cpp
@@ -29,17 +29,20 @@
     : Self(Current.Self), Candidates(candidatesOf(Current)) {}
 
 std::vector<std::uint64_t> OwnerCache::update(const View &Next) {
-  std::vector<RouterId> Now = candidatesOf(Next);
-  const std::vector<RouterId> Joined = difference(Now, this->Candidates);
-  const std::vector<RouterId> Left = difference(this->Candidates, Now);
-  const bool Alone = this->Candidates.empty() || Now.empty();
-  this->Candidates = std::move(Now);
+  std::vector<RouterId> NewCandidates = candidatesOf(Next);
+  const std::vector<RouterId> Joined =
+      difference(NewCandidates, this->Candidates);
+  const std::vector<RouterId> Left =
+      difference(this->Candidates, NewCandidates);
+  const bool OneIsEmpty = this->Candidates.empty() || NewCandidates.empty();
+  this->Candidates = std::move(NewCandidates);
   std::vector<std::uint64_t> Moved;
   if (Joined.empty() && Left.empty())
     return Moved;
   for (auto &[Key, Current] : this->Owners) {
-    const RouterId Before = Current.Router;
-    if (Alone || std::binary_search(Left.begin(), Left.end(), Before)) {
+    const RouterId PreviousOwner = Current.Router;
+    if (OneIsEmpty ||
+        std::binary_search(Left.begin(), Left.end(), PreviousOwner)) {
       Current = this->compute(Key);
     } else {
       for (RouterId Candidate : Joined) {
@@ -49,17 +52,17 @@
           Current = {Candidate, Score};
       }
     }
-    if (Current.Router != Before)
+    if (Current.Router != PreviousOwner)
       Moved.push_back(Key);
   }
   return Moved;
 }
 
 RouterId OwnerCache::ownerOf(std::uint64_t Key) {
-  const auto [Place, Inserted] = this->Owners.try_emplace(Key);
+  const auto [Found, Inserted] = this->Owners.try_emplace(Key);
   if (Inserted)
-    Place->second = this->compute(Key);
-  return Place->second.Router;
+    Found->second = this->compute(Key);
+  return Found->second.Router;
 }
 
 OwnerCache::Owner OwnerCache::compute(std::uint64_t Key) const {
