--- a/test/Decision/ConfigurationKeeperTest.cpp
+++ b/test/Decision/ConfigurationKeeperTest.cpp
@@ -14,13 +14,13 @@
 
 namespace {
 
-constexpr std::size_t DatagramHeaders = 28;
+constexpr std::size_t DatagramHeaderBytes = 28;
 
 std::size_t bytesOf(const ConfigurationMessage &Message) {
   std::ostringstream Out;
   cereal::BinaryOutputArchive Archive(Out);
   Archive(Message);
-  return Out.str().size() + DatagramHeaders;
+  return Out.str().size() + DatagramHeaderBytes;
 }
 
 std::string fileOf(std::size_t Accounts, std::uint64_t Change) {
@@ -35,13 +35,13 @@
   return Text;
 }
 
-/// The platform's store as the keepers see it.
+/// The platform's store.
 struct FakeStore {
   std::vector<ConfigurationManifest> Manifests;
   std::map<std::string, std::string> Parts;
-  bool Away = false;
-  /// Reads are so many generations old.
-  std::size_t Stale = 0;
+  bool Unavailable = false;
+  /// Reads are out of date by this many generations.
+  std::size_t StaleGenerations = 0;
   std::uint64_t Reads = 0;
 
   void apply(const std::string &File) {
@@ -57,9 +57,9 @@
   }
 
   ConfigurationManifest read() const {
-    if (this->Manifests.size() <= this->Stale)
+    if (this->Manifests.size() <= this->StaleGenerations)
       return {};
-    return this->Manifests[this->Manifests.size() - 1 - this->Stale];
+    return this->Manifests[this->Manifests.size() - 1 - this->StaleGenerations];
   }
 };
 
@@ -67,15 +67,16 @@
   std::unique_ptr<ConfigurationKeeper> Keeper;
   bool Up = false;
   bool Watching = false;
-  bool CutFromStore = false;
+  bool StoreUnreachable = false;
   std::uint64_t Highest = 0;
-  /// What every process of this name ever put in force.
-  std::uint64_t HighestEver = 0;
+  /// The highest generation that any process of this name has activated.
+  std::uint64_t HighestOfAllProcesses = 0;
   std::size_t Sent = 0;
   std::size_t BulkSent = 0;
 };
 
-/// A fleet of keepers with a lossy exchange and a paused clock.
+/// A fleet of keepers that exchange messages over a lossy network, with a
+/// paused clock.
 struct Fleet {
   explicit Fleet(std::size_t Count, std::uint64_t Seed, std::size_t Zones = 3)
       : Nodes(Count), Zones(Zones), Random(Seed) {
@@ -105,16 +106,16 @@
     N.Up = true;
     N.Watching = false;
     N.Highest = 0;
-    this->pass(Index, ViewChanged{this->view(Index)});
+    this->handleEvent(Index, ViewChanged{this->view(Index)});
   }
 
   void kill(std::size_t Index) { this->Nodes[Index].Up = false; }
 
-  void later(std::size_t To, ConfigurationEvent Event, Duration Wait) {
+  void schedule(std::size_t To, ConfigurationEvent Event, Duration Wait) {
     this->Pending.emplace(this->Now + Wait, Delivery{To, std::move(Event)});
   }
 
-  void pass(std::size_t Index, const ConfigurationEvent &Event) {
+  void handleEvent(std::size_t Index, const ConfigurationEvent &Event) {
     if (!this->Nodes[Index].Up)
       return;
     for (const auto &Action :
@@ -122,8 +123,8 @@
       std::visit([&](const auto &Each) { this->perform(Index, Each); }, Action);
   }
 
-  bool storeAnswers(std::size_t Index) const {
-    return !this->Store.Away && !this->Nodes[Index].CutFromStore;
+  bool isStoreReachable(std::size_t Index) const {
+    return !this->Store.Unavailable && !this->Nodes[Index].StoreUnreachable;
   }
 
   void perform(std::size_t Index, const WatchManifest &) {
@@ -134,19 +135,19 @@
   }
   void perform(std::size_t Index, const ReadManifest &) {
     ++this->Store.Reads;
-    if (this->storeAnswers(Index))
-      this->later(Index, ManifestRead{this->Store.read()}, 3ms);
+    if (this->isStoreReachable(Index))
+      this->schedule(Index, ManifestRead{this->Store.read()}, 3ms);
     else
-      this->later(Index, StoreFailed{}, 1s);
+      this->schedule(Index, StoreFailed{}, 1s);
   }
-  void perform(std::size_t Index, const ReadParts &Wanted) {
+  void perform(std::size_t Index, const ReadParts &Request) {
     ++this->Store.Reads;
-    if (!this->storeAnswers(Index))
-      return this->later(Index, StoreFailed{}, 1s);
-    PartsRead Read{Wanted.Generation, {}};
-    for (const TextHash &Part : Wanted.Parts)
+    if (!this->isStoreReachable(Index))
+      return this->schedule(Index, StoreFailed{}, 1s);
+    PartsRead Read{Request.Generation, {}};
+    for (const TextHash &Part : Request.Parts)
       Read.Texts.push_back(this->Store.Parts.at(toString(Part)));
-    this->later(Index, Read, 5ms);
+    this->schedule(Index, Read, 5ms);
   }
   void perform(std::size_t Index, const SendConfigurationMessage &Message) {
     Node &N = this->Nodes[Index];
@@ -154,33 +155,33 @@
     (Message.Bulk ? N.BulkSent : N.Sent) += Bytes;
     const std::size_t To = Message.To.Value - 1;
     if (this->Random() % 100 < this->LossPercent ||
-        this->Side.count(Index) != this->Side.count(To))
+        this->PartitionSide.count(Index) != this->PartitionSide.count(To))
       return;
-    this->later(
+    this->schedule(
         To, ConfigurationMessageReceived{RouterId{Index + 1}, Message.Message},
         this->MessageDelay + Duration(this->Random() % 2000));
   }
   void perform(std::size_t Index, const ActivateConfiguration &Action) {
     Node &N = this->Nodes[Index];
     cr_assert_gt(Action.Generation, N.Highest);
-    if (this->MayNotRevert) {
-      cr_assert_geq(Action.Generation, N.HighestEver,
-                    "a restart went back behind what was in force");
+    if (this->ChecksRevert) {
+      cr_assert_geq(Action.Generation, N.HighestOfAllProcesses,
+                    "a restart reverted to an older configuration");
     }
     N.Highest = Action.Generation;
-    N.HighestEver = std::max(N.HighestEver, N.Highest);
+    N.HighestOfAllProcesses = std::max(N.HighestOfAllProcesses, N.Highest);
     const auto &Manifest = this->Store.Manifests.at(Action.Generation - 1);
     cr_assert(ConfigurationText(*Action.Text).hash() == Manifest.Hash,
-              "two texts of one generation");
+              "a generation has two different texts");
   }
 
   void apply(const std::string &File) {
     this->Store.apply(File);
     for (std::size_t Index = 0; Index < this->Nodes.size(); ++Index)
-      if (this->Nodes[Index].Watching && this->storeAnswers(Index) &&
+      if (this->Nodes[Index].Watching && this->isStoreReachable(Index) &&
           this->Random() % 100 >= this->WatchLossPercent)
-        this->later(Index, ManifestRead{this->Store.Manifests.back()},
-                    Duration(2000 + this->Random() % this->WatchSpread));
+        this->schedule(Index, ManifestRead{this->Store.Manifests.back()},
+                       Duration(2000 + this->Random() % this->MaxWatchDelay));
   }
 
   void run(Duration Time) {
@@ -191,15 +192,15 @@
              this->Pending.begin()->first <= this->Now) {
         const Delivery Next = std::move(this->Pending.begin()->second);
         this->Pending.erase(this->Pending.begin());
-        this->pass(Next.To, Next.Event);
+        this->handleEvent(Next.To, Next.Event);
       }
       if ((this->Now.time_since_epoch() / 10ms) % 10 == 0)
         for (std::size_t Index = 0; Index < this->Nodes.size(); ++Index)
-          this->pass(Index, Tick{});
+          this->handleEvent(Index, Tick{});
     }
   }
 
-  std::size_t behind() const {
+  std::size_t countBehind() const {
     std::size_t Count = 0;
     for (const Node &N : this->Nodes)
       Count += N.Up && N.Keeper->generation() < this->Store.Manifests.size();
@@ -215,45 +216,46 @@
   unsigned LossPercent = 0;
   Duration MessageDelay{500};
   unsigned WatchLossPercent = 0;
-  std::uint64_t WatchSpread = 3000;
-  bool MayNotRevert = true;
-  std::set<std::size_t> Side;
+  std::uint64_t MaxWatchDelay = 3000;
+  bool ChecksRevert = true;
+  std::set<std::size_t> PartitionSide;
 };
 
 } // namespace
 
-// Symptom: a router runs under an older configuration than before. Sequence:
-// watch events come in reverse order, then a stale read. Cause: the newest news
-// is taken for the newest generation. Fails without the comparisons with
-// InForce in ConfigurationKeeper::on(ManifestRead) and assemble together.
-Test(ConfigurationKeeper, ignoresReorderedAndStaleNews) {
+// Guards against a router that reverts to an older configuration: watch events
+// arrive in reverse order, followed by a stale read, and the last update is
+// taken for the newest generation. Fails if the comparisons with
+// `ActiveGeneration` are removed both from `on(ManifestRead)` and from
+// `assemble`.
+Test(ConfigurationKeeper, ignoresReorderedAndStaleUpdates) {
   Fleet F(1, 1);
   F.Store.apply(fileOf(5, 1));
   F.run(20s);
   cr_assert_eq(F.Nodes[0].Highest, 1U);
   F.Store.apply(fileOf(5, 2));
   F.Store.apply(fileOf(5, 3));
-  F.pass(0, ManifestRead{F.Store.Manifests[2]});
-  F.pass(0, ManifestRead{F.Store.Manifests[1]});
+  F.handleEvent(0, ManifestRead{F.Store.Manifests[2]});
+  F.handleEvent(0, ManifestRead{F.Store.Manifests[1]});
   F.run(1s);
   cr_assert_eq(F.Nodes[0].Highest, 3U);
-  F.Store.Stale = 2;
+  F.Store.StaleGenerations = 2;
   F.run(60s);
   cr_assert_eq(F.Nodes[0].Keeper->generation(), 3U);
 }
 
-// Symptom: a restarted router goes back to an older configuration than it had.
-// Sequence: it restarts without memory and its first read of the store is
-// stale; the others have the newest. Cause: it takes the first that it reads.
-// Fails without the wait in joining().
-Test(ConfigurationKeeper, doesNotRevertThroughARestartWithAStaleRead) {
+// Guards against a restarted router that reverts to an older configuration: it
+// restarts without state, its first read of the store is stale, and it
+// activates the first generation that it reads, although other routers have the
+// newest one. Fails without the wait in `isJoining`.
+Test(ConfigurationKeeper, doesNotRevertAfterARestartWithAStaleRead) {
   Fleet F(6, 2);
   F.Store.apply(fileOf(5, 1));
   F.run(20s);
   F.apply(fileOf(5, 2));
   F.run(5s);
-  cr_assert_eq(F.behind(), 0U);
-  F.Store.Stale = 1;
+  cr_assert_eq(F.countBehind(), 0U);
+  F.Store.StaleGenerations = 1;
   F.MessageDelay = 50ms;
   F.kill(2);
   F.run(1s);
@@ -262,14 +264,15 @@
   cr_assert_eq(F.Nodes[2].Keeper->generation(), 2U);
 }
 
-// Symptom: a router restarted during an outage of the store serves nobody.
-// Sequence: the store is away, the router starts without memory. Cause: it
-// knows of no other source. Fails without ConfigurationWhole among the answers.
-Test(ConfigurationKeeper, takesTheHighestOfItsPeersWhileTheStoreIsAway) {
+// Guards against a router that serves nobody because it was restarted during an
+// outage of the store and knows of no other source. Fails if no router responds
+// with `ConfigurationSnapshot`.
+Test(ConfigurationKeeper,
+     activatesTheHighestGenerationOfItsPeersDuringAStoreOutage) {
   Fleet F(6, 3);
   F.Store.apply(fileOf(5, 1));
   F.run(20s);
-  F.Store.Away = true;
+  F.Store.Unavailable = true;
   F.kill(4);
   F.start(4);
   F.run(10s);
@@ -277,30 +280,30 @@
   cr_assert(F.Nodes[4].Keeper->dump()->getValue<bool>("takenWithoutStore"));
 }
 
-// Symptom: the store fails again as it returns. Sequence: 60 routers start at
-// one moment without it; it comes back. Cause: all read at the same moment.
-// Fails with readStoreSoon without its random part.
-Test(ConfigurationKeeper, doesNotReturnToTheStoreAsAHerd) {
+// Guards against a store that fails again when it recovers: 60 routers start
+// simultaneously during an outage and, when it ends, all read at the same time.
+// Fails without the random part of the delay in `scheduleStoreRead`.
+Test(ConfigurationKeeper, avoidsAThunderingHerdWhenTheStoreRecovers) {
   Fleet F(60, 4);
-  F.Store.Away = true;
+  F.Store.Unavailable = true;
   for (std::size_t Index = 0; Index < F.Nodes.size(); ++Index)
     F.kill(Index);
   F.run(2s);
   for (std::size_t Index = 0; Index < F.Nodes.size(); ++Index)
     F.start(Index);
   F.run(120s);
-  std::uint64_t Most = 0;
+  std::uint64_t MaxReads = 0;
   for (int Window = 0; Window < 200; ++Window) {
     const std::uint64_t Before = F.Store.Reads;
     F.run(100ms);
-    Most = std::max(Most, F.Store.Reads - Before);
+    MaxReads = std::max(MaxReads, F.Store.Reads - Before);
   }
-  // 60 routers that wait 8 s on average make 0.75 reads in a window.
-  cr_assert_leq(Most, 12U);
-  F.Store.Away = false;
+  // 60 routers that wait for 8 s on average make 0.75 reads per window.
+  cr_assert_leq(MaxReads, 12U);
+  F.Store.Unavailable = false;
   F.Store.apply(fileOf(5, 1));
   F.run(20s);
-  cr_assert_eq(F.behind(), 0U);
+  cr_assert_eq(F.countBehind(), 0U);
 }
 
 Test(ConfigurationKeeper,
@@ -308,7 +311,7 @@
   Fleet F(380, 5, 9);
   F.Store.apply(fileOf(1000, 1));
   F.run(30s);
-  cr_assert_eq(F.behind(), 0U);
+  cr_assert_eq(F.countBehind(), 0U);
   std::size_t Before = 0;
   std::size_t BulkBefore = 0;
   for (const Node &N : F.Nodes) {
@@ -321,7 +324,7 @@
   for (int Change = 2; Change < 2 + Changes; ++Change) {
     const TimePoint Begin = F.Now;
     F.apply(fileOf(1000, static_cast<std::uint64_t>(Change)));
-    while (F.behind() > 0)
+    while (F.countBehind() > 0)
       F.run(10ms);
     Worst = std::max(Worst, F.Now - Begin);
     F.run(Begin + 1111ms - F.Now);
@@ -343,71 +346,71 @@
   cr_assert_eq(BulkAfter, BulkBefore);
 }
 
-// A long randomised run: losses, late and dropped watch events, stale reads,
-// outages, partitions, restarts, and operators' changes in between. Nothing
-// ever reverts, each generation has one text, and all reach the highest in a
-// bounded time after the last fault.
+// A long randomised run with lost messages, late and lost watch events, stale
+// reads, outages, partitions, restarts, and changes by operators. No router
+// ever reverts, each generation has one text, and all routers reach the highest
+// generation in bounded time after the last fault.
 static void runRandomised(std::uint64_t Seed) {
   constexpr std::size_t Routers = 24;
   Fleet F(Routers, Seed);
   F.LossPercent = 10;
   F.WatchLossPercent = 20;
-  F.WatchSpread = 500000;
+  F.MaxWatchDelay = 500000;
   F.Store.apply(fileOf(40, 1));
   F.run(20s);
   std::uint64_t Change = 1;
   for (int Round = 0; Round < 120; ++Round) {
     switch (F.Random() % 8) {
     case 0:
-      F.Store.Away = !F.Store.Away;
+      F.Store.Unavailable = !F.Store.Unavailable;
       break;
     case 1:
-      F.Store.Stale = F.Random() % 3;
+      F.Store.StaleGenerations = F.Random() % 3;
       break;
     case 2: {
       const std::size_t Index = F.Random() % Routers;
       F.kill(Index);
       if (F.Random() % 2 == 0)
         F.run(Duration(F.Random() % 3000000));
-      // Cut from every other router, a stale read cannot be told from a fresh
-      // one; the store's reads are fresh then.
-      if (F.Side.size() > 0)
-        F.Store.Stale = 0;
-      F.MayNotRevert = F.Side.empty() || !F.Store.Away;
+      // A router that is disconnected from all others cannot detect a stale
+      // read, so the reads are fresh in this case.
+      if (F.PartitionSide.size() > 0)
+        F.Store.StaleGenerations = 0;
+      F.ChecksRevert = F.PartitionSide.empty() || !F.Store.Unavailable;
       F.start(Index);
       break;
     }
     case 3:
-      F.Side.clear();
+      F.PartitionSide.clear();
       if (F.Random() % 2 == 0)
         for (std::size_t Index = 0; Index < Routers; ++Index)
           if (F.Random() % 3 == 0)
-            F.Side.insert(Index);
+            F.PartitionSide.insert(Index);
       break;
     case 4:
-      F.Nodes[F.Random() % Routers].CutFromStore = F.Random() % 2 == 0;
+      F.Nodes[F.Random() % Routers].StoreUnreachable = F.Random() % 2 == 0;
       break;
     default:
-      if (!F.Store.Away)
+      if (!F.Store.Unavailable)
         F.apply(fileOf(40, ++Change));
     }
     F.run(Duration(F.Random() % 2000000));
   }
-  F.Store.Away = false;
-  F.Store.Stale = 0;
-  F.Side.clear();
+  F.Store.Unavailable = false;
+  F.Store.StaleGenerations = 0;
+  F.PartitionSide.clear();
   for (Node &N : F.Nodes)
-    N.CutFromStore = false;
-  Duration Healing{};
-  while (F.behind() > 0 && Healing < 60s) {
+    N.StoreUnreachable = false;
+  Duration RecoveryTime{};
+  while (F.countBehind() > 0 && RecoveryTime < 60s) {
     F.run(100ms);
-    Healing += 100ms;
+    RecoveryTime += 100ms;
   }
-  cr_assert_eq(F.behind(), 0U, "seed %llu",
+  cr_assert_eq(F.countBehind(), 0U, "seed %llu",
                static_cast<unsigned long long>(Seed));
-  cr_assert_leq(Healing / 1s, 20, "seed %llu took %lld ms",
+  cr_assert_leq(RecoveryTime / 1s, 20, "seed %llu took %lld ms",
                 static_cast<unsigned long long>(Seed),
-                static_cast<long long>(Healing / 1ms));
+                static_cast<long long>(RecoveryTime / 1ms));
 }
 
 Test(ConfigurationKeeper, neverRevertsAndConvergesUnderRandomFaults) {
--- a/test/Decision/ConfigurationTextTest.cpp
+++ b/test/Decision/ConfigurationTextTest.cpp
@@ -19,11 +19,11 @@
 } // namespace
 
 Test(ConfigurationText, doesNotDependOnTheOrderOfSections) {
-  const ConfigurationText One("[a]\nx = 1\n[b]\ny = 2\n");
-  const ConfigurationText Other("[b]\ny = 2\n[a]\nx = 1");
-  cr_assert_eq(One.fullText(), Other.fullText());
-  cr_assert(One.hash() == Other.hash());
-  cr_assert(textHashOf(toString(One.hash())) == One.hash());
+  const ConfigurationText First("[a]\nx = 1\n[b]\ny = 2\n");
+  const ConfigurationText Second("[b]\ny = 2\n[a]\nx = 1");
+  cr_assert_eq(First.fullText(), Second.fullText());
+  cr_assert(First.hash() == Second.hash());
+  cr_assert(textHashOf(toString(First.hash())) == First.hash());
 }
 
 Test(ConfigurationText, deltasAndPartsKeepEverySection) {
--- a/test/Decision/FairnessFleet.cpp
+++ b/test/Decision/FairnessFleet.cpp
@@ -14,7 +14,7 @@
 constexpr Duration Step = std::chrono::milliseconds(10);
 constexpr double StepSeconds = 0.01;
 constexpr std::uint64_t StepsPerReport = 50;
-/// Load reports describe a moment this many reports ago.
+/// Load reports are delayed by this many report intervals.
 constexpr std::size_t ReportLag = 1;
 const ServiceId Service = idOf<ServiceId>("chat");
 
@@ -29,7 +29,8 @@
     All.Services[Service].Servers.push_back(this->Servers.back().Name);
   }
   for (std::size_t I = 0; I < S.Accounts; ++I) {
-    // Every fourth account is large: more share, more entries, a long queue.
+    // Every fourth account is large: a higher share, more entry routers, and
+    // longer queues.
     const bool Large = I % 4 == 0;
     SimulatedAccount Account;
     Account.Name = idOf<AccountId>("account-" + std::to_string(I));
@@ -37,7 +38,7 @@
     Account.TargetQueueLength = Large ? 24 : 6;
     const std::size_t Entries = std::min<std::size_t>(S.Routers, Large ? 4 : 2);
     while (Account.EntryRouters.size() < Entries) {
-      // Uneven: low-numbered routers get more callers.
+      // Uneven: routers with low numbers have more callers.
       const std::size_t At =
           std::min(this->drawIndex(S.Routers), this->drawIndex(S.Routers));
       if (!std::ranges::count(Account.EntryRouters, At))
@@ -99,9 +100,9 @@
 
 void FairnessFleet::handleEvent(std::size_t Router,
                                 const FairnessEvent &Event) {
-  SimulatedRouter &At = this->Routers[Router];
-  for (const FairnessAction &Wanted :
-       At.Scheduler->handle(this->Time.now(), Event))
+  SimulatedRouter &Target = this->Routers[Router];
+  for (const FairnessAction &Action :
+       Target.Scheduler->handle(this->Time.now(), Event))
     std::visit(
         Overloaded{
             [&](const AdmitRequest &A) {
@@ -109,15 +110,15 @@
               PARSLEYWING_INVARIANT(!Request.Server, "admitted once");
               const auto Server = std::ranges::find(this->Servers, A.Server,
                                                     &SimulatedServer::Name);
-              PARSLEYWING_INVARIANT(At.Conditions[A.Server] ==
-                                        ServerCondition::Usable,
-                                    "no work for a server known to leave");
+              PARSLEYWING_INVARIANT(
+                  Target.Conditions[A.Server] == ServerCondition::Usable,
+                  "no requests for a server that is known to leave");
               Request.Server = Server - this->Servers.begin();
-              --At.Waiting[Request.Account];
+              --Target.Waiting[Request.Account];
               Server->Requests.push_back(A.Request.Value);
             },
             [&](const SendFairMessage &A) { this->sendMessage(Router, A); }},
-        Wanted);
+        Action);
 }
 
 void FairnessFleet::sendMessage(std::size_t From,
@@ -130,7 +131,7 @@
                              : this->drawBool(this->Setup.Duplication) ? 2
                                                                        : 1;
   for (std::size_t I = 0; I < Copies; ++I) {
-    // One in fifty is late enough to be overtaken.
+    // One message in fifty is late enough to be overtaken.
     const double Delay = this->drawBool(0.02) ? this->drawUniform(0.1, 2)
                                               : this->drawUniform(0.001, 0.015);
     const TimePoint Due =
@@ -182,14 +183,14 @@
     this->CapacitySteps += this->Setup.Concurrency;
     this->BusySteps += static_cast<double>(Running);
   }
-  const auto Above = static_cast<std::uint32_t>(Engine.Requests.size());
-  if (Above > this->Setup.MaxConcurrent)
+  const auto Total = static_cast<std::uint32_t>(Engine.Requests.size());
+  if (Total > this->Setup.MaxConcurrent)
     this->MaxAbove =
-        std::max(this->MaxAbove, Above - this->Setup.MaxConcurrent);
-  std::vector<std::uint64_t> Now(Engine.Requests.begin(),
-                                 Engine.Requests.begin() +
-                                     static_cast<std::ptrdiff_t>(Running));
-  for (std::uint64_t Name : Now) {
+        std::max(this->MaxAbove, Total - this->Setup.MaxConcurrent);
+  std::vector<std::uint64_t> RunningIds(
+      Engine.Requests.begin(),
+      Engine.Requests.begin() + static_cast<std::ptrdiff_t>(Running));
+  for (std::uint64_t Name : RunningIds) {
     SimulatedRequest &Request = this->Requests.at(Name);
     const double Tokens = std::min(this->Setup.TokensPerSecond * StepSeconds,
                                    Request.Cost - Request.CompletedTokens);
@@ -205,10 +206,11 @@
                                                    Request.CompletedTokens)});
       continue;
     }
-    const auto Whole = static_cast<std::uint64_t>(std::llround(Request.Cost));
+    const auto TotalTokens =
+        static_cast<std::uint64_t>(std::llround(Request.Cost));
     std::erase(Engine.Requests, Name);
     this->Requests.erase(Name);
-    this->handleEvent(Router, RequestReleased{RequestId{Name}, Whole});
+    this->handleEvent(Router, RequestReleased{RequestId{Name}, TotalTokens});
   }
 }
 
@@ -219,29 +221,31 @@
     Engine.PendingReports.emplace_back(Running, All - Running);
     if (Engine.PendingReports.size() <= ReportLag)
       continue;
-    const auto [R, W] = Engine.PendingReports.front();
+    const auto [ReportedRunning, ReportedWaiting] =
+        Engine.PendingReports.front();
     Engine.PendingReports.pop_front();
     for (std::size_t I = 0; I < this->Routers.size(); ++I)
-      this->handleEvent(I, LoadReported{Engine.Name, R, W});
+      this->handleEvent(
+          I, LoadReported{Engine.Name, ReportedRunning, ReportedWaiting});
   }
 }
 
 View FairnessFleet::viewOf(std::size_t Router) const {
-  View Seen{this->Routers[Router].Name, {}};
+  View Result{this->Routers[Router].Name, {}};
   for (const SimulatedRouter &Other : this->Routers)
     if (Other.Disconnected == this->Routers[Router].Disconnected)
-      Seen.Members.push_back({Other.Name, Other.IncarnationNumber, false});
-  return Seen;
+      Result.Members.push_back({Other.Name, Other.IncarnationNumber, false});
+  return Result;
 }
 
 void FairnessFleet::deliverViews() {
-  for (auto At = this->ViewDue.begin(); At != this->ViewDue.end();) {
-    const auto [Router, Due] = *At;
+  for (auto Next = this->ViewDue.begin(); Next != this->ViewDue.end();) {
+    const auto [Router, Due] = *Next;
     if (Due > this->Time.now()) {
-      ++At;
+      ++Next;
       continue;
     }
-    At = this->ViewDue.erase(At);
+    Next = this->ViewDue.erase(Next);
     this->handleEvent(Router, ViewChanged{this->viewOf(Router)});
   }
 }
@@ -255,30 +259,32 @@
 }
 
 void FairnessFleet::restart(std::size_t Router) {
-  SimulatedRouter &At = this->Routers[Router];
-  if (At.Scheduler) {
-    this->EndedBytes += At.Scheduler->counters().BytesSent;
-    this->EndedMoves += At.Scheduler->counters().SlotsGranted;
+  SimulatedRouter &Target = this->Routers[Router];
+  if (Target.Scheduler) {
+    this->EndedBytes += Target.Scheduler->counters().BytesSent;
+    this->EndedMoves += Target.Scheduler->counters().SlotsGranted;
   }
-  ++At.IncarnationNumber;
-  FairnessSettings Own = this->Setup.Fairness;
-  Own.Seed = this->Setup.Seed * 1000003 + Router * 7919 + At.IncarnationNumber;
-  At.Scheduler.emplace(Own);
-  At.Waiting.assign(this->Accounts.size(), 0);
-  // Its streams break with it; its callers come again.
+  ++Target.IncarnationNumber;
+  FairnessSettings RouterSettings = this->Setup.Fairness;
+  RouterSettings.Seed =
+      this->Setup.Seed * 1000003 + Router * 7919 + Target.IncarnationNumber;
+  Target.Scheduler.emplace(RouterSettings);
+  Target.Waiting.assign(this->Accounts.size(), 0);
+  // The streams of the router end with it; its callers send new requests.
   for (auto Next = this->Requests.begin(); Next != this->Requests.end();) {
-    const auto This = Next++;
-    if (This->second.Router != Router)
+    const auto Current = Next++;
+    if (Current->second.Router != Router)
       continue;
-    if (This->second.Server)
-      std::erase(this->Servers[*This->second.Server].Requests, This->first);
-    this->Requests.erase(This);
+    if (Current->second.Server)
+      std::erase(this->Servers[*Current->second.Server].Requests,
+                 Current->first);
+    this->Requests.erase(Current);
   }
-  At.Conditions.clear();
+  Target.Conditions.clear();
   this->handleEvent(Router, DeclarationsChanged{this->ActiveDeclarations});
   this->handleEvent(Router, ViewChanged{this->viewOf(Router)});
   for (const SimulatedServer &Server : this->Servers) {
-    At.Conditions[Server.Name] = Server.Condition;
+    Target.Conditions[Server.Name] = Server.Condition;
     this->handleEvent(Router,
                       ServerConditionChanged{Server.Name, Server.Condition});
   }
@@ -338,7 +344,7 @@
 }
 
 void FairnessFleet::measure() {
-  const auto Got = [this](std::size_t I) {
+  const auto ServedPerShare = [this](std::size_t I) {
     const SimulatedAccount &Account = this->Accounts[I];
     return (Account.Served - Account.ServedAtStart) / Account.Share;
   };
@@ -347,8 +353,8 @@
       if (!this->Accounts[I].Measured || !this->Accounts[J].Measured)
         continue;
       auto &[Low, High] = this->Differences[I * this->Accounts.size() + J];
-      Low = std::min(Low, Got(I) - Got(J));
-      High = std::max(High, Got(I) - Got(J));
+      Low = std::min(Low, ServedPerShare(I) - ServedPerShare(J));
+      High = std::max(High, ServedPerShare(I) - ServedPerShare(J));
     }
 }
 
@@ -400,7 +406,7 @@
     if (Account.Measured)
       Shares += Account.Share;
   const double Engines = static_cast<double>(this->Setup.Servers);
-  const double SlotsAShare = Engines * this->Setup.MaxConcurrent / Shares;
+  const double SlotsPerShare = Engines * this->Setup.MaxConcurrent / Shares;
   const double Rate =
       Engines * this->Setup.Concurrency * this->Setup.TokensPerSecond / Shares;
   const FairnessSettings &F = this->Setup.Fairness;
@@ -410,7 +416,7 @@
   const double Exchange = Seconds(F.ContributionInterval) +
                           2 * Seconds(F.FlushInterval) +
                           2 * Seconds(F.DigestInterval);
-  const double InFlight = (SlotsAShare + 1) * this->Setup.MaxCost;
+  const double InFlight = (SlotsPerShare + 1) * this->Setup.MaxCost;
   const double Slack = (F.ReturnSlack + 1) * this->Setup.MaxCost;
   return 2 * (InFlight + Rate * Exchange + Slack);
 }
--- a/test/Decision/FairnessModulesTest.cpp
+++ b/test/Decision/FairnessModulesTest.cpp
@@ -22,7 +22,7 @@
 
 } // namespace
 
-Test(AccountHome, leavesOutTheAskerAndTakesOnlyNewerVersions) {
+Test(AccountHome, excludesTheSenderAndIgnoresOlderVersions) {
   AccountHome Home(std::chrono::seconds(0));
   Home.applyContribution(at(1), A, 1, 5, {9, 100, 0, 0});
   cr_assert_eq(Home.applyContribution(at(1), B, 1, 1, {9, 30, 0, 0}).Others,
@@ -33,11 +33,11 @@
                100.0);
 }
 
-// Symptom: a restarted router's account gets its service once more.
-// Sequence: charge 100; restart empty; report 0.
-// Cause: the earlier process's contribution overwritten by the later one's.
-// Seen to fail on a copy where the home does not add it to its base.
-Test(AccountHome, keepsWhatAnEarlierProcessCharged) {
+// Guards against an account that is served twice for the same tokens: a router
+// charges 100, restarts without state and reports 0, and this contribution
+// overwrites that of the earlier process. Fails if the home does not add the
+// earlier contribution to its base.
+Test(AccountHome, keepsTokensChargedByAnEarlierProcess) {
   AccountHome Home(std::chrono::seconds(0));
   Home.applyContribution(at(1), A, 1, 5, {9, 100, 0, 0});
   cr_assert_eq(Home.applyContribution(at(2), A, 2, 1, {9, 0, 0, 0}).Others,
@@ -47,7 +47,7 @@
                100.0);
 }
 
-Test(AccountHome, aNewHomeTakesOverWhatRoutersBelieve) {
+Test(AccountHome, takesOverTheTotalsThatRoutersReport) {
   AccountHome Home(std::chrono::seconds(5));
   cr_assert_eq(Home.applyContribution(at(1), A, 1, 1, {9, 40, 60, 0}).Others,
                60.0);
@@ -55,7 +55,7 @@
                50.0);
 }
 
-Test(AccountLedger, liftsOnlyWhatTheHomeConfirmed) {
+Test(AccountLedger, increasesPermanentlyOnlyAfterConfirmation) {
   AccountLedger Ledger;
   const PairId Pair = pairOf(AccountId{1}, ServiceId{2});
   Ledger.open(AccountId{1}, ServiceId{2}, 2);
@@ -71,13 +71,14 @@
   cr_assert_float_eq(Ledger.at(Pair).virtualTime(), 600, 0.01);
 }
 
-Test(AdmissionWindow, followsLateReportsAndNeverExceedsTheDeclared) {
+Test(AdmissionWindow, adaptsToLateReportsUpToTheDeclaredConcurrency) {
   const FairnessSettings Settings;
   AdmissionWindow Window(8);
   Window.report(at(10), 4, 4, Settings);
   cr_assert_eq(Window.size(), 5U);
   Window.report(at(10), 2, 6, Settings);
-  cr_assert_eq(Window.size(), 5U, "a second cut before the first shows");
+  cr_assert_eq(Window.size(), 5U,
+               "reduced again before the first reduction is visible");
   for (int I = 0; I < 20; ++I)
     Window.report(at(11), 4, 0, Settings);
   cr_assert_eq(Window.size(), 8U);
@@ -88,20 +89,19 @@
   cr_assert_eq(Window.size(), 3U, "reports stopped");
 }
 
-// Symptom: slots leak or double when messages are lost, doubled or reordered.
-// Sequence: each grant and report arrives twice, the older last.
-// Cause: messages that add up instead of stating a total.
-// Seen to fail on a copy where the owner adds up returns.
+// Guards against slots that leak or double when messages are lost, duplicated
+// or reordered: each grant and report is applied twice, the older one last.
+// Fails if the owner adds up returns instead of comparing totals.
 Test(Slots, repeatedAndOldCountersChangeNothing) {
   SlotOwner Owner;
   SlotTable Table;
   Owner.add(Server, 3, at(0));
   Table.setOwner(Server, A, 1);
   Owner.grant(Server, B, 7);
-  const SlotGrant Old = Owner.grantOf(at(1), Server, B);
+  const SlotGrant OlderGrant = Owner.grantOf(at(1), Server, B);
   Owner.grant(Server, B, 7);
-  const SlotGrant New = Owner.grantOf(at(1), Server, B);
-  for (const SlotGrant &Grant : {New, Old, New})
+  const SlotGrant NewerGrant = Owner.grantOf(at(1), Server, B);
+  for (const SlotGrant &Grant : {NewerGrant, OlderGrant, NewerGrant})
     Table.applyGrant(at(1), A, 1, Grant, std::chrono::seconds(1));
   cr_assert_eq(Table.find(Server)->held(), 2U);
   Table.returnSlot(Server);
@@ -114,7 +114,7 @@
   cr_assert_eq(Owner.freeSlots(at(1), Server), 3U);
 }
 
-Test(Slots, aNewOwnerLearnsTheHolders) {
+Test(Slots, aNewOwnerLearnsHeldSlotsFromReports) {
   SlotOwner Owner;
   SlotTable Table;
   Table.setOwner(Server, A, 1);
@@ -126,7 +126,7 @@
   cr_assert_eq(Owner.freeSlots(at(1), Server), 1U);
 }
 
-Test(FairMessage, countsTheBytesThatTheLibraryWrites) {
+Test(FairMessage, computesItsEncodedSize) {
   FairMessage Message;
   Message.Digests.resize(2);
   Message.Contributions.resize(3);
@@ -138,11 +138,11 @@
     cereal::PortableBinaryOutputArchive Archive(Out);
     Archive(Message);
   }
-  // The archive itself begins with one byte for the order of bytes.
+  // The archive itself starts with one byte for the byte order.
   cr_assert_eq(Out.str().size(), Message.bytes() + 1);
 }
 
-Test(FairScheduler, aloneItAdmitsUpToTheDeclaredAndNothingToALeavingServer) {
+Test(FairScheduler, admitsUpToTheDeclaredConcurrencyButNotToALeavingServer) {
   FairScheduler Scheduler;
   Declarations All;
   All.Servers[Server].MaxConcurrent = 2;
--- a/test/Decision/FairnessQueueTest.cpp
+++ b/test/Decision/FairnessQueueTest.cpp
@@ -18,7 +18,7 @@
   cr_assert_eq(Queue.size(), 1U);
 }
 
-Test(FairQueue, cappedAccountsComeLastButAreNotHeldBack) {
+Test(FairQueue, cappedAccountsAreServedLastButNotBlocked) {
   FairQueue Queue;
   Queue.push(1, {RequestId{10}, 1}, 1, true);
   Queue.push(2, {RequestId{20}, 1}, 3, false);
@@ -28,7 +28,7 @@
   cr_assert_eq(*Queue.next(), PairId{1});
 }
 
-Test(FairQueue, withdrawnRequestsAreGone) {
+Test(FairQueue, withdrawnRequestsAreRemoved) {
   FairQueue Queue;
   Queue.push(1, {RequestId{10}, 1}, 1, false);
   cr_assert(!Queue.withdraw(1, RequestId{11}));
--- a/test/Decision/FairnessRandomTest.cpp
+++ b/test/Decision/FairnessRandomTest.cpp
@@ -1,4 +1,5 @@
-// Long randomised runs of several schedulers over a lossy exchange.
+// Long randomised runs of several schedulers that exchange messages over a
+// lossy network.
 #include "Decision/FairnessFleet.h"
 
 #include <criterion/criterion.h>
@@ -14,17 +15,17 @@
 namespace {
 
 constexpr std::uint64_t SeedsInCi = 24;
-/// The bound for a ReturnSlack of 2. That for the default of 16 is twice as
-/// wide, and too wide to show a fault that moves no slot back for seconds.
+/// The bound for a `ReturnSlack` of 2. The bound for the default of 16 is twice
+/// as wide, which is too wide to detect that no slot is moved back for seconds.
 constexpr double NarrowBound = 12480;
-constexpr std::chrono::seconds Restoration{30};
-constexpr std::chrono::seconds Steady{60};
+constexpr std::chrono::seconds RecoveryTime{30};
+constexpr std::chrono::seconds MeasurementTime{60};
 
-/// FAIRNESS_SEEDS and FAIRNESS_FIRST_SEED widen the run; see
+/// FAIRNESS_SEEDS and FAIRNESS_FIRST_SEED select the seeds of a longer run; see
 /// tools/fairness-run.sh.
-std::uint64_t fromEnvironment(const char *Name, std::uint64_t Otherwise) {
+std::uint64_t fromEnvironment(const char *Name, std::uint64_t Default) {
   const char *Value = std::getenv(Name);
-  return Value == nullptr ? Otherwise : std::strtoull(Value, nullptr, 10);
+  return Value == nullptr ? Default : std::strtoull(Value, nullptr, 10);
 }
 
 FleetSetup setupOf(std::uint64_t Seed) {
@@ -33,8 +34,8 @@
   return Setup;
 }
 
-/// Twenty seconds in which something fails about every second.
-void disturb(FairnessFleet &Fleet, std::uint64_t Seed) {
+/// Runs for 20 s in which about one fault is injected per second.
+void injectFaults(FairnessFleet &Fleet, std::uint64_t Seed) {
   std::mt19937_64 Random(Seed);
   for (int Second = 0; Second < 20; ++Second) {
     const std::size_t Router = Random() % Fleet.routers();
@@ -61,7 +62,7 @@
   }
 }
 
-void mend(FairnessFleet &Fleet) {
+void repairFaults(FairnessFleet &Fleet) {
   for (std::size_t I = 0; I < Fleet.routers(); ++I)
     Fleet.setDisconnected(I, false);
   for (std::size_t I = 0; I < 16; ++I) {
@@ -72,24 +73,24 @@
 
 } // namespace
 
-// Symptom: after partitions, empty restarts, floods and leaving servers an
-// account stays behind, or a server idles while work waits.
-// Sequence: loss, doubling, reordering throughout; 20 s of faults; 30 s to
-// restore; 60 s measured.
-// Cause: positions or slots that the faults left wrong for good.
-// Seen to fail, 30 of 200 seeds, before counters that differ were told and
-// debts of waiting accounts were bounded; and with LocalOnlyPolicy, below.
+// Guards against an account that remains behind, or a server that idles while
+// requests are queued, after partitions, restarts without state, floods and
+// leaving servers, because the faults left virtual times or slots wrong
+// permanently. Messages are lost, duplicated and reordered throughout; 20 s of
+// faults are followed by 30 s to recover and 60 s of measurement. Fails if
+// differing slot counters are not reported and the debts of waiting accounts
+// are not limited, and with `LocalOnlyPolicy` (see below).
 Test(FairnessRandom, gapAndUtilisationHoldAfterFaults) {
   const std::uint64_t First = fromEnvironment("FAIRNESS_FIRST_SEED", 1);
   const std::uint64_t Count = fromEnvironment("FAIRNESS_SEEDS", SeedsInCi);
   for (std::uint64_t Seed = First; Seed < First + Count; ++Seed) {
     FairnessFleet Fleet(setupOf(Seed));
     Fleet.run(std::chrono::seconds(10));
-    disturb(Fleet, Seed);
-    mend(Fleet);
-    Fleet.run(Restoration);
+    injectFaults(Fleet, Seed);
+    repairFaults(Fleet);
+    Fleet.run(RecoveryTime);
     Fleet.startMeasurement();
-    Fleet.run(Steady);
+    Fleet.run(MeasurementTime);
     const std::vector<double> Served = Fleet.served();
     std::fprintf(stderr,
                  "seed %llu: gap %.0f of %.0f, utilisation %.3f, above %u\n",
@@ -108,10 +109,10 @@
   }
 }
 
-// Symptom: servers of other owners idle while all work waits at one router.
-// Sequence: every account enters at one router of eight.
-// Cause: slots that stay with routers without work. Not yet seen to fail with
-// the return of idle slots taken out.
+// Guards against servers of other owners that idle while all requests are
+// queued at one router, because slots stay at routers without requests: all
+// accounts enter at one of eight routers. It has not been shown that the test
+// fails if idle slots are not returned.
 Test(FairnessRandom, workAtOneRouterUsesAllServers) {
   FairnessFleet Fleet(setupOf(7));
   Fleet.enterOnlyAt(3);
@@ -122,9 +123,9 @@
                 Fleet.utilisation());
 }
 
-// The baseline takes the sharing out: its gap grows with time. This is the run
-// that shows that the bound above fails without the mechanism.
-Test(FairnessRandom, localQueuesAloneBreakTheBound) {
+// Without sharing, the gap grows with time. This run shows that the bound above
+// does not hold without the mechanism.
+Test(FairnessRandom, localQueuesExceedTheBound) {
   double Gaps[2];
   for (int Shared = 0; Shared < 2; ++Shared) {
     FleetSetup Setup = setupOf(1);
--- a/test/Decision/MembershipOwnershipTest.cpp
+++ b/test/Decision/MembershipOwnershipTest.cpp
@@ -8,17 +8,19 @@
 
 namespace {
 
-View viewOf(const std::set<std::uint64_t> &Routers, std::uint64_t Drains = 0) {
-  View Made{RouterId{1}, {}};
+View viewOf(const std::set<std::uint64_t> &Routers,
+            std::uint64_t DrainingRouter = 0) {
+  View Result{RouterId{1}, {}};
   for (const std::uint64_t Router : Routers)
-    Made.Members.push_back({RouterId{Router}, 1, Router == Drains, 0});
-  return Made;
+    Result.Members.push_back(
+        {RouterId{Router}, 1, Router == DrainingRouter, 0});
+  return Result;
 }
 
 } // namespace
 
-// The cache gives what `ownerOf` gives, through 300 random changes of the view,
-// and reports exactly the keys that moved.
+// The cache returns the same owners as `ownerOf` during 300 random view
+// changes, and reports exactly the keys that moved.
 Test(MembershipOwnership, CacheEqualsFullComputation) {
   std::mt19937_64 Random(7);
   std::set<std::uint64_t> Routers{1, 2, 3};
@@ -43,7 +45,7 @@
   }
 }
 
-// One router of 32 that leaves moves its own keys and no others.
+// When one of 32 routers leaves, its own keys move and no others.
 Test(MembershipOwnership, LeavingMovesOnlyItsKeys) {
   std::set<std::uint64_t> Routers;
   for (std::uint64_t Router = 1; Router <= 32; ++Router)
