--- a/bench/FairnessCostBench.cpp
+++ b/bench/FairnessCostBench.cpp
@@ -14,7 +14,7 @@
 constexpr std::size_t ServiceCount = 5;
 constexpr std::size_t ActivePairs = 200;
 
-/// One router at the size that the design is for.
+/// One router in a fleet of the design size.
 struct TargetRouter {
   FairScheduler Scheduler;
   Clock Time = Clock::paused();
@@ -29,14 +29,14 @@
       All.Servers[Server].MaxConcurrent = 8;
       All.Services[ServiceId{1 + I % ServiceCount}].Servers.push_back(Server);
     }
-    View Seen;
+    View InitialView;
     for (std::size_t I = 1; I <= RouterCount; ++I)
-      Seen.Members.push_back({RouterId{I * 7919}, 1, false});
-    Seen.Self = Seen.Members[100].Router;
+      InitialView.Members.push_back({RouterId{I * 7919}, 1, false});
+    InitialView.Self = InitialView.Members[100].Router;
     this->Scheduler.handle(
         this->Time.now(),
         DeclarationsChanged{std::make_shared<const Declarations>(All)});
-    this->Scheduler.handle(this->Time.now(), ViewChanged{Seen});
+    this->Scheduler.handle(this->Time.now(), ViewChanged{InitialView});
     this->Time.advance(std::chrono::seconds(2));
     this->Scheduler.handle(this->Time.now(), Tick{});
     for (std::size_t I = 0; I < ActivePairs * 5; ++I)
--- a/bench/FairnessTableBench.cpp
+++ b/bench/FairnessTableBench.cpp
@@ -1,4 +1,4 @@
-// The harness of the tests, which no library holds.
+// The test fixture is not part of any library, so its source is included.
 #include "Decision/FairnessFleet.cpp" // NOLINT(bugprone-suspicious-include)
 
 #include <cstdio>
@@ -7,18 +7,19 @@
 using namespace parsleywing;
 using namespace parsleywing::test;
 
-/// Prints one table a policy: module-level figures, no process and no socket.
+/// Prints one table with the figures of each policy. Simulates the schedulers
+/// within this process, without sockets.
 // NOLINTNEXTLINE(bugprone-exception-escape): nothing here handles one.
 int main(int Count, char **Values) {
   const int Seconds = Count > 1 ? std::atoi(Values[1]) : 60;
-  const std::size_t Most = Count > 2 ? std::atoi(Values[2]) : 64;
+  const std::size_t MaxRouters = Count > 2 ? std::atoi(Values[2]) : 64;
   const double Slack = Count > 3 ? std::atof(Values[3]) : 2;
   std::printf("%-11s %7s %9s %9s %6s %8s %8s %6s\n", "policy", "routers", "gap",
               "bound", "util", "B/s node", "moves/s", "above");
   for (FairnessPolicy Policy :
        {FairnessPolicy{LocalOnlyPolicy{}}, FairnessPolicy{SharedPolicy{}}})
     for (std::size_t Routers : {2, 8, 32, 64}) {
-      if (Routers > Most)
+      if (Routers > MaxRouters)
         continue;
       FleetSetup Setup;
       Setup.Routers = Routers;
