--- a/src/Backend/BackendConnection.cpp
+++ b/src/Backend/BackendConnection.cpp
@@ -51,7 +51,7 @@
   waitFor(POLLIN, this->sockfd(), this->Time, this->Deadline);
   const int Count = StreamSocketImpl::receiveBytes(Buffer, Length, Flags);
   if (Count <= 0)
-    this->Ended = true;
+    this->PeerClosed = true;
   else
     this->Received += static_cast<std::uint64_t>(Count);
   return Count;
@@ -114,7 +114,7 @@
 BackendConnection::BackendConnection(const std::string &A,
                                      Duration ConnectLimit,
                                      ConnectionCanceller &B, const Clock &Time)
-    : Address(A), Breaker(nullptr), Socket(new internal::TimedSocket(Time)) {
+    : Address(A), Canceller(nullptr), Socket(new internal::TimedSocket(Time)) {
   Poco::Net::StreamSocket Connected(this->Socket);
   Connected.connect(Poco::Net::SocketAddress(A), toTimespan(ConnectLimit));
   Connected.setNoDelay(true);
@@ -128,14 +128,14 @@
 bool BackendConnection::attach(ConnectionCanceller &B) {
   if (!B.attach(this->Http->socket()))
     return false;
-  this->Breaker = &B;
+  this->Canceller = &B;
   return true;
 }
 
 void BackendConnection::detach() {
-  if (this->Breaker)
-    this->Breaker->detach();
-  this->Breaker = nullptr;
+  if (this->Canceller)
+    this->Canceller->detach();
+  this->Canceller = nullptr;
 }
 
 void BackendConnection::send(Poco::Net::HTTPRequest &Request,
@@ -149,12 +149,13 @@
 }
 
 std::istream &BackendConnection::receive(Poco::Net::HTTPResponse &Response) {
-  this->SentWhole = this->Http->endRequest();
+  this->SentCompletely = this->Http->endRequest();
   return this->Http->receiveResponse(Response);
 }
 
 bool BackendConnection::reusable() const {
-  return this->SentWhole && !this->Socket->Ended && this->Http->buffered() == 0;
+  return this->SentCompletely && !this->Socket->PeerClosed &&
+         this->Http->buffered() == 0;
 }
 
 bool BackendConnection::hasUnsolicitedInput() const {
--- a/src/Backend/ConnectionCanceller.cpp
+++ b/src/Backend/ConnectionCanceller.cpp
@@ -6,7 +6,7 @@
 
 void ConnectionCanceller::cancel() {
   std::lock_guard<std::mutex> Lock(this->Mutex);
-  this->Broken = true;
+  this->Cancelled = true;
   if (!this->Attached)
     return;
   try {
@@ -18,7 +18,7 @@
 
 bool ConnectionCanceller::attach(const Poco::Net::StreamSocket &Socket) {
   std::lock_guard<std::mutex> Lock(this->Mutex);
-  if (this->Broken)
+  if (this->Cancelled)
     return false;
   this->Attached = Socket;
   return true;
--- a/src/Backend/LoadPoller.cpp
+++ b/src/Backend/LoadPoller.cpp
@@ -34,33 +34,33 @@
 
 void LoadPoller::watch(const std::vector<Watched> &Wanted) {
   std::lock_guard<std::mutex> Lock(this->Mutex);
-  std::map<ServerId, Known> Next;
+  std::map<ServerId, PolledServer> Next;
   for (const Watched &Target : Wanted) {
     const auto Old = this->Servers.find(Target.Server);
-    Known &New = Next[Target.Server];
+    PolledServer &New = Next[Target.Server];
     if (Old != this->Servers.end() &&
         Old->second.Target.Address == Target.Address)
       New = Old->second;
     else
-      New.Told = Clock::steady().now();
+      New.LastReportedAt = Clock::steady().now();
     New.Target = Target;
   }
   this->Servers = std::move(Next);
   this->Changed.notify_all();
 }
 
-Duration LoadPoller::nextWait() {
+Duration LoadPoller::nextInterval() {
   std::uniform_real_distribution<double> Part(-1, 1);
   const double Factor = 1 + this->Settings.Jitter * Part(this->Random);
   return Duration(static_cast<Duration::rep>(
       static_cast<double>(this->Settings.Interval.count()) * Factor));
 }
 
-std::map<ServerId, LoadPoller::Known>::iterator LoadPoller::mostDue() {
+std::map<ServerId, LoadPoller::PolledServer>::iterator LoadPoller::nextDue() {
   auto Best = this->Servers.end();
   for (auto At = this->Servers.begin(); At != this->Servers.end(); ++At)
-    if (!At->second.Asking &&
-        (Best == this->Servers.end() || At->second.Due < Best->second.Due))
+    if (!At->second.InProgress &&
+        (Best == this->Servers.end() || At->second.DueAt < Best->second.DueAt))
       Best = At;
   return Best;
 }
@@ -68,27 +68,27 @@
 void LoadPoller::runThread() {
   std::unique_lock<std::mutex> Lock(this->Mutex);
   while (!this->Stopping) {
-    const auto Next = this->mostDue();
+    const auto Next = this->nextDue();
     if (Next == this->Servers.end()) {
       this->Changed.wait_for(Lock, this->Settings.Interval);
       continue;
     }
     const TimePoint Now = Clock::steady().now();
-    if (Next->second.Due > Now) {
-      this->Changed.wait_for(Lock, Next->second.Due - Now);
+    if (Next->second.DueAt > Now) {
+      this->Changed.wait_for(Lock, Next->second.DueAt - Now);
       continue;
     }
-    Next->second.Asking = true;
-    Next->second.Due = Now + this->nextWait();
+    Next->second.InProgress = true;
+    Next->second.DueAt = Now + this->nextInterval();
     const Watched Target = Next->second.Target;
     Lock.unlock();
-    const Observation Seen = this->ask(Target);
-    this->conclude(Target, Seen);
+    const Observation Seen = this->poll(Target);
+    this->applyObservation(Target, Seen);
     Lock.lock();
   }
 }
 
-LoadPoller::Observation LoadPoller::ask(const Watched &Target) {
+LoadPoller::Observation LoadPoller::poll(const Watched &Target) {
   ShortCall Call;
   Call.Address = Target.Address;
   Call.Path = Target.ReportsLoad ? MetricsPath : HealthPath;
@@ -111,29 +111,31 @@
 /// One report missed says little: a connection may have been lost. The server
 /// counts as failed after several new connections in a row have failed, and as
 /// usable again after the first that works.
-void LoadPoller::conclude(const Watched &Target, const Observation &Seen) {
+void LoadPoller::applyObservation(const Watched &Target,
+                                  const Observation &Seen) {
   std::unique_lock<std::mutex> Lock(this->Mutex);
   const auto Found = this->Servers.find(Target.Server);
   if (Found == this->Servers.end() ||
       Found->second.Target.Address != Target.Address)
     return; // It was taken off the list while it was asked.
-  Known &Server = Found->second;
-  Server.Asking = false;
-  Server.Failures = Seen.Answered ? 0 : Server.Failures + 1;
+  PolledServer &Server = Found->second;
+  Server.InProgress = false;
+  Server.ConsecutiveFailures =
+      Seen.Answered ? 0 : Server.ConsecutiveFailures + 1;
   ServerCondition Now = Server.Condition;
   if (Seen.Answered)
     Now = Seen.Leaving ? ServerCondition::Leaving : ServerCondition::Usable;
-  else if (Server.Failures >= this->Settings.FailureThreshold)
+  else if (Server.ConsecutiveFailures >= this->Settings.FailureThreshold)
     Now = ServerCondition::Failed;
   const TimePoint At = Clock::steady().now();
   // After one missed report the last condition is no longer what was seen.
   const bool IsSure = Seen.Answered || Now == ServerCondition::Failed;
   const bool Repeats =
-      IsSure && At >= Server.Told + this->Settings.RepeatInterval;
+      IsSure && At >= Server.LastReportedAt + this->Settings.RepeatInterval;
   const bool Tells = Now != Server.Condition || Repeats;
   Server.Condition = Now;
   if (Tells)
-    Server.Told = At;
+    Server.LastReportedAt = At;
   Lock.unlock();
   if (Tells)
     this->Sink(ServerConditionChanged{Target.Server, Now});
@@ -151,7 +153,7 @@
     Row->set("address", Server.Target.Address);
     Row->set("condition",
              std::string(nameOf(ServerConditionNames, Server.Condition)));
-    Row->set("failures_in_a_row", Server.Failures);
+    Row->set("failures_in_a_row", Server.ConsecutiveFailures);
     List->add(Row);
   }
   Poco::JSON::Object::Ptr Whole = new Poco::JSON::Object;
--- a/src/Backend/OrderClient.cpp
+++ b/src/Backend/OrderClient.cpp
@@ -75,10 +75,10 @@
   }
 }
 
-OrderClient::Effect OrderClient::effectOf(const EngineOrder &Order) {
+OrderClient::Effect OrderClient::checkEffect(const EngineOrder &Order) {
   const auto Report = this->fetchLoadedModels(Order.Address, Order.CallTimeout);
   if (!Report)
-    return Effect::Unseen;
+    return Effect::Unknown;
   return isInEffect(Order, *Report) ? Effect::InPlace : Effect::Missing;
 }
 
@@ -99,21 +99,21 @@
 OrderOutcome OrderClient::sendOrder(const EngineOrder &Order,
                                     const PermitProvider &Lease) {
   const bool Checked = Order.Fencing == FencingCheck::Checked;
-  if (!Checked && this->effectOf(Order) == Effect::InPlace)
+  if (!Checked && this->checkEffect(Order) == Effect::InPlace)
     return OrderOutcome::AlreadyInEffect;
-  const OrderOutcome Sent = this->send(Order, Lease);
+  const OrderOutcome Sent = this->postOrder(Order, Lease);
   const bool Unsettled = Sent == OrderOutcome::Unknown ||
                          Sent == OrderOutcome::Refused ||
                          (Sent == OrderOutcome::Done && !Checked);
   if (!Unsettled)
     return Sent;
-  if (this->effectOf(Order) == Effect::InPlace)
+  if (this->checkEffect(Order) == Effect::InPlace)
     return OrderOutcome::Done;
   return Sent == OrderOutcome::Refused ? Sent : OrderOutcome::Unknown;
 }
 
-OrderOutcome OrderClient::send(const EngineOrder &Order,
-                               const PermitProvider &Lease) {
+OrderOutcome OrderClient::postOrder(const EngineOrder &Order,
+                                    const PermitProvider &Lease) {
   ShortCall Call;
   Call.Address = Order.Address;
   Call.Method = "POST";
--- a/src/Backend/PlainAttempt.cpp
+++ b/src/Backend/PlainAttempt.cpp
@@ -14,7 +14,7 @@
 constexpr int TooManyRequests = 429;
 constexpr int ServiceUnavailable = 503;
 constexpr const char *IdentityHeader = "X-Request-Id";
-constexpr const char *ProblemType = "application/problem+json";
+constexpr const char *ProblemContentType = "application/problem+json";
 constexpr std::size_t PieceBytes = 16 << 10;
 
 HeaderList headersOf(const Poco::Net::HTTPResponse &Response) {
@@ -29,15 +29,15 @@
 PlainResult PlainAttempt::run() {
   ++this->Counters.Attempts;
   if (this->Listener.SetCanceller)
-    this->Listener.SetCanceller([B = this->Breaker] { B->cancel(); });
+    this->Listener.SetCanceller([B = this->Canceller] { B->cancel(); });
   try {
     this->attempt();
   } catch (const Poco::TimeoutException &Late) {
-    this->failed(Late.displayText(), true);
+    this->handleFailure(Late.displayText(), true);
   } catch (const Poco::Exception &Broken) {
-    this->failed(Broken.displayText(), false);
+    this->handleFailure(Broken.displayText(), false);
   } catch (const std::exception &Broken) {
-    this->failed(Broken.what(), false);
+    this->handleFailure(Broken.what(), false);
   }
   if (this->Listener.SetCanceller)
     this->Listener.SetCanceller({});
@@ -49,10 +49,10 @@
 void PlainAttempt::attempt() {
   this->connect();
   this->sendRequest();
-  this->readAnswer();
+  this->readResponse();
 }
 
-void PlainAttempt::allow(Duration Setting) {
+void PlainAttempt::restartDeadline(Duration Setting) {
   const Duration Own = this->Call.ProgressTimeout;
   const Duration Limit =
       Own > Duration::zero() ? std::min(Own, Setting) : Setting;
@@ -67,11 +67,11 @@
   this->FromPool = this->Connection != nullptr;
   if (!this->Connection)
     this->Connection = std::make_unique<BackendConnection>(
-        this->Call.Address, this->Settings.ConnectTimeout, *this->Breaker,
+        this->Call.Address, this->Settings.ConnectTimeout, *this->Canceller,
         this->Settings.Time);
-  else if (!this->Connection->attach(*this->Breaker))
+  else if (!this->Connection->attach(*this->Canceller))
     throw Poco::Net::ConnectionAbortedException("broken off before the send");
-  this->ReceivedBefore = this->Connection->receivedBytes();
+  this->ReceivedAtStart = this->Connection->receivedBytes();
 }
 
 void PlainAttempt::sendRequest() {
@@ -82,20 +82,20 @@
   Request.erase("Content-Length");
   Request.set(IdentityHeader, this->Call.Identity);
   Request.setKeepAlive(this->Call.Repeatable);
-  this->allow(this->Settings.FirstEventTimeout);
-  this->MayHaveLeft = true;
+  this->restartDeadline(this->Settings.FirstEventTimeout);
+  this->MayHaveSent = true;
   if (this->Listener.SendStarted)
     this->Listener.SendStarted();
   this->Connection->send(Request, this->Call.Body);
 }
 
-void PlainAttempt::readAnswer() {
+void PlainAttempt::readResponse() {
   Poco::Net::HTTPResponse Response;
   std::istream &In = this->Connection->receive(Response);
   this->Result.Status = Response.getStatus();
   this->Result.RetryAfterSeconds = static_cast<std::uint32_t>(
       std::strtoul(Response.get("Retry-After", "0").c_str(), nullptr, 10));
-  if (this->refused(Response, In))
+  if (this->handleRefusal(Response, In))
     return;
   this->Result.ResponseStarted = true;
   this->Result.Outcome = AttemptOutcome::Completed;
@@ -104,14 +104,14 @@
     this->Result.Outcome = AttemptOutcome::CallerDisconnected;
     return;
   }
-  this->passBody(In);
+  this->forwardBody(In);
   if (this->Result.Outcome != AttemptOutcome::Completed)
     return;
-  if (this->wholeBody(Response)) {
-    this->keepConnection(Response);
+  if (this->isBodyComplete(Response)) {
+    this->returnToPool(Response);
     return;
   }
-  if (this->Breaker->isCancelled()) {
+  if (this->Canceller->isCancelled()) {
     this->Result.Outcome = AttemptOutcome::Cancelled;
     return;
   }
@@ -121,8 +121,8 @@
 
 /// A bare 503 may come from something between the two ends that lost the
 /// service's answer; it is passed on as the answer, which is no "not run".
-bool PlainAttempt::refused(const Poco::Net::HTTPResponse &Response,
-                           std::istream &In) {
+bool PlainAttempt::handleRefusal(const Poco::Net::HTTPResponse &Response,
+                                 std::istream &In) {
   const int Status = Response.getStatus();
   if (Status != TooManyRequests && Status != ServiceUnavailable)
     return false;
@@ -135,7 +135,7 @@
       reportsLeaving(Status, Response.get(DrainHeader, ""), Body);
   this->Result.Outcome = AttemptOutcome::Rejected;
   if (isPublishedError(Body) ||
-      Response.getContentType().starts_with(ProblemType))
+      Response.getContentType().starts_with(ProblemContentType))
     return true;
   this->Result.Outcome = AttemptOutcome::Completed;
   this->Result.ResponseStarted = true;
@@ -148,10 +148,10 @@
 }
 
 /// Passes on what is there, without waiting for a full piece.
-void PlainAttempt::passBody(std::istream &In) {
+void PlainAttempt::forwardBody(std::istream &In) {
   std::array<char, PieceBytes> Piece{};
   while (true) {
-    this->allow(this->Settings.EventGapTimeout);
+    this->restartDeadline(this->Settings.EventGapTimeout);
     const int First = In.rdbuf()->sbumpc();
     if (First == EOF)
       return;
@@ -174,7 +174,8 @@
 /// looks whole. A stated length is compared; a chunked body is whole only if
 /// its last chunk came before the connection ended. A body whose end is the
 /// connection's end cannot be checked.
-bool PlainAttempt::wholeBody(const Poco::Net::HTTPResponse &Response) const {
+bool PlainAttempt::isBodyComplete(
+    const Poco::Net::HTTPResponse &Response) const {
   // These may state the length of a body that they never carry (RFC 9110, 8.6).
   const bool NeverHasBody =
       this->Call.Method == Poco::Net::HTTPRequest::HTTP_HEAD ||
@@ -186,25 +187,25 @@
            this->Result.BodyBytes;
   if (Response.getChunkedTransferEncoding())
     return !this->Connection->peerClosed();
-  return !this->Breaker->isCancelled();
+  return !this->Canceller->isCancelled();
 }
 
-void PlainAttempt::keepConnection(const Poco::Net::HTTPResponse &Response) {
+void PlainAttempt::returnToPool(const Poco::Net::HTTPResponse &Response) {
   const bool Framed =
       Response.hasContentLength() || Response.getChunkedTransferEncoding();
   if (this->Call.Repeatable && Framed && Response.getKeepAlive() &&
-      this->Connection->reusable() && !this->Breaker->isCancelled())
+      this->Connection->reusable() && !this->Canceller->isCancelled())
     this->Pool.release(this->Call.Address, std::move(this->Connection));
 }
 
-void PlainAttempt::failed(const std::string &Why, bool Silent) {
-  if (this->Breaker->isCancelled()) {
+void PlainAttempt::handleFailure(const std::string &Why, bool Silent) {
+  if (this->Canceller->isCancelled()) {
     this->Result.Outcome = AttemptOutcome::Cancelled;
     return;
   }
   log(LogPart::Backend, LogLevel::Info,
       "Attempt at " + this->Call.Address + " broke: " + Why + ".");
-  if (!this->MayHaveLeft) {
+  if (!this->MayHaveSent) {
     this->Result.Outcome = AttemptOutcome::NotSent;
     this->Result.ServerSuspect = true;
     return;
@@ -212,7 +213,7 @@
   this->Result.Outcome = AttemptOutcome::Interrupted;
   this->Result.PooledConnectionBroke =
       this->FromPool &&
-      this->Connection->receivedBytes() == this->ReceivedBefore;
+      this->Connection->receivedBytes() == this->ReceivedAtStart;
   if (this->Result.PooledConnectionBroke) {
     ++this->Counters.PooledConnectionsBroken;
     this->Pool.closeIdle(this->Call.Address);
--- a/src/Caller/CallerConnection.cpp
+++ b/src/Caller/CallerConnection.cpp
@@ -25,8 +25,8 @@
 CallerConnection::CallerConnection(const Poco::Net::StreamSocket &Accepted,
                                    CallerContext &C)
     : TCPServerConnection(Accepted), Context(C),
-      Limits(new CallerSocketImpl(Accepted, C.Counters)), Caller(Limits),
-      Params(new Poco::Net::HTTPServerParams) {
+      SocketImpl(new CallerSocketImpl(Accepted, C.Counters)),
+      Caller(SocketImpl), Params(new Poco::Net::HTTPServerParams) {
   this->Params->setTimeout(toTimespan(C.Settings.ReceiveTimeout));
 }
 
@@ -36,20 +36,20 @@
 
 void CallerConnection::run() {
   try {
-    CallerSession Session(this->Caller, this->Params);
+    CallerHttpSession Session(this->Caller, this->Params);
     this->Caller.setSendTimeout(toTimespan(this->Context.Settings.SendTimeout));
     while (this->waitForRequest(Session) && this->serveNext(Session)) {
     }
     // Only here, since POCO sends the answer as its response is destroyed.
-    if (this->EndsBehindAnswer || CallerWatch::hasUnsent(this->socket()))
-      this->endInOrder();
+    if (this->CloseAfterResponse || CallerWatch::hasUnsent(this->socket()))
+      this->closeGracefully();
   } catch (const Poco::Exception &Failure) {
     log(LogPart::Caller, LogLevel::Debug,
         "A connection broke: " + Failure.displayText());
   }
 }
 
-bool CallerConnection::waitForRequest(const CallerSession &Session) {
+bool CallerConnection::waitForRequest(const CallerHttpSession &Session) {
   const int Slices =
       static_cast<int>(this->Context.Settings.IdleTimeout / IdleCheckInterval);
   for (int Slice = 0; Slice <= Slices; ++Slice) {
@@ -64,9 +64,9 @@
   return false;
 }
 
-bool CallerConnection::serveNext(CallerSession &Session) {
+bool CallerConnection::serveNext(CallerHttpSession &Session) {
   const CallerSettings &Settings = this->Context.Settings;
-  this->Limits->beginHead(Settings.ReceiveTimeout, Settings.MaxHeaderBytes);
+  this->SocketImpl->beginHead(Settings.ReceiveTimeout, Settings.MaxHeaderBytes);
   HTTPServerResponseImpl Response(Session);
   Response.setVersion(Poco::Net::HTTPMessage::HTTP_1_1);
   const std::uint64_t Number = this->Context.NextRequest++;
@@ -74,7 +74,7 @@
              nullptr,
              Response,
              this->Caller,
-             *this->Limits,
+             *this->SocketImpl,
              Number,
              Settings.RouterName + "-" + this->Context.IncarnationNumber + "-" +
                  std::to_string(Number)};
@@ -83,37 +83,37 @@
   try {
     Request.emplace(Response, Session, this->Params.get());
   } catch (const Poco::Net::NoMessageException &) {
-    if (!this->Limits->receiveTimedOut())
+    if (!this->SocketImpl->receiveTimedOut())
       return false; // The caller closed between two requests.
   } catch (const Poco::Exception &) {
     // Answered below.
   }
   if (!Request) {
-    E.sendProblem(this->unreadable());
-    this->EndsBehindAnswer = true;
-    this->HasUnread = true;
+    E.sendProblem(this->headProblem());
+    this->CloseAfterResponse = true;
+    this->HasUnreadInput = true;
     return false;
   }
-  this->Limits->endHead();
+  this->SocketImpl->endHead();
   E.Request = &*Request;
   Response.setVersion(Request->getVersion());
   Response.setKeepAlive(Request->getKeepAlive());
   serveExchange(E);
-  this->HasUnread = !E.BodyRead;
+  this->HasUnreadInput = !E.BodyRead;
   // Only what the head said counts: a drain that began behind it ends the
   // connection with the next answer, or once the caller is idle.
   const bool Kept = Response.sent() && Response.getKeepAlive() && E.BodyRead &&
                     !this->Context.Stopping;
-  this->EndsBehindAnswer =
-      Response.sent() && !Kept && !this->Limits->willReset();
+  this->CloseAfterResponse =
+      Response.sent() && !Kept && !this->SocketImpl->willReset();
   return Kept;
 }
 
-Problem CallerConnection::unreadable() const {
-  if (this->Limits->receiveTimedOut())
+Problem CallerConnection::headProblem() const {
+  if (this->SocketImpl->receiveTimedOut())
     return {ProblemType::ReceiveTimeout,
             "The head of the request did not come whole in time."};
-  if (this->Limits->headTooLarge())
+  if (this->SocketImpl->headTooLarge())
     return {ProblemType::HeadersTooLarge,
             "The head of the request may hold " +
                 std::to_string(this->Context.Settings.MaxHeaderBytes) +
@@ -125,9 +125,9 @@
 /// A connection that is idle and whose answers have all left is closed at once:
 /// a request that crosses the close then gets a reset, by which its caller sees
 /// that it was not read.
-void CallerConnection::endInOrder() {
+void CallerConnection::closeGracefully() {
   const bool Settled =
-      !this->HasUnread && CallerWatch::isSafeToClose(this->socket());
+      !this->HasUnreadInput && CallerWatch::isSafeToClose(this->socket());
   this->Caller.shutdownSend();
   if (!Settled)
     this->Context.Watch.linger(this->socket(),
--- a/src/Caller/CallerSocket.cpp
+++ b/src/Caller/CallerSocket.cpp
@@ -8,13 +8,13 @@
 
 void CallerSocketImpl::beginHead(Duration Timeout, std::uint64_t MaxHeadBytes) {
   this->Deadline = SteadyClock::now() + Timeout;
-  this->HeadLeft = MaxHeadBytes;
+  this->RemainingHeadBytes = MaxHeadBytes;
   this->TimedOut = false;
-  this->TooLarge = false;
+  this->HeadTooLarge = false;
 }
 
 void CallerSocketImpl::enableResetOnClose() {
-  this->Resets = true;
+  this->ResetOnClose = true;
   try {
     this->setLinger(true, 0);
   } catch (const Poco::Exception &) {
@@ -23,7 +23,7 @@
 }
 
 void CallerSocketImpl::shutdownSend() {
-  if (!this->Resets)
+  if (!this->ResetOnClose)
     StreamSocketImpl::shutdownSend();
 }
 
@@ -35,8 +35,8 @@
     this->TimedOut = true;
     throw Poco::TimeoutException("the request did not come in time");
   }
-  if (this->HeadLeft == 0) {
-    this->TooLarge = true;
+  if (this->RemainingHeadBytes == 0) {
+    this->HeadTooLarge = true;
     throw Poco::Net::MessageException("the head of the request is too large");
   }
   const int Received = StreamSocketImpl::receiveBytes(Buffer, Length, Flags);
@@ -44,8 +44,8 @@
     return Received;
   const auto Count = static_cast<std::uint64_t>(Received);
   this->Counters.BytesReceived += Count;
-  if (this->HeadLeft != UINT64_MAX)
-    this->HeadLeft -= std::min(this->HeadLeft, Count);
+  if (this->RemainingHeadBytes != UINT64_MAX)
+    this->RemainingHeadBytes -= std::min(this->RemainingHeadBytes, Count);
   return Received;
 }
 
--- a/src/Caller/CallerWatch.cpp
+++ b/src/Caller/CallerWatch.cpp
@@ -19,17 +19,17 @@
 constexpr Duration PollTime = std::chrono::milliseconds(200);
 
 /// What a socket's receiving side holds.
-enum class Pending { Nothing, Bytes, Closed };
+enum class PendingInput { Nothing, Bytes, Closed };
 
-Pending pendingOf(const Poco::Net::Socket &Caller) {
+PendingInput pendingInput(const Poco::Net::Socket &Caller) {
   char Byte = 0;
   const ssize_t Count =
       ::recv(Caller.impl()->sockfd(), &Byte, 1, MSG_PEEK | MSG_DONTWAIT);
   if (Count > 0)
-    return Pending::Bytes;
+    return PendingInput::Bytes;
   if (Count < 0 && (errno == EAGAIN || errno == EWOULDBLOCK || errno == EINTR))
-    return Pending::Nothing;
-  return Pending::Closed;
+    return PendingInput::Nothing;
+  return PendingInput::Closed;
 }
 
 /// Whether the peer has closed, also where unread bytes hide it from a read
@@ -59,9 +59,10 @@
 }
 
 void CallerWatch::add(const Poco::Net::StreamSocket &Caller,
-                      std::function<void()> OnLeft) {
+                      std::function<void()> OnDisconnected) {
   std::lock_guard<std::mutex> Lock(this->Mutex);
-  this->Callers[Caller.impl()] = Watched{Caller, std::move(OnLeft), false};
+  this->Callers[Caller.impl()] =
+      Watched{Caller, std::move(OnDisconnected), false};
   this->Sockets.add(Caller, Poco::Net::PollSet::POLL_READ);
 }
 
@@ -74,9 +75,9 @@
 void CallerWatch::linger(const Poco::Net::StreamSocket &Ended,
                          Duration SendTimeout) {
   std::lock_guard<std::mutex> Lock(this->Mutex);
-  if (this->Ending.size() >= MaxLingering)
+  if (this->LingeringConnections.size() >= MaxLingering)
     return;
-  this->Ending.push_back(
+  this->LingeringConnections.push_back(
       {Ended, SendTimeout, 0, SteadyClock::now() + LingerTime});
   if (hasUnsent(Ended))
     ++this->Unsent;
@@ -87,7 +88,7 @@
 }
 
 bool CallerWatch::isSafeToClose(const Poco::Net::StreamSocket &Caller) {
-  return !hasUnsent(Caller) && pendingOf(Caller) != Pending::Bytes;
+  return !hasUnsent(Caller) && pendingInput(Caller) != PendingInput::Bytes;
 }
 
 void CallerWatch::run() {
@@ -98,62 +99,63 @@
     else
       for (const auto &[Socket, Mode] :
            this->Sockets.poll(Poco::Timespan(PollTime.count())))
-        this->look(Socket);
+        this->checkSocket(Socket);
     if (SteadyClock::now() < NextBacklogs)
       continue;
     NextBacklogs = SteadyClock::now() + BacklogInterval;
-    this->lookAtBacklogs();
+    this->checkBacklogs();
     this->closeLingering();
   }
 }
 
-void CallerWatch::look(const Poco::Net::Socket &Caller) {
+void CallerWatch::checkSocket(const Poco::Net::Socket &Caller) {
   std::lock_guard<std::mutex> Lock(this->Mutex);
   const auto Found = this->Callers.find(Caller.impl());
   if (Found == this->Callers.end())
     return;
-  const Pending Held = pendingOf(Caller);
-  if (Held == Pending::Nothing)
+  const PendingInput Held = pendingInput(Caller);
+  if (Held == PendingInput::Nothing)
     return;
   // The set reports a readable socket again and again. One with unread bytes
   // leaves it, or this thread would spin until they are read.
   this->Sockets.remove(Caller);
-  if (Held == Pending::Bytes) {
+  if (Held == PendingInput::Bytes) {
     Found->second.HasBacklog = true;
     return;
   }
-  Found->second.OnLeft();
+  Found->second.OnDisconnected();
   this->Callers.erase(Found);
 }
 
-void CallerWatch::lookAtBacklogs() {
+void CallerWatch::checkBacklogs() {
   std::lock_guard<std::mutex> Lock(this->Mutex);
   for (auto &[Impl, Caller] : this->Callers) {
     if (!Caller.HasBacklog || !isClosedByPeer(Caller.Socket))
       continue;
     Caller.HasBacklog = false;
-    Caller.OnLeft();
+    Caller.OnDisconnected();
   }
 }
 
 void CallerWatch::closeLingering() {
   std::lock_guard<std::mutex> Lock(this->Mutex);
   const auto Now = SteadyClock::now();
-  std::erase_if(this->Ending,
-                [Now](Lingering &Held) { return isOver(Held, Now); });
+  std::erase_if(this->LingeringConnections,
+                [Now](Lingering &Held) { return shouldClose(Held, Now); });
   this->Unsent = static_cast<std::size_t>(std::ranges::count_if(
-      this->Ending, [](const Lingering &Held) { return Held.Unsent > 0; }));
+      this->LingeringConnections,
+      [](const Lingering &Held) { return Held.Unsent > 0; }));
 }
 
-bool CallerWatch::isOver(Lingering &Held, SteadyClock::time_point Now) {
+bool CallerWatch::shouldClose(Lingering &Held, SteadyClock::time_point Now) {
   if (isClosedByPeer(Held.Socket))
     return true;
   const int Unsent = unsentBytes(Held.Socket);
   if (Unsent != Held.Unsent) {
     Held.Unsent = Unsent;
-    Held.Until = Now + (Unsent > 0 ? Held.SendTimeout : LingerTime);
+    Held.ExpiresAt = Now + (Unsent > 0 ? Held.SendTimeout : LingerTime);
   }
-  return Held.Until <= Now;
+  return Held.ExpiresAt <= Now;
 }
 
 } // namespace parsleywing
--- a/src/Caller/HandOverClient.cpp
+++ b/src/Caller/HandOverClient.cpp
@@ -25,29 +25,29 @@
   const std::string &Secret = this->E.Context.Settings.FleetSecret;
   if (Wanted.Address.empty() || Secret.empty() || Left <= Duration::zero())
     return AttemptOutcome::NotSent;
-  const PlainCall Call = this->callFor(Wanted, Left);
+  const PlainCall Call = this->makeCall(Wanted, Left);
   this->Identity = Call.Identity;
   PlainListener Listener;
   Listener.SetCanceller = Breaker;
   Listener.HeadReceived = [&](int Status, const HeaderList &Headers) {
-    return this->takeHead(Status, Headers);
+    return this->onHead(Status, Headers);
   };
   Listener.BodyReceived = [&](std::string_view Piece) {
-    return !this->PassOn || (Progress() && this->takeBody(Piece));
+    return !this->Forwarding || (Progress() && this->onBody(Piece));
   };
   const PlainResult Ended = this->E.Context.Routers.run(Call, Listener);
   if (Ended.Outcome != AttemptOutcome::Completed)
     return Ended.Outcome;
-  if (this->PassOn && this->IsEventStream)
-    return this->concludeStream();
-  return this->Said;
+  if (this->Forwarding && this->IsEventStream)
+    return this->streamOutcome();
+  return this->ReportedOutcome;
 }
 
 /// Each hand-over has an identity of its own, so that the answer to an earlier
 /// one is not taken for this one's.
-PlainCall HandOverClient::callFor(const HandOverRequest &Wanted,
-                                  Duration Left) const {
-  const RawRequest &Raw = this->Asked.Raw;
+PlainCall HandOverClient::makeCall(const HandOverRequest &Wanted,
+                                   Duration Left) const {
+  const RawRequest &Raw = this->Request.Raw;
   PlainCall Call;
   Call.Address = Wanted.Address;
   Call.Method = Raw.Method;
@@ -67,14 +67,14 @@
   return Call;
 }
 
-bool HandOverClient::takeHead(int Status, const HeaderList &Headers) {
+bool HandOverClient::onHead(int Status, const HeaderList &Headers) {
   if (valueOf(Headers, AnsweredIdHeader) != this->Identity)
     return true; // Of another request: nothing of it is believed.
   const std::string Type = valueOf(Headers, "Content-Type");
   const std::string Outcome = valueOf(Headers, "X-Outcome");
   const bool IsProblem = Type.starts_with("application/problem+json");
   if (Outcome == nameOf(RequestOutcomeNames, RequestOutcome::NotRun)) {
-    this->Said = AttemptOutcome::Rejected;
+    this->ReportedOutcome = AttemptOutcome::Rejected;
     return true;
   }
   // A service may answer with problem details of its own; a router's problem
@@ -82,30 +82,30 @@
   const bool Served =
       Outcome.empty() ||
       Outcome == nameOf(RequestOutcomeNames, RequestOutcome::Completed);
-  if (!Served || (IsProblem && this->Asked.Kind == ServiceKind::Engine))
+  if (!Served || (IsProblem && this->Request.Kind == ServiceKind::Engine))
     return true;
-  this->Said = AttemptOutcome::Completed;
-  this->PassOn = true;
-  this->IsEventStream = this->Asked.Kind == ServiceKind::Engine &&
+  this->ReportedOutcome = AttemptOutcome::Completed;
+  this->Forwarding = true;
+  this->IsEventStream = this->Request.Kind == ServiceKind::Engine &&
                         Type.starts_with("text/event-stream");
-  return this->Passed.forwardHead(Status, Headers);
+  return this->Forwarder.forwardHead(Status, Headers);
 }
 
-bool HandOverClient::takeBody(std::string_view Piece) {
+bool HandOverClient::onBody(std::string_view Piece) {
   if (this->IsEventStream) {
-    this->Tail += Piece;
-    if (this->Tail.size() > 2 * TailBytes)
-      this->Tail.erase(0, this->Tail.size() - TailBytes);
+    this->StreamTail += Piece;
+    if (this->StreamTail.size() > 2 * TailBytes)
+      this->StreamTail.erase(0, this->StreamTail.size() - TailBytes);
   }
-  return this->Passed.forwardBody(Piece);
+  return this->Forwarder.forwardBody(Piece);
 }
 
 /// Text in an event is JSON without line ends of its own, so that a line that
 /// begins so can only be an event's name.
-AttemptOutcome HandOverClient::concludeStream() {
-  const auto Last = this->Tail.rfind(EventLine);
+AttemptOutcome HandOverClient::streamOutcome() {
+  const auto Last = this->StreamTail.rfind(EventLine);
   const std::string Name =
-      Last == std::string::npos ? "" : this->Tail.substr(Last);
+      Last == std::string::npos ? "" : this->StreamTail.substr(Last);
   this->Incomplete = Name.starts_with(IncompleteEvent);
   return Name.starts_with(WholeEvent) ? AttemptOutcome::Completed
                                       : AttemptOutcome::Interrupted;
--- a/src/Caller/RequestHandler.cpp
+++ b/src/Caller/RequestHandler.cpp
@@ -23,9 +23,10 @@
 } // namespace
 
 RequestHandler::RequestHandler(Exchange &X, const CallerRequest &A)
-    : E(X), Asked(A), Request{X.Number}, Writer(X, A.Stream), Passed(X),
-      Relay(X, A, Passed), Channel(X.Context.Control.openChannel(Request)),
-      Arrived(X.Context.Control.clock().now()) {
+    : E(X), ParsedRequest(A), Request{X.Number}, Writer(X, A.Stream),
+      Forwarder(X), HandOver(X, A, Forwarder),
+      Channel(X.Context.Control.openChannel(Request)),
+      ArrivedAt(X.Context.Control.clock().now()) {
   this->Timing.Account = A.Account;
   this->Timing.Service = A.Service;
 }
@@ -39,18 +40,18 @@
   this->E.Context.Control.post(RequestArrived{this->describe()});
   // After the arrival, since a `CallerLeft` before it would be lost.
   this->watchCaller();
-  while (!this->Answered && !this->E.Context.Stopping) {
+  while (!this->Finished && !this->E.Context.Stopping) {
     const auto Decision = this->Channel->take(StopCheckInterval);
     if (Decision)
       std::visit([this](const auto &D) { this->execute(D); }, *Decision);
   }
-  if (!this->Answered)
-    this->execute(this->answerAtTheEnd());
+  if (!this->Finished)
+    this->execute(this->finishForShutdown());
 }
 
 /// Nobody decides any more.
-FinishRequest RequestHandler::answerAtTheEnd() const {
-  if (this->AnswerWhole)
+FinishRequest RequestHandler::finishForShutdown() const {
+  if (this->ResponseComplete)
     return {this->Request, RequestOutcome::Completed, ResponseReason::Served,
             Duration::zero()};
   if (this->MayHaveRun)
@@ -62,30 +63,30 @@
 
 void RequestHandler::watchCaller() {
   this->E.Context.Watch.add(this->E.Caller, [this] {
-    this->CallerGone = true;
+    this->Disconnected = true;
     ++this->E.Context.Counters.CallersDisconnected;
     this->E.Context.Control.post(CallerDisconnected{this->Request});
   });
 }
 
 Duration RequestHandler::elapsed() const {
-  return this->E.Context.Control.clock().now() - this->Arrived;
+  return this->E.Context.Control.clock().now() - this->ArrivedAt;
 }
 
 RequestDescription RequestHandler::describe() const {
   RequestDescription D;
   D.Request = this->Request;
-  D.Account = this->Asked.Account;
-  D.Service = this->Asked.Service;
-  D.Repeatable = this->Asked.Repeatable;
-  D.IdempotencyKey = this->Asked.IdempotencyKey;
-  D.EstimatedTokens = this->Asked.MaxOutputTokens;
-  D.Deadline = this->Arrived + this->Asked.Timeout;
+  D.Account = this->ParsedRequest.Account;
+  D.Service = this->ParsedRequest.Service;
+  D.Repeatable = this->ParsedRequest.Repeatable;
+  D.IdempotencyKey = this->ParsedRequest.IdempotencyKey;
+  D.EstimatedTokens = this->ParsedRequest.MaxOutputTokens;
+  D.Deadline = this->ArrivedAt + this->ParsedRequest.Timeout;
   D.Identity = this->E.Identity;
-  D.Kind = this->Asked.Kind;
-  if (this->Asked.HandedOver) {
+  D.Kind = this->ParsedRequest.Kind;
+  if (this->ParsedRequest.HandedOver) {
     D.HandedOver = true;
-    D.RecordHeldElsewhere = this->Asked.HandedOver->RecordHeld;
+    D.RecordHeldElsewhere = this->ParsedRequest.HandedOver->RecordHeld;
   }
   return D;
 }
@@ -96,8 +97,8 @@
   this->MayHaveRun = true;
   this->Timing.Attempts = Start.Attempt;
   this->abandonBroken();
-  if (this->Asked.Kind == ServiceKind::Plain)
-    this->startPlain(Start);
+  if (this->ParsedRequest.Kind == ServiceKind::Plain)
+    this->runPlain(Start);
   else
     this->runEngine(Start.Attempt, Start.Server,
                     this->engineCall(Start.Attempt));
@@ -123,40 +124,41 @@
     Control.post(AttemptProgressed{this->Request, Wanted.Attempt, Count});
   });
   AttemptOutcome Ended = AttemptOutcome::NotSent;
-  if (!this->isOver())
-    Ended = this->Relay.run(Wanted, this->Asked.Timeout - this->elapsed(),
-                            this->breakerOf(Wanted.Attempt), [&] {
-                              this->noteFirstPiece();
-                              Progress.report(++Pieces);
-                              return !this->isOver();
-                            });
+  if (!this->shouldStop())
+    Ended = this->HandOver.run(Wanted,
+                               this->ParsedRequest.Timeout - this->elapsed(),
+                               this->cancellerSetter(Wanted.Attempt), [&] {
+                                 this->recordFirstChunk();
+                                 Progress.report(++Pieces);
+                                 return !this->shouldStop();
+                               });
   Progress.flush();
-  this->AnswerWhole = Ended == AttemptOutcome::Completed;
+  this->ResponseComplete = Ended == AttemptOutcome::Completed;
   Control.post(
       HandOverEnded{this->Request, Wanted.Attempt, Ended, this->offset()});
 }
 
 EngineCall RequestHandler::engineCall(AttemptNumber StartedBy) const {
   EngineCall Call;
-  Call.Model = this->Asked.Model;
-  Call.Input = this->Asked.Input;
-  Call.InputJson = this->Asked.InputJson;
-  Call.MaxOutputTokens = this->Asked.MaxOutputTokens;
+  Call.Model = this->ParsedRequest.Model;
+  Call.Input = this->ParsedRequest.Input;
+  Call.InputJson = this->ParsedRequest.InputJson;
+  Call.MaxOutputTokens = this->ParsedRequest.MaxOutputTokens;
   Call.Identity = this->E.Identity + "." + std::to_string(StartedBy);
-  Call.Repeatable = this->Asked.Repeatable;
-  Call.IdempotencyKey = this->Asked.IdempotencyKey;
+  Call.Repeatable = this->ParsedRequest.Repeatable;
+  Call.IdempotencyKey = this->ParsedRequest.IdempotencyKey;
   return Call;
 }
 
 /// The account's key is for routers only, and so is a note between routers.
 PlainCall RequestHandler::plainCall(AttemptNumber Attempt) const {
-  const RawRequest &Raw = this->Asked.Raw;
+  const RawRequest &Raw = this->ParsedRequest.Raw;
   PlainCall Call;
   Call.Method = Raw.Method;
   Call.Path = pathBehindService(Raw.Target);
   Call.Body = Raw.Body;
   Call.Identity = this->E.Identity + "." + std::to_string(Attempt);
-  Call.Repeatable = this->Asked.Repeatable;
+  Call.Repeatable = this->ParsedRequest.Repeatable;
   for (const auto &[Name, Value] : Raw.Headers)
     if (Poco::icompare(Name, "Authorization") != 0 &&
         Poco::icompare(Name, "Expect") != 0 &&
@@ -170,7 +172,7 @@
   Call.Address = this->addressOf(Server);
   EngineResult Ended{AttemptOutcome::NotSent};
   Ended.Resume = Call.ResumeFrom;
-  if (!Call.Address.empty() && !this->isOver())
+  if (!Call.Address.empty() && !this->shouldStop())
     Ended = this->callEngine(Attempt, Call);
   this->Timing.Tokens = Ended.Tokens;
   this->Broken.reset();
@@ -181,11 +183,11 @@
   this->endAttempt(Attempt, Ended.Outcome, Ended.Tokens);
 }
 
-void RequestHandler::startPlain(const StartAttempt &Start) {
+void RequestHandler::runPlain(const StartAttempt &Start) {
   PlainCall Call = this->plainCall(Start.Attempt);
   Call.Address = this->addressOf(Start.Server);
   PlainResult Ended;
-  if (!Call.Address.empty() && !this->isOver())
+  if (!Call.Address.empty() && !this->shouldStop())
     Ended = this->callPlain(Start.Attempt, Call);
   const bool Certain = Ended.Outcome == AttemptOutcome::NotSent ||
                        Ended.Outcome == AttemptOutcome::Rejected;
@@ -211,7 +213,7 @@
 
 void RequestHandler::endAttempt(AttemptNumber Attempt, AttemptOutcome Outcome,
                                 std::uint64_t Tokens) {
-  this->AnswerWhole = Outcome == AttemptOutcome::Completed;
+  this->ResponseComplete = Outcome == AttemptOutcome::Completed;
   this->E.Context.Control.post(
       AttemptEnded{this->Request, Attempt, Outcome, Tokens, this->offset()});
 }
@@ -219,20 +221,20 @@
 /// Of a passed answer only counts that something of it has left: there is no
 /// place at which it could be taken up again.
 std::uint64_t RequestHandler::offset() const {
-  return this->Passed.hasStarted() ? 1 : this->PassedOn;
+  return this->Forwarder.hasStarted() ? 1 : this->ForwardedChunks;
 }
 
-bool RequestHandler::isOver() const {
-  return this->CallerGone || this->E.Context.Stopping;
+bool RequestHandler::shouldStop() const {
+  return this->Disconnected || this->E.Context.Stopping;
 }
 
-void RequestHandler::noteFirstPiece() {
+void RequestHandler::recordFirstChunk() {
   if (!this->Timing.FirstToken)
     this->Timing.FirstToken = this->elapsed();
 }
 
 std::function<void(std::function<void()>)>
-RequestHandler::breakerOf(AttemptNumber Attempt) {
+RequestHandler::cancellerSetter(AttemptNumber Attempt) {
   this->Channel->beginAttempt(Attempt);
   return [this](std::function<void()> Breaker) {
     this->Channel->setCanceller(std::move(Breaker));
@@ -252,10 +254,10 @@
   Listener.DeltaReceived = [&](const std::string &Text,
                                std::uint64_t Generated) {
     Progress.report(Generated);
-    ++this->PassedOn;
-    return this->passOn(Text);
+    ++this->ForwardedChunks;
+    return this->forwardText(Text);
   };
-  Listener.SetCanceller = this->breakerOf(Attempt);
+  Listener.SetCanceller = this->cancellerSetter(Attempt);
   EngineResult Ended = this->E.Context.Engines.run(Call, Listener);
   Progress.flush();
   return Ended;
@@ -268,23 +270,23 @@
     this->E.Context.Control.post(AttemptSent{this->Request, Attempt});
   };
   Listener.HeadReceived = [&](int Status, const HeaderList &Headers) {
-    this->noteFirstPiece();
-    return !this->isOver() && this->Passed.forwardHead(Status, Headers);
+    this->recordFirstChunk();
+    return !this->shouldStop() && this->Forwarder.forwardHead(Status, Headers);
   };
   Listener.BodyReceived = [&](std::string_view Piece) {
-    return !this->isOver() && this->Passed.forwardBody(Piece);
+    return !this->shouldStop() && this->Forwarder.forwardBody(Piece);
   };
-  Listener.SetCanceller = this->breakerOf(Attempt);
+  Listener.SetCanceller = this->cancellerSetter(Attempt);
   return this->E.Context.Services.run(Call, Listener);
 }
 
-bool RequestHandler::passOn(const std::string &Text) {
-  this->noteFirstPiece();
-  return !this->isOver() && this->Writer.writeDelta(Text);
+bool RequestHandler::forwardText(const std::string &Text) {
+  this->recordFirstChunk();
+  return !this->shouldStop() && this->Writer.writeDelta(Text);
 }
 
 void RequestHandler::abandonBroken() {
-  this->Passed.discardBuffered();
+  this->Forwarder.discardBuffered();
   if (!this->Broken)
     return;
   this->Abandoned.push_back(*this->Broken);
@@ -301,10 +303,10 @@
 }
 
 void RequestHandler::execute(const FinishRequest &Answer) {
-  this->Answered = true;
+  this->Finished = true;
   // A later close of the connection concerns nobody any more.
   this->E.Context.Watch.remove(this->E.Caller);
-  this->finishAnswer(Answer);
+  this->finishResponse(Answer);
   this->Timing.Outcome = Answer.Outcome;
   this->Timing.Total = this->elapsed();
   if (this->E.Context.Timings)
@@ -313,21 +315,21 @@
   this->cancelAbandoned();
 }
 
-void RequestHandler::finishAnswer(const FinishRequest &Answer) {
+void RequestHandler::finishResponse(const FinishRequest &Answer) {
   // "Completed" for any other reason speaks of an earlier request, and there is
   // no answer to give.
   const bool Served = Answer.Outcome == RequestOutcome::Completed &&
                       Answer.Reason == ResponseReason::Served;
   const bool Counted =
-      Served || this->Writer.started() || this->Passed.hasStarted();
-  if (Served && this->Passed.hasResponse())
-    this->Passed.complete(this->Timing.Attempts);
+      Served || this->Writer.started() || this->Forwarder.hasStarted();
+  if (Served && this->Forwarder.hasResponse())
+    this->Forwarder.complete(this->Timing.Attempts);
   else if (Served)
     this->Writer.complete(this->Timing.Tokens, this->Timing.Attempts);
-  else if (!this->Passed.hasStarted())
+  else if (!this->Forwarder.hasStarted())
     this->Writer.fail(Answer, this->Timing.Tokens, this->Timing.Attempts);
-  else if (!this->Relay.reportedIncomplete())
-    this->Passed.abortResponse();
+  else if (!this->HandOver.reportedIncomplete())
+    this->Forwarder.abortResponse();
   // A problem is counted as it is sent.
   if (Counted)
     this->E.Context.Counters.countOutcome(Answer.Outcome);
--- a/src/Caller/ResponseForwarder.cpp
+++ b/src/Caller/ResponseForwarder.cpp
@@ -32,15 +32,15 @@
                                     const HeaderList &NewHeaders) {
   this->Status = NewStatus;
   this->Headers = NewHeaders;
-  this->Held.clear();
+  this->BufferedBody.clear();
   if (!isShort(NewHeaders))
-    this->begin();
+    this->start();
   return !this->Out || this->Out->good();
 }
 
 bool ResponseForwarder::forwardBody(std::string_view Piece) {
   if (!this->Out) {
-    this->Held += Piece;
+    this->BufferedBody += Piece;
     return true;
   }
   this->Out->write(Piece.data(), static_cast<std::streamsize>(Piece.size()));
@@ -49,7 +49,7 @@
 }
 
 /// The identity and the outcome are the router's to state, whoever answers.
-void ResponseForwarder::begin() {
+void ResponseForwarder::start() {
   HTTPResponse &Response = this->E.Response;
   Response.setStatusAndReason(
       static_cast<HTTPResponse::HTTPStatus>(this->Status));
@@ -72,8 +72,8 @@
     return;
   this->E.Response.set("X-Outcome", "completed");
   this->E.Response.set("X-Attempts", std::to_string(Attempts));
-  this->begin();
-  this->forwardBody(this->Held);
+  this->start();
+  this->forwardBody(this->BufferedBody);
 }
 
 void ResponseForwarder::abortResponse() {
--- a/test/Backend/ResponseStreamCheckTest.cpp
+++ b/test/Backend/ResponseStreamCheckTest.cpp
@@ -34,8 +34,8 @@
 }
 
 /// Every event of one response; the place is the number.
-std::vector<StreamEvent> eventsOf(const std::string &Identity) {
-  std::vector<StreamEvent> Events;
+std::vector<ServerSentEvent> eventsOf(const std::string &Identity) {
+  std::vector<ServerSentEvent> Events;
   Events.push_back(
       {"", event("response.created", 0, responseFields(Identity))});
   Events.push_back(
@@ -53,10 +53,10 @@
 
 /// What arrives in place of the events of response "a": some of them doubled,
 /// left out, cut, or replaced by those of response "b".
-std::vector<StreamEvent> disturbed() {
+std::vector<ServerSentEvent> disturbed() {
   const auto Own = eventsOf("a");
   const auto Foreign = eventsOf("b");
-  std::vector<StreamEvent> Arriving;
+  std::vector<ServerSentEvent> Arriving;
   for (std::size_t Place = 0; Place < Own.size(); ++Place) {
     const int Kind = *rc::gen::inRange(0, 24);
     if (Kind == 0)
@@ -88,7 +88,7 @@
     for (int Connection = 0; Connection < 4; ++Connection) {
       ResponseStreamCheck Check("a", From, Counters);
       auto Verdict = StreamVerdict::Skip;
-      for (const StreamEvent &Next : disturbed()) {
+      for (const ServerSentEvent &Next : disturbed()) {
         Verdict = Check.processEvent(Next);
         if (Verdict == StreamVerdict::Forward)
           Passed += Check.text();
