--- a/src/Backend/ConnectionCanceller.cpp
+++ b/src/Backend/ConnectionCanceller.cpp
@@ -12,7 +12,7 @@
   try {
     this->Attached->shutdown();
   } catch (const Poco::Exception &) {
-    // The other side was first.
+    // The peer has already closed the connection.
   }
 }
 
--- a/src/Backend/ConnectionPool.cpp
+++ b/src/Backend/ConnectionPool.cpp
@@ -8,22 +8,22 @@
   std::lock_guard<std::mutex> Lock(this->Mutex);
   std::vector<IdleConnection> &Connections = this->IdleByServer[Address];
   while (!Connections.empty()) {
-    IdleConnection Youngest = std::move(Connections.back());
+    IdleConnection Newest = std::move(Connections.back());
     Connections.pop_back();
-    if (Now - Youngest.Since < this->Settings.MaxIdleTime &&
-        !Youngest.Connection->hasUnsolicitedInput())
-      return std::move(Youngest.Connection);
+    if (Now - Newest.Since < this->Settings.MaxIdleTime &&
+        !Newest.Connection->hasUnsolicitedInput())
+      return std::move(Newest.Connection);
   }
   return nullptr;
 }
 
 void ConnectionPool::release(const std::string &Address,
-                             std::unique_ptr<BackendConnection> C) {
-  C->detach();
+                             std::unique_ptr<BackendConnection> Connection) {
+  Connection->detach();
   std::lock_guard<std::mutex> Lock(this->Mutex);
   std::vector<IdleConnection> &Connections = this->IdleByServer[Address];
   if (Connections.size() < this->Settings.MaxIdleConnections)
-    Connections.push_back({this->Settings.Time.now(), std::move(C)});
+    Connections.push_back({this->Settings.Time.now(), std::move(Connection)});
 }
 
 void ConnectionPool::closeIdle(const std::string &Address) {
--- a/src/Backend/EventStreamReader.cpp
+++ b/src/Backend/EventStreamReader.cpp
@@ -7,8 +7,8 @@
 
 namespace {
 
-/// The value after the field's name and one optional space, if this line is of
-/// that field.
+/// Returns the value of a field without the optional space after the colon, or
+/// nullopt if the line does not contain this field.
 std::optional<std::string_view> fieldValue(std::string_view Line,
                                            std::string_view Field) {
   if (!Line.starts_with(Field) || Line.size() <= Field.size() ||
--- a/src/Backend/LoadPoller.cpp
+++ b/src/Backend/LoadPoller.cpp
@@ -16,8 +16,8 @@
 } // namespace
 
 LoadPoller::LoadPoller(PollSettings S, BackendCounters &C,
-                       std::function<void(Event)> To)
-    : Settings(S), Counters(C), Sink(std::move(To)), Random(S.Seed) {
+                       std::function<void(Event)> ReportTo)
+    : Settings(S), Counters(C), Sink(std::move(ReportTo)), Random(S.Seed) {
   for (unsigned Number = 0; Number < S.Threads; ++Number)
     this->Threads.emplace_back([this] { this->runThread(); });
 }
@@ -32,10 +32,10 @@
     Thread.join();
 }
 
-void LoadPoller::watch(const std::vector<Watched> &Wanted) {
+void LoadPoller::watch(const std::vector<Watched> &Targets) {
   std::lock_guard<std::mutex> Lock(this->Mutex);
   std::map<ServerId, PolledServer> Next;
-  for (const Watched &Target : Wanted) {
+  for (const Watched &Target : Targets) {
     const auto Old = this->Servers.find(Target.Server);
     PolledServer &New = Next[Target.Server];
     if (Old != this->Servers.end() &&
@@ -50,18 +50,18 @@
 }
 
 Duration LoadPoller::nextInterval() {
-  std::uniform_real_distribution<double> Part(-1, 1);
-  const double Factor = 1 + this->Settings.Jitter * Part(this->Random);
+  std::uniform_real_distribution<double> Distribution(-1, 1);
+  const double Factor = 1 + this->Settings.Jitter * Distribution(this->Random);
   return Duration(static_cast<Duration::rep>(
       static_cast<double>(this->Settings.Interval.count()) * Factor));
 }
 
 std::map<ServerId, LoadPoller::PolledServer>::iterator LoadPoller::nextDue() {
   auto Best = this->Servers.end();
-  for (auto At = this->Servers.begin(); At != this->Servers.end(); ++At)
-    if (!At->second.InProgress &&
-        (Best == this->Servers.end() || At->second.DueAt < Best->second.DueAt))
-      Best = At;
+  for (auto It = this->Servers.begin(); It != this->Servers.end(); ++It)
+    if (!It->second.InProgress &&
+        (Best == this->Servers.end() || It->second.DueAt < Best->second.DueAt))
+      Best = It;
   return Best;
 }
 
@@ -82,8 +82,8 @@
     Next->second.DueAt = Now + this->nextInterval();
     const Watched Target = Next->second.Target;
     Lock.unlock();
-    const Observation Seen = this->poll(Target);
-    this->applyObservation(Target, Seen);
+    const Observation Observed = this->poll(Target);
+    this->applyObservation(Target, Observed);
     Lock.lock();
   }
 }
@@ -94,54 +94,57 @@
   Call.Path = Target.ReportsLoad ? MetricsPath : HealthPath;
   Call.Timeout = this->Settings.Timeout;
   ++this->Counters.PollCalls;
-  const auto Answer = runShortCall(Call);
-  Observation Seen;
-  if (Answer) {
-    this->Counters.PollBytes += Answer->Bytes;
-    Seen.Leaving = Answer->Leaving;
-    Seen.Answered = Answer->Leaving || Answer->Status == Ok;
+  const auto Response = runShortCall(Call);
+  Observation Observed;
+  if (Response) {
+    this->Counters.PollBytes += Response->Bytes;
+    Observed.Leaving = Response->Leaving;
+    Observed.Answered = Response->Leaving || Response->Status == Ok;
   }
-  if (!Seen.Answered)
+  if (!Observed.Answered)
     ++this->Counters.PollFailures;
-  else if (Target.ReportsLoad && !Seen.Leaving)
-    Seen.Load = parseLoadReport(Answer->Body);
-  return Seen;
+  else if (Target.ReportsLoad && !Observed.Leaving)
+    Observed.Load = parseLoadReport(Response->Body);
+  return Observed;
 }
 
-/// One report missed says little: a connection may have been lost. The server
-/// counts as failed after several new connections in a row have failed, and as
-/// usable again after the first that works.
+/// A single failed poll is no evidence, since a connection may have been lost.
+/// The server counts as failed after `FailureThreshold` consecutive failures,
+/// each on a new connection, and as usable again after the first success.
 void LoadPoller::applyObservation(const Watched &Target,
-                                  const Observation &Seen) {
+                                  const Observation &Observed) {
   std::unique_lock<std::mutex> Lock(this->Mutex);
   const auto Found = this->Servers.find(Target.Server);
   if (Found == this->Servers.end() ||
       Found->second.Target.Address != Target.Address)
-    return; // It was taken off the list while it was asked.
+    return; // The server was removed while it was polled.
   PolledServer &Server = Found->second;
   Server.InProgress = false;
   Server.ConsecutiveFailures =
-      Seen.Answered ? 0 : Server.ConsecutiveFailures + 1;
-  ServerCondition Now = Server.Condition;
-  if (Seen.Answered)
-    Now = Seen.Leaving ? ServerCondition::Leaving : ServerCondition::Usable;
+      Observed.Answered ? 0 : Server.ConsecutiveFailures + 1;
+  ServerCondition NewCondition = Server.Condition;
+  if (Observed.Answered)
+    NewCondition =
+        Observed.Leaving ? ServerCondition::Leaving : ServerCondition::Usable;
   else if (Server.ConsecutiveFailures >= this->Settings.FailureThreshold)
-    Now = ServerCondition::Failed;
-  const TimePoint At = Clock::steady().now();
-  // After one missed report the last condition is no longer what was seen.
-  const bool IsSure = Seen.Answered || Now == ServerCondition::Failed;
-  const bool Repeats =
-      IsSure && At >= Server.LastReportedAt + this->Settings.RepeatInterval;
-  const bool Tells = Now != Server.Condition || Repeats;
-  Server.Condition = Now;
-  if (Tells)
-    Server.LastReportedAt = At;
+    NewCondition = ServerCondition::Failed;
+  const TimePoint Now = Clock::steady().now();
+  // After a failed poll the last condition is no longer confirmed.
+  const bool IsConfirmed =
+      Observed.Answered || NewCondition == ServerCondition::Failed;
+  const bool IsRepeatDue =
+      IsConfirmed &&
+      Now >= Server.LastReportedAt + this->Settings.RepeatInterval;
+  const bool ShouldReport = NewCondition != Server.Condition || IsRepeatDue;
+  Server.Condition = NewCondition;
+  if (ShouldReport)
+    Server.LastReportedAt = Now;
   Lock.unlock();
-  if (Tells)
-    this->Sink(ServerConditionChanged{Target.Server, Now});
-  if (Seen.Load)
-    this->Sink(
-        LoadReported{Target.Server, Seen.Load->Running, Seen.Load->Waiting});
+  if (ShouldReport)
+    this->Sink(ServerConditionChanged{Target.Server, NewCondition});
+  if (Observed.Load)
+    this->Sink(LoadReported{Target.Server, Observed.Load->Running,
+                            Observed.Load->Waiting});
 }
 
 Poco::JSON::Object::Ptr LoadPoller::dump() const {
@@ -156,9 +159,9 @@
     Row->set("failures_in_a_row", Server.ConsecutiveFailures);
     List->add(Row);
   }
-  Poco::JSON::Object::Ptr Whole = new Poco::JSON::Object;
-  Whole->set("watched", List);
-  return Whole;
+  Poco::JSON::Object::Ptr Dump = new Poco::JSON::Object;
+  Dump->set("watched", List);
+  return Dump;
 }
 
 } // namespace parsleywing
--- a/src/Backend/PlainAttempt.cpp
+++ b/src/Backend/PlainAttempt.cpp
@@ -15,7 +15,7 @@
 constexpr int ServiceUnavailable = 503;
 constexpr const char *IdentityHeader = "X-Request-Id";
 constexpr const char *ProblemContentType = "application/problem+json";
-constexpr std::size_t PieceBytes = 16 << 10;
+constexpr std::size_t ChunkBytes = 16 << 10;
 
 HeaderList headersOf(const Poco::Net::HTTPResponse &Response) {
   HeaderList Headers;
@@ -29,15 +29,15 @@
 PlainResult PlainAttempt::run() {
   ++this->Counters.Attempts;
   if (this->Listener.SetCanceller)
-    this->Listener.SetCanceller([B = this->Canceller] { B->cancel(); });
+    this->Listener.SetCanceller([C = this->Canceller] { C->cancel(); });
   try {
     this->attempt();
-  } catch (const Poco::TimeoutException &Late) {
-    this->handleFailure(Late.displayText(), true);
-  } catch (const Poco::Exception &Broken) {
-    this->handleFailure(Broken.displayText(), false);
-  } catch (const std::exception &Broken) {
-    this->handleFailure(Broken.what(), false);
+  } catch (const Poco::TimeoutException &Timeout) {
+    this->handleFailure(Timeout.displayText(), true);
+  } catch (const Poco::Exception &Failure) {
+    this->handleFailure(Failure.displayText(), false);
+  } catch (const std::exception &Failure) {
+    this->handleFailure(Failure.what(), false);
   }
   if (this->Listener.SetCanceller)
     this->Listener.SetCanceller({});
@@ -52,15 +52,15 @@
   this->readResponse();
 }
 
-void PlainAttempt::restartDeadline(Duration Setting) {
-  const Duration Own = this->Call.ProgressTimeout;
-  const Duration Limit =
-      Own > Duration::zero() ? std::min(Own, Setting) : Setting;
-  this->Connection->setDeadline(this->Settings.Time.now() + Limit);
+void PlainAttempt::restartDeadline(Duration Timeout) {
+  const Duration CallTimeout = this->Call.ProgressTimeout;
+  const Duration EffectiveTimeout =
+      CallTimeout > Duration::zero() ? std::min(CallTimeout, Timeout) : Timeout;
+  this->Connection->setDeadline(this->Settings.Time.now() + EffectiveTimeout);
 }
 
-/// See `EngineAttempt::connect` for why only repeatable requests go over an
-/// idle connection.
+/// See `EngineAttempt::connect` for why only repeatable requests use pooled
+/// connections.
 void PlainAttempt::connect() {
   if (this->Call.Repeatable)
     this->Connection = this->Pool.acquire(this->Call.Address);
@@ -70,7 +70,7 @@
         this->Call.Address, this->Settings.ConnectTimeout, *this->Canceller,
         this->Settings.Time);
   else if (!this->Connection->attach(*this->Canceller))
-    throw Poco::Net::ConnectionAbortedException("broken off before the send");
+    throw Poco::Net::ConnectionAbortedException("cancelled before sending");
   this->ReceivedAtStart = this->Connection->receivedBytes();
 }
 
@@ -119,8 +119,9 @@
   this->Result.Outcome = AttemptOutcome::Interrupted;
 }
 
-/// A bare 503 may come from something between the two ends that lost the
-/// service's answer; it is passed on as the answer, which is no "not run".
+/// A 503 without an error object may come from a proxy that lost the service's
+/// response. It is forwarded as a normal response and does not count as proof
+/// that the request did not run.
 bool PlainAttempt::handleRefusal(const Poco::Net::HTTPResponse &Response,
                                  std::istream &In) {
   const int Status = Response.getStatus();
@@ -147,36 +148,38 @@
   return true;
 }
 
-/// Passes on what is there, without waiting for a full piece.
+/// Forwards the available bytes without waiting for a full buffer.
 void PlainAttempt::forwardBody(std::istream &In) {
-  std::array<char, PieceBytes> Piece{};
+  std::array<char, ChunkBytes> Chunk{};
   while (true) {
     this->restartDeadline(this->Settings.EventGapTimeout);
     const int First = In.rdbuf()->sbumpc();
     if (First == EOF)
       return;
-    Piece[0] = static_cast<char>(First);
-    const std::streamsize There =
-        std::min<std::streamsize>(In.rdbuf()->in_avail(), PieceBytes - 1);
-    const std::streamsize More =
-        There > 0 ? In.rdbuf()->sgetn(Piece.data() + 1, There) : 0;
-    const auto Size = static_cast<std::size_t>(More) + 1;
+    Chunk[0] = static_cast<char>(First);
+    const std::streamsize Available =
+        std::min<std::streamsize>(In.rdbuf()->in_avail(), ChunkBytes - 1);
+    const std::streamsize Read =
+        Available > 0 ? In.rdbuf()->sgetn(Chunk.data() + 1, Available) : 0;
+    const auto Size = static_cast<std::size_t>(Read) + 1;
     this->Result.BodyBytes += Size;
     if (this->Listener.BodyReceived &&
-        !this->Listener.BodyReceived(std::string_view(Piece.data(), Size))) {
+        !this->Listener.BodyReceived(std::string_view(Chunk.data(), Size))) {
       this->Result.Outcome = AttemptOutcome::CallerDisconnected;
       return;
     }
   }
 }
 
-/// The library ends a body quietly when the connection ends, so a cut answer
-/// looks whole. A stated length is compared; a chunked body is whole only if
-/// its last chunk came before the connection ended. A body whose end is the
-/// connection's end cannot be checked.
+/// POCO ends a body without an error when the connection ends, so a truncated
+/// response looks complete. A body with a Content-Length must have that length;
+/// a chunked body is complete only if its last chunk arrived before the peer
+/// closed the connection. A body delimited by the end of the connection cannot
+/// be checked.
 bool PlainAttempt::isBodyComplete(
     const Poco::Net::HTTPResponse &Response) const {
-  // These may state the length of a body that they never carry (RFC 9110, 8.6).
+  // These responses may state a Content-Length without having a body (RFC 9110,
+  // section 8.6).
   const bool NeverHasBody =
       this->Call.Method == Poco::Net::HTTPRequest::HTTP_HEAD ||
       Response.getStatus() == Poco::Net::HTTPResponse::HTTP_NOT_MODIFIED;
@@ -191,20 +194,20 @@
 }
 
 void PlainAttempt::returnToPool(const Poco::Net::HTTPResponse &Response) {
-  const bool Framed =
+  const bool HasFraming =
       Response.hasContentLength() || Response.getChunkedTransferEncoding();
-  if (this->Call.Repeatable && Framed && Response.getKeepAlive() &&
+  if (this->Call.Repeatable && HasFraming && Response.getKeepAlive() &&
       this->Connection->reusable() && !this->Canceller->isCancelled())
     this->Pool.release(this->Call.Address, std::move(this->Connection));
 }
 
-void PlainAttempt::handleFailure(const std::string &Why, bool Silent) {
+void PlainAttempt::handleFailure(const std::string &Cause, bool TimedOut) {
   if (this->Canceller->isCancelled()) {
     this->Result.Outcome = AttemptOutcome::Cancelled;
     return;
   }
   log(LogPart::Backend, LogLevel::Info,
-      "Attempt at " + this->Call.Address + " broke: " + Why + ".");
+      "Attempt at " + this->Call.Address + " failed: " + Cause + ".");
   if (!this->MayHaveSent) {
     this->Result.Outcome = AttemptOutcome::NotSent;
     this->Result.ServerSuspect = true;
@@ -218,7 +221,7 @@
     ++this->Counters.PooledConnectionsBroken;
     this->Pool.closeIdle(this->Call.Address);
   }
-  if (!Silent)
+  if (!TimedOut)
     return;
   ++this->Counters.ProgressTimeouts;
   this->Connection.reset();
--- a/src/Backend/ResponseStreamCheck.cpp
+++ b/src/Backend/ResponseStreamCheck.cpp
@@ -45,24 +45,24 @@
   this->Parser.reset();
   const auto Data =
       this->Parser.parse(Event.Data).extract<Poco::JSON::Object::Ptr>();
-  const std::string Kind = stringField(*Data, "type");
-  if (Kind.empty() || (!Event.Name.empty() && Event.Name != Kind))
+  const std::string Type = stringField(*Data, "type");
+  if (Type.empty() || (!Event.Name.empty() && Event.Name != Type))
     return this->reject(this->Counters.MalformedEvents);
-  if (Kind == ErrorEvent)
+  if (Type == ErrorEvent)
     return StreamVerdict::Abandoned;
   std::uint64_t Number = 0;
-  const StreamVerdict Place = this->checkSequence(*Data, Number);
-  if (Place != StreamVerdict::Forward)
-    return Place;
-  const StreamVerdict Verdict = this->checkByType(Kind, *Data, Number);
+  const StreamVerdict SequenceVerdict = this->checkSequence(*Data, Number);
+  if (SequenceVerdict != StreamVerdict::Forward)
+    return SequenceVerdict;
+  const StreamVerdict Verdict = this->checkByType(Type, *Data, Number);
   if (Verdict == StreamVerdict::Skip || Verdict == StreamVerdict::Forward ||
       Verdict == StreamVerdict::Finished)
     this->Point.Sequence = Number;
   return Verdict;
 }
 
-/// An event of another response is looked for before its number is, since its
-/// number may fit by chance and would then hide where it came from.
+/// Checks whether the event belongs to this response before checking its
+/// sequence number, since the number of a foreign event may fit by chance.
 StreamVerdict ResponseStreamCheck::checkSequence(const Poco::JSON::Object &Data,
                                                  std::uint64_t &Number) {
   Number = Data.getValue<Poco::UInt64>("sequence_number");
@@ -79,21 +79,21 @@
   return StreamVerdict::Forward;
 }
 
-StreamVerdict ResponseStreamCheck::checkByType(const std::string &Kind,
+StreamVerdict ResponseStreamCheck::checkByType(const std::string &Type,
                                                const Poco::JSON::Object &Data,
                                                std::uint64_t Number) {
   if (!this->Started)
-    return Kind == CreatedEvent ? this->onCreated(Data)
+    return Type == CreatedEvent ? this->onCreated(Data)
                                 : this->reject(this->Counters.MissingEvents);
-  if (Kind == DeltaEvent)
+  if (Type == DeltaEvent)
     return this->onDelta(Data);
-  if (Kind == ItemAddedEvent)
+  if (Type == ItemAddedEvent)
     return this->onItemAdded(Data, Number);
-  if (Kind == TextDoneEvent)
+  if (Type == TextDoneEvent)
     return this->onTextDone(Data);
-  if (Kind == CompletedEvent || Kind == IncompleteEvent)
+  if (Type == CompletedEvent || Type == IncompleteEvent)
     return this->onResponseEnd(Data, true);
-  if (Kind == FailedEvent)
+  if (Type == FailedEvent)
     return this->onResponseEnd(Data, false);
   return StreamVerdict::Skip;
 }
@@ -121,9 +121,9 @@
   return StreamVerdict::Skip;
 }
 
-/// The event that opened the item may itself have been the foreign one, since
-/// nothing in it names the response. While no text of the item was passed on,
-/// the stream is taken up before it.
+/// The event that added the item may itself be foreign, since it does not name
+/// the response. If no text of the item has been forwarded yet, the stream is
+/// resumed before that event.
 StreamVerdict ResponseStreamCheck::rejectForeignEvent() {
   if (this->ItemSequence != 0 && this->Point.ItemTextOffset == 0)
     this->Point = this->BeforeItem;
@@ -140,9 +140,9 @@
   return StreamVerdict::Forward;
 }
 
-/// The engine repeats the whole text of the item here. Another length than
-/// what was passed on means that a piece was cut or added on the way, although
-/// the numbering had no gap.
+/// The event repeats the complete text of the item. If its length differs from
+/// the forwarded text, some text was lost or added in transit although the
+/// sequence numbers had no gap.
 StreamVerdict ResponseStreamCheck::onTextDone(const Poco::JSON::Object &Data) {
   if (!Data.has("text"))
     return StreamVerdict::Skip;
@@ -152,7 +152,7 @@
 }
 
 StreamVerdict ResponseStreamCheck::onResponseEnd(const Poco::JSON::Object &Data,
-                                                 bool Whole) {
+                                                 bool Complete) {
   const auto Response = Data.getObject("response");
   if (!Response)
     return this->reject(this->Counters.MalformedEvents);
@@ -162,7 +162,7 @@
   this->UsageStated = Usage && Usage->has("output_tokens");
   if (this->UsageStated)
     this->StatedTokens = Usage->getValue<Poco::UInt64>("output_tokens");
-  if (!Whole)
+  if (!Complete)
     return StreamVerdict::Abandoned;
   if (!this->UsageStated)
     ++this->Counters.MissingUsages;
@@ -180,8 +180,8 @@
          stringField(Response, "id") == this->Point.ResponseId;
 }
 
-/// Text before its item was opened is of another response too. A second event
-/// with the number of the one that opened the item, but with another item, says
+/// Text before its item was added is foreign too. A second event with the
+/// sequence number of the one that added the item, but with another item, shows
 /// that one of the two is foreign.
 bool ResponseStreamCheck::belongsToItem(const Poco::JSON::Object &Data,
                                         std::uint64_t Number) const {
--- a/src/Backend/ResponseStreamCheck.h
+++ b/src/Backend/ResponseStreamCheck.h
@@ -66,7 +66,7 @@
   StreamVerdict checkEvent(const ServerSentEvent &Event);
   StreamVerdict checkSequence(const Poco::JSON::Object &Data,
                               std::uint64_t &Number);
-  StreamVerdict checkByType(const std::string &Kind,
+  StreamVerdict checkByType(const std::string &Type,
                             const Poco::JSON::Object &Data,
                             std::uint64_t Number);
   StreamVerdict onCreated(const Poco::JSON::Object &Data);
--- a/src/Caller/CallerApi.cpp
+++ b/src/Caller/CallerApi.cpp
@@ -30,7 +30,7 @@
     return true;
   E.Response.set("Allow", Method);
   E.sendProblem({ProblemType::MethodNotAllowed,
-                 "This path is served with " + Method + " only."});
+                 "This path accepts only " + Method + "."});
   return false;
 }
 
@@ -120,23 +120,24 @@
   const std::string Name = serviceOf(pathOf(*E.Request));
   const auto Service = idOf<ServiceId>(Name);
   serveScheduled(E,
-               [&](const CallerDeclarations &Declared,
-                   AccountId Account) -> Parsed<CallerRequest> {
-                 if (!mayUse(*Declared.Active, Account, Service) ||
-                     Declared.Active->Services.at(Service).Kind !=
-                         ServiceKind::Plain)
-                   return tl::unexpected<Problem>(
-                       Problem{ProblemType::ServiceNotAllowed,
-                               "The account may not use this service."});
-                 return parsePlainRequest(E, Declared, Account, Service);
-               });
+                 [&](const CallerDeclarations &Declared,
+                     AccountId Account) -> Parsed<CallerRequest> {
+                   if (!mayUse(*Declared.Active, Account, Service) ||
+                       Declared.Active->Services.at(Service).Kind !=
+                           ServiceKind::Plain)
+                     return tl::unexpected<Problem>(
+                         Problem{ProblemType::ServiceNotAllowed,
+                                 "The account may not use this service."});
+                   return parsePlainRequest(E, Declared, Account, Service);
+                 });
 }
 
 void serveHealth(Exchange &E) {
   if (!requireMethod(E, HTTPServerRequest::HTTP_GET))
     return;
   if (E.Context.Draining) {
-    E.sendProblem({ProblemType::Draining, "This router takes no new work.",
+    E.sendProblem({ProblemType::Draining,
+                   "This router accepts no new requests.",
                    RequestOutcome::NotRun, E.Context.Settings.LimitRetryAfter});
     return;
   }
@@ -163,7 +164,8 @@
   else if (Path.starts_with(ServicesPrefix))
     servePlainService(E);
   else
-    E.sendProblem({ProblemType::NotFound, "Nothing is served at this path."});
+    E.sendProblem(
+        {ProblemType::NotFound, "There is no resource at this path."});
 }
 
 } // namespace parsleywing
--- a/src/Caller/CallerConnection.cpp
+++ b/src/Caller/CallerConnection.cpp
@@ -15,7 +15,7 @@
 
 namespace {
 
-/// How often an idle connection looks whether the router drains.
+/// Interval at which an idle connection checks whether the router is draining.
 constexpr Duration IdleCheckInterval = std::chrono::milliseconds(250);
 
 Poco::Timespan toTimespan(Duration D) { return Poco::Timespan(D.count()); }
@@ -40,12 +40,13 @@
     this->Caller.setSendTimeout(toTimespan(this->Context.Settings.SendTimeout));
     while (this->waitForRequest(Session) && this->serveNext(Session)) {
     }
-    // Only here, since POCO sends the answer as its response is destroyed.
+    // Only after the loop: POCO sends the end of a response when the response
+    // object is destroyed.
     if (this->CloseAfterResponse || CallerWatch::hasUnsent(this->socket()))
       this->closeGracefully();
   } catch (const Poco::Exception &Failure) {
     log(LogPart::Caller, LogLevel::Debug,
-        "A connection broke: " + Failure.displayText());
+        "Caller connection failed: " + Failure.displayText());
   }
 }
 
@@ -86,7 +87,7 @@
     if (!this->SocketImpl->receiveTimedOut())
       return false; // The caller closed between two requests.
   } catch (const Poco::Exception &) {
-    // Answered below.
+    // Answered with a problem below.
   }
   if (!Request) {
     E.sendProblem(this->headProblem());
@@ -100,36 +101,36 @@
   Response.setKeepAlive(Request->getKeepAlive());
   serveExchange(E);
   this->HasUnreadInput = !E.BodyRead;
-  // Only what the head said counts: a drain that began behind it ends the
-  // connection with the next answer, or once the caller is idle.
-  const bool Kept = Response.sent() && Response.getKeepAlive() && E.BodyRead &&
-                    !this->Context.Stopping;
+  // Only what the response head announced counts: a drain that started after
+  // the head closes the connection after the next response, or when the
+  // connection is idle.
+  const bool KeepAlive = Response.sent() && Response.getKeepAlive() &&
+                         E.BodyRead && !this->Context.Stopping;
   this->CloseAfterResponse =
-      Response.sent() && !Kept && !this->SocketImpl->willReset();
-  return Kept;
+      Response.sent() && !KeepAlive && !this->SocketImpl->willReset();
+  return KeepAlive;
 }
 
 Problem CallerConnection::headProblem() const {
   if (this->SocketImpl->receiveTimedOut())
     return {ProblemType::ReceiveTimeout,
-            "The head of the request did not come whole in time."};
+            "The request head was not received completely in time."};
   if (this->SocketImpl->headTooLarge())
     return {ProblemType::HeadersTooLarge,
-            "The head of the request may hold " +
+            "The request head exceeds the limit of " +
                 std::to_string(this->Context.Settings.MaxHeaderBytes) +
                 " bytes."};
-  return {ProblemType::InvalidRequest,
-          "The head of the request is not valid HTTP."};
+  return {ProblemType::InvalidRequest, "The request head is not valid HTTP."};
 }
 
-/// A connection that is idle and whose answers have all left is closed at once:
-/// a request that crosses the close then gets a reset, by which its caller sees
-/// that it was not read.
+/// If all responses are acknowledged and no bytes are unread, the connection is
+/// closed at once: a request that crosses the close then gets a reset, which
+/// shows its caller that the request was not read.
 void CallerConnection::closeGracefully() {
-  const bool Settled =
+  const bool SafeToClose =
       !this->HasUnreadInput && CallerWatch::isSafeToClose(this->socket());
   this->Caller.shutdownSend();
-  if (!Settled)
+  if (!SafeToClose)
     this->Context.Watch.linger(this->socket(),
                                this->Context.Settings.SendTimeout);
 }
--- a/src/Caller/CallerSocket.cpp
+++ b/src/Caller/CallerSocket.cpp
@@ -18,7 +18,7 @@
   try {
     this->setLinger(true, 0);
   } catch (const Poco::Exception &) {
-    // The caller has left already.
+    // The caller has already disconnected.
   }
 }
 
@@ -28,16 +28,17 @@
 }
 
 int CallerSocketImpl::receiveBytes(void *Buffer, int Length, int Flags) {
-  const auto Left =
+  const auto TimeLeft =
       std::chrono::duration_cast<Duration>(this->Deadline - SteadyClock::now());
-  if (Left <= Duration::zero() || !this->poll(Poco::Timespan(Left.count()),
-                                              Poco::Net::Socket::SELECT_READ)) {
+  if (TimeLeft <= Duration::zero() ||
+      !this->poll(Poco::Timespan(TimeLeft.count()),
+                  Poco::Net::Socket::SELECT_READ)) {
     this->TimedOut = true;
-    throw Poco::TimeoutException("the request did not come in time");
+    throw Poco::TimeoutException("the request was not received in time");
   }
   if (this->RemainingHeadBytes == 0) {
     this->HeadTooLarge = true;
-    throw Poco::Net::MessageException("the head of the request is too large");
+    throw Poco::Net::MessageException("the request head is too large");
   }
   const int Received = StreamSocketImpl::receiveBytes(Buffer, Length, Flags);
   if (Received <= 0)
--- a/src/Caller/CallerWatch.cpp
+++ b/src/Caller/CallerWatch.cpp
@@ -14,11 +14,12 @@
 
 namespace {
 
-/// POCO's PollSet returns at once when it holds no socket.
+/// Pause while no socket is watched, since POCO's PollSet then returns
+/// immediately.
 constexpr auto EmptyPause = std::chrono::milliseconds(20);
-constexpr Duration PollTime = std::chrono::milliseconds(200);
+constexpr Duration PollTimeout = std::chrono::milliseconds(200);
 
-/// What a socket's receiving side holds.
+/// State of a socket's receive buffer.
 enum class PendingInput { Nothing, Bytes, Closed };
 
 PendingInput pendingInput(const Poco::Net::Socket &Caller) {
@@ -32,8 +33,8 @@
   return PendingInput::Closed;
 }
 
-/// Whether the peer has closed, also where unread bytes hide it from a read
-/// and where this side has shut down sending.
+/// Whether the peer has closed the connection. Also works if unread bytes hide
+/// the close from a read, and if this side has shut down sending.
 bool isClosedByPeer(const Poco::Net::Socket &Caller) {
   tcp_info Info{};
   socklen_t Size = sizeof(Info);
@@ -44,7 +45,7 @@
          Info.tcpi_state != TCP_FIN_WAIT1 && Info.tcpi_state != TCP_FIN_WAIT2;
 }
 
-/// Bytes sent that the peer's system has not taken yet.
+/// Bytes sent that the peer's host has not acknowledged yet.
 int unsentBytes(const Poco::Net::Socket &Caller) {
   return unacknowledgedBytes(Caller.impl()->sockfd()).value_or(0);
 }
@@ -72,15 +73,15 @@
     this->Sockets.remove(Caller);
 }
 
-void CallerWatch::linger(const Poco::Net::StreamSocket &Ended,
+void CallerWatch::linger(const Poco::Net::StreamSocket &Caller,
                          Duration SendTimeout) {
   std::lock_guard<std::mutex> Lock(this->Mutex);
   if (this->LingeringConnections.size() >= MaxLingering)
     return;
   this->LingeringConnections.push_back(
-      {Ended, SendTimeout, 0, SteadyClock::now() + LingerTime});
-  if (hasUnsent(Ended))
-    ++this->Unsent;
+      {Caller, SendTimeout, 0, SteadyClock::now() + LingerTime});
+  if (hasUnsent(Caller))
+    ++this->UnsentResponses;
 }
 
 bool CallerWatch::hasUnsent(const Poco::Net::StreamSocket &Caller) {
@@ -92,17 +93,17 @@
 }
 
 void CallerWatch::run() {
-  auto NextBacklogs = SteadyClock::now();
+  auto NextCheckAt = SteadyClock::now();
   while (!this->Stopping) {
     if (this->Sockets.empty())
       std::this_thread::sleep_for(EmptyPause);
     else
       for (const auto &[Socket, Mode] :
-           this->Sockets.poll(Poco::Timespan(PollTime.count())))
+           this->Sockets.poll(Poco::Timespan(PollTimeout.count())))
         this->checkSocket(Socket);
-    if (SteadyClock::now() < NextBacklogs)
+    if (SteadyClock::now() < NextCheckAt)
       continue;
-    NextBacklogs = SteadyClock::now() + BacklogInterval;
+    NextCheckAt = SteadyClock::now() + BacklogInterval;
     this->checkBacklogs();
     this->closeLingering();
   }
@@ -113,13 +114,13 @@
   const auto Found = this->Callers.find(Caller.impl());
   if (Found == this->Callers.end())
     return;
-  const PendingInput Held = pendingInput(Caller);
-  if (Held == PendingInput::Nothing)
+  const PendingInput State = pendingInput(Caller);
+  if (State == PendingInput::Nothing)
     return;
-  // The set reports a readable socket again and again. One with unread bytes
-  // leaves it, or this thread would spin until they are read.
+  // The poll set is level-triggered: a socket with unread bytes is removed, or
+  // this thread would spin until they are read.
   this->Sockets.remove(Caller);
-  if (Held == PendingInput::Bytes) {
+  if (State == PendingInput::Bytes) {
     Found->second.HasBacklog = true;
     return;
   }
@@ -140,22 +141,25 @@
 void CallerWatch::closeLingering() {
   std::lock_guard<std::mutex> Lock(this->Mutex);
   const auto Now = SteadyClock::now();
-  std::erase_if(this->LingeringConnections,
-                [Now](Lingering &Held) { return shouldClose(Held, Now); });
-  this->Unsent = static_cast<std::size_t>(std::ranges::count_if(
+  std::erase_if(this->LingeringConnections, [Now](Lingering &Connection) {
+    return shouldClose(Connection, Now);
+  });
+  this->UnsentResponses = static_cast<std::size_t>(std::ranges::count_if(
       this->LingeringConnections,
-      [](const Lingering &Held) { return Held.Unsent > 0; }));
+      [](const Lingering &Connection) { return Connection.UnsentBytes > 0; }));
 }
 
-bool CallerWatch::shouldClose(Lingering &Held, SteadyClock::time_point Now) {
-  if (isClosedByPeer(Held.Socket))
+bool CallerWatch::shouldClose(Lingering &Connection,
+                              SteadyClock::time_point Now) {
+  if (isClosedByPeer(Connection.Socket))
     return true;
-  const int Unsent = unsentBytes(Held.Socket);
-  if (Unsent != Held.Unsent) {
-    Held.Unsent = Unsent;
-    Held.ExpiresAt = Now + (Unsent > 0 ? Held.SendTimeout : LingerTime);
+  const int Unsent = unsentBytes(Connection.Socket);
+  if (Unsent != Connection.UnsentBytes) {
+    Connection.UnsentBytes = Unsent;
+    Connection.ExpiresAt =
+        Now + (Unsent > 0 ? Connection.SendTimeout : LingerTime);
   }
-  return Held.ExpiresAt <= Now;
+  return Connection.ExpiresAt <= Now;
 }
 
 } // namespace parsleywing
--- a/src/Caller/RequestHandler.cpp
+++ b/src/Caller/RequestHandler.cpp
@@ -8,27 +8,28 @@
 
 namespace {
 
-/// How often a waiting request looks whether the process stops.
+/// Interval at which a waiting request checks whether the process is shutting
+/// down.
 constexpr Duration StopCheckInterval = std::chrono::milliseconds(500);
 
-/// `/path?query` of `/services/{service}/path?query`.
-std::string pathBehindService(const std::string &Target) {
+/// Returns `/path?query` of `/services/{service}/path?query`.
+std::string pathAfterService(const std::string &Target) {
   const auto Service = Target.find('/', 1);
-  const auto Behind = Target.find_first_of("/?", Service + 1);
-  if (Behind == std::string::npos)
+  const auto PathStart = Target.find_first_of("/?", Service + 1);
+  if (PathStart == std::string::npos)
     return "/";
-  return (Target[Behind] == '?' ? "/" : "") + Target.substr(Behind);
+  return (Target[PathStart] == '?' ? "/" : "") + Target.substr(PathStart);
 }
 
 } // namespace
 
-RequestHandler::RequestHandler(Exchange &X, const CallerRequest &A)
-    : E(X), ParsedRequest(A), Request{X.Number}, Writer(X, A.Stream),
-      Forwarder(X), HandOver(X, A, Forwarder),
+RequestHandler::RequestHandler(Exchange &X, const CallerRequest &R)
+    : E(X), ParsedRequest(R), Request{X.Number}, Writer(X, R.Stream),
+      Forwarder(X), HandOver(X, R, Forwarder),
       Channel(X.Context.Control.openChannel(Request)),
       ArrivedAt(X.Context.Control.clock().now()) {
-  this->Timing.Account = A.Account;
-  this->Timing.Service = A.Service;
+  this->Timing.Account = R.Account;
+  this->Timing.Service = R.Service;
 }
 
 RequestHandler::~RequestHandler() {
@@ -38,7 +39,8 @@
 
 void RequestHandler::serve() {
   this->E.Context.Control.post(RequestArrived{this->describe()});
-  // After the arrival, since a `CallerLeft` before it would be lost.
+  // After posting the arrival, since a `CallerDisconnected` before it would be
+  // lost.
   this->watchCaller();
   while (!this->Finished && !this->E.Context.Stopping) {
     const auto Decision = this->Channel->take(StopCheckInterval);
@@ -49,7 +51,7 @@
     this->execute(this->finishForShutdown());
 }
 
-/// Nobody decides any more.
+/// The control thread makes no further decisions.
 FinishRequest RequestHandler::finishForShutdown() const {
   if (this->ResponseComplete)
     return {this->Request, RequestOutcome::Completed, ResponseReason::Served,
@@ -104,58 +106,59 @@
                     this->engineCall(Start.Attempt));
 }
 
-void RequestHandler::execute(const ResumeAttempt &Wanted) {
+void RequestHandler::execute(const ResumeAttempt &Decision) {
   if (!this->Broken) {
-    this->endAttempt(Wanted.Attempt, AttemptOutcome::Rejected,
+    this->endAttempt(Decision.Attempt, AttemptOutcome::Rejected,
                      this->Timing.Tokens);
     return;
   }
-  EngineCall Call = this->engineCall(Wanted.OriginalAttempt);
+  EngineCall Call = this->engineCall(Decision.OriginalAttempt);
   Call.ResumeFrom = this->Broken->Point;
-  this->runEngine(Wanted.Attempt, Wanted.Server, std::move(Call));
+  this->runEngine(Decision.Attempt, Decision.Server, std::move(Call));
 }
 
-void RequestHandler::execute(const HandOverRequest &Wanted) {
+void RequestHandler::execute(const HandOverRequest &Decision) {
   this->MayHaveRun = true;
   this->abandonBroken();
   ControlLoop &Control = this->E.Context.Control;
-  std::uint64_t Pieces = 0;
+  std::uint64_t Chunks = 0;
   ProgressReporter Progress(Control.clock(), [&](std::uint64_t Count) {
-    Control.post(AttemptProgressed{this->Request, Wanted.Attempt, Count});
+    Control.post(AttemptProgressed{this->Request, Decision.Attempt, Count});
   });
-  AttemptOutcome Ended = AttemptOutcome::NotSent;
+  AttemptOutcome Outcome = AttemptOutcome::NotSent;
   if (!this->shouldStop())
-    Ended = this->HandOver.run(Wanted,
-                               this->ParsedRequest.Timeout - this->elapsed(),
-                               this->cancellerSetter(Wanted.Attempt), [&] {
-                                 this->recordFirstChunk();
-                                 Progress.report(++Pieces);
-                                 return !this->shouldStop();
-                               });
+    Outcome = this->HandOver.run(Decision,
+                                 this->ParsedRequest.Timeout - this->elapsed(),
+                                 this->cancellerSetter(Decision.Attempt), [&] {
+                                   this->recordFirstChunk();
+                                   Progress.report(++Chunks);
+                                   return !this->shouldStop();
+                                 });
   Progress.flush();
-  this->ResponseComplete = Ended == AttemptOutcome::Completed;
+  this->ResponseComplete = Outcome == AttemptOutcome::Completed;
   Control.post(
-      HandOverEnded{this->Request, Wanted.Attempt, Ended, this->offset()});
+      HandOverEnded{this->Request, Decision.Attempt, Outcome, this->offset()});
 }
 
-EngineCall RequestHandler::engineCall(AttemptNumber StartedBy) const {
+EngineCall RequestHandler::engineCall(AttemptNumber OriginalAttempt) const {
   EngineCall Call;
   Call.Model = this->ParsedRequest.Model;
   Call.Input = this->ParsedRequest.Input;
   Call.InputJson = this->ParsedRequest.InputJson;
   Call.MaxOutputTokens = this->ParsedRequest.MaxOutputTokens;
-  Call.Identity = this->E.Identity + "." + std::to_string(StartedBy);
+  Call.Identity = this->E.Identity + "." + std::to_string(OriginalAttempt);
   Call.Repeatable = this->ParsedRequest.Repeatable;
   Call.IdempotencyKey = this->ParsedRequest.IdempotencyKey;
   return Call;
 }
 
-/// The account's key is for routers only, and so is a note between routers.
+/// Omits the account's key and the hand-over token, which are meant only for
+/// routers.
 PlainCall RequestHandler::plainCall(AttemptNumber Attempt) const {
   const RawRequest &Raw = this->ParsedRequest.Raw;
   PlainCall Call;
   Call.Method = Raw.Method;
-  Call.Path = pathBehindService(Raw.Target);
+  Call.Path = pathAfterService(Raw.Target);
   Call.Body = Raw.Body;
   Call.Identity = this->E.Identity + "." + std::to_string(Attempt);
   Call.Repeatable = this->ParsedRequest.Repeatable;
@@ -170,30 +173,30 @@
 void RequestHandler::runEngine(AttemptNumber Attempt, ServerId Server,
                                EngineCall Call) {
   Call.Address = this->addressOf(Server);
-  EngineResult Ended{AttemptOutcome::NotSent};
-  Ended.Resume = Call.ResumeFrom;
+  EngineResult Result{AttemptOutcome::NotSent};
+  Result.Resume = Call.ResumeFrom;
   if (!Call.Address.empty() && !this->shouldStop())
-    Ended = this->callEngine(Attempt, Call);
-  this->Timing.Tokens = Ended.Tokens;
+    Result = this->callEngine(Attempt, Call);
+  this->Timing.Tokens = Result.Tokens;
   this->Broken.reset();
-  if (Ended.Resume)
+  if (Result.Resume)
     this->Broken =
-        BrokenResponse{Call.Address, *Ended.Resume, Ended.ServerSuspect};
-  this->reportServer(Server, Ended.ServerSuspect, Ended.ServerLeaving);
-  this->endAttempt(Attempt, Ended.Outcome, Ended.Tokens);
+        BrokenResponse{Call.Address, *Result.Resume, Result.ServerSuspect};
+  this->reportServer(Server, Result.ServerSuspect, Result.ServerLeaving);
+  this->endAttempt(Attempt, Result.Outcome, Result.Tokens);
 }
 
 void RequestHandler::runPlain(const StartAttempt &Start) {
   PlainCall Call = this->plainCall(Start.Attempt);
   Call.Address = this->addressOf(Start.Server);
-  PlainResult Ended;
+  PlainResult Result;
   if (!Call.Address.empty() && !this->shouldStop())
-    Ended = this->callPlain(Start.Attempt, Call);
-  const bool Certain = Ended.Outcome == AttemptOutcome::NotSent ||
-                       Ended.Outcome == AttemptOutcome::Rejected;
+    Result = this->callPlain(Start.Attempt, Call);
+  const bool Certain = Result.Outcome == AttemptOutcome::NotSent ||
+                       Result.Outcome == AttemptOutcome::Rejected;
   this->Timing.Tokens = Certain ? 0 : 1;
-  this->reportServer(Start.Server, Ended.ServerSuspect, Ended.ServerLeaving);
-  this->endAttempt(Start.Attempt, Ended.Outcome, this->Timing.Tokens);
+  this->reportServer(Start.Server, Result.ServerSuspect, Result.ServerLeaving);
+  this->endAttempt(Start.Attempt, Result.Outcome, this->Timing.Tokens);
 }
 
 std::string RequestHandler::addressOf(ServerId Server) const {
@@ -202,9 +205,9 @@
   return Found == Declared->Servers.end() ? "" : Found->second.Address;
 }
 
-/// Told before the attempt's end is: the slot there would else be the first
-/// free one, and each retry would be refused by the same server within
-/// milliseconds.
+/// Must be called before the end of the attempt is reported. Otherwise the
+/// freed slot of this server would be the first free one, and each retry would
+/// be refused by the same server within milliseconds.
 void RequestHandler::reportServer(ServerId Server, bool Suspect, bool Leaving) {
   if (Leaving || Suspect)
     this->E.Context.Control.post(ServerConditionChanged{
@@ -218,8 +221,8 @@
       AttemptEnded{this->Request, Attempt, Outcome, Tokens, this->offset()});
 }
 
-/// Of a passed answer only counts that something of it has left: there is no
-/// place at which it could be taken up again.
+/// For a forwarded response, only whether any of it was sent matters, since it
+/// cannot be resumed.
 std::uint64_t RequestHandler::offset() const {
   return this->Forwarder.hasStarted() ? 1 : this->ForwardedChunks;
 }
@@ -236,8 +239,8 @@
 std::function<void(std::function<void()>)>
 RequestHandler::cancellerSetter(AttemptNumber Attempt) {
   this->Channel->beginAttempt(Attempt);
-  return [this](std::function<void()> Breaker) {
-    this->Channel->setCanceller(std::move(Breaker));
+  return [this](std::function<void()> Canceller) {
+    this->Channel->setCanceller(std::move(Canceller));
   };
 }
 
@@ -258,9 +261,9 @@
     return this->forwardText(Text);
   };
   Listener.SetCanceller = this->cancellerSetter(Attempt);
-  EngineResult Ended = this->E.Context.Engines.run(Call, Listener);
+  EngineResult Result = this->E.Context.Engines.run(Call, Listener);
   Progress.flush();
-  return Ended;
+  return Result;
 }
 
 PlainResult RequestHandler::callPlain(AttemptNumber Attempt,
@@ -273,8 +276,8 @@
     this->recordFirstChunk();
     return !this->shouldStop() && this->Forwarder.forwardHead(Status, Headers);
   };
-  Listener.BodyReceived = [&](std::string_view Piece) {
-    return !this->shouldStop() && this->Forwarder.forwardBody(Piece);
+  Listener.BodyReceived = [&](std::string_view Chunk) {
+    return !this->shouldStop() && this->Forwarder.forwardBody(Chunk);
   };
   Listener.SetCanceller = this->cancellerSetter(Attempt);
   return this->E.Context.Services.run(Call, Listener);
@@ -291,23 +294,23 @@
     return;
   this->Abandoned.push_back(*this->Broken);
   this->Broken.reset();
-  // A server that answers nobody would only hold the next attempt up.
+  // Cancelling at an unresponsive server would only delay the next attempt.
   if (!this->Abandoned.back().ServerSuspect)
     this->cancelAbandoned();
 }
 
 void RequestHandler::cancelAbandoned() {
-  for (const BrokenResponse &Each : this->Abandoned)
-    this->E.Context.Engines.cancel(Each.Address, Each.Point.ResponseId);
+  for (const BrokenResponse &Response : this->Abandoned)
+    this->E.Context.Engines.cancel(Response.Address, Response.Point.ResponseId);
   this->Abandoned.clear();
 }
 
-void RequestHandler::execute(const FinishRequest &Answer) {
+void RequestHandler::execute(const FinishRequest &Finish) {
   this->Finished = true;
-  // A later close of the connection concerns nobody any more.
+  // A later close of the connection no longer matters.
   this->E.Context.Watch.remove(this->E.Caller);
-  this->finishResponse(Answer);
-  this->Timing.Outcome = Answer.Outcome;
+  this->finishResponse(Finish);
+  this->Timing.Outcome = Finish.Outcome;
   this->Timing.Total = this->elapsed();
   if (this->E.Context.Timings)
     this->E.Context.Timings(this->Timing);
@@ -315,11 +318,11 @@
   this->cancelAbandoned();
 }
 
-void RequestHandler::finishResponse(const FinishRequest &Answer) {
-  // "Completed" for any other reason speaks of an earlier request, and there is
-  // no answer to give.
-  const bool Served = Answer.Outcome == RequestOutcome::Completed &&
-                      Answer.Reason == ResponseReason::Served;
+void RequestHandler::finishResponse(const FinishRequest &Finish) {
+  // "Completed" for any other reason refers to an earlier request, whose
+  // response is not available.
+  const bool Served = Finish.Outcome == RequestOutcome::Completed &&
+                      Finish.Reason == ResponseReason::Served;
   const bool Counted =
       Served || this->Writer.started() || this->Forwarder.hasStarted();
   if (Served && this->Forwarder.hasResponse())
@@ -327,12 +330,12 @@
   else if (Served)
     this->Writer.complete(this->Timing.Tokens, this->Timing.Attempts);
   else if (!this->Forwarder.hasStarted())
-    this->Writer.fail(Answer, this->Timing.Tokens, this->Timing.Attempts);
+    this->Writer.fail(Finish, this->Timing.Tokens, this->Timing.Attempts);
   else if (!this->HandOver.reportedIncomplete())
     this->Forwarder.abortResponse();
-  // A problem is counted as it is sent.
+  // `Exchange::sendProblem` counts problems itself.
   if (Counted)
-    this->E.Context.Counters.countOutcome(Answer.Outcome);
+    this->E.Context.Counters.countOutcome(Finish.Outcome);
 }
 
 } // namespace parsleywing
--- a/src/Caller/ResponseWriter.cpp
+++ b/src/Caller/ResponseWriter.cpp
@@ -58,7 +58,8 @@
 
 void ResponseWriter::writeFinalEvent(std::string_view Name,
                                      const std::string &Document) {
-  // POCO sends the last chunk when the response is destroyed.
+  // Hold the event back for the last chunk, which POCO sends when the response
+  // is destroyed.
   this->E.SocketImpl.setMoreFollows(true);
   this->writeEvent(Name, ",\"response\":" + Document);
   this->E.SocketImpl.setMoreFollows(false);
@@ -80,7 +81,8 @@
   this->E.Response.set("Cache-Control", "no-store");
   this->E.Response.setChunkedTransferEncoding(true);
   this->E.finishHeaders();
-  // The first chunk of text follows immediately.
+  // Hold the head and this event back for the first chunk of text, which
+  // follows immediately.
   this->E.SocketImpl.setMoreFollows(true);
   this->Out = &this->E.Response.send();
   this->writeEvent("response.created",
