--- a/test/Gateway/RouterExchangeTest.cpp
+++ b/test/Gateway/RouterMessengerTest.cpp
@@ -12,26 +12,26 @@
 void ignore(const RouterMessage &, const Poco::Net::SocketAddress &) {}
 
 /// A key whose first router is not the given one.
-std::uint64_t keyOfOtherRouter(RouterExchange &Exchange) {
+std::uint64_t keyOfOtherRouter(RouterMessenger &Messenger) {
   std::uint64_t Key = 1;
-  while (Exchange.firstFor(Key) == Exchange.self())
+  while (Messenger.firstFor(Key) == Messenger.self())
     ++Key;
   return Key;
 }
 
 } // namespace
 
-Test(RouterExchange, allRoutersAgreeOnTheFirst) {
+Test(RouterMessenger, allRoutersAgreeOnTheFirst) {
   LoopbackRouters Fleet(Clock::paused());
   for (const char *Name : {"r1", "r2", "r3"})
     cr_assert(Fleet.add(Name, 1).open(ignore));
   Fleet.publishList();
   for (std::uint64_t Key = 1; Key < 100; ++Key)
-    for (const auto &Each : Fleet.Exchanges)
-      cr_assert_eq(Each->firstFor(Key), Fleet.Exchanges[0]->firstFor(Key));
+    for (const auto &Each : Fleet.Messengers)
+      cr_assert_eq(Each->firstFor(Key), Fleet.Messengers[0]->firstFor(Key));
 }
 
-Test(RouterExchange, largerVmsAreFirstMoreOften) {
+Test(RouterMessenger, largerVmsAreFirstMoreOften) {
   LoopbackRouters Fleet(Clock::paused());
   cr_assert(Fleet.add("small", 0.25).open(ignore));
   cr_assert(Fleet.add("large", 1).open(ignore));
@@ -39,36 +39,36 @@
   int Large = 0;
   constexpr int Keys = 1000;
   for (std::uint64_t Key = 1; Key <= Keys; ++Key)
-    Large += Fleet.Exchanges[0]->firstFor(Key) == "large" ? 1 : 0;
+    Large += Fleet.Messengers[0]->firstFor(Key) == "large" ? 1 : 0;
   // 64 of 65 by the third power of the cores.
   cr_expect_gt(Large, Keys * 95 / 100);
 }
 
-// Requests must not wait for an allocator that has stopped, and a router that
-// was briefly slow must allocate again. The cached first router was not
-// recomputed when a suspicion started, or ended after two seconds.
-Test(RouterExchange, aSuspicionEndsAfterAWhile) {
+// Guards against a cached first router that is not recomputed when a router is
+// skipped or used again: requests would wait for an allocator that has stopped,
+// or a router that was briefly slow would no longer allocate.
+Test(RouterMessenger, aSkippedRouterIsUsedAgainAfterAWhile) {
   Clock Time = Clock::paused();
   LoopbackRouters Fleet(Time);
-  RouterExchange &Self = Fleet.add("r1", 1);
+  RouterMessenger &Self = Fleet.add("r1", 1);
   cr_assert(Self.open(ignore));
   for (const char *Name : {"r2", "r3"})
     cr_assert(Fleet.add(Name, 1).open(ignore));
   Fleet.publishList();
   const std::uint64_t Key = keyOfOtherRouter(Self);
   const std::string First = Self.firstFor(Key);
-  Self.suspect(First);
+  Self.skip(First);
   cr_expect_neq(Self.firstFor(Key), First);
-  // A new list does not end the suspicion.
+  // The router is still skipped after a new list.
   Fleet.publishList();
   cr_expect_neq(Self.firstFor(Key), First);
   Time.advance(2s);
   cr_expect_eq(Self.firstFor(Key), First);
 }
 
-Test(RouterExchange, aLeavingRouterIsFirstForNoKey) {
+Test(RouterMessenger, aLeavingRouterIsFirstForNoKey) {
   LoopbackRouters Fleet(Clock::paused());
-  RouterExchange &Self = Fleet.add("r1", 1);
+  RouterMessenger &Self = Fleet.add("r1", 1);
   cr_assert(Self.open(ignore));
   cr_assert(Fleet.add("r2", 1).open(ignore));
   Fleet.publishList();
@@ -77,10 +77,10 @@
     cr_assert_eq(Self.firstFor(Key), "r2");
 }
 
-Test(RouterExchange, datagramsReachTheNamedRouter) {
+Test(RouterMessenger, datagramsReachTheNamedRouter) {
   LoopbackRouters Fleet(Clock::steady());
-  RouterExchange &Self = Fleet.add("r1", 1);
-  RouterExchange &Other = Fleet.add("r2", 1);
+  RouterMessenger &Self = Fleet.add("r1", 1);
+  RouterMessenger &Other = Fleet.add("r2", 1);
   std::vector<RouterMessage> Received;
   cr_assert(Self.open(ignore));
   cr_assert(Other.open(
@@ -99,27 +99,26 @@
   cr_expect_eq(std::get<AllocationQueued>(Received[6]).Id.Number, 7U);
 }
 
-// The requests of the busiest router must not be allocated for 10 s by routers
-// that know no engine. Under a flood its event loop had few turns, each of
-// which read a limited number of replies. The rest were read 0.5 s late or
-// lost, so the router considered their allocators unreachable. Fails with 64
-// datagrams per turn.
-Test(RouterExchange, readsAllPendingDatagramsInOneTurn) {
+// Guards against reading a limited number of datagrams per iteration:
+// iterations of a busy loop are up to 0.1 s apart, so replies would be read too
+// late or lost, and their allocators skipped as unreachable. Fails with 64
+// datagrams per iteration.
+Test(RouterMessenger, readsAllPendingDatagramsInOneIteration) {
   constexpr int Datagrams = 150;
   LoopbackRouters Fleet(Clock::steady());
-  RouterExchange &Self = Fleet.add("r1", 1);
-  RouterExchange &Other = Fleet.add("r2", 1);
+  RouterMessenger &Self = Fleet.add("r1", 1);
+  RouterMessenger &Other = Fleet.add("r2", 1);
   int Received = 0;
-  int Turn = 0;
-  std::set<int> TurnsWithDatagrams;
-  std::function<void()> CountTurn = [&] {
-    ++Turn;
-    Fleet.Loop.after(Duration::zero(), CountTurn);
+  int Iteration = 0;
+  std::set<int> IterationsWithDatagrams;
+  std::function<void()> CountIteration = [&] {
+    ++Iteration;
+    Fleet.Loop.after(Duration::zero(), CountIteration);
   };
   cr_assert(Self.open(ignore));
   cr_assert(
       Other.open([&](const RouterMessage &, const Poco::Net::SocketAddress &) {
-        TurnsWithDatagrams.insert(Turn);
+        IterationsWithDatagrams.insert(Iteration);
         if (++Received == Datagrams)
           Fleet.Loop.stop();
       }));
@@ -129,9 +128,9 @@
   Large.Items.resize(1);
   for (int Number = 0; Number < Datagrams; ++Number)
     Self.send("r2", Large);
-  CountTurn();
+  CountIteration();
   Fleet.Loop.after(5s, [&] { Fleet.Loop.stop(); });
   Fleet.Loop.run();
   cr_assert_eq(Received, Datagrams);
-  cr_expect_eq(TurnsWithDatagrams.size(), 1);
+  cr_expect_eq(IterationsWithDatagrams.size(), 1);
 }
