--- a/test/Placement/WarmUpTest.cpp
+++ b/test/Placement/WarmUpTest.cpp
@@ -129,7 +129,7 @@
   for (std::uint64_t Number = 1; Number <= 20; ++Number) {
     AllocationRequest Request;
     Request.Id = {1, Number};
-    Request.Service = hashName("engines");
+    Request.Group = hashName("engines");
     Request.PromptTokens = 10;
     Request.ObjectiveLeftMs = 500;
     Request.MaxWaitMs = 500;
@@ -140,6 +140,7 @@
       ++GrantCounts[Grant->Server];
       cr_assert_eq(Grant->SendWithinMs > 0, Grant->Server == hashName("cold"));
     }
+  // The burst of the limiter is two requests.
   cr_assert_eq(GrantCounts[hashName("cold")], 2);
   cr_assert_eq(GrantCounts[hashName("warm")], 18);
 }
@@ -233,9 +234,9 @@
   void readList(Router &Each) {
     const TimePoint ReadAt = this->Now - this->randomUpTo(50ms);
     std::shared_ptr<const RouterList> List = this->History.front().second;
-    for (const auto &[ChangedAt, OldList] : this->History)
+    for (const auto &[ChangedAt, EarlierList] : this->History)
       if (ChangedAt <= ReadAt)
-        List = OldList;
+        List = EarlierList;
     Each.SeenList = List;
     FleetView View;
     View.Configuration = this->Configuration;
@@ -267,7 +268,7 @@
     }
     AllocationRequest Request;
     Request.Id = {From, ++this->LastNumber};
-    Request.Service = hashName("engines");
+    Request.Group = hashName("engines");
     Request.PromptTokens = 10;
     Request.ObjectiveLeftMs = 400;
     Request.MaxWaitMs = 400;
@@ -380,7 +381,8 @@
                     "seed %zu: %zu in one second", Seed, Max);
     }
   }
-  // Most of the rate is used nevertheless.
+  // The servers still get requests: on average more than one per second each,
+  // in 40 s per seed.
   cr_assert_gt(Sent, static_cast<std::size_t>(SeedCount) * 2 * 40);
   cr_assert_gt(LateGrants, 0);
 }
