--- a/src/Gateway/AllocationAgent.cpp
+++ b/src/Gateway/AllocationAgent.cpp
@@ -85,10 +85,10 @@
   const CorrelationId Id = Request.Id;
   // From here on the request names the server group, which has its own
   // allocator.
-  Request.Service =
-      this->Groups.groupForRequest(Request.Service, Request.Parts, Id.Number);
+  Request.Group =
+      this->Groups.groupForRequest(Request.Group, Request.Parts, Id.Number);
   PendingRequest Pending;
-  Pending.AllocatorName = this->Routers.firstFor(Request.Service);
+  Pending.AllocatorName = this->Routers.firstFor(Request.Group);
   Pending.Request = std::move(Request);
   Pending.OnOutcome = std::move(OnOutcome);
   Pending.RequestedAt = this->Loop.clock().now();
@@ -145,7 +145,7 @@
   Pending.SendCount = 0;
   Pending.Queued = false;
   Pending.AllocatorName = ++Pending.SkippedAllocators < MaxTriedAllocators
-                              ? this->Routers.firstFor(Pending.Request.Service)
+                              ? this->Routers.firstFor(Pending.Request.Group)
                               : this->Routers.self();
   Pending.FirstSentAt = this->BootClock.now();
   this->sendRequest(Pending);
@@ -190,7 +190,7 @@
           : this->Groups.groupOfServer(Listed->Id, Listed->Service);
   ActiveAttempt Attempt{Group, Server, Load, this->Routers.firstFor(Group)};
   this->sendTo(Attempt.AllocatorName,
-               GrantActive{Id, Server, Load.PrefillTokens, Load.OutputTokens,
+               GrantActive{Id, Server, Load.PrefillTokens, Load.MaxOutputTokens,
                            Load.ServerStartedMs});
   this->ActiveAttempts[Id] = std::move(Attempt);
 }
@@ -219,7 +219,7 @@
     Attempt.AllocatorName = this->Routers.firstFor(Attempt.Group);
     this->sendTo(Attempt.AllocatorName,
                  GrantActive{Id, Attempt.Server, Attempt.Load.PrefillTokens,
-                             Attempt.Load.OutputTokens,
+                             Attempt.Load.MaxOutputTokens,
                              Attempt.Load.ServerStartedMs});
   }
   this->Loop.after(ReportInterval, [this] { this->reportActiveAttempts(); });
@@ -278,7 +278,7 @@
 void AllocationAgent::logRefusal(const AllocationRefusal &Refusal) const {
   logLazily(LogPart::Peer, [this, &Refusal] {
     const CapacitySummary Capacity = this->LocalAllocator.capacityOf(
-        Refusal.Service, this->Loop.clock().now());
+        Refusal.Group, this->Loop.clock().now());
     return "ask=" + textOf(Refusal.Id) + " refused: waiting=" +
            std::to_string(this->LocalAllocator.queuedRequests()) +
            " at-servers=" +
@@ -286,7 +286,7 @@
            " free=" + std::to_string(Capacity.Free) +
            " slots-taken=" + std::to_string(Capacity.SlotsFull) +
            " prompts-wait=" + std::to_string(Capacity.PrefillFull) +
-           " unsound=" + std::to_string(Capacity.Unhealthy) +
+           " unsound=" + std::to_string(Capacity.Unusable) +
            " warming-up=" + std::to_string(Capacity.WarmingUp) +
            " return-after=" +
            secondsText(std::chrono::milliseconds(Refusal.RetryAfterMs));
