--- a/src/Gateway/AllocationAgent.cpp
+++ b/src/Gateway/AllocationAgent.cpp
@@ -12,23 +12,26 @@
 
 /// Delay before an unanswered request is resent: ten times the round trip
 /// between zones (2.8 ms) plus the usual lag of the event loop.
-constexpr Duration RequestRetry = std::chrono::milliseconds(30);
+constexpr Duration ResendDelay = std::chrono::milliseconds(30);
 /// The same for a request that the allocator has queued. It is resent since the
 /// allocator may have stopped.
-constexpr Duration QueuedRetry = std::chrono::milliseconds(120);
+constexpr Duration QueuedResendDelay = std::chrono::milliseconds(120);
 /// Number of unanswered transmissions in a row after which the allocator counts
 /// as unreachable.
 constexpr int MaxUnanswered = 3;
+/// Maximum number of times that the resend delay is doubled.
 constexpr int MaxDoublings = 4;
 /// Time after the end of a request's wait at which this router refuses the
 /// request itself if there is no reply.
-constexpr Duration ReplyReserve = std::chrono::milliseconds(60);
+constexpr Duration LocalRefusalDelay = std::chrono::milliseconds(60);
+/// Retry-After of a request that this router refuses since no allocator
+/// replied.
 constexpr std::uint32_t UnansweredRetryAfterMs = 500;
 /// A timer that fires later than this indicates that this router lacks
 /// processor time or was suspended.
 constexpr Duration LateTimer = std::chrono::milliseconds(15);
 /// Number of allocators that are tried before the router allocates for itself.
-constexpr int MaxSkippedAllocators = 2;
+constexpr int MaxTriedAllocators = 2;
 
 /// How often a router reports its active attempts. Six reports in a row may be
 /// lost before the allocator drops an attempt.
@@ -57,10 +60,10 @@
           {"warm_up_grants_late_total",
            "Of these, not used since they arrived too late.", ""})) {}
 
-AllocationAgent::AllocationAgent(EventLoop &L, RouterExchange &R,
+AllocationAgent::AllocationAgent(EventLoop &L, RouterMessenger &R,
                                  std::uint64_t P, const WarmUpBounds &WarmUps,
                                  Metrics &M)
-    : Loop(L), Routers(R), Process(P), Counters(M), Ownership(R.self()) {
+    : Loop(L), Routers(R), RouterProcess(P), Counters(M), Ownership(R.self()) {
   this->LocalAllocator.setWarmUpPolicy(WarmUps, [this](std::uint64_t Server) {
     return this->Ownership.owns(Server, this->BootClock.now());
   });
@@ -80,10 +83,12 @@
 void AllocationAgent::request(AllocationRequest Request, Callback OnOutcome) {
   this->Counters.Requests.add();
   const CorrelationId Id = Request.Id;
+  // From here on the request names the server group, which has its own
+  // allocator.
   Request.Service =
       this->Groups.groupForRequest(Request.Service, Request.Parts, Id.Number);
   PendingRequest Pending;
-  Pending.Allocator = this->Routers.firstFor(Request.Service);
+  Pending.AllocatorName = this->Routers.firstFor(Request.Service);
   Pending.Request = std::move(Request);
   Pending.OnOutcome = std::move(OnOutcome);
   Pending.RequestedAt = this->Loop.clock().now();
@@ -101,7 +106,7 @@
   Message.MaxWaitMs -= static_cast<std::int32_t>(Elapsed.count());
   // Exponential backoff: resending at a fixed rate would slow down an allocator
   // that is slow already, or a router that is slow to read the replies.
-  const Duration First = Pending.Queued ? QueuedRetry : RequestRetry;
+  const Duration First = Pending.Queued ? QueuedResendDelay : ResendDelay;
   const Duration Wait =
       First * (1U << std::min(Pending.SendCount, MaxDoublings));
   ++Pending.SendCount;
@@ -109,7 +114,7 @@
   Pending.Timer =
       this->Loop.after(Wait, [this, Id] { this->onRequestTimer(Id); });
   // Must be the last step: a local allocator may reply within the call.
-  this->sendTo(std::string(Pending.Allocator), std::move(Message));
+  this->sendTo(std::string(Pending.AllocatorName), std::move(Message));
 }
 
 void AllocationAgent::onRequestTimer(const CorrelationId &Id) {
@@ -120,11 +125,13 @@
   Pending.Timer = 0;
   const TimePoint Now = this->Loop.clock().now();
   if (Now - Pending.RequestedAt >
-      std::chrono::milliseconds(Pending.Request.MaxWaitMs) + ReplyReserve) {
+      std::chrono::milliseconds(Pending.Request.MaxWaitMs) +
+          LocalRefusalDelay) {
     this->complete(Id, AllocationRefusal{Id, UnansweredRetryAfterMs, 0});
     return;
   }
-  // If this router's own timer was late, the reply may not have been.
+  // If this router's timer was late, the reply may have arrived in time and not
+  // been read yet.
   const bool TimerWasLate = Now - Pending.TimerDueAt > LateTimer;
   if (TimerWasLate || ++Pending.UnansweredCount < MaxUnanswered) {
     this->sendRequest(Pending);
@@ -132,14 +139,14 @@
   }
   this->Counters.Unanswered.add();
   log(LogPart::Peer, LogLevel::Info,
-      "allocator " + Pending.Allocator + " does not answer");
-  this->Routers.suspect(Pending.Allocator);
+      "allocator " + Pending.AllocatorName + " does not answer");
+  this->Routers.skip(Pending.AllocatorName);
   Pending.UnansweredCount = 0;
   Pending.SendCount = 0;
   Pending.Queued = false;
-  Pending.Allocator = ++Pending.SkippedAllocators < MaxSkippedAllocators
-                          ? this->Routers.firstFor(Pending.Request.Service)
-                          : this->Routers.self();
+  Pending.AllocatorName = ++Pending.SkippedAllocators < MaxTriedAllocators
+                              ? this->Routers.firstFor(Pending.Request.Service)
+                              : this->Routers.self();
   Pending.FirstSentAt = this->BootClock.now();
   this->sendRequest(Pending);
 }
@@ -152,7 +159,7 @@
   this->Loop.cancel(Found->second.Timer);
   const PendingRequest Pending = std::move(Found->second);
   this->PendingRequests.erase(Found);
-  AllocationOutcome Outcome{Reply, Pending.Allocator,
+  AllocationOutcome Outcome{Reply, Pending.AllocatorName,
                             this->Loop.clock().now() - Pending.RequestedAt};
   const auto *Grant = std::get_if<AllocationGrant>(&Reply);
   if (Grant != nullptr && Grant->SendWithinMs > 0) {
@@ -168,9 +175,9 @@
   if (Found == this->PendingRequests.end())
     return;
   this->Loop.cancel(Found->second.Timer);
-  const std::string Allocator = Found->second.Allocator;
+  const std::string AllocatorName = Found->second.AllocatorName;
   this->PendingRequests.erase(Found);
-  this->sendTo(Allocator, AllocationCancelled{Id});
+  this->sendTo(AllocatorName, AllocationCancelled{Id});
 }
 
 void AllocationAgent::onAttemptSent(const CorrelationId &Id,
@@ -182,7 +189,7 @@
           ? Service
           : this->Groups.groupOfServer(Listed->Id, Listed->Service);
   ActiveAttempt Attempt{Group, Server, Load, this->Routers.firstFor(Group)};
-  this->sendTo(Attempt.Allocator,
+  this->sendTo(Attempt.AllocatorName,
                GrantActive{Id, Server, Load.PrefillTokens, Load.OutputTokens,
                            Load.ServerStartedMs});
   this->ActiveAttempts[Id] = std::move(Attempt);
@@ -193,7 +200,7 @@
   if (Found == this->ActiveAttempts.end())
     return;
   Found->second.Load.PrefillTokens = 0;
-  this->sendTo(Found->second.Allocator, GrantStarted{Id});
+  this->sendTo(Found->second.AllocatorName, GrantStarted{Id});
 }
 
 void AllocationAgent::onAttemptEnded(const CorrelationId &Id,
@@ -201,16 +208,16 @@
   const auto Found = this->ActiveAttempts.find(Id);
   if (Found == this->ActiveAttempts.end())
     return;
-  const std::string Allocator = Found->second.Allocator;
+  const std::string AllocatorName = Found->second.AllocatorName;
   this->ActiveAttempts.erase(Found);
-  this->sendTo(Allocator, GrantEnded{Id, Verdict});
+  this->sendTo(AllocatorName, GrantEnded{Id, Verdict});
 }
 
-/// Also moves active attempts to the current allocator of their service.
+/// Also moves active attempts to the current allocator of their group.
 void AllocationAgent::reportActiveAttempts() {
   for (auto &[Id, Attempt] : this->ActiveAttempts) {
-    Attempt.Allocator = this->Routers.firstFor(Attempt.Service);
-    this->sendTo(Attempt.Allocator,
+    Attempt.AllocatorName = this->Routers.firstFor(Attempt.Group);
+    this->sendTo(Attempt.AllocatorName,
                  GrantActive{Id, Attempt.Server, Attempt.Load.PrefillTokens,
                              Attempt.Load.OutputTokens,
                              Attempt.Load.ServerStartedMs});
@@ -257,7 +264,7 @@
         std::visit([](const auto &M) { return M.Id; }, Each);
     if (const auto *Refusal = std::get_if<AllocationRefusal>(&Each))
       this->logRefusal(*Refusal);
-    if (Id.Process == this->Process) {
+    if (Id.Process == this->RouterProcess) {
       this->onMessage(Each, {});
       continue;
     }
@@ -287,14 +294,14 @@
 }
 
 /// Returns a grant whose request was cancelled or has ended.
-void AllocationAgent::release(const CorrelationId &Id,
-                              const Poco::Net::SocketAddress &Allocator) {
+void AllocationAgent::release(
+    const CorrelationId &Id, const Poco::Net::SocketAddress &AllocatorAddress) {
   const GrantEnded Message{Id, ServerVerdict::Healthy};
-  if (Allocator == Poco::Net::SocketAddress()) {
+  if (AllocatorAddress == Poco::Net::SocketAddress()) {
     this->LocalAllocator.handle(Message, this->Loop.clock().now());
     return;
   }
-  this->Routers.send(Allocator, Message);
+  this->Routers.send(AllocatorAddress, Message);
 }
 
 void AllocationAgent::onMessage(const RouterMessage &Message,
--- a/src/Gateway/AllocationAgent.h
+++ b/src/Gateway/AllocationAgent.h
@@ -1,7 +1,7 @@
 #ifndef PARSLEYWING_GATEWAY_ALLOCATIONAGENT_H
 #define PARSLEYWING_GATEWAY_ALLOCATIONAGENT_H
 
-#include "Gateway/RouterExchange.h"
+#include "Gateway/RouterMessenger.h"
 #include "Placement/Allocator.h"
 #include "Placement/ServerOwnership.h"
 
@@ -18,7 +18,7 @@
 /// The result of an allocation request, and the allocator that decided it.
 struct AllocationOutcome {
   AllocationReply Reply;
-  std::string Allocator;
+  std::string AllocatorName;
   /// From the allocation request to its reply.
   Duration WaitTime{};
   /// For a server that warms up: the latest time at which the grant may be
@@ -38,25 +38,28 @@
   Counter &LateWarmUpGrants;
 };
 
-/// Requests servers from the allocator of a service and reports the progress of
-/// attempts to it. Also runs the allocator for the services that belong to this
-/// router.
+/// Requests servers from the allocator of a service or server group and reports
+/// the progress of attempts to it. Also runs the allocator for the services and
+/// groups that belong to this router. Servers and services are given as hashes
+/// of their names.
 ///
-/// The allocator is the first live router in the service's rendezvous order, so
-/// all routers agree on it without communication. Messages are datagrams and
-/// are resent until they are answered. If an allocator does not answer, the
-/// next router in the order is used, and finally this router allocates for its
-/// own requests. No request bypasses allocation: otherwise a router that is
-/// slow to read the replies would send a flood directly to the engines.
+/// The allocator is the first live router in the rendezvous order of the
+/// service or group, so all routers agree on it without communication. Messages
+/// are datagrams and are resent until they are answered. If an allocator does
+/// not answer, the next router in the order is used, and finally this router
+/// allocates for its own requests. A request that gets no reply does not bypass
+/// allocation: otherwise a router that is slow to read the replies would send a
+/// flood directly to the engines. Only a request whose granted server this
+/// router finds unusable is placed locally.
 ///
 /// Used on the event loop's thread only.
 class AllocationAgent {
 public:
   using Callback = std::function<void(const AllocationOutcome &)>;
 
-  /// `Process` distinguishes this process from earlier ones of the same router
-  /// name.
-  AllocationAgent(EventLoop &L, RouterExchange &R, std::uint64_t Process,
+  /// `RouterProcess` distinguishes this process from earlier ones of the same
+  /// router name.
+  AllocationAgent(EventLoop &L, RouterMessenger &R, std::uint64_t RouterProcess,
                   const WarmUpBounds &WarmUps, Metrics &M);
   AllocationAgent(const AllocationAgent &) = delete;
   AllocationAgent &operator=(const AllocationAgent &) = delete;
@@ -69,7 +72,7 @@
   /// Must be called with each new view, after `setServers`.
   void updateView(const FleetView &View);
 
-  CorrelationId newId() { return {this->Process, ++this->LastNumber}; }
+  CorrelationId newId() { return {this->RouterProcess, ++this->LastNumber}; }
 
   /// Requests a server. `OnOutcome` is called once, possibly before this
   /// returns. The request's identity must come from `newId`.
@@ -90,7 +93,8 @@
 
   /// Sets the callback for servers whose cache content is unknown to the local
   /// allocator.
-  void onUnknownCache(std::function<void(std::uint64_t Server)> Handler) {
+  void
+  setUnknownCacheCallback(std::function<void(std::uint64_t Server)> Handler) {
     this->OnUnknownCache = std::move(Handler);
   }
   void recordCached(std::uint64_t Server, const CachedParts &Parts) {
@@ -106,7 +110,7 @@
   struct PendingRequest {
     AllocationRequest Request;
     Callback OnOutcome;
-    std::string Allocator;
+    std::string AllocatorName;
     TimePoint RequestedAt{};
     /// When the request was first sent to the current allocator, on the
     /// boot-time clock.
@@ -122,10 +126,10 @@
   };
 
   struct ActiveAttempt {
-    std::uint64_t Service = 0;
+    std::uint64_t Group = 0;
     std::uint64_t Server = 0;
     AttemptLoad Load;
-    std::string Allocator;
+    std::string AllocatorName;
   };
 
   void sendRequest(PendingRequest &Pending);
@@ -138,12 +142,12 @@
   void deliverLocalReplies();
   void logRefusal(const AllocationRefusal &Refusal) const;
   void release(const CorrelationId &Id,
-               const Poco::Net::SocketAddress &Allocator);
+               const Poco::Net::SocketAddress &AllocatorAddress);
   void reportActiveAttempts();
 
   EventLoop &Loop;
-  RouterExchange &Routers;
-  std::uint64_t Process;
+  RouterMessenger &Routers;
+  std::uint64_t RouterProcess;
   AllocationCounters Counters;
   ServerGroups Groups;
   Clock BootClock = Clock::sinceBoot();
--- a/src/Gateway/CachedPartsReader.cpp
+++ b/src/Gateway/CachedPartsReader.cpp
@@ -55,7 +55,7 @@
     this->Connection =
         UpstreamConnection::connect(this->Loop, this->Format, Server.Address);
   if (this->Connection == nullptr) {
-    this->finishQuery("unreachable");
+    this->finishQuery("unreachable: no connection attempt could be started");
     return;
   }
   UpstreamListener Listener;
@@ -75,7 +75,7 @@
   this->Timer = this->Loop.after(ResponseTimeout, [this] {
     this->Timer = 0;
     std::exchange(this->Connection, nullptr)->close();
-    this->finishQuery("silent");
+    this->finishQuery("silent: no complete response in time");
   });
   this->Connection->send(writeRequestHead(Request), Request.Method, "",
                          std::move(Listener));
@@ -84,34 +84,36 @@
 void CachedPartsReader::onResponseEnd(UpstreamEnd End) {
   const auto EndedConnection = std::exchange(this->Connection, nullptr);
   if (End != UpstreamEnd::Complete) {
-    this->finishQuery("broken");
+    this->finishQuery(
+        "broken: the connection ended early or the response is malformed");
     return;
   }
   const GatewayServer &Server = this->Pending.front();
   this->Pool.release(Server.Id, EndedConnection);
   if (this->Status != HttpOk) {
-    this->finishQuery("refused");
+    this->finishQuery(
+        "refused: the status is not 200, or the response is too large");
     return;
   }
   const auto Parts = this->Format.ParseCachedParts(this->Body);
   if (!Parts) {
-    this->finishQuery("unreadable");
+    this->finishQuery("unreadable: the response body cannot be parsed");
     return;
   }
   this->OnParts(Server, *Parts);
   this->finishQuery(nullptr);
 }
 
-void CachedPartsReader::finishQuery(const char *ErrorText) {
+void CachedPartsReader::finishQuery(const char *Reason) {
   this->Loop.cancel(this->Timer);
   this->Timer = 0;
   const GatewayServer Server = std::move(this->Pending.front());
   this->Pending.pop_front();
   this->PendingIds.erase(Server.Id);
-  if (ErrorText != nullptr) {
+  if (Reason != nullptr) {
     this->FailedQueries.add();
     log(LogPart::Backend, LogLevel::Info,
-        "server=" + Server.Id + " does not tell what it keeps: " + ErrorText);
+        "server=" + Server.Id + " does not tell what it keeps: " + Reason);
   }
   this->Loop.after(QueryPause, [this] {
     if (this->Connection == nullptr)
--- a/src/Gateway/CachedPartsReader.h
+++ b/src/Gateway/CachedPartsReader.h
@@ -29,7 +29,7 @@
   CachedPartsReader &operator=(const CachedPartsReader &) = delete;
 
   /// Sets the receiver of the responses. Call before `query`.
-  void start(PartsCallback C) { this->OnParts = std::move(C); }
+  void setPartsCallback(PartsCallback C) { this->OnParts = std::move(C); }
 
   /// Queues a query. Does nothing if one for this server is already pending.
   void query(const GatewayServer &Server);
@@ -37,8 +37,8 @@
 private:
   void queryNext();
   void onResponseEnd(UpstreamEnd End);
-  /// `ErrorText` is null if the query succeeded.
-  void finishQuery(const char *ErrorText);
+  /// `Reason` says why the query failed; null if it succeeded.
+  void finishQuery(const char *Reason);
 
   EventLoop &Loop;
   const WireFormat &Format;
--- a/src/Gateway/CallerSession.cpp
+++ b/src/Gateway/CallerSession.cpp
@@ -78,7 +78,8 @@
   this->limitPipelining();
 }
 
-/// Slows down a caller that sends more: the rest stays in the kernel's buffer.
+/// Stops reading from a caller that has pipelined more than
+/// `MaxPipelinedBytes`; the rest stays in the kernel's buffer.
 void CallerSession::limitPipelining() {
   if (this->CurrentState == State::Serving &&
       this->Input.size() > MaxPipelinedBytes)
@@ -290,7 +291,7 @@
 
 void CallerSession::stop() {
   this->closeWhenIdle();
-  if (const auto Callback = this->Listener.Stopping)
+  if (const auto Callback = this->Listener.DrainEnding)
     Callback();
 }
 
--- a/src/Gateway/CallerSession.h
+++ b/src/Gateway/CallerSession.h
@@ -27,9 +27,9 @@
   std::function<void()> Disconnected;
   /// The kernel has accepted all response bytes written so far.
   std::function<void()> SendBufferDrained;
-  /// The router is shutting down: the request must send its final response
+  /// The drain is about to time out: the request must send its final response
   /// now.
-  std::function<void()> Stopping;
+  std::function<void()> DrainEnding;
 };
 
 /// One HTTP connection of a caller. Serves one request at a time: reads it
@@ -81,7 +81,7 @@
   /// bytes are pending in either direction.
   void closeWhenIdle();
 
-  /// The router is shutting down: ends the current request with its final
+  /// The drain is about to time out: ends the current request with its final
   /// response and closes the connection after it.
   void stop();
 
--- a/src/Gateway/CrashDetector.cpp
+++ b/src/Gateway/CrashDetector.cpp
@@ -12,7 +12,7 @@
 
 /// Connecting takes one round trip; a host that does not answer within this
 /// time is unreachable.
-constexpr Duration CheckLimit = std::chrono::milliseconds(200);
+constexpr Duration CheckTimeout = std::chrono::milliseconds(200);
 
 /// Time between two checks of a server that accepts connections. A process that
 /// is ending may close one connection before it stops accepting others.
@@ -33,8 +33,8 @@
 /// Number of facts that fit into one datagram, at 41 bytes each.
 constexpr std::size_t FactsPerReport = 30;
 
-/// Number of datagrams sent to a router that starts: what a socket buffer
-/// holds.
+/// Maximum number of reports sent at once to a router that starts: its socket
+/// buffer holds about a hundred datagrams.
 constexpr std::size_t MaxReportsInReply = 64;
 
 /// Number of routers that a starting router asks for facts: one of them may
@@ -48,12 +48,12 @@
 
 } // namespace
 
-CrashDetector::CrashDetector(EventLoop &L, RouterExchange &R, std::uint64_t P,
+CrashDetector::CrashDetector(EventLoop &L, RouterMessenger &R, std::uint64_t P,
                              Metrics &M)
-    : Loop(L), Routers(R), Process(P),
+    : Loop(L), Routers(R), RouterProcess(P),
       Crashes(M.counter({"server_crashes_total",
-                         "Servers that crashed with requests of this router in "
-                         "flight.",
+                         "Servers that crashed with active requests of this "
+                         "router.",
                          ""})),
       Random(P) {
   for (const auto &[Outcome, Name] : ConnectOutcomeNames)
@@ -64,7 +64,7 @@
          "outcome=\"" + std::string(Name) + "\""});
   M.callback(MetricKind::Gauge,
              {"crash_suspects",
-              "Requests that were in flight at servers that crashed.", ""},
+              "Requests that were active at servers that crashed.", ""},
              [this] { return static_cast<double>(this->Registry.size()); });
   M.callback(
       MetricKind::Gauge,
@@ -87,7 +87,7 @@
     return;
   const auto [Suspect, IsNew] = this->SuspectedCrashes.try_emplace(
       Process, SuspectedCrash{Server->Id, Server->Address});
-  Suspect->second.InFlight.insert(Request);
+  Suspect->second.ActiveRequests.insert(Request);
   Suspect->second.ExpiresAt = this->Loop.clock().now() + SuspicionLifetime;
   if (Server->StartedMs > StartedMs)
     this->confirm(Process, "restarted");
@@ -98,7 +98,7 @@
 void CrashDetector::check(const ServerProcess &Process, Stage NewStage) {
   SuspectedCrash &Suspect = this->SuspectedCrashes.at(Process);
   Suspect.CurrentStage = NewStage;
-  checkConnect(this->Loop, Suspect.Address, CheckLimit,
+  checkConnect(this->Loop, Suspect.Address, CheckTimeout,
                [this, Process](ConnectOutcome Outcome) {
                  this->onChecked(Process, Outcome);
                });
@@ -195,7 +195,7 @@
   this->SuspectedCrashes.erase(Found);
   this->Crashes.add();
   std::vector<CrashFact> Facts;
-  for (const RequestIdentity &Each : Suspect.InFlight)
+  for (const RequestIdentity &Each : Suspect.ActiveRequests)
     Facts.push_back({Each, Process, false, 0});
   log(LogPart::Backend, LogLevel::Info,
       "server=" + Suspect.Id + " crashed: evidence=" + Evidence +
@@ -256,7 +256,7 @@
 }
 
 CrashReport CrashDetector::makeReport(std::vector<CrashFact> Facts) {
-  return {{this->Process, ++this->LastNumber}, false, std::move(Facts)};
+  return {{this->RouterProcess, ++this->LastNumber}, false, std::move(Facts)};
 }
 
 std::vector<CrashReport>
--- a/src/Gateway/CrashDetector.h
+++ b/src/Gateway/CrashDetector.h
@@ -1,7 +1,7 @@
 #ifndef PARSLEYWING_GATEWAY_CRASHDETECTOR_H
 #define PARSLEYWING_GATEWAY_CRASHDETECTOR_H
 
-#include "Gateway/RouterExchange.h"
+#include "Gateway/RouterMessenger.h"
 #include "Loop/ConnectCheck.h"
 #include "Placement/CrashRegistry.h"
 #include "Placement/FleetView.h"
@@ -17,7 +17,7 @@
 
 namespace parsleywing {
 
-/// Detects servers that crashed with requests of this router in flight, and
+/// Detects servers that crashed with active requests of this router, and
 /// reports those requests to all routers. A request that crashes every server
 /// it is sent to is refused by the whole fleet after the third crash.
 ///
@@ -35,24 +35,24 @@
 /// Used on the event loop's thread only.
 class CrashDetector {
 public:
-  /// `Process` distinguishes this process from earlier ones of the same router
-  /// name.
-  CrashDetector(EventLoop &L, RouterExchange &R, std::uint64_t Process,
+  /// `RouterProcess` distinguishes this process from earlier ones of the same
+  /// router name.
+  CrashDetector(EventLoop &L, RouterMessenger &R, std::uint64_t RouterProcess,
                 Metrics &M);
   CrashDetector(const CrashDetector &) = delete;
   CrashDetector &operator=(const CrashDetector &) = delete;
 
-  /// `OnRefused` is called whenever requests in flight may have become refused
+  /// `OnRefused` is called whenever active requests may have become refused
   /// ones.
   void start(std::function<void()> OnRefused);
 
   /// Why an attempt ended without a complete response.
   enum class AttemptEnd { Broken, Silent };
 
-  /// An attempt ended without a complete response while the request was in
-  /// flight at its server. `StartedMs` is the start time of the process that
-  /// the request was sent to; `Server` is the server as listed now, or null if
-  /// it is not listed.
+  /// An attempt ended without a complete response while the request was active
+  /// at its server. `StartedMs` is the start time of the process that the
+  /// request was sent to; `Server` is the server as listed now, or null if it
+  /// is not listed.
   void onAttemptLost(const RequestIdentity &Request,
                      const GatewayServer *Server, std::int64_t StartedMs,
                      AttemptEnd End);
@@ -65,14 +65,15 @@
 
   /// Whether the request must not be sent. Records the refusal.
   bool checkRefused(const RequestIdentity &Request);
-  /// Whether a refused request may be sent once as a probe. Only the first
-  /// router of the request's rendezvous order grants that, and only once.
+  /// Permits one probe: a refused request that may be sent now, to find out
+  /// whether it still crashes servers. Records the probe. Only the first router
+  /// of the request's rendezvous order permits probes;
+  /// `CrashRegistry::mayProbe` limits them.
   bool acquireProbe(const RequestIdentity &Request);
 
-  /// Key by which requests that were in flight at a crashed server are spread
-  /// over servers. They then do not share a server again, so that a further
-  /// crash can be attributed to one request. Empty if the request is not
-  /// suspected.
+  /// Key by which requests that were active at a crashed server are spread over
+  /// servers. They then do not share a server again, so that a further crash
+  /// can be attributed to one request. Empty if the request is not suspected.
   std::optional<std::uint32_t> spreadOf(const RequestIdentity &Request) const;
 
   /// Must be called with each new list of servers.
@@ -97,7 +98,7 @@
   struct SuspectedCrash {
     std::string Id;
     Poco::Net::SocketAddress Address;
-    std::set<RequestIdentity> InFlight{};
+    std::set<RequestIdentity> ActiveRequests{};
     TimePoint ExpiresAt{};
     Stage CurrentStage = Stage::FirstCheck;
     /// Called when the first check has ended.
@@ -125,8 +126,8 @@
   }
 
   EventLoop &Loop;
-  RouterExchange &Routers;
-  std::uint64_t Process;
+  RouterMessenger &Routers;
+  std::uint64_t RouterProcess;
   std::uint64_t LastNumber = 0;
   std::map<ConnectOutcome, Counter *> CheckCounters;
   Counter &Crashes;
--- a/src/Gateway/FleetExchange.cpp
+++ b/src/Gateway/FleetDistributor.cpp
@@ -1,4 +1,4 @@
-#include "Gateway/FleetExchange.h"
+#include "Gateway/FleetDistributor.h"
 
 #include "Gateway/FleetUpdateItems.h"
 #include "Runtime/Id.h"
@@ -14,12 +14,12 @@
 
 namespace {
 
-/// How often a router checks whether to ask its relay: before the first proof,
-/// which all routers that start together wait for, and afterwards.
+/// How often a router checks whether to send its relay a request: until the
+/// first proof, which all routers that start together wait for, and after it.
 constexpr Duration FirstTickInterval = std::chrono::milliseconds(30);
 constexpr Duration TickInterval = std::chrono::milliseconds(400);
-/// How often it asks while it receives status messages. The relay sends changes
-/// without being asked.
+/// How often it sends a request while it receives status messages. The relay
+/// sends changes without being asked.
 constexpr Duration RequestInterval = std::chrono::seconds(2);
 /// How long to wait for changes that the relay's status announces, before they
 /// count as lost and are requested. Status and changes are sent within some
@@ -29,35 +29,39 @@
 /// How long a relay may leave repeated requests unanswered before it is
 /// skipped.
 constexpr Duration ReplyTimeout = std::chrono::milliseconds(1200);
-/// How long a relay of another cluster is followed before the own one is tried
+/// How long a substitute is followed before the router's own relay is tried
 /// again.
 constexpr Duration SubstituteLifetime = std::chrono::seconds(4);
 /// Number of sent requests to remember. A status refers to one of them.
 constexpr std::size_t MaxSentRequests = 4;
 /// Number of routers that read the store themselves when the relays' proofs are
-/// old. If the store rejects a third of all routers, it rejects all of these
-/// and two relays once in 30,000 times.
+/// old. If the store rejects a random third of all routers, the probability
+/// that it rejects all of these and two relays is about 1 in 60,000 (3 to the
+/// power of 10).
 constexpr std::size_t VerifierCount = 8;
-constexpr std::uint64_t VerifierKey = 0x73636F7574;
+/// Key of the rendezvous order of verifiers. Any constant does, but all routers
+/// must have the same one.
+constexpr std::uint64_t VerifierOrderKey = 0x73636F7574;
 /// A follower that sent no request for this time is dropped.
 constexpr Duration FollowerLifetime = 3 * RequestInterval;
 
 /// The minimum time before the same changes are resent to a follower. One that
-/// lacks thousands of changes repeats its request while they arrive. Resending
-/// all of them each time cost a relay of 38 routers 5.7 MB per second.
+/// lacks thousands of changes repeats its request while they arrive, and must
+/// not get all of them each time, which takes several MB per second of a relay.
 constexpr Duration ResendInterval = std::chrono::milliseconds(500);
-/// Maximum number of messages with changes sent to a follower at once: 90 KB,
-/// half of what a socket buffer holds. Of a thousand sent at once, most were
-/// lost and had to be resent. The follower requests the rest afterwards.
+/// Maximum number of messages with changes sent to a follower at once: 90 KB. A
+/// socket buffer holds about a hundred of these datagrams; more would be lost
+/// and resent. The follower requests the rest afterwards.
 constexpr int MaxMessagesAtOnce = 64;
 /// Revision in a request for the proof only, without changes.
 constexpr Revision NoChanges = std::numeric_limits<Revision>::max();
-/// Maximum number of items in a message, whose count is one byte.
+/// Maximum number of items in a message, which encodes their number in one
+/// byte.
 constexpr std::size_t MaxItems = 255;
 
 } // namespace
 
-void FleetExchange::updateView(const std::shared_ptr<const FleetView> &New) {
+void FleetDistributor::updateView(const std::shared_ptr<const FleetView> &New) {
   const bool HasNewChanges = New->SeenRevision > this->View->SeenRevision;
   const bool HasNewProof =
       New->ProvenAt > this->View->ProvenAt ||
@@ -83,18 +87,18 @@
   }
 }
 
-void FleetExchange::start(MessageCallback Callback) {
+void FleetDistributor::start(MessageCallback Callback) {
   this->OnMessage = std::move(Callback);
   this->tick();
 }
 
 /// Chooses the first routers of a rendezvous order that ignores their cores:
-/// small routers are sufficient for one read per second, and the large ones are
-/// relays.
-void FleetExchange::updateVerifiers(const RouterList &Listed) {
+/// small routers are sufficient for one read per `RelayTimes::OldProofAge`, and
+/// the large ones are relays.
+void FleetDistributor::updateVerifiers(const RouterList &Listed) {
   std::vector<std::pair<std::uint64_t, std::string>> Order;
   for (const auto &[Name, Endpoint] : Listed)
-    Order.emplace_back(rendezvousScore(hashName(Name), VerifierKey), Name);
+    Order.emplace_back(rendezvousScore(hashName(Name), VerifierOrderKey), Name);
   const std::size_t Count = std::min(VerifierCount, Order.size());
   std::partial_sort(Order.begin(),
                     Order.begin() + static_cast<std::ptrdiff_t>(Count),
@@ -104,14 +108,14 @@
     this->Verifiers.push_back(Order[I].second);
 }
 
-bool FleetExchange::isRelay(const Poco::Net::SocketAddress &Address) {
+bool FleetDistributor::isRelay(const Poco::Net::SocketAddress &Address) {
   const std::string Name = this->Routers.nameAt(Address);
   return std::any_of(
       this->Clusters.begin(), this->Clusters.end(),
       [&](const RelayCluster &Each) { return this->relayOf(Each) == Name; });
 }
 
-RelayRole FleetExchange::determineRole() {
+RelayRole FleetDistributor::determineRole() {
   if (this->updateRelay())
     return RelayRole::Relay;
   const bool IsVerifier =
@@ -120,19 +124,19 @@
   return IsVerifier ? RelayRole::Verifier : RelayRole::Follower;
 }
 
-void FleetExchange::updateClusters() {
+void FleetDistributor::updateClusters() {
   if (std::exchange(this->ClusteredCounts, this->Routers.counts()) !=
       this->Routers.counts())
     this->Clusters = relayClusters(this->ClusteredCounts);
 }
 
-std::string FleetExchange::relayOf(const RelayCluster &Cluster) {
+std::string FleetDistributor::relayOf(const RelayCluster &Cluster) {
   return this->Routers.firstIn(Cluster.Key, Cluster.Zones);
 }
 
 /// Sets the relay of this router's cluster. Returns whether this router is
 /// itself the relay of any cluster.
-bool FleetExchange::updateRelay() {
+bool FleetDistributor::updateRelay() {
   this->updateClusters();
   const RelayCluster *OwnCluster =
       clusterOf(this->Clusters, this->Routers.self(), this->Routers.zone());
@@ -153,7 +157,7 @@
   return IsRelay;
 }
 
-void FleetExchange::tick() {
+void FleetDistributor::tick() {
   // The role and the relay follow from the list of routers.
   if (this->View->RouterEndpoints != nullptr)
     this->checkRelay();
@@ -164,11 +168,11 @@
 }
 
 /// Updates this router's role, and sends a request to its relay if one is due.
-void FleetExchange::checkRelay() {
+void FleetDistributor::checkRelay() {
   if (this->View->RouterEndpoints == nullptr)
     return;
   const RelayRole NewRole = this->determineRole();
-  // Gives the own relay time to answer first.
+  // Gives the router's own relay time to answer first.
   if (this->Role == RelayRole::Unknown)
     this->OthersRequestedAt = this->BootClock.now();
   if (NewRole != this->Role)
@@ -182,26 +186,24 @@
                    Now - this->SentRequests.front().SentAt > RequestInterval;
   if (Silent || Due)
     this->requestStatus();
-  const bool ProofIsSuspect =
-      Now - this->NewestProvenAt > this->Times.SuspectProofAge;
-  if (ProofIsSuspect &&
-      Now - this->OthersRequestedAt > this->Times.ProofInterval)
+  const bool ProofIsOld = Now - this->NewestProvenAt > this->Times.OldProofAge;
+  if (ProofIsOld && Now - this->OthersRequestedAt > this->Times.ProofInterval)
     this->requestOtherStatuses();
 }
 
-CorrelationId FleetExchange::newRequestId() {
+CorrelationId FleetDistributor::newRequestId() {
   this->SentRequests.push_front({++this->LastNumber, this->BootClock.now()});
   if (this->SentRequests.size() > MaxSentRequests)
     this->SentRequests.pop_back();
-  return {this->Process, this->LastNumber};
+  return {this->RouterProcess, this->LastNumber};
 }
 
-void FleetExchange::requestStatus() {
+void FleetDistributor::requestStatus() {
   const TimePoint Now = this->BootClock.now();
   if (!this->UnansweredSince)
     this->UnansweredSince = Now;
   if (Now - *this->UnansweredSince > ReplyTimeout) {
-    this->Routers.suspect(this->CurrentRelay);
+    this->Routers.skip(this->CurrentRelay);
     this->SubstituteUntil = TimePoint{};
   }
   this->Routers.send(
@@ -209,9 +211,9 @@
       FleetStatusRequest{this->newRequestId(), this->ReceivedRevision});
 }
 
-/// Asks the relays of the other clusters and the verifiers, since only the own
-/// relay may be disconnected from the store.
-void FleetExchange::requestOtherStatuses() {
+/// Asks the relays of the other clusters and the verifiers, since only the
+/// router's own relay may be disconnected from the store.
+void FleetDistributor::requestOtherStatuses() {
   this->OthersRequestedAt = this->BootClock.now();
   std::set<std::string> Others;
   for (const RelayCluster &Each : this->Clusters)
@@ -226,7 +228,7 @@
     this->Routers.send(Each, Request);
 }
 
-void FleetExchange::requestIfBehind(Revision RelayRevision) {
+void FleetDistributor::requestIfBehind(Revision RelayRevision) {
   if (RelayRevision <= this->ReceivedRevision)
     return;
   this->Loop.after(UpdateTimeout, [this, RelayRevision] {
@@ -235,44 +237,44 @@
   });
 }
 
-void FleetExchange::switchRelay() {
+void FleetDistributor::switchRelay() {
   if (!followsRelay(this->Role))
     return;
   log(LogPart::Peer, LogLevel::Info,
       "relay=" + this->CurrentRelay + " is cut off from the store");
-  this->Routers.suspect(this->CurrentRelay);
+  this->Routers.skip(this->CurrentRelay);
   this->SubstituteUntil = TimePoint{};
 }
 
-void FleetExchange::onStatusRequest(const FleetStatusRequest &Request,
-                                    const Poco::Net::SocketAddress &From) {
-  Follower &Peer = this->Followers[From];
+void FleetDistributor::onStatusRequest(const FleetStatusRequest &Request,
+                                       const Poco::Net::SocketAddress &From) {
+  Follower &Sender = this->Followers[From];
   const TimePoint Now = this->BootClock.now();
-  const bool LacksSent = Request.SeenRevision < Peer.SeenRevision;
-  if (Peer.RequestId.Process != Request.Id.Process || !LacksSent ||
-      Now - Peer.ResentAt >= ResendInterval) {
-    Peer.SeenRevision = Request.SeenRevision;
+  const bool LacksSent = Request.SeenRevision < Sender.SeenRevision;
+  if (Sender.RequestId.Process != Request.Id.Process || !LacksSent ||
+      Now - Sender.ResentAt >= ResendInterval) {
+    Sender.SeenRevision = Request.SeenRevision;
     if (LacksSent)
-      Peer.ResentAt = Now;
+      Sender.ResentAt = Now;
   }
-  Peer.RequestId = Request.Id;
-  Peer.RequestedAt = Now;
-  this->sendStatus(From, Peer);
-  this->sendUpdates(From, Peer);
+  Sender.RequestId = Request.Id;
+  Sender.RequestedAt = Now;
+  this->sendStatus(From, Sender);
+  this->sendUpdates(From, Sender);
 }
 
-void FleetExchange::sendStatus(const Poco::Net::SocketAddress &To,
-                               const Follower &Peer) {
-  const auto SinceRequest = [&Peer](TimePoint Time) {
+void FleetDistributor::sendStatus(const Poco::Net::SocketAddress &To,
+                                  const Follower &Receiver) {
+  const auto SinceRequest = [&Receiver](TimePoint Time) {
     constexpr std::int64_t Min = std::numeric_limits<std::int32_t>::min();
-    const auto Elapsed =
-        std::chrono::floor<std::chrono::milliseconds>(Time - Peer.RequestedAt);
+    const auto Elapsed = std::chrono::floor<std::chrono::milliseconds>(
+        Time - Receiver.RequestedAt);
     return static_cast<std::int32_t>(
         std::max<std::int64_t>(Elapsed.count(), Min));
   };
   const FleetHistory *History = this->View->History.get();
   FleetStatus Message;
-  Message.Id = Peer.RequestId;
+  Message.Id = Receiver.RequestId;
   Message.ProvenAfterMs = SinceRequest(this->View->ProvenAt);
   Message.ListsProvenAfterMs = SinceRequest(this->View->ListsProvenAt);
   Message.ConfigurationRevision = this->View->ConfigurationRevision;
@@ -281,20 +283,20 @@
       History == nullptr ? Message.SeenRevision : History->CompactRevision;
   const bool ReadsAsVerifier =
       this->Role == RelayRole::Verifier &&
-      this->BootClock.now() - this->RelayProvenAt > this->Times.SuspectProofAge;
+      this->BootClock.now() - this->RelayProvenAt > this->Times.OldProofAge;
   Message.ReadsStore = this->Role == RelayRole::Relay || ReadsAsVerifier;
   this->Routers.send(To, Message);
 }
 
-void FleetExchange::sendUpdates(const Poco::Net::SocketAddress &To,
-                                Follower &Peer) {
+void FleetDistributor::sendUpdates(const Poco::Net::SocketAddress &To,
+                                   Follower &Receiver) {
   const FleetHistory *History = this->View->History.get();
   const Revision Newest = this->View->SeenRevision;
-  if (History == nullptr || Peer.SeenRevision >= Newest ||
-      Peer.SeenRevision < History->CompactRevision)
+  if (History == nullptr || Receiver.SeenRevision >= Newest ||
+      Receiver.SeenRevision < History->CompactRevision)
     return;
   const std::vector<FleetUpdateItem> Items =
-      itemsAfter(*History, Peer.SeenRevision);
+      itemsAfter(*History, Receiver.SeenRevision);
   std::size_t First = 0;
   bool More = true;
   for (int Sent = 0; More && Sent < MaxMessagesAtOnce; ++Sent) {
@@ -304,30 +306,30 @@
       return;
     More = Last < Items.size();
     FleetUpdate Message;
-    Message.Id = Peer.RequestId;
-    Message.AfterRevision = Peer.SeenRevision;
+    Message.Id = Receiver.RequestId;
+    Message.AfterRevision = Receiver.SeenRevision;
     Message.ToRevision = More ? Items[Last].ModRevision - 1 : Newest;
     Message.Items.assign(Items.begin() + static_cast<std::ptrdiff_t>(First),
                          Items.begin() + static_cast<std::ptrdiff_t>(Last));
-    Peer.SeenRevision = Message.ToRevision;
+    Receiver.SeenRevision = Message.ToRevision;
     this->Routers.send(To, std::move(Message));
     First = Last;
   }
 }
 
-void FleetExchange::onStatus(const FleetStatus &Message,
-                             const Poco::Net::SocketAddress &From) {
+void FleetDistributor::onStatus(const FleetStatus &Message,
+                                const Poco::Net::SocketAddress &From) {
   const auto Request =
       std::find_if(this->SentRequests.begin(), this->SentRequests.end(),
                    [&Message](const SentRequest &Each) {
                      return Each.Number == Message.Id.Number;
                    });
-  if (Message.Id.Process != this->Process ||
+  if (Message.Id.Process != this->RouterProcess ||
       Request == this->SentRequests.end())
     return;
-  // If verifiers accepted each other's status, they would prove in turns and
-  // none of them would read the changes: requests were sent to a draining
-  // server for 3 s.
+  // If verifiers accepted each other's statuses, they would prove in turns,
+  // none of them would read the changes, and a draining server would get
+  // requests for some 3 s.
   if (this->Role == RelayRole::Verifier && !this->isRelay(From))
     return;
   RelayStatus Status;
@@ -342,15 +344,15 @@
   Status.SenderHash = hashName(From.toString());
   this->recordStatus(Status, From);
   const auto *RelayAddress = this->Routers.addressOf(this->CurrentRelay);
-  Status.IsOwnRelay = RelayAddress != nullptr && *RelayAddress == From;
-  if (Status.IsOwnRelay)
+  Status.IsCurrentRelay = RelayAddress != nullptr && *RelayAddress == From;
+  if (Status.IsCurrentRelay)
     this->requestIfBehind(Message.SeenRevision);
   if (this->OnMessage)
     this->OnMessage(Status);
 }
 
-void FleetExchange::recordStatus(const RelayStatus &Status,
-                                 const Poco::Net::SocketAddress &From) {
+void FleetDistributor::recordStatus(const RelayStatus &Status,
+                                    const Poco::Net::SocketAddress &From) {
   const TimePoint Now = this->BootClock.now();
   this->NewestProvenAt = std::max(this->NewestProvenAt, Status.ProvenAt);
   const auto *RelayAddress = this->Routers.addressOf(this->CurrentRelay);
@@ -363,7 +365,7 @@
   const bool IsBetter =
       Status.ReadsStore &&
       Status.ProvenAt > this->RelayProvenAt + this->Times.ProofInterval &&
-      Now - this->RelayProvenAt > this->Times.SuspectProofAge;
+      Now - this->RelayProvenAt > this->Times.OldProofAge;
   if (!IsBetter || !followsRelay(this->Role))
     return;
   const std::string Other = this->Routers.nameAt(From);
@@ -378,12 +380,13 @@
   this->UnansweredSince.reset();
   this->StatusReceivedAt = Now;
   this->RelayProvenAt = Status.ProvenAt;
-  // Its status answered a request without changes.
+  // The status answered a request with `NoChanges`, so request the changes as
+  // well.
   this->requestStatus();
 }
 
-void FleetExchange::onUpdate(const FleetUpdate &Message) {
-  if (Message.Id.Process != this->Process || !this->OnMessage)
+void FleetDistributor::onUpdate(const FleetUpdate &Message) {
+  if (Message.Id.Process != this->RouterProcess || !this->OnMessage)
     return;
   RelayUpdate Update{Message.AfterRevision, Message.ToRevision, {}};
   try {
--- a/src/Gateway/FleetExchange.h
+++ b/src/Gateway/FleetDistributor.h
@@ -1,10 +1,10 @@
-#ifndef PARSLEYWING_GATEWAY_FLEETEXCHANGE_H
-#define PARSLEYWING_GATEWAY_FLEETEXCHANGE_H
+#ifndef PARSLEYWING_GATEWAY_FLEETDISTRIBUTOR_H
+#define PARSLEYWING_GATEWAY_FLEETDISTRIBUTOR_H
 
 #include "Gateway/FleetSource.h"
 #include "Gateway/RelayClusters.h"
 #include "Gateway/RelayTimes.h"
-#include "Gateway/RouterExchange.h"
+#include "Gateway/RouterMessenger.h"
 
 #include <atomic>
 #include <deque>
@@ -29,8 +29,9 @@
   Revision CompactRevision = 0;
   /// Whether the relay reads the store itself.
   bool ReadsStore = false;
-  /// Whether this is the relay that the receiving router follows.
-  bool IsOwnRelay = true;
+  /// Whether the sender is the relay that the receiving router follows now,
+  /// possibly a substitute.
+  bool IsCurrentRelay = true;
   /// Identifies the router that sent the status.
   std::uint64_t SenderHash = 0;
   /// The relay's lists were complete at this time, on the same clock.
@@ -66,30 +67,29 @@
 /// relays and not with the fleet. Each router follows one relay, the first in
 /// its cluster's rendezvous order, or the next one if that does not answer.
 ///
-/// If the proof of a router's relay grows old, the relays of the other clusters
-/// are asked as well, and one that has reached the store substitutes for it for
-/// a while. Without this, when the store rejected a third of 195 routers, the
-/// others made 1,000 calls of their own in 9 s before they switched relays.
+/// If the proof of a router's relay grows old, the router also asks the relays
+/// of the other clusters and the verifiers, and one that has reached the store
+/// substitutes for its relay for a while. Otherwise, if the store rejects some
+/// routers, all followers of a rejected relay would make calls of their own for
+/// seconds.
 ///
-/// The store may reject all relays of a fleet and serve the other routers: both
-/// relays of 63 routers were once rejected along with a third of the fleet. The
-/// followers treated that as an outage of the store and used a configuration
-/// for 3 s too long. Eight more routers, the verifiers, therefore check for
-/// themselves.
+/// The store may reject all relays and serve other routers. Followers would
+/// take that for an outage and use an old configuration for some 3 s too long.
+/// Up to eight other routers, the verifiers, therefore check for themselves.
 ///
 /// A relay pushes proofs and changes to the routers that asked it recently, and
 /// resends changes with each of their requests until they have them.
 ///
 /// Used on the event loop's thread only.
-class FleetExchange {
+class FleetDistributor {
 public:
   using MessageCallback = std::function<void(const RelayMessage &)>;
 
-  /// `Process` distinguishes this process from earlier ones of the same router
-  /// name.
-  FleetExchange(EventLoop &L, RouterExchange &R, std::uint64_t Process,
-                const RelayTimes &T)
-      : Loop(L), Routers(R), Process(Process), Times(T) {}
+  /// `RouterProcess` distinguishes this process from earlier ones of the same
+  /// router name.
+  FleetDistributor(EventLoop &L, RouterMessenger &R,
+                   std::uint64_t RouterProcess, const RelayTimes &T)
+      : Loop(L), Routers(R), RouterProcess(RouterProcess), Times(T) {}
 
   /// Sets the view that is served to followers.
   void updateView(const std::shared_ptr<const FleetView> &New);
@@ -143,12 +143,12 @@
   bool isRelay(const Poco::Net::SocketAddress &Address);
   std::string relayOf(const RelayCluster &Cluster);
   bool updateRelay();
-  void sendStatus(const Poco::Net::SocketAddress &To, const Follower &Peer);
-  void sendUpdates(const Poco::Net::SocketAddress &To, Follower &Peer);
+  void sendStatus(const Poco::Net::SocketAddress &To, const Follower &Receiver);
+  void sendUpdates(const Poco::Net::SocketAddress &To, Follower &Receiver);
 
   EventLoop &Loop;
-  RouterExchange &Routers;
-  std::uint64_t Process;
+  RouterMessenger &Routers;
+  std::uint64_t RouterProcess;
   RelayTimes Times;
   MessageCallback OnMessage;
   Clock BootClock = Clock::sinceBoot();
@@ -172,7 +172,8 @@
   /// The proof in the relay's last status, and the newest one of any relay.
   TimePoint RelayProvenAt{};
   TimePoint NewestProvenAt{};
-  /// A relay of another cluster that replaces the own one, and until when.
+  /// A relay of another cluster or a verifier that replaces the router's own
+  /// relay, and until when.
   std::string SubstituteRelay;
   TimePoint SubstituteUntil{};
   TimePoint OthersRequestedAt{};
--- a/src/Gateway/FleetFeed.cpp
+++ b/src/Gateway/FleetFeed.cpp
@@ -11,12 +11,13 @@
 
 namespace {
 
-/// How long changes that the relay has may be missing before everything is
+/// How long changes that the relay has may be missing before all lists are
 /// reloaded. Covers two more status messages of the relay.
 constexpr Duration MaxTimeBehind = std::chrono::milliseconds(600);
 
 /// Delay before the first stale read of a configuration that a relay announced.
-constexpr Duration ReplicaLag = std::chrono::milliseconds(120);
+/// The store's replicas lag by about 0.1 to 0.2 s.
+constexpr Duration FirstStaleReadDelay = std::chrono::milliseconds(120);
 
 /// Minimum time between two views with new lists, per server. A view takes
 /// about 2 microseconds per server, eight times that on a VM of 0.12 cores, and
@@ -24,8 +25,8 @@
 /// hundreds of messages.
 constexpr Duration PublishIntervalPerServer = std::chrono::microseconds(50);
 
-/// Number of unusable entries to remember, so that each is logged once.
-constexpr std::size_t MaxReportedUnusable = 1024;
+/// Number of invalid entries to remember, so that each is logged once.
+constexpr std::size_t MaxReportedInvalid = 1024;
 
 } // namespace
 
@@ -38,15 +39,15 @@
                                 "Calls on the store that failed.", ""})),
       Reloads(Into.counter(
           {"fleet_reloads_total", "Times that all lists were read.", ""})),
-      UnusableEntries(Into.counter(
+      InvalidEntries(Into.counter(
           {"fleet_unusable_entries_total", "Invalid entries of servers.", ""})),
       ConfigurationsApplied(
           Into.counter({"configurations_taken_total",
                         "Configurations that became active.", ""})) {
-  for (const auto &[Cause, Name] : StoreCallCauseNames)
-    this->Calls[Cause] = &Into.counter({"fleet_store_calls_total",
-                                        "Calls on the store, by purpose.",
-                                        "cause=\"" + std::string(Name) + "\""});
+  for (const auto &[Purpose, Name] : StoreCallPurposeNames)
+    this->Calls[Purpose] = &Into.counter(
+        {"fleet_store_calls_total", "Calls on the store, by purpose.",
+         "cause=\"" + std::string(Name) + "\""});
 }
 
 FleetFeed::FleetFeed(Options O, std::function<FleetSource()> NewSource,
@@ -103,12 +104,12 @@
   return std::uniform_real_distribution<double>(0, 1)(this->Random);
 }
 
-bool FleetFeed::recordCall(StoreCallCause Cause, ReadConsistency Consistency,
-                           const Error *Problem) {
+bool FleetFeed::recordCall(StoreCallPurpose Purpose,
+                           ReadConsistency Consistency, const Error *Problem) {
   const bool Succeeded = Problem == nullptr;
-  this->Counters.Calls.at(Cause)->add();
+  this->Counters.Calls.at(Purpose)->add();
   if (Consistency == ReadConsistency::AllowStale ||
-      Cause == StoreCallCause::Renewal)
+      Purpose == StoreCallPurpose::Renewal)
     this->Counters.CheapCalls.add();
   const TimePoint Now = this->BootClock.now();
   const std::lock_guard<std::mutex> Lock(this->Mutex);
@@ -124,7 +125,7 @@
   }
   if (Succeeded != this->StoreReachable) {
     this->StoreReachable = Succeeded;
-    const std::string Name(nameOf(StoreCallCauseNames, Cause));
+    const std::string Name(nameOf(StoreCallPurposeNames, Purpose));
     log(LogPart::Platform, Succeeded ? LogLevel::Info : LogLevel::Warn,
         Succeeded ? "store=regained call=" + Name
                   : "store=lost call=" + Name + " problem=" + Problem->Message);
@@ -171,18 +172,18 @@
 
 /// Logs each revision of an entry once, since lists repeat it. Requires `Mutex`
 /// to be held.
-void FleetFeed::reportUnusable(const UnusableServer &Unusable) {
-  Revision &LastLogged = this->ReportedUnusable[Unusable.Id];
-  if (LastLogged >= Unusable.ModRevision)
+void FleetFeed::reportInvalidEntry(const InvalidServerEntry &Entry) {
+  Revision &LastLogged = this->ReportedInvalid[Entry.Id];
+  if (LastLogged >= Entry.ModRevision)
     return;
-  LastLogged = Unusable.ModRevision;
-  this->Counters.UnusableEntries.add();
+  LastLogged = Entry.ModRevision;
+  this->Counters.InvalidEntries.add();
   log(LogPart::Platform, LogLevel::Warn,
-      "server=" + Unusable.Id +
-          " revision=" + std::to_string(Unusable.ModRevision) +
-          " entry cannot be used and names no server: " + Unusable.Reason);
-  if (this->ReportedUnusable.size() > MaxReportedUnusable)
-    this->ReportedUnusable.erase(this->ReportedUnusable.begin());
+      "server=" + Entry.Id + " revision=" + std::to_string(Entry.ModRevision) +
+          " entry cannot be used, so the server is not listed: " +
+          Entry.Reason);
+  if (this->ReportedInvalid.size() > MaxReportedInvalid)
+    this->ReportedInvalid.erase(this->ReportedInvalid.begin());
 }
 
 /// Detects the removal of this router's own entry: an earlier process of this
@@ -196,8 +197,8 @@
 
 /// Requires `Mutex` to be held.
 void FleetFeed::applyServerList(const StoredServers &List) {
-  for (const UnusableServer &Each : List.Unusable)
-    this->reportUnusable(Each);
+  for (const InvalidServerEntry &Each : List.Invalid)
+    this->reportInvalidEntry(Each);
   this->State.applyServers(List, this->BootClock.now());
 }
 
@@ -267,7 +268,7 @@
     if (!this->relayHasNewerConfiguration())
       this->NewerConfigurationSince.reset();
     else if (!this->NewerConfigurationSince)
-      this->scheduleFetch(Now);
+      this->scheduleConfigurationRead(Now);
     // Ends the backoff of the outage. Otherwise routers would refuse keys for
     // up to 4 s more if the configuration has changed in the meantime.
     const bool ProvenAfterFailure = Status.ProvenAt > this->FailedAt;
@@ -280,7 +281,7 @@
       this->State.recordStoreReachable(true, Now);
       log(LogPart::Platform, LogLevel::Info, "store=regained call=relay");
     }
-    if (Status.IsOwnRelay)
+    if (Status.IsCurrentRelay)
       this->checkBehindRelay(Status);
   }
   this->Wakeup.notify_all();
@@ -288,11 +289,11 @@
     this->publish();
 }
 
-/// Schedules the read of a newer configuration, for when the store's replicas
-/// have it. Requires `Mutex` to be held.
-void FleetFeed::scheduleFetch(TimePoint Now) {
+/// Schedules the read of a newer configuration at a time when the store's
+/// replicas should have it. Requires `Mutex` to be held.
+void FleetFeed::scheduleConfigurationRead(TimePoint Now) {
   this->NewerConfigurationSince = Now;
-  this->NextFetchAt = Now + ReplicaLag;
+  this->NextConfigurationReadAt = Now + FirstStaleReadDelay;
 }
 
 /// Schedules a reload if the relay cannot send all changes that this router
--- a/src/Gateway/FleetFeed.h
+++ b/src/Gateway/FleetFeed.h
@@ -1,7 +1,7 @@
 #ifndef PARSLEYWING_GATEWAY_FLEETFEED_H
 #define PARSLEYWING_GATEWAY_FLEETFEED_H
 
-#include "Gateway/FleetExchange.h"
+#include "Gateway/FleetDistributor.h"
 #include "Gateway/FleetState.h"
 #include "Gateway/RelayTrust.h"
 #include "Runtime/Metrics.h"
@@ -17,11 +17,13 @@
 
 namespace parsleywing {
 
-/// The purpose of a call on the store, since each call costs money. A list of
-/// several pages counts as one call here.
-enum class StoreCallCause {
-  List,          ///< All servers or routers, at the start or after a gap.
-  Compare,       ///< All servers, to find changes that no watch reported.
+/// The purpose of a call on the store. Calls are counted by purpose, since each
+/// costs money. A list of several pages counts as one call here.
+enum class StoreCallPurpose {
+  List,          ///< All servers, routers or evacuated zones, at the start or
+                 ///< after a gap.
+  Compare,       ///< All servers and evacuated zones, to find changes that no
+                 ///< watch reported.
   Configuration, ///< The content of a configuration.
   Proof,         ///< Whether the configuration is the newest one.
   Watch,         ///< Changes.
@@ -29,42 +31,41 @@
   Renewal,       ///< The lease of that entry.
 };
 
-inline constexpr EnumNames<StoreCallCause, 7> StoreCallCauseNames{{
-    {StoreCallCause::List, "list"},
-    {StoreCallCause::Compare, "compare"},
-    {StoreCallCause::Configuration, "configuration"},
-    {StoreCallCause::Proof, "proof"},
-    {StoreCallCause::Watch, "watch"},
-    {StoreCallCause::Registration, "registration"},
-    {StoreCallCause::Renewal, "renewal"},
+inline constexpr EnumNames<StoreCallPurpose, 7> StoreCallPurposeNames{{
+    {StoreCallPurpose::List, "list"},
+    {StoreCallPurpose::Compare, "compare"},
+    {StoreCallPurpose::Configuration, "configuration"},
+    {StoreCallPurpose::Proof, "proof"},
+    {StoreCallPurpose::Watch, "watch"},
+    {StoreCallPurpose::Registration, "registration"},
+    {StoreCallPurpose::Renewal, "renewal"},
 }};
 
 /// Counts of the calls on the store that keep the view current.
 struct FleetFeedCounters {
   explicit FleetFeedCounters(Metrics &Into);
 
-  std::map<StoreCallCause, Counter *> Calls;
+  std::map<StoreCallPurpose, Counter *> Calls;
   /// Stale reads and lease renewals: a tenth of the price.
   Counter &CheapCalls;
   Counter &FailedCalls;
   Counter &Reloads;
-  Counter &UnusableEntries;
+  Counter &InvalidEntries;
   Counter &ConfigurationsApplied;
 };
 
 /// Keeps the router's view of the fleet current, with two threads of its own.
 /// The watcher waits for changes. The prover reads the configuration about once
-/// a second to prove that it is the newest one, and renews this router's entry.
-/// The proof does not rely on the watch: a pending watch call proves nothing,
-/// and one that hangs looks the same.
+/// per `RelayTimes::ProofInterval` to prove that it is the newest one, and
+/// renews this router's entry. The proof does not rely on the watch: a pending
+/// watch call proves nothing, and one that hangs looks the same.
 ///
-/// A router that is no relay gets both from its relay. At the start, and for a
-/// new configuration, it uses stale reads at a tenth of the price: their
-/// revision states what is missing, the relay sends that, and the relay's proof
-/// is valid for exactly one revision. It uses linearizable reads only if the
-/// relays' messages are not enough. 85 routers that all watched and read the
-/// store made 201 calls per second on a day with an outage; 195 routers that
-/// used linearizable reads throughout made 17 to 44 calls each on a day.
+/// A router that is not a relay gets changes and proofs from its relay. At the
+/// start, and for a new configuration, it uses stale reads at a tenth of the
+/// price: their revision states what is missing, the relay sends that, and the
+/// relay's proof is valid for exactly one revision. It uses linearizable reads
+/// only if the relays' messages are not enough, since these cost ten times as
+/// much.
 ///
 /// Implemented in three files: the relay's messages and what both threads use,
 /// the watcher (`FleetFeedWatch.cpp`), and the prover with this router's entry
@@ -96,7 +97,7 @@
   void stop();
 
   /// Removes this router's entry and does not write it again. Called when the
-  /// router is about to stop, so that others send it no more requests.
+  /// drain of the router starts, so that others send it no more requests.
   void leave();
 
   /// Handles a message of a relay. A proof counts only if both routers have the
@@ -119,7 +120,7 @@
 
   void apply(const RelayStatus &Status);
   void apply(const RelayUpdate &Update);
-  void reportUnusable(const UnusableServer &Unusable);
+  void reportInvalidEntry(const InvalidServerEntry &Entry);
   void checkOwnRemoval(const FleetChange &Change);
   void applyServerList(const StoredServers &List);
   RelayRole role() const;
@@ -145,10 +146,10 @@
   bool isProofDue(TimePoint Now);
   void renewProof(FleetSource &Source);
   void recordReportedOutage(TimePoint Now);
-  void scheduleFetch(TimePoint Now);
+  void scheduleConfigurationRead(TimePoint Now);
   void checkBehindRelay(const RelayStatus &Status);
   bool relayHasNewerConfiguration() const;
-  void fetchConfiguration(FleetSource &Source);
+  void readAnnouncedConfiguration(FleetSource &Source);
   bool readConfiguration(FleetSource &Source, Revision Known,
                          ReadConsistency Consistency);
   Duration nextProofRetryDelay();
@@ -162,12 +163,12 @@
   void maintainRegistration(FleetSource &Source);
 
   /// Counts and logs the outcome of a call; returns whether it succeeded.
-  bool recordCall(StoreCallCause Cause, ReadConsistency Consistency,
+  bool recordCall(StoreCallPurpose Purpose, ReadConsistency Consistency,
                   const Error *Problem);
   template <typename Value>
-  bool recordCall(StoreCallCause Cause, ReadConsistency Consistency,
+  bool recordCall(StoreCallPurpose Purpose, ReadConsistency Consistency,
                   const Result<Value> &Outcome) {
-    return this->recordCall(Cause, Consistency,
+    return this->recordCall(Purpose, Consistency,
                             Outcome ? nullptr : &Outcome.error());
   }
   void publish();
@@ -204,7 +205,8 @@
   /// Whether the lists were read, so that other routers may send requests to
   /// this one.
   bool ListsRead = false;
-  /// Whether everything was read.
+  /// Whether `load` has finished, after which views are published: the lists
+  /// were read, and read again if no other router was listed.
   bool Loaded = false;
   /// Whether the lists were read again since no other router was listed at
   /// first.
@@ -214,7 +216,8 @@
   /// last published.
   bool ChangesPending = false;
   TimePoint ChangesPublishedAt{};
-  /// Whether the relay cannot send all that this router lacks.
+  /// Whether the lists must be read again: the changes that this router lacks
+  /// come too late or are no longer in the relay's or the store's history.
   bool ReloadDue = false;
   /// Whether the watch is too late in reporting a change.
   bool CatchUpDue = false;
@@ -242,7 +245,7 @@
   RelayStatus LastStatus;
   /// Since when a relay has a newer configuration, and when to read it next.
   std::optional<TimePoint> NewerConfigurationSince;
-  TimePoint NextFetchAt{};
+  TimePoint NextConfigurationReadAt{};
   /// When this router tries the store itself in an outage reported by relays.
   std::optional<TimePoint> OwnAttemptAt;
   /// Since when the relay has known changes that this router has not received.
@@ -254,8 +257,8 @@
   TimePoint NextProofAt{};
   Backoff ProofRetry;
   LeaseId Lease = 0;
-  /// The revision of the last unusable entry that was logged for each server.
-  std::map<std::string, Revision> ReportedUnusable;
+  /// The revision of the last invalid entry that was logged for each server.
+  std::map<std::string, Revision> ReportedInvalid;
   std::thread Watcher;
   std::thread Prover;
 };
--- a/src/Gateway/FleetFeedProver.cpp
+++ b/src/Gateway/FleetFeedProver.cpp
@@ -11,26 +11,25 @@
 
 namespace {
 
-/// Age of the proof at which a router with a relay reads the store itself, as
+/// Age of the proof at which a follower reads the configuration itself, as
 /// fractions of the bounds on a revocation and on a configuration.
-constexpr double OwnProofPartOfRevocation = 0.4;
-constexpr double OwnProofPartOfChange = 0.75;
+constexpr double OwnProofFractionOfRevocation = 0.4;
+constexpr double OwnProofFractionOfConfiguration = 0.75;
 
 /// Minimum delay between stale reads of a configuration that a relay announced;
 /// the delay grows with each read. After this fraction of the bound on a
 /// configuration, a linearizable read is used instead. The store's replicas lag
 /// by about 0.1 to 0.2 s.
-constexpr Duration StaleReadDelay = std::chrono::milliseconds(150);
-constexpr double StalePartOfChange = 0.2;
+constexpr Duration MinStaleReadInterval = std::chrono::milliseconds(150);
+constexpr double StaleReadFractionOfConfiguration = 0.2;
 
 /// In an outage reported by the relays, a router tries the store itself once
 /// within this time, chosen at random, and then once per interval.
 constexpr Duration OwnAttemptInterval = std::chrono::seconds(6);
 
 /// How often the prover runs before the first proof, without which callers are
-/// refused, and for how long. A starting relay gets its role between two runs:
-/// with 0.1 s, routers served their first caller 0.1 s later after a restart of
-/// the whole fleet.
+/// refused, and for how long. A starting relay gets its role between two runs,
+/// so a longer interval delays its first caller.
 constexpr Duration FirstProverInterval = std::chrono::milliseconds(10);
 constexpr Duration FirstProofPeriod = std::chrono::seconds(2);
 
@@ -67,7 +66,7 @@
   const auto Outcome =
       Source.Configuration(Known, ReadConsistency::Linearizable);
   const bool Succeeded = this->recordCall(
-      StoreCallCause::Proof, ReadConsistency::Linearizable, Outcome);
+      StoreCallPurpose::Proof, ReadConsistency::Linearizable, Outcome);
   {
     const std::lock_guard<std::mutex> Lock(this->Mutex);
     this->LastProofFailed = !Succeeded;
@@ -110,21 +109,22 @@
 
 /// Reads a newer configuration that a relay announced. Of several in a short
 /// time, only the newest is read.
-void FleetFeed::fetchConfiguration(FleetSource &Source) {
+void FleetFeed::readAnnouncedConfiguration(FleetSource &Source) {
   Revision Known = 0;
   ReadConsistency Consistency = ReadConsistency::AllowStale;
   {
     const std::lock_guard<std::mutex> Lock(this->Mutex);
     const TimePoint Now = this->BootClock.now();
-    if (!this->NewerConfigurationSince || Now < this->NextFetchAt)
+    if (!this->NewerConfigurationSince || Now < this->NextConfigurationReadAt)
       return;
     Known = this->State.configurationRevision();
     if (Now - *this->NewerConfigurationSince >=
-        RelayTimes::partOf(this->Settings.Bounds.Configuration,
-                           StalePartOfChange))
+        RelayTimes::fractionOf(this->Settings.Bounds.Configuration,
+                               StaleReadFractionOfConfiguration))
       Consistency = ReadConsistency::Linearizable;
-    this->NextFetchAt =
-        Now + std::max(StaleReadDelay, Now - *this->NewerConfigurationSince);
+    this->NextConfigurationReadAt =
+        Now +
+        std::max(MinStaleReadInterval, Now - *this->NewerConfigurationSince);
   }
   if (this->readConfiguration(Source, Known, Consistency)) {
     this->publish();
@@ -132,7 +132,7 @@
   }
   const Duration Delay = this->nextProofRetryDelay();
   const std::lock_guard<std::mutex> Lock(this->Mutex);
-  this->NextFetchAt = this->BootClock.now() + Delay;
+  this->NextConfigurationReadAt = this->BootClock.now() + Delay;
 }
 
 /// Returns whether the store answered.
@@ -141,7 +141,7 @@
   if (Consistency == ReadConsistency::Linearizable)
     return this->proveOnce(Source);
   const auto Outcome = Source.Configuration(Known, Consistency);
-  if (!this->recordCall(StoreCallCause::Configuration, Consistency, Outcome))
+  if (!this->recordCall(StoreCallPurpose::Configuration, Consistency, Outcome))
     return false;
   if (*Outcome)
     this->applyConfiguration(**Outcome, Consistency);
@@ -160,11 +160,11 @@
 
 void FleetFeed::compareServers(FleetSource &Source) {
   const auto Servers = Source.Servers(ReadConsistency::AllowStale);
-  if (!this->recordCall(StoreCallCause::Compare, ReadConsistency::AllowStale,
+  if (!this->recordCall(StoreCallPurpose::Compare, ReadConsistency::AllowStale,
                         Servers))
     return;
   const auto Zones = Source.Evacuations(ReadConsistency::AllowStale);
-  const bool ZonesRead = this->recordCall(StoreCallCause::Compare,
+  const bool ZonesRead = this->recordCall(StoreCallPurpose::Compare,
                                           ReadConsistency::AllowStale, Zones);
   const std::lock_guard<std::mutex> Lock(this->Mutex);
   this->applyServerList(*Servers);
@@ -189,7 +189,7 @@
     return;
   }
   if (this->Lease != 0) {
-    this->Counters.Calls.at(StoreCallCause::Renewal)->add();
+    this->Counters.Calls.at(StoreCallPurpose::Renewal)->add();
     this->Counters.CheapCalls.add();
     const auto Renewal = Source.Renew(this->Lease);
     if (Renewal)
@@ -204,7 +204,7 @@
   Self.Cores = this->Settings.RouterCores;
   Self.Zone = this->Settings.RouterZone;
   // One call for the lease and one for the entry.
-  this->Counters.Calls.at(StoreCallCause::Registration)->add(2);
+  this->Counters.Calls.at(StoreCallPurpose::Registration)->add(2);
   const auto Registration = Source.Register(Self, LeaseTtl);
   if (Registration)
     this->Lease = *Registration;
@@ -218,11 +218,12 @@
     return this->Times.ProofInterval;
   // Other routers wait for a verifier's result.
   if (this->role() == RelayRole::Verifier)
-    return this->Times.SuspectProofAge;
+    return this->Times.OldProofAge;
   const FleetBounds &Bounds = this->Settings.Bounds;
-  const Duration Own =
-      std::min(RelayTimes::partOf(Bounds.Revocation, OwnProofPartOfRevocation),
-               RelayTimes::partOf(Bounds.Configuration, OwnProofPartOfChange));
+  const Duration Own = std::min(
+      RelayTimes::fractionOf(Bounds.Revocation, OwnProofFractionOfRevocation),
+      RelayTimes::fractionOf(Bounds.Configuration,
+                             OwnProofFractionOfConfiguration));
   // At that age it is known whether the relays reach the store.
   return std::max(Own, this->Times.MaxProofAge);
 }
@@ -235,7 +236,7 @@
     return;
   this->State.recordStoreReachable(false, Now);
   this->FailedAt = Now;
-  log(LogPart::Platform, LogLevel::Warn, "store=lost call=relays");
+  log(LogPart::Platform, LogLevel::Warn, "store=lost call=relay");
 }
 
 /// Whether a linearizable read of the configuration is due, to prove that it is
@@ -297,7 +298,7 @@
   TimePoint NextRenewalAt = this->BootClock.now();
   bool ListsWereRead = false;
   do {
-    this->fetchConfiguration(Source);
+    this->readAnnouncedConfiguration(Source);
     this->renewProof(Source);
     this->catchUp(Source);
     bool HasChanges = false;
@@ -356,7 +357,7 @@
   const TimePoint End = this->BootClock.now() + Wait;
   const auto HasWork = [this] {
     return (this->NewerConfigurationSince &&
-            this->NextFetchAt <= this->BootClock.now()) ||
+            this->NextConfigurationReadAt <= this->BootClock.now()) ||
            (this->ChangesPending && this->publishDelay() == Duration::zero()) ||
            this->EntryLost || this->StoreRecovered || this->ProverWakeRequested;
   };
@@ -364,7 +365,7 @@
     const TimePoint Now = this->BootClock.now();
     TimePoint Until = End;
     if (this->NewerConfigurationSince)
-      Until = std::min(Until, this->NextFetchAt);
+      Until = std::min(Until, this->NextConfigurationReadAt);
     if (this->ChangesPending)
       Until = std::min(Until, Now + this->publishDelay());
     if (Until <= Now)
--- a/src/Gateway/FleetFeedWatch.cpp
+++ b/src/Gateway/FleetFeedWatch.cpp
@@ -61,13 +61,13 @@
 bool FleetFeed::readLists(FleetSource &Source, Revision &After) {
   const ReadConsistency Consistency = this->nextListConsistency();
   auto Servers = Source.Servers(Consistency);
-  if (!this->recordCall(StoreCallCause::List, Consistency, Servers))
+  if (!this->recordCall(StoreCallPurpose::List, Consistency, Servers))
     return false;
   const auto Routers = Source.Routers(Consistency);
-  if (!this->recordCall(StoreCallCause::List, Consistency, Routers))
+  if (!this->recordCall(StoreCallPurpose::List, Consistency, Routers))
     return false;
   const auto Zones = Source.Evacuations(Consistency);
-  if (!this->recordCall(StoreCallCause::List, Consistency, Zones))
+  if (!this->recordCall(StoreCallPurpose::List, Consistency, Zones))
     return false;
   // Stale reads may differ in their revisions; changes between them are
   // received again.
@@ -110,7 +110,7 @@
   this->Wakeup.notify_all();
 }
 
-/// Reads and publishes everything. A router that finds no other, as when all
+/// Reads and publishes the lists. A router that finds no other, as when all
 /// start together, registers itself and reads the lists again. Otherwise each
 /// router would consider itself a relay at first, and watch and prove on its
 /// own.
@@ -196,8 +196,8 @@
       IsCurrent = false;
       continue;
     }
-    if (!this->recordCall(StoreCallCause::Watch, ReadConsistency::Linearizable,
-                          Watched)) {
+    if (!this->recordCall(StoreCallPurpose::Watch,
+                          ReadConsistency::Linearizable, Watched)) {
       if (!WaitToRetry())
         return;
       continue;
@@ -219,8 +219,8 @@
   {
     const std::lock_guard<std::mutex> Lock(this->Mutex);
     for (const FleetChange &Each : Changes.Changes) {
-      if (const auto *Unusable = std::get_if<UnusableServer>(&Each))
-        this->reportUnusable(*Unusable);
+      if (const auto *Invalid = std::get_if<InvalidServerEntry>(&Each))
+        this->reportInvalidEntry(*Invalid);
       this->checkOwnRemoval(Each);
       this->State.applyChange(Each, this->BootClock.now());
     }
@@ -265,7 +265,7 @@
     this->ReloadDue = this->Loaded;
     return;
   }
-  if (this->recordCall(StoreCallCause::Watch, ReadConsistency::Linearizable,
+  if (this->recordCall(StoreCallPurpose::Watch, ReadConsistency::Linearizable,
                        Missed))
     this->applyChanges(*Missed);
 }
--- a/src/Gateway/FleetSource.h
+++ b/src/Gateway/FleetSource.h
@@ -35,7 +35,7 @@
 
 /// The entry of a server exists but is invalid, so it was not written by the
 /// server. The server counts as unlisted until it writes its entry again.
-struct UnusableServer {
+struct InvalidServerEntry {
   std::string Id;
   Revision ModRevision = 0;
   /// What is wrong with the entry, for the log.
@@ -74,9 +74,10 @@
 };
 
 /// One change in the store that concerns the fleet.
-using FleetChange = std::variant<StoredConfiguration, StoredServer,
-                                 RemovedServer, UnusableServer, StoredRouter,
-                                 RemovedRouter, EvacuatedZone, RestoredZone>;
+using FleetChange =
+    std::variant<StoredConfiguration, StoredServer, RemovedServer,
+                 InvalidServerEntry, StoredRouter, RemovedRouter, EvacuatedZone,
+                 RestoredZone>;
 
 /// Changes after a revision, and the revision up to which they are complete.
 struct FleetChanges {
@@ -99,7 +100,7 @@
   /// The store's revision when the read began: a known entry that is older and
   /// missing from the list has been deleted.
   Revision ReadRevision = 0;
-  std::vector<UnusableServer> Unusable{};
+  std::vector<InvalidServerEntry> Invalid{};
 };
 
 struct StoredRouters {
--- a/src/Gateway/FleetState.cpp
+++ b/src/Gateway/FleetState.cpp
@@ -27,9 +27,9 @@
 
 /// Number of changes kept for followers: at least the minimum, and three per
 /// server and router. When a zone is lost, each of its servers is removed, is
-/// listed again under another identity, and reports its warm-up. With 512
-/// changes for 3,000 servers, every router had to reload everything, 1 MB each
-/// at the same time. A quarter of the history is dropped at once.
+/// listed again under another identity, and reports its warm-up. With only 512
+/// changes for 3,000 servers, every router would have to reload all lists at
+/// the same time, 1 MB each. A quarter of the history is dropped at once.
 constexpr std::size_t MinHistory = 512;
 constexpr std::size_t ChangesPerEntry = 3;
 constexpr std::size_t DroppedDivisor = 4;
@@ -38,12 +38,14 @@
   return std::visit([](const auto &Each) { return Each.ModRevision; }, Change);
 }
 
-void recordLatest(std::map<std::string, Revision> &Removed,
-                  const std::string &Name, Revision ModRevision) {
-  Revision &Latest = Removed[Name];
-  Latest = std::max(Latest, ModRevision);
-  if (Removed.size() > MaxRemoved)
-    Removed.erase(Removed.begin());
+/// Raises the value that is kept for a removed server or router to at least
+/// this one: a revision, or the start time of a process.
+void recordMaximum(std::map<std::string, Revision> &Values,
+                   const std::string &Name, Revision Value) {
+  Revision &Maximum = Values[Name];
+  Maximum = std::max(Maximum, Value);
+  if (Values.size() > MaxRemoved)
+    Values.erase(Values.begin());
 }
 
 bool wasRemovedSince(const std::map<std::string, Revision> &Removed,
@@ -124,9 +126,9 @@
   if (Found == this->Servers.end() ||
       Found->second.ModRevision > Removed.ModRevision)
     return;
-  recordLatest(this->RemovedServers, Removed.Id, Removed.ModRevision);
-  recordLatest(this->RemovedServerStarts, Removed.Id,
-               Found->second.Server.StartedMs);
+  recordMaximum(this->RemovedServers, Removed.Id, Removed.ModRevision);
+  recordMaximum(this->RemovedServerStarts, Removed.Id,
+                Found->second.Server.StartedMs);
   const bool MayHaveLapsed =
       this->StoreEverFailed &&
       (!this->StoreReachable || Now - this->StoreRecoveredAt < LapseWindow);
@@ -146,22 +148,22 @@
 /// Removes a server whose address and state are unknown since its entry is
 /// invalid. The server writes its entry about once a second, so it is listed
 /// again with its next heartbeat.
-void FleetState::dropUnusableServer(const UnusableServer &Unusable) {
-  const auto Found = this->Servers.find(Unusable.Id);
+void FleetState::dropInvalidServer(const InvalidServerEntry &Invalid) {
+  const auto Found = this->Servers.find(Invalid.Id);
   if (Found == this->Servers.end() ||
-      Found->second.ModRevision >= Unusable.ModRevision)
+      Found->second.ModRevision >= Invalid.ModRevision)
     return;
-  recordLatest(this->RemovedServers, Unusable.Id, Unusable.ModRevision);
-  recordLatest(this->RemovedServerStarts, Unusable.Id,
-               Found->second.Server.StartedMs);
+  recordMaximum(this->RemovedServers, Invalid.Id, Invalid.ModRevision);
+  recordMaximum(this->RemovedServerStarts, Invalid.Id,
+                Found->second.Server.StartedMs);
   this->Servers.erase(Found);
   this->CachedServerList = nullptr;
-  this->appendToHistory(Unusable);
+  this->appendToHistory(Invalid);
 }
 
 void FleetState::applyServers(const StoredServers &List, TimePoint Now) {
-  for (const UnusableServer &Each : List.Unusable)
-    this->dropUnusableServer(Each);
+  for (const InvalidServerEntry &Each : List.Invalid)
+    this->dropInvalidServer(Each);
   std::map<std::string, Revision> Listed;
   for (const StoredServer &Each : List.Servers) {
     Listed[Each.Server.Id] = Each.ModRevision;
@@ -197,7 +199,7 @@
   if (Found == this->Routers.end() ||
       Found->second.ModRevision > Removed.ModRevision)
     return;
-  recordLatest(this->RemovedRouters, Removed.Name, Removed.ModRevision);
+  recordMaximum(this->RemovedRouters, Removed.Name, Removed.ModRevision);
   this->Routers.erase(Found);
   this->CachedRouterList = nullptr;
   this->appendToHistory(Removed);
@@ -299,8 +301,8 @@
           [this, Now](const RemovedServer &Removed) {
             this->removeServer(Removed, Now);
           },
-          [this](const UnusableServer &Unusable) {
-            this->dropUnusableServer(Unusable);
+          [this](const InvalidServerEntry &Invalid) {
+            this->dropInvalidServer(Invalid);
           },
           [this](const StoredRouter &Stored) { this->applyRouter(Stored); },
           [this](const RemovedRouter &Removed) { this->removeRouter(Removed); },
--- a/src/Gateway/FleetState.h
+++ b/src/Gateway/FleetState.h
@@ -33,12 +33,13 @@
   bool expire(TimePoint Now);
 
   /// The current state as a view. Lists that have not changed since the last
-  /// call are the same objects: a new proof arrives twice a second and must not
-  /// make every router process all servers and routers again.
+  /// call are the same objects: otherwise every router would process all
+  /// servers and routers again with each proof.
   FleetView view();
 
   TimePoint provenAt() const { return this->ProvenAt; }
-  /// All changes of servers up to this revision are known.
+  /// All changes of servers, routers and evacuated zones up to this revision
+  /// are known.
   Revision seenRevision() const { return this->SeenRevision; }
   void recordSeenRevision(Revision Seen);
   /// Lists with all changes up to this revision were complete at this time.
@@ -68,7 +69,7 @@
   TimePoint warmUpEndsAt(const Entry &Known) const;
   void applyRouter(const StoredRouter &Stored);
   void removeServer(const RemovedServer &Removed, TimePoint Now);
-  void dropUnusableServer(const UnusableServer &Unusable);
+  void dropInvalidServer(const InvalidServerEntry &Invalid);
   void removeRouter(const RemovedRouter &Removed);
   /// Keeps a change for the routers that follow this one.
   void appendToHistory(FleetChange Change);
--- a/src/Gateway/FleetUpdateItems.cpp
+++ b/src/Gateway/FleetUpdateItems.cpp
@@ -46,9 +46,9 @@
                      Removed.ModRevision);
 }
 
-FleetUpdateItem itemOf(const UnusableServer &Unusable) {
-  return minimalItem(FleetUpdateKind::ServerUnusable, Unusable.Id,
-                     Unusable.ModRevision);
+FleetUpdateItem itemOf(const InvalidServerEntry &Invalid) {
+  return minimalItem(FleetUpdateKind::ServerUnusable, Invalid.Id,
+                     Invalid.ModRevision);
 }
 
 FleetUpdateItem itemOf(const StoredRouter &Stored) {
@@ -123,7 +123,8 @@
   case FleetUpdateKind::ServerRemoved:
     return RemovedServer{Item.Name, Item.ModRevision};
   case FleetUpdateKind::ServerUnusable:
-    return UnusableServer{Item.Name, Item.ModRevision, "reported by the relay"};
+    return InvalidServerEntry{Item.Name, Item.ModRevision,
+                              "reported by the relay"};
   case FleetUpdateKind::RouterListed:
     return StoredRouter{Item.Name, Item.Address, Item.Cores, Item.ModRevision,
                         0,         Item.Zone};
--- a/src/Gateway/GatewayContext.h
+++ b/src/Gateway/GatewayContext.h
@@ -64,13 +64,18 @@
 
   Counter &Requests;
   Counter &Served;
+  /// Answered with 503 by this router: the request has not run.
   Counter &Refused;
   /// Requests refused for this reason.
   Counter &refusedBy(RefusalReason Reason) const {
     return *this->RefusedByReason.at(Reason);
   }
+  /// Answered with 502 or 504 by this router: the request may have run.
   Counter &Failed;
+  /// The server's response was forwarded, with a status other than success.
   Counter &FailedByServer;
+  /// Answered with a 4xx status by this router: the request is invalid, or its
+  /// route or key is unknown.
   Counter &Denied;
   Counter &Truncated;
   Counter &CallersDisconnected;
@@ -121,8 +126,8 @@
   /// A stop signal was received: connections are closed after their
   /// responses.
   bool Draining = false;
-  /// More caller connections are open than are served; the request that just
-  /// arrived is refused.
+  /// More caller connections are open than `MaxCallerConnections`, so the
+  /// request that just arrived is refused.
   bool CallerLimitExceeded = false;
   /// New requests are refused, since too little time of the drain is left to
   /// serve them.
--- a/src/Gateway/GatewayFront.cpp
+++ b/src/Gateway/GatewayFront.cpp
@@ -85,8 +85,9 @@
                  "accept failed: " + std::string(std::strerror(errno)));
 }
 
-/// Limits for requests of the load balancer and of operators.
-GatewayLimits operatorLimits() {
+/// Limits for the load balancer's readiness checks and for requests of
+/// operators.
+GatewayLimits internalLimits() {
   GatewayLimits Limits;
   Limits.MaxBodyBytes = 4096;
   return Limits;
@@ -114,7 +115,7 @@
   // A session that closes erases itself from its map, which must not change
   // while it is being destroyed.
   const auto OldCallerSessions = std::exchange(this->CallerSessions, {});
-  const auto OldAdminSessions = std::exchange(this->AdminSessions, {});
+  const auto OldInternalSessions = std::exchange(this->InternalSessions, {});
 }
 
 void GatewayFront::addGauges() {
@@ -233,8 +234,8 @@
   // overflow on a busy loop, and the kernel would drop the callers' SYN
   // packets.
   for (int Count = 0; Count < MaxAcceptsPerIteration; ++Count) {
-    const std::size_t Open =
-        FromCallers ? this->CallerChannels.size() : this->AdminSessions.size();
+    const std::size_t Open = FromCallers ? this->CallerChannels.size()
+                                         : this->InternalSessions.size();
     if (Open >= this->Settings.MaxCallerConnections + MaxRefusedConnections) {
       this->pauseAccepting(Listening);
       return;
@@ -264,7 +265,7 @@
 
 void GatewayFront::serveConnection(Poco::Net::StreamSocket &Accepted,
                                    const Handler &OnRequest, bool FromCallers) {
-  Sessions &Open = FromCallers ? this->CallerSessions : this->AdminSessions;
+  Sessions &Open = FromCallers ? this->CallerSessions : this->InternalSessions;
   if (Open.size() >= this->Settings.MaxCallerConnections)
     closeIdleSessions(Open);
   auto Channel = ByteChannel::fromAccepted(this->Loop, Accepted);
@@ -279,7 +280,7 @@
         });
   }
   const auto &Active = this->Context.View->Configuration;
-  GatewayLimits Limits = FromCallers ? GatewayLimits{} : operatorLimits();
+  GatewayLimits Limits = FromCallers ? GatewayLimits{} : internalLimits();
   if (FromCallers && Active != nullptr)
     Limits = Active->Limits;
   auto Session = std::make_shared<CallerSession>(
--- a/src/Gateway/GatewayFront.h
+++ b/src/Gateway/GatewayFront.h
@@ -4,7 +4,7 @@
 #include "Gateway/CachedPartsReader.h"
 #include "Gateway/CallerSession.h"
 #include "Gateway/CrashDetector.h"
-#include "Gateway/FleetExchange.h"
+#include "Gateway/FleetDistributor.h"
 #include "Gateway/GatewayContext.h"
 
 #include <Poco/Net/ServerSocket.h>
@@ -49,7 +49,7 @@
   void drain();
 
   /// Starts receiving fleet updates from a relay. Call before `run`.
-  void subscribeToRelay(FleetExchange::MessageCallback OnMessage) {
+  void subscribeToRelay(FleetDistributor::MessageCallback OnMessage) {
     this->Fleet.start(std::move(OnMessage));
   }
   RelayRole relayRole() const { return this->Fleet.role(); }
@@ -102,15 +102,16 @@
   GatewayCounters Counters;
   ServerTable Servers;
   UpstreamPool Pool;
-  RouterExchange Routers;
-  FleetExchange Fleet;
+  RouterMessenger Routers;
+  FleetDistributor Fleet;
   AllocationAgent Agent;
   CachedPartsReader PartsReader;
   CrashDetector Crashes;
   GatewayContext Context;
   std::vector<Poco::Net::ServerSocket> Listeners;
   Sessions CallerSessions;
-  Sessions AdminSessions;
+  /// Sessions of the load balancer's readiness checks and of operators.
+  Sessions InternalSessions;
   /// Open caller connections, including those whose session has ended and that
   /// are still sending the last response.
   std::set<std::shared_ptr<ByteChannel>> CallerChannels;
--- a/src/Gateway/GatewayFrontFleet.cpp
+++ b/src/Gateway/GatewayFrontFleet.cpp
@@ -7,14 +7,14 @@
 namespace parsleywing {
 
 void GatewayFront::startCachedPartsQueries() {
-  this->PartsReader.start(
+  this->PartsReader.setPartsCallback(
       [this](const GatewayServer &Server, const CachedParts &Cached) {
         log(LogPart::Backend, LogLevel::Info,
             "server=" + Server.Id + " caches " +
                 std::to_string(Cached.Parts.size()) + " prompt parts");
         this->Agent.recordCached(hashName(Server.Id), Cached);
       });
-  this->Agent.onUnknownCache([this](std::uint64_t Server) {
+  this->Agent.setUnknownCacheCallback([this](std::uint64_t Server) {
     if (const GatewayServer *Listed = this->Servers.find(Server))
       this->PartsReader.query(*Listed);
   });
--- a/src/Gateway/GatewayRequest.cpp
+++ b/src/Gateway/GatewayRequest.cpp
@@ -10,11 +10,14 @@
 
 namespace {
 
-/// Safety margins below the revocation and configuration bounds. They cover
-/// clock drift and the time from the check until the request is sent.
+/// Safety margin below the revocation bound, for clock drift and for the time
+/// from the check until the request is sent.
 constexpr Duration RevocationMargin = std::chrono::milliseconds(400);
 
-constexpr double UsableConfigurationFraction = 0.75;
+/// Up to this age of the proof, as a fraction of the configuration bound, an
+/// unknown route or key is denied. With an older proof the request is refused,
+/// since the route or key may be new.
+constexpr double MaxDenialProofFraction = 0.75;
 
 /// Above this loop lag a router cannot serve new requests within their latency
 /// objective. A fifth of the shortest objective (400 ms to the first chunk).
@@ -39,7 +42,7 @@
       Self->Upstream->resumeReading();
     }
   };
-  Listener.Stopping = [Self = this->shared_from_this()] {
+  Listener.DrainEnding = [Self = this->shared_from_this()] {
     Self->giveUp(RefusalReason::Stopping);
   };
   this->Session->setListener(std::move(Listener));
@@ -95,7 +98,7 @@
   this->Route =
       this->Configuration->findRoute(this->CallerFields.Host, TargetPath);
   const Duration MaxProofAge = std::chrono::duration_cast<Duration>(
-      this->Context.Settings.ConfigurationBound * UsableConfigurationFraction);
+      this->Context.Settings.ConfigurationBound * MaxDenialProofFraction);
   if (this->Route == nullptr) {
     // An outdated configuration may lack a route that exists by now.
     if (this->Context.proofAge() > MaxProofAge)
@@ -130,7 +133,7 @@
     return true;
   }
   const Duration MaxProofAge = std::chrono::duration_cast<Duration>(
-      this->Context.Settings.ConfigurationBound * UsableConfigurationFraction);
+      this->Context.Settings.ConfigurationBound * MaxDenialProofFraction);
   if (this->Context.proofAge() > MaxProofAge)
     this->refuse(RefusalReason::KeyMayBeNew);
   else
@@ -294,7 +297,7 @@
            " route=" + (this->Route == nullptr ? "-" : this->Route->Name) +
            " outcome=" + Outcome +
            " status=" + std::to_string(this->FinalStatus) +
-           this->refusalText() + " servers=" + this->ServerPath +
+           this->refusalText() + " servers=" + this->TriedServerIds +
            (this->AllocatorName.empty()
                 ? ""
                 : " allocator=" + this->AllocatorName +
--- a/src/Gateway/GatewayRequest.h
+++ b/src/Gateway/GatewayRequest.h
@@ -17,7 +17,8 @@
 /// authorization, choice of a server, attempts, and the response. Kept alive by
 /// the callbacks of its session and its server connection until it has ended.
 /// Implemented in three files: admission and end (`GatewayRequest.cpp`),
-/// attempts (`GatewayRequestSend.cpp`), responses (`GatewayRequestAnswer.cpp`).
+/// attempts (`GatewayRequestAttempt.cpp`), responses
+/// (`GatewayRequestResponse.cpp`).
 class GatewayRequest : public std::enable_shared_from_this<GatewayRequest> {
 public:
   GatewayRequest(GatewayContext &C, std::shared_ptr<CallerSession> S,
@@ -103,8 +104,8 @@
   bool mayHaveRun() const { return this->Progress.Runs > 0; }
   void logEnd(const char *Outcome) const;
   RequestContent content() const;
-  /// The same for all of the caller's retries of this request. The first call
-  /// hashes the body.
+  /// Identifies the request; equal for all of the caller's retries. The first
+  /// call hashes the body.
   const RequestIdentity &identity();
   /// Whether a server may have crashed while processing this request.
   bool mayBeSuspect();
@@ -164,7 +165,8 @@
   std::optional<std::uint64_t> LastEventId;
   bool UpstreamPaused = false;
   bool Ended = false;
-  std::string ServerPath;
+  /// The servers of all attempts in order, for the log.
+  std::string TriedServerIds;
   int FinalStatus = 0;
   std::optional<RefusalReason> Refusal;
   /// The allocation request that was refused.
--- a/src/Gateway/GatewayRequestSend.cpp
+++ b/src/Gateway/GatewayRequestAttempt.cpp
@@ -18,8 +18,8 @@
 /// Max idle time of a pooled connection for a request that may run only once.
 /// It must have been used recently, and be well within the server's idle
 /// timeout: if the connection has broken unnoticed, it is unknown whether the
-/// request ran. A much shorter limit opens more connections, but no fewer
-/// requests fail.
+/// request ran. A shorter limit would open more connections without making
+/// fewer requests fail.
 constexpr Duration MaxIdleUnrepeatable = std::chrono::seconds(4);
 
 /// The same for a request that may be repeated.
@@ -94,7 +94,7 @@
 
 void GatewayRequest::onAllocated(const AllocationOutcome &Outcome) {
   this->PendingAllocation.reset();
-  this->AllocatorName = Outcome.Allocator;
+  this->AllocatorName = Outcome.AllocatorName;
   this->AllocationTime += Outcome.WaitTime;
   if (this->Ended)
     return;
@@ -108,8 +108,9 @@
   const TimePoint Now = this->Context.Loop.clock().now();
   this->recordServerStart(Grant);
   this->SendDeadline = Outcome.SendDeadline;
-  // Otherwise a router that was frozen, or whose datagrams were delayed, would
-  // send all requests that it was granted meanwhile within one second.
+  // An expired grant is returned. Otherwise a router that was suspended, or
+  // whose datagrams were delayed, would send all requests that were granted in
+  // the meantime within one second.
   if (this->isGrantExpired()) {
     this->Context.Agent.recordLateGrant();
     this->releaseGrant(Grant, ServerVerdict::Healthy);
@@ -205,7 +206,7 @@
   this->PromptPrefilled = false;
   this->ResponseBody.clear();
   this->Splitter.clear();
-  this->ServerPath += (this->ServerPath.empty() ? "" : ",") + Server.Id;
+  this->TriedServerIds += (this->TriedServerIds.empty() ? "" : ",") + Server.Id;
   this->Load = {NewChoice.PrefillTokens, this->CallerFields.MaxOutputTokens,
                 this->Context.Servers.startOf(NewChoice.Server)};
   this->Context.Servers.recordSent(NewChoice.Server, this->Load,
@@ -282,8 +283,9 @@
   return Listener;
 }
 
-/// A grant to a warming server allows extra time to establish a connection, but
-/// not for a longer delay, for instance after a freeze.
+/// With a grant for a server that is warming up, a new connection may delay the
+/// request beyond `SendDeadline`, but only up to `MaxWarmUpSendDelay` after the
+/// grant.
 std::function<bool()> GatewayRequest::sendCondition() const {
   if (!this->SendDeadline)
     return {};
--- a/src/Gateway/GatewayRequestAnswer.cpp
+++ b/src/Gateway/GatewayRequestResponse.cpp
@@ -13,8 +13,8 @@
 /// Unsent response bytes above which the router stops reading from the server.
 constexpr std::size_t MaxUnsentBytes = 64U << 10U;
 
-/// Min value of Retry-After. Callers wait for at most a third of their
-/// remaining time and retry once.
+/// Min value of Retry-After, without its random part. Callers wait for at most
+/// a third of their remaining time and retry once.
 constexpr Duration MinRetryAfter = std::chrono::milliseconds(300);
 
 /// Range of the random part of Retry-After.
--- a/src/Gateway/GatewaySettingsReader.cpp
+++ b/src/Gateway/GatewaySettingsReader.cpp
@@ -19,8 +19,8 @@
 constexpr std::uint32_t MaxMemoryMb = 1'000'000;
 
 /// The default of `max-callers` for these resources. An active request has a
-/// second connection to its server, and a caller with its request, response and
-/// buffers takes some 20 KB (63 MB at 3,600 descriptors during a flood).
+/// second connection to its server. `CallersPerMb` allows some 42 KB per
+/// caller, twice what its request, response and buffers usually take.
 std::uint32_t defaultMaxCallers(std::uint32_t Descriptors,
                                 std::uint32_t MemoryMb) {
   constexpr std::uint32_t DescriptorsPerCaller = 2;
@@ -83,8 +83,8 @@
         Key, static_cast<std::uint32_t>(DefaultMs), MaxMilliseconds));
   }
 
-  static double positive(SectionReader &Reader, const std::string &Key,
-                         double Default) {
+  static double nonNegative(SectionReader &Reader, const std::string &Key,
+                            double Default) {
     const std::string Text = Reader.text(Key, "");
     if (Text.empty())
       return Default;
@@ -102,7 +102,7 @@
                           Duration Default) {
     const std::chrono::duration<double> DefaultSeconds(Default);
     return std::chrono::duration_cast<Duration>(std::chrono::duration<double>(
-        positive(Reader, Key, DefaultSeconds.count())));
+        nonNegative(Reader, Key, DefaultSeconds.count())));
   }
 
   void gateway(SectionReader &Reader) {
@@ -115,7 +115,7 @@
     G.ReadyAddress = address(Reader, "ready", false);
     G.OperatorAddress = address(Reader, "operators", false);
     G.PeerAddress = address(Reader, "peers", false);
-    G.Cores = positive(Reader, "cores", G.Cores);
+    G.Cores = nonNegative(Reader, "cores", G.Cores);
     if (G.Cores <= 0)
       Reader.failAt("cores", "must be above zero");
     const auto Descriptors =
@@ -140,10 +140,10 @@
     G.EvacuationBound =
         milliseconds(Reader, "evacuation-ms", G.EvacuationBound);
     G.WarmUps.RateFactor =
-        positive(Reader, "warm-up-over", G.WarmUps.RateFactor);
-    G.WarmUps.Slack = positive(Reader, "warm-up-slack", G.WarmUps.Slack);
-    G.Retries.Ratio = positive(Reader, "retry-ratio", G.Retries.Ratio);
-    G.Retries.Slack = positive(Reader, "retry-slack", G.Retries.Slack);
+        nonNegative(Reader, "warm-up-over", G.WarmUps.RateFactor);
+    G.WarmUps.Slack = nonNegative(Reader, "warm-up-slack", G.WarmUps.Slack);
+    G.Retries.Ratio = nonNegative(Reader, "retry-ratio", G.Retries.Ratio);
+    G.Retries.Slack = nonNegative(Reader, "retry-slack", G.Retries.Slack);
     G.Retries.Window = seconds(Reader, "retry-window-s", G.Retries.Window);
   }
 
--- a/src/Gateway/RelayClusters.cpp
+++ b/src/Gateway/RelayClusters.cpp
@@ -6,10 +6,11 @@
 
 namespace {
 
-/// Approximate number of routers per relay. That is 40 to 80 status messages
-/// per second, up to 6 KB and 0.2 % of a core.
+/// Approximate number of routers per relay. A relay then sends 40 to 80 status
+/// messages per second (up to 6 KB), which takes 0.2 % of a core.
 constexpr std::size_t RoutersPerRelay = 48;
-/// Key of the rendezvous order of relays.
+/// Key of the rendezvous order of relays. Any constant does, but all routers
+/// must have the same one.
 constexpr std::uint64_t RelayOrderKey = 0x70726F6F66;
 
 std::size_t relaysFor(std::size_t Routers) {
@@ -18,13 +19,13 @@
 
 /// In a small fleet several zones share a relay: one relay per zone would read
 /// the store more often than needed.
-std::vector<RelayCluster> sharedClusters(const RouterCounts &Zones,
+std::vector<RelayCluster> sharedClusters(const RouterCounts &Counts,
                                          std::size_t Relays) {
   if (Relays == 0)
     return {};
   std::vector<RelayCluster> Clusters(Relays);
   std::size_t Index = 0;
-  for (const auto &[Zone, Count] : Zones)
+  for (const auto &[Zone, Count] : Counts)
     Clusters[Index++ % Relays].Zones.insert(Zone);
   for (std::size_t I = 0; I < Clusters.size(); ++I)
     Clusters[I].Key = rendezvousScore(RelayOrderKey, I);
@@ -33,15 +34,15 @@
 
 } // namespace
 
-std::vector<RelayCluster> relayClusters(const RouterCounts &Routers) {
+std::vector<RelayCluster> relayClusters(const RouterCounts &Counts) {
   std::size_t Total = 0;
-  for (const auto &[Zone, Count] : Routers)
+  for (const auto &[Zone, Count] : Counts)
     Total += Count;
   const std::size_t Relays = relaysFor(Total);
-  if (Relays <= Routers.size())
-    return sharedClusters(Routers, Relays);
+  if (Relays <= Counts.size())
+    return sharedClusters(Counts, Relays);
   std::vector<RelayCluster> Clusters;
-  for (const auto &[Zone, Count] : Routers)
+  for (const auto &[Zone, Count] : Counts)
     for (std::size_t I = 0; I < relaysFor(Count); ++I)
       Clusters.push_back(
           {rendezvousScore(RelayOrderKey ^ hashName(Zone), I), {Zone}});
--- a/src/Gateway/RelayTimes.h
+++ b/src/Gateway/RelayTimes.h
@@ -19,7 +19,8 @@
 
 /// How often relays prove that their state is current, and how followers react
 /// to a missing proof. All times are derived from the bounds: wider bounds need
-/// fewer calls on the store.
+/// fewer calls on the store. With the default bounds they are 0.6, 0.75, 0.84
+/// and 1.35 s.
 struct RelayTimes {
   /// How often a relay proves that its configuration is the newest one. More
   /// than three proofs fit into each bound, so that one may be lost.
@@ -27,26 +28,26 @@
   /// Time without a status after which a router asks its relay at once.
   Duration MaxSilence;
   /// Age of the newest proof after which a router asks the other relays too.
-  Duration SuspectProofAge;
-  /// Age of the newest proof after which a router reads the store itself,
-  /// unless several relays report that they cannot reach it either. It covers
-  /// two proofs and their transmission, or two thirds of the shortest bound;
-  /// the rest is left for the router's own read.
+  Duration OldProofAge;
+  /// Age of the newest proof after which a router reads changes from the store
+  /// itself, unless several relays report that they cannot reach it either. It
+  /// covers two proofs and their transmission, that is, two thirds of the
+  /// shortest bound; the rest is left for the router's own read.
   Duration MaxProofAge;
 
   static RelayTimes of(const FleetBounds &Bounds) {
-    constexpr double PartOfRevocation = 0.24;
-    constexpr double PartOfChange = 0.3;
+    constexpr double FractionOfRevocation = 0.24;
+    constexpr double FractionOfOtherBounds = 0.3;
     const Duration Interval =
-        std::min({partOf(Bounds.Revocation, PartOfRevocation),
-                  partOf(Bounds.Configuration, PartOfChange),
-                  partOf(Bounds.Removal, PartOfChange)});
-    return {Interval, partOf(Interval, 1.25), partOf(Interval, 1.4),
-            partOf(Interval, 2.25)};
+        std::min({fractionOf(Bounds.Revocation, FractionOfRevocation),
+                  fractionOf(Bounds.Configuration, FractionOfOtherBounds),
+                  fractionOf(Bounds.Removal, FractionOfOtherBounds)});
+    return {Interval, fractionOf(Interval, 1.25), fractionOf(Interval, 1.4),
+            fractionOf(Interval, 2.25)};
   }
 
-  static Duration partOf(Duration Whole, double Part) {
-    return std::chrono::duration_cast<Duration>(Whole * Part);
+  static Duration fractionOf(Duration Whole, double Fraction) {
+    return std::chrono::duration_cast<Duration>(Whole * Fraction);
   }
 };
 
--- a/src/Gateway/RelayTrust.h
+++ b/src/Gateway/RelayTrust.h
@@ -1,7 +1,7 @@
 #ifndef PARSLEYWING_GATEWAY_RELAYTRUST_H
 #define PARSLEYWING_GATEWAY_RELAYTRUST_H
 
-#include "Gateway/FleetExchange.h"
+#include "Gateway/FleetDistributor.h"
 #include "Gateway/RelayTimes.h"
 
 #include <cstdint>
@@ -9,15 +9,16 @@
 
 namespace parsleywing {
 
-/// Decides from the status messages of relays whether a router may leave
-/// reading the store to them. Makes no calls and has no clock of its own.
+/// Decides from the status messages of relays and verifiers whether a router
+/// may leave reading the store to them. Makes no calls and has no clock of its
+/// own.
 ///
 /// If a relay's proof grows old, either the relay is disconnected from the
 /// store or the store is unreachable for all routers. In the first case a
 /// router must read the store itself, or it would send requests to servers that
-/// have left. In the second case each call fails: 195 routers made 1,600 calls
-/// in an outage of 6 s. Several relays that answer, read the store themselves
-/// and have no new proof indicate the second case.
+/// have left. In the second case each call fails, so it must not keep calling.
+/// Several relays or verifiers that answer, read the store themselves and have
+/// no new proof indicate the second case.
 class RelayTrust {
 public:
   explicit RelayTrust(const RelayTimes &T) : Times(T) {}
@@ -30,11 +31,12 @@
     return Now - this->ProvenAt < this->Times.MaxProofAge;
   }
 
-  /// Whether several relays answer and none of them reaches the store.
+  /// Whether several relays or verifiers answer and none of them reaches the
+  /// store.
   bool storeSeemsUnreachable(TimePoint Now) const;
 
 private:
-  struct Witness {
+  struct StoreReader {
     TimePoint ReceivedAt{};
     TimePoint ProvenAt{};
   };
@@ -42,7 +44,7 @@
   RelayTimes Times;
   TimePoint ProvenAt{};
   /// The last status of each router that reads the store, by its sender hash.
-  std::map<std::uint64_t, Witness> Witnesses;
+  std::map<std::uint64_t, StoreReader> StoreReaders;
 };
 
 } // namespace parsleywing
--- a/src/Gateway/RouterExchange.cpp
+++ b/src/Gateway/RouterMessenger.cpp
@@ -1,4 +1,4 @@
-#include "Gateway/RouterExchange.h"
+#include "Gateway/RouterMessenger.h"
 
 #include "Placement/RouterOrder.h"
 #include "Runtime/Id.h"
@@ -14,14 +14,15 @@
 namespace {
 
 /// How long a router that did not answer is skipped, at first and at most.
-constexpr Duration InitialSuspectTime = std::chrono::seconds(2);
-constexpr Duration MaxSuspectTime = std::chrono::seconds(16);
-/// A suspicion this long after the end of the last one counts as the first.
-constexpr Duration SuspicionResetTime = std::chrono::seconds(10);
+constexpr Duration InitialSkipDuration = std::chrono::seconds(2);
+constexpr Duration MaxSkipDuration = std::chrono::seconds(16);
+/// A router that is skipped again this long after the end of the last time is
+/// skipped for the initial duration.
+constexpr Duration SkipResetTime = std::chrono::seconds(10);
 
-/// Maximum number of keys whose first router is cached. Services, groups and
-/// relay clusters are tens; the limit only bounds what invalid datagrams could
-/// add.
+/// Maximum number of keys whose first router is cached. There are tens of
+/// services, groups and relay clusters; the limit bounds the keys of refused
+/// requests (`CrashDetector::acquireProbe`) and of invalid datagrams.
 constexpr std::size_t MaxCachedKeys = 4096;
 
 /// Bytes of one datagram, below what a network transmits unfragmented.
@@ -31,11 +32,10 @@
 /// datagram.
 constexpr std::size_t UsualMessageSize = 250;
 constexpr std::size_t MaxReceivedSize = 65536;
-/// Usually enough to read all pending datagrams. Under a flood, the turns of a
-/// router's event loop are up to 0.1 s apart. With 64 datagrams per turn,
-/// replies waited for 0.5 s and were lost, and their allocators were considered
-/// unreachable.
-constexpr int MaxDatagramsPerTurn = 2048;
+/// Usually enough to read all pending datagrams. Iterations of a busy loop are
+/// up to 0.1 s apart. With 64 datagrams per iteration, replies are read 0.5 s
+/// late or lost, and their allocators are skipped as unreachable.
+constexpr int MaxDatagramsPerIteration = 2048;
 
 std::size_t sizeBound(const RouterMessage &Message) {
   const bool FillsDatagram = std::holds_alternative<FleetUpdate>(Message) ||
@@ -56,19 +56,19 @@
 
 } // namespace
 
-RouterExchange::RouterExchange(EventLoop &L, Options O, Metrics &M)
+RouterMessenger::RouterMessenger(EventLoop &L, Options O, Metrics &M)
     : Loop(L), Settings(std::move(O)),
       Datagrams(M.counter(
           {"allocation_datagrams_total", "Datagrams sent to routers.", ""})),
       Malformed(M.counter(
           {"allocation_malformed_total", "Malformed datagrams.", ""})) {}
 
-RouterExchange::~RouterExchange() {
+RouterMessenger::~RouterMessenger() {
   if (this->Opened)
     this->Loop.remove(this->Socket);
 }
 
-Result<void> RouterExchange::open(Receiver OnMessage) {
+Result<void> RouterMessenger::open(Receiver OnMessage) {
   this->OnMessage = std::move(OnMessage);
   if (this->Settings.Address.empty())
     return {};
@@ -87,7 +87,7 @@
   return {};
 }
 
-void RouterExchange::setRouters(const RouterList &Endpoints) {
+void RouterMessenger::setRouters(const RouterList &Endpoints) {
   std::map<std::string, Router> Listed;
   for (const auto &[Name, Endpoint] : Endpoints) {
     try {
@@ -98,13 +98,13 @@
       Entry.Zone = Endpoint.Zone;
       if (const auto Known = this->Routers.find(Name);
           Known != this->Routers.end()) {
-        Entry.SuspectUntil = Known->second.SuspectUntil;
-        Entry.SuspectDuration = Known->second.SuspectDuration;
+        Entry.SkippedUntil = Known->second.SkippedUntil;
+        Entry.SkipDuration = Known->second.SkipDuration;
       }
     } catch (const Poco::Exception &Problem) {
       Listed.erase(Name);
       log(LogPart::Peer, LogLevel::Warn,
-          "router " + Name +
+          "router=" + Name +
               " lists an invalid address: " + Problem.displayText());
     }
   }
@@ -116,46 +116,47 @@
 }
 
 const Poco::Net::SocketAddress *
-RouterExchange::addressOf(const std::string &Name) const {
+RouterMessenger::addressOf(const std::string &Name) const {
   const auto Found = this->Routers.find(Name);
   return Found == this->Routers.end() ? nullptr : &Found->second.Address;
 }
 
 std::string
-RouterExchange::nameAt(const Poco::Net::SocketAddress &Address) const {
+RouterMessenger::nameAt(const Poco::Net::SocketAddress &Address) const {
   const auto Found = std::find_if(
       this->Routers.begin(), this->Routers.end(),
       [&Address](const auto &Each) { return Each.second.Address == Address; });
   return Found == this->Routers.end() ? std::string() : Found->first;
 }
 
-void RouterExchange::clearFirstCache() {
+void RouterMessenger::clearFirstCache() {
   this->FirstCache.clear();
   this->FirstCacheValidUntil = TimePoint::max();
   const TimePoint Now = this->Loop.clock().now();
   for (const auto &[Name, Listed] : this->Routers)
-    if (Listed.SuspectUntil > Now)
+    if (Listed.SkippedUntil > Now)
       this->FirstCacheValidUntil =
-          std::min(this->FirstCacheValidUntil, Listed.SuspectUntil);
+          std::min(this->FirstCacheValidUntil, Listed.SkippedUntil);
 }
 
 /// The cached first router of the key; empty if there is none yet.
-std::string *RouterExchange::cachedFirst(std::uint64_t Key) {
+std::string *RouterMessenger::cachedFirst(std::uint64_t Key) {
   if (this->Loop.clock().now() >= this->FirstCacheValidUntil ||
       this->FirstCache.size() >= MaxCachedKeys)
     this->clearFirstCache();
   return &this->FirstCache[Key];
 }
 
-const std::string &RouterExchange::firstFor(std::uint64_t Key) {
+const std::string &RouterMessenger::firstFor(std::uint64_t Key) {
   std::string *Cached = this->cachedFirst(Key);
   if (Cached->empty())
     *Cached = this->findFirst(Key, this->Loop.clock().now());
   return *Cached;
 }
 
-const std::string &RouterExchange::firstIn(std::uint64_t Key,
-                                           const std::set<std::string> &Zones) {
+const std::string &
+RouterMessenger::firstIn(std::uint64_t Key,
+                         const std::set<std::string> &Zones) {
   std::string *Cached = this->cachedFirst(Key);
   const TimePoint Now = this->Loop.clock().now();
   if (Cached->empty())
@@ -166,8 +167,8 @@
 }
 
 std::string
-RouterExchange::findFirst(std::uint64_t Key, TimePoint Now,
-                          const std::set<std::string> *Zones) const {
+RouterMessenger::findFirst(std::uint64_t Key, TimePoint Now,
+                           const std::set<std::string> *Zones) const {
   std::string Best = this->Settings.RouterName;
   if (!this->Opened)
     return Best;
@@ -180,7 +181,7 @@
   if (IsOutside)
     Best.clear();
   for (const auto &[Name, Listed] : this->Routers) {
-    if (Listed.SuspectUntil > Now)
+    if (Listed.SkippedUntil > Now)
       continue;
     if (Zones != nullptr && !Zones->contains(Listed.Zone))
       continue;
@@ -196,36 +197,36 @@
   return Best;
 }
 
-void RouterExchange::suspect(const std::string &Name) {
+void RouterMessenger::skip(const std::string &Name) {
   const auto Found = this->Routers.find(Name);
   if (Found == this->Routers.end())
     return;
   Router &Entry = Found->second;
   const TimePoint Now = this->Loop.clock().now();
-  if (Entry.SuspectUntil > Now)
+  if (Entry.SkippedUntil > Now)
     return;
-  const bool IsRepeated = Entry.SuspectDuration > Duration::zero() &&
-                          Now - Entry.SuspectUntil < SuspicionResetTime;
-  Entry.SuspectDuration =
-      IsRepeated ? std::min(Entry.SuspectDuration * 2, MaxSuspectTime)
-                 : InitialSuspectTime;
-  Entry.SuspectUntil = Now + Entry.SuspectDuration;
+  const bool IsRepeated = Entry.SkipDuration > Duration::zero() &&
+                          Now - Entry.SkippedUntil < SkipResetTime;
+  Entry.SkipDuration = IsRepeated
+                           ? std::min(Entry.SkipDuration * 2, MaxSkipDuration)
+                           : InitialSkipDuration;
+  Entry.SkippedUntil = Now + Entry.SkipDuration;
   this->clearFirstCache();
 }
 
-void RouterExchange::leave() {
+void RouterMessenger::leave() {
   this->Leaving = true;
   this->clearFirstCache();
 }
 
-void RouterExchange::send(const std::string &Router, RouterMessage Message) {
+void RouterMessenger::send(const std::string &Router, RouterMessage Message) {
   const auto Found = this->Routers.find(Router);
   if (Found != this->Routers.end())
     this->send(Found->second.Address, std::move(Message));
 }
 
-void RouterExchange::send(const Poco::Net::SocketAddress &Address,
-                          RouterMessage Message) {
+void RouterMessenger::send(const Poco::Net::SocketAddress &Address,
+                           RouterMessage Message) {
   this->Outbox[Address].push_back(std::move(Message));
   if (this->FlushDue)
     return;
@@ -233,13 +234,13 @@
   this->Loop.after(Duration::zero(), [this] { this->flush(); });
 }
 
-void RouterExchange::sendToAll(const RouterMessage &Message) {
+void RouterMessenger::sendToAll(const RouterMessage &Message) {
   for (const auto &[Name, Listed] : this->Routers)
     if (Name != this->Settings.RouterName)
       this->send(Listed.Address, Message);
 }
 
-std::vector<std::string> RouterExchange::others() const {
+std::vector<std::string> RouterMessenger::others() const {
   std::vector<std::string> Names;
   for (const auto &[Name, Listed] : this->Routers)
     if (Name != this->Settings.RouterName)
@@ -247,7 +248,7 @@
   return Names;
 }
 
-void RouterExchange::flush() {
+void RouterMessenger::flush() {
   this->FlushDue = false;
   const auto Pending = std::exchange(this->Outbox, {});
   for (const auto &[Address, Messages] : Pending)
@@ -270,12 +271,12 @@
     }
 }
 
-void RouterExchange::onReadable() {
+void RouterMessenger::onReadable() {
   static thread_local std::array<char, MaxReceivedSize> Buffer;
-  for (int Count = 0; Count < MaxDatagramsPerTurn; ++Count) {
+  for (int Count = 0; Count < MaxDatagramsPerIteration; ++Count) {
     ::sockaddr_storage From{};
     ::socklen_t Length = sizeof(From);
-    // Bypasses the library, which would throw at the end of each turn, when no
+    // Bypasses Poco, which would throw at the end of each iteration, when no
     // datagram is pending.
     const ::ssize_t Size = ::recvfrom(
         this->Socket.impl()->sockfd(), Buffer.data(), Buffer.size(),
@@ -289,8 +290,8 @@
   }
 }
 
-void RouterExchange::onDatagram(std::string_view Bytes,
-                                const Poco::Net::SocketAddress &From) {
+void RouterMessenger::onDatagram(std::string_view Bytes,
+                                 const Poco::Net::SocketAddress &From) {
   const auto Messages = decodeMessages(Bytes);
   if (!Messages) {
     this->Malformed.add();
--- a/src/Gateway/RouterExchange.h
+++ b/src/Gateway/RouterMessenger.h
@@ -1,5 +1,5 @@
-#ifndef PARSLEYWING_GATEWAY_ROUTEREXCHANGE_H
-#define PARSLEYWING_GATEWAY_ROUTEREXCHANGE_H
+#ifndef PARSLEYWING_GATEWAY_ROUTERMESSENGER_H
+#define PARSLEYWING_GATEWAY_ROUTERMESSENGER_H
 
 #include "Gateway/RelayClusters.h"
 #include "Loop/EventLoop.h"
@@ -18,10 +18,10 @@
 /// The routers of the fleet as known to this one, and the datagrams to and from
 /// them. Orders the routers for any key by weighted rendezvous hashing, so that
 /// all routers agree on the first one without communication. Messages may be
-/// lost; those sent in one turn of the event loop share datagrams.
+/// lost; those sent in one iteration of the event loop share datagrams.
 ///
 /// Used on the event loop's thread only.
-class RouterExchange {
+class RouterMessenger {
 public:
   struct Options {
     std::string RouterName;
@@ -36,10 +36,10 @@
   using Receiver = std::function<void(const RouterMessage &Message,
                                       const Poco::Net::SocketAddress &From)>;
 
-  RouterExchange(EventLoop &L, Options O, Metrics &M);
-  ~RouterExchange();
-  RouterExchange(const RouterExchange &) = delete;
-  RouterExchange &operator=(const RouterExchange &) = delete;
+  RouterMessenger(EventLoop &L, Options O, Metrics &M);
+  ~RouterMessenger();
+  RouterMessenger(const RouterMessenger &) = delete;
+  RouterMessenger &operator=(const RouterMessenger &) = delete;
 
   /// Fails if the address is in use.
   Result<void> open(Receiver OnMessage);
@@ -57,7 +57,8 @@
   std::string nameAt(const Poco::Net::SocketAddress &Address) const;
 
   /// The first live router in the rendezvous order of a key; this one if there
-  /// is no other. Suspected routers are skipped.
+  /// is no other. Routers that `skip` was called for do not count as live for a
+  /// while.
   const std::string &firstFor(std::uint64_t Key);
 
   /// The first live router of these zones, or of all zones if these have none.
@@ -65,19 +66,19 @@
   const std::string &firstIn(std::uint64_t Key,
                              const std::set<std::string> &Zones);
 
-  /// Skips a router that did not answer or is of no use, for a time that
-  /// doubles with each suspicion in a row.
-  void suspect(const std::string &Name);
+  /// Skips a router that did not answer or is disconnected from the store, for
+  /// a time that doubles with each call in a row.
+  void skip(const std::string &Name);
 
-  /// This router stops soon: it is no longer the first router for any key,
-  /// unless there is no other.
+  /// The drain of this router has begun: it is no longer the first router for
+  /// any key, unless there is no other.
   void leave();
 
   /// Sends to a listed router. Does nothing if the router is not listed; the
   /// sender of a request then times out and asks another router.
   void send(const std::string &Router, RouterMessage Message);
   void send(const Poco::Net::SocketAddress &Address, RouterMessage Message);
-  /// Sends one datagram to each listed router except this one.
+  /// Sends the message to each listed router except this one.
   void sendToAll(const RouterMessage &Message);
   /// The listed routers except this one.
   std::vector<std::string> others() const;
@@ -88,9 +89,9 @@
     std::uint64_t Hash = 0;
     double Cores = 1;
     std::string Zone;
-    /// The end and the length of the last suspicion.
-    TimePoint SuspectUntil{};
-    Duration SuspectDuration{};
+    /// Until when the router is skipped, or was last, and for how long.
+    TimePoint SkippedUntil{};
+    Duration SkipDuration{};
   };
 
   /// Empty if `Zones` is given and has no live router.
@@ -112,10 +113,12 @@
   Receiver OnMessage;
   std::map<std::string, Router> Routers;
   RouterCounts Counts;
-  /// The first router of each key since the list changed. A request costs one
-  /// lookup instead of one score per router (6 microseconds with 85 routers).
+  /// The results of `firstFor` and `firstIn` by key, until the list of routers
+  /// changes or a router is skipped or used again. A request costs one lookup
+  /// instead of one score per router (6 microseconds with 85 routers).
   std::unordered_map<std::uint64_t, std::string> FirstCache;
-  /// When the next suspicion ends, which may change the first routers.
+  /// When the next skipped router may be used again, which may change the first
+  /// routers.
   TimePoint FirstCacheValidUntil = TimePoint::max();
   std::map<Poco::Net::SocketAddress, std::vector<RouterMessage>> Outbox;
   bool FlushDue = false;
--- a/src/Gateway/UpstreamConnection.cpp
+++ b/src/Gateway/UpstreamConnection.cpp
@@ -56,9 +56,9 @@
                               const std::string &SentMethod,
                               const std::string &SentId,
                               UpstreamListener NewListener,
-                              std::function<bool()> MaySend) {
+                              std::function<bool()> SendCondition) {
   this->Listener = std::move(NewListener);
-  this->SendAllowed = std::move(MaySend);
+  this->SendCondition = std::move(SendCondition);
   this->Method = SentMethod;
   this->RequestId = SentId;
   this->CurrentState = State::ReadingHead;
@@ -67,8 +67,8 @@
 }
 
 void UpstreamConnection::onConnected() {
-  if (this->CurrentState == State::ReadingHead && this->SendAllowed &&
-      !this->SendAllowed())
+  if (this->CurrentState == State::ReadingHead && this->SendCondition &&
+      !this->SendCondition())
     this->failExchange(UpstreamEnd::NotSent);
 }
 
--- a/src/Gateway/UpstreamConnection.h
+++ b/src/Gateway/UpstreamConnection.h
@@ -13,7 +13,8 @@
 /// How the exchange of one request with a server ended.
 enum class UpstreamEnd {
   Complete,  ///< The complete response was received.
-  NotSent,   ///< No connection was established; nothing was sent.
+  NotSent,   ///< Nothing was sent: no connection was established, or the
+             ///< request's `SendCondition` forbade it.
   Broken,    ///< The connection ended early; the request may have run.
   Malformed, ///< The server sent an invalid response.
 };
@@ -33,9 +34,9 @@
   std::function<void(UpstreamEnd)> Ended;
 };
 
-/// One HTTP connection to a server, which carries one request at a time. A
-/// response is matched to its request by the request ID: responses to other
-/// requests, which a faulty server sends late, are skipped.
+/// One HTTP connection to a server (the upstream), which carries one request at
+/// a time. A response is matched to its request by the request ID: responses to
+/// other requests, which a faulty server sends late, are skipped.
 class UpstreamConnection
     : public std::enable_shared_from_this<UpstreamConnection> {
 public:
@@ -51,11 +52,11 @@
   UpstreamConnection &operator=(const UpstreamConnection &) = delete;
 
   /// Sends a request. `SentMethod` and `SentId` are needed to interpret its
-  /// response. If `MaySend` is false when the connection is established, the
-  /// exchange ends with `NotSent`.
+  /// response. If `SendCondition` returns false when the connection is
+  /// established, the exchange ends with `NotSent`.
   void send(const std::string &Bytes, const std::string &SentMethod,
             const std::string &SentId, UpstreamListener NewListener,
-            std::function<bool()> MaySend = {});
+            std::function<bool()> SendCondition = {});
 
   /// Whether any byte of the current request may have been sent.
   bool mayHaveSent() const;
@@ -80,7 +81,7 @@
   }
 
   /// Sets the callback for an idle connection that becomes unusable.
-  void onIdleClosed(std::function<void()> Callback) {
+  void setIdleClosedCallback(std::function<void()> Callback) {
     this->IdleClosed = std::move(Callback);
   }
 
@@ -109,7 +110,7 @@
   std::shared_ptr<ByteChannel> Channel;
   UpstreamListener Listener;
   std::function<void()> IdleClosed;
-  std::function<bool()> SendAllowed;
+  std::function<bool()> SendCondition;
   std::string Method;
   std::string RequestId;
   std::string Input;
--- a/src/Gateway/UpstreamPool.cpp
+++ b/src/Gateway/UpstreamPool.cpp
@@ -48,12 +48,13 @@
     Connections.front()->close();
     Connections.erase(Connections.begin());
   }
-  Connection->onIdleClosed([this, ServerId, Weak = std::weak_ptr(Connection)] {
-    const auto Closed = Weak.lock();
-    const auto Found = this->IdleByServer.find(ServerId);
-    if (Found != this->IdleByServer.end())
-      std::erase(Found->second, Closed);
-  });
+  Connection->setIdleClosedCallback(
+      [this, ServerId, Weak = std::weak_ptr(Connection)] {
+        const auto Closed = Weak.lock();
+        const auto Found = this->IdleByServer.find(ServerId);
+        if (Found != this->IdleByServer.end())
+          std::erase(Found->second, Closed);
+      });
   Connections.push_back(std::move(Connection));
 }
 
--- a/src/Gateway/WireFormat.h
+++ b/src/Gateway/WireFormat.h
@@ -67,8 +67,8 @@
   std::optional<Duration> IdleTimeout;
 };
 
-/// Translates between HTTP heads and the fields that the gateway needs. The
-/// gateway uses only these functions; their implementation defines the names of
+/// Translates between HTTP heads and the fields that the router needs. The
+/// router uses only these functions; their implementation defines the names of
 /// the header fields.
 struct WireFormat {
   Result<CallerRequestFields> (*ParseCallerRequest)(const HttpHead &Head);
--- a/test/Adapter/StoreCallsTest.cpp
+++ b/test/Adapter/StoreCallsTest.cpp
@@ -35,14 +35,14 @@
   cr_assert(Servers.has_value());
   cr_assert_eq(Servers->Servers.size(), 2);
   cr_expect_eq(Servers->Servers[1].Server.Id, "d");
-  cr_assert_eq(Servers->Unusable.size(), 2);
-  cr_expect_eq(Servers->Unusable[0].Id, "b");
+  cr_assert_eq(Servers->Invalid.size(), 2);
+  cr_expect_eq(Servers->Invalid[0].Id, "b");
   const auto Routers = Source.Routers(ReadConsistency::Linearizable);
   cr_assert(Routers.has_value());
   cr_assert_eq(Routers->Routers.size(), 1);
   const auto Changes = Source.Changes(0, 100ms);
   cr_assert(Changes.has_value());
-  // Unusable entries are reported too, because the earlier entries of their
+  // Invalid entries are reported too, because the earlier entries of their
   // keys are no longer valid.
   cr_assert_eq(Changes->Changes.size(), 5);
   const auto Count = [&Changes](auto Predicate) {
@@ -50,7 +50,7 @@
                          Predicate);
   };
   cr_expect_eq(Count([](const FleetChange &Each) {
-                 return std::holds_alternative<UnusableServer>(Each);
+                 return std::holds_alternative<InvalidServerEntry>(Each);
                }),
                2);
   cr_expect_eq(Count([](const FleetChange &Each) {
--- a/test/Gateway/CachedPartsReaderTest.cpp
+++ b/test/Gateway/CachedPartsReaderTest.cpp
@@ -30,7 +30,7 @@
   Fixture()
       : Loop(Clock::steady()), Pool(Loop),
         Subject(Loop, Format, Pool, MetricsRegistry) {
-    this->Subject.start(
+    this->Subject.setPartsCallback(
         [this](const GatewayServer &Server, const CachedParts &Cached) {
           this->PartCounts[Server.Id] = Cached.Parts.size();
         });
--- a/test/Gateway/FakeStore.h
+++ b/test/Gateway/FakeStore.h
@@ -44,7 +44,7 @@
   std::atomic<int> Registrations{0};
   /// The lease that was renewed last, and one that has expired.
   std::atomic<LeaseId> RenewedLease{0};
-  std::atomic<LeaseId> EndedLease{0};
+  std::atomic<LeaseId> ExpiredLease{0};
   std::atomic<int> Unregistrations{0};
 
   void countRead(ReadConsistency Consistency) {
@@ -110,7 +110,7 @@
     };
     Source.Renew = [this](LeaseId Lease) -> Result<void> {
       this->RenewedLease = Lease;
-      if (this->EndedLease == Lease)
+      if (this->ExpiredLease == Lease)
         return failure(ErrorCode::NotFound, "expired");
       return {};
     };
--- a/test/Gateway/FleetExchangeTest.cpp
+++ b/test/Gateway/FleetDistributorTest.cpp
@@ -1,4 +1,4 @@
-#include "Gateway/FleetExchange.h"
+#include "Gateway/FleetDistributor.h"
 #include "Gateway/FleetState.h"
 #include "Gateway/LoopbackRouters.h"
 
@@ -93,10 +93,10 @@
   }
 
   LoopbackRouters Fleet;
-  RouterExchange &Small;
-  RouterExchange &Large;
-  FleetExchange Follower;
-  FleetExchange Relay;
+  RouterMessenger &Small;
+  RouterMessenger &Large;
+  FleetDistributor Follower;
+  FleetDistributor Relay;
   FleetState RelayState;
   FleetState FollowerState;
   std::optional<RelayStatus> LastStatus;
@@ -272,7 +272,7 @@
     // Five large routers, so that two of them are the relays of the clusters.
     for (const std::string Name :
          {"large1", "large2", "large3", "large4", "large5"})
-      this->Relays.push_back(std::make_unique<FleetExchange>(
+      this->Relays.push_back(std::make_unique<FleetDistributor>(
           Fleet.Loop, Fleet.add(Name, 100), this->Relays.size() + 2,
           RelayTimes::of({})));
     // More than 48 routers form two clusters; these are listed but do not run.
@@ -284,7 +284,7 @@
         this->Follower.onStatus(*Status, From);
     }));
     for (std::size_t Each = 0; Each < this->Relays.size(); ++Each)
-      cr_assert(Fleet.Exchanges[Each + 1]->open(
+      cr_assert(Fleet.Messengers[Each + 1]->open(
           [this, Each](const RouterMessage &Message,
                        const Poco::Net::SocketAddress &From) {
             if (const auto *Request = std::get_if<FleetStatusRequest>(&Message))
@@ -294,7 +294,7 @@
     setView(this->Follower, {});
   }
 
-  void setView(FleetExchange &To, TimePoint ProvenAt) const {
+  void setView(FleetDistributor &To, TimePoint ProvenAt) const {
     auto View = std::make_shared<FleetView>();
     View->RouterEndpoints = std::make_shared<RouterList>(this->Fleet.Endpoints);
     View->ProvenAt = ProvenAt;
@@ -316,9 +316,9 @@
   }
 
   LoopbackRouters Fleet;
-  RouterExchange &Small;
-  FleetExchange Follower;
-  std::vector<std::unique_ptr<FleetExchange>> Relays;
+  RouterMessenger &Small;
+  FleetDistributor Follower;
+  std::vector<std::unique_ptr<FleetDistributor>> Relays;
   /// The sender hash of the relay without new proofs; 0 for none.
   std::uint64_t DisconnectedRelay = 0;
 };
@@ -336,7 +336,7 @@
   std::optional<Duration> Gap;
   T.Follower.start([&](const RelayMessage &Message) {
     const auto *Status = std::get_if<RelayStatus>(&Message);
-    if (Status == nullptr || !Status->IsOwnRelay)
+    if (Status == nullptr || !Status->IsCurrentRelay)
       return;
     if (T.DisconnectedRelay == 0) {
       T.DisconnectedRelay = Status->SenderHash;
--- a/test/Gateway/FleetFeedCallsTest.cpp
+++ b/test/Gateway/FleetFeedCallsTest.cpp
@@ -16,7 +16,7 @@
   Status.SeenRevision = Seen;
   Status.ReadsStore = true;
   Status.SenderHash = Sender;
-  Status.IsOwnRelay = Sender == 1;
+  Status.IsCurrentRelay = Sender == 1;
   return Status;
 }
 
@@ -151,7 +151,7 @@
   cr_assert(F.eventually(
       [](const FleetView &View) { return View.SeenRevision == 10; }));
   std::this_thread::sleep_for(400ms);
-  F.Store.EndedLease = 77;
+  F.Store.ExpiredLease = 77;
   F.Feed->onRelayMessage(RelayUpdate{10, 20, {RemovedRouter{"r", 15}}});
   std::this_thread::sleep_for(400ms);
   cr_expect_eq(F.Store.Registrations, 1);
--- a/test/Gateway/FleetStateTest.cpp
+++ b/test/Gateway/FleetStateTest.cpp
@@ -94,7 +94,8 @@
   FleetState State;
   State.applyChange(FleetChange(server("a", 10)), at(1s));
   State.applyChange(FleetChange(server("b", 11)), at(1s));
-  State.applyChange(FleetChange(UnusableServer{"a", 12, "no address"}), at(1s));
+  State.applyChange(FleetChange(InvalidServerEntry{"a", 12, "no address"}),
+                    at(1s));
   cr_assert_eq(State.view().Servers->size(), 1U);
   cr_assert(State.view().Servers->contains("b"));
   State.applyChange(FleetChange(server("a", 11)), at(1s));
@@ -104,7 +105,7 @@
   // Lists report invalid entries too. During an outage such an entry must not
   // count as lapsed.
   State.recordStoreReachable(false, at(2s));
-  StoredServers List{{server("b", 11)}, 21, {UnusableServer{"a", 20, "x"}}};
+  StoredServers List{{server("b", 11)}, 21, {InvalidServerEntry{"a", 20, "x"}}};
   State.applyServers(List, at(3s));
   cr_assert_eq(State.view().Servers->size(), 1U);
 }
--- a/test/Gateway/LoopbackRouters.h
+++ b/test/Gateway/LoopbackRouters.h
@@ -2,7 +2,7 @@
 #define PARSLEYWING_TEST_GATEWAY_LOOPBACKROUTERS_H
 
 #include "FreeAddress.h"
-#include "Gateway/RouterExchange.h"
+#include "Gateway/RouterMessenger.h"
 
 #include <memory>
 #include <string>
@@ -14,25 +14,25 @@
 struct LoopbackRouters {
   explicit LoopbackRouters(Clock C) : Loop(std::move(C)) {}
 
-  RouterExchange &add(const std::string &Name, double Cores) {
+  RouterMessenger &add(const std::string &Name, double Cores) {
     const std::string Address = freeLoopbackAddress();
     this->Endpoints[Name] = {Address, Cores};
     this->MetricsRegistries.push_back(std::make_unique<Metrics>());
-    this->Exchanges.push_back(std::make_unique<RouterExchange>(
-        this->Loop, RouterExchange::Options{Name, Address, Cores},
+    this->Messengers.push_back(std::make_unique<RouterMessenger>(
+        this->Loop, RouterMessenger::Options{Name, Address, Cores},
         *this->MetricsRegistries.back()));
-    return *this->Exchanges.back();
+    return *this->Messengers.back();
   }
 
   void publishList() {
-    for (const auto &Each : this->Exchanges)
+    for (const auto &Each : this->Messengers)
       Each->setRouters(this->Endpoints);
   }
 
   EventLoop Loop;
   std::vector<std::unique_ptr<Metrics>> MetricsRegistries;
   RouterList Endpoints;
-  std::vector<std::unique_ptr<RouterExchange>> Exchanges;
+  std::vector<std::unique_ptr<RouterMessenger>> Messengers;
 };
 
 } // namespace parsleywing::test
--- a/test/Gateway/RouterExchangeTest.cpp
+++ b/test/Gateway/RouterMessengerTest.cpp
@@ -12,7 +12,7 @@
 void ignore(const RouterMessage &, const Poco::Net::SocketAddress &) {}
 
 /// A key whose first router is not the given one.
-std::uint64_t keyOfOtherRouter(RouterExchange &Exchange) {
+std::uint64_t keyOfOtherRouter(RouterMessenger &Exchange) {
   std::uint64_t Key = 1;
   while (Exchange.firstFor(Key) == Exchange.self())
     ++Key;
@@ -27,8 +27,8 @@
     cr_assert(Fleet.add(Name, 1).open(ignore));
   Fleet.publishList();
   for (std::uint64_t Key = 1; Key < 100; ++Key)
-    for (const auto &Each : Fleet.Exchanges)
-      cr_assert_eq(Each->firstFor(Key), Fleet.Exchanges[0]->firstFor(Key));
+    for (const auto &Each : Fleet.Messengers)
+      cr_assert_eq(Each->firstFor(Key), Fleet.Messengers[0]->firstFor(Key));
 }
 
 Test(RouterExchange, largerVmsAreFirstMoreOften) {
@@ -39,7 +39,7 @@
   int Large = 0;
   constexpr int Keys = 1000;
   for (std::uint64_t Key = 1; Key <= Keys; ++Key)
-    Large += Fleet.Exchanges[0]->firstFor(Key) == "large" ? 1 : 0;
+    Large += Fleet.Messengers[0]->firstFor(Key) == "large" ? 1 : 0;
   // 64 of 65 by the third power of the cores.
   cr_expect_gt(Large, Keys * 95 / 100);
 }
@@ -50,14 +50,14 @@
 Test(RouterExchange, aSuspicionEndsAfterAWhile) {
   Clock Time = Clock::paused();
   LoopbackRouters Fleet(Time);
-  RouterExchange &Self = Fleet.add("r1", 1);
+  RouterMessenger &Self = Fleet.add("r1", 1);
   cr_assert(Self.open(ignore));
   for (const char *Name : {"r2", "r3"})
     cr_assert(Fleet.add(Name, 1).open(ignore));
   Fleet.publishList();
   const std::uint64_t Key = keyOfOtherRouter(Self);
   const std::string First = Self.firstFor(Key);
-  Self.suspect(First);
+  Self.skip(First);
   cr_expect_neq(Self.firstFor(Key), First);
   // A new list does not end the suspicion.
   Fleet.publishList();
@@ -68,7 +68,7 @@
 
 Test(RouterExchange, aLeavingRouterIsFirstForNoKey) {
   LoopbackRouters Fleet(Clock::paused());
-  RouterExchange &Self = Fleet.add("r1", 1);
+  RouterMessenger &Self = Fleet.add("r1", 1);
   cr_assert(Self.open(ignore));
   cr_assert(Fleet.add("r2", 1).open(ignore));
   Fleet.publishList();
@@ -79,8 +79,8 @@
 
 Test(RouterExchange, datagramsReachTheNamedRouter) {
   LoopbackRouters Fleet(Clock::steady());
-  RouterExchange &Self = Fleet.add("r1", 1);
-  RouterExchange &Other = Fleet.add("r2", 1);
+  RouterMessenger &Self = Fleet.add("r1", 1);
+  RouterMessenger &Other = Fleet.add("r2", 1);
   std::vector<RouterMessage> Received;
   cr_assert(Self.open(ignore));
   cr_assert(Other.open(
@@ -107,8 +107,8 @@
 Test(RouterExchange, readsAllPendingDatagramsInOneTurn) {
   constexpr int Datagrams = 150;
   LoopbackRouters Fleet(Clock::steady());
-  RouterExchange &Self = Fleet.add("r1", 1);
-  RouterExchange &Other = Fleet.add("r2", 1);
+  RouterMessenger &Self = Fleet.add("r1", 1);
+  RouterMessenger &Other = Fleet.add("r2", 1);
   int Received = 0;
   int Turn = 0;
   std::set<int> TurnsWithDatagrams;
