--- a/test/Gateway/ConnectionEndTest.cpp
+++ b/test/Gateway/ConnectionEndTest.cpp
@@ -196,13 +196,11 @@
 }
 
 // Guards against reading and dropping a request that arrives while its idle
-// connection is being closed: during a flood, callers of a small router got
-// neither a response nor a refusal, only a normal close of their connection
-// 0.2 s after the request. The loop is blocked with all caller connections in
-// use, requests wait unread on idle connections, and the router closes those to
-// make room. A check for unread bytes before a close that keeps reading still
-// lost some requests, so the connection must be closed without reading: the
-// caller then sees a reset.
+// connection is being closed: its caller would get neither a response nor a
+// refusal, only a normal close. The loop is blocked with all caller connections
+// in use, requests wait unread on idle connections, and the router closes those
+// to make room. A check for unread bytes before the close is not enough: the
+// connection must be closed without reading, so that the caller sees a reset.
 Test(ConnectionEnd, requestDuringCloseOfIdleConnectionStaysUnread) {
   ScriptedServer Server([](Socket &S, const std::string &) {
     sendText(S, okResponse("hello"));
@@ -375,9 +373,8 @@
                "%zu bytes sent, %zu responses", Sent, Responses);
 }
 
-// Guards against final responses after the process has been killed, if a
-// router's loop is blocked when the stop signal arrives and the drain timeout
-// starts only when it continues.
+// Guards against a drain timeout that starts only when a blocked loop
+// continues: the process would be killed before the final responses are sent.
 Test(ConnectionEnd, drainTimeoutRunsFromSignal, .timeout = 30) {
   BlockedRequests B;
   B.Front.blockLoopOnMetrics(2s);
--- a/test/Gateway/CrashingRequestTest.cpp
+++ b/test/Gateway/CrashingRequestTest.cpp
@@ -49,9 +49,9 @@
                 CrashesToRefuse + AllowedExtraAttempts);
 }
 
-// Guards against the same if the request may run only once per attempt and the
+// Guards against the same if the router may not retry the request and the
 // crashed servers restart.
-Test(CrashingRequest, isRefusedIfServersRestartAndEachAttemptRunsOnce,
+Test(CrashingRequest, isRefusedIfServersRestartAndRouterMayNotRetry,
      .timeout = 60) {
   CrashFixture Fleet(3, 4, 200ms);
   Fleet.start();
@@ -65,8 +65,8 @@
                 CrashesToRefuse + AllowedExtraAttempts);
 }
 
-// The refusal must be immediate, state that the request has not run, and not
-// suggest a retry.
+// Guards against a refusal that comes late, does not state that the request has
+// not run, or suggests a retry.
 Test(CrashingRequest, isRefusedAtOnceWithoutRetryAfter, .timeout = 60) {
   CrashFixture Fleet(2, 6, 60s);
   Fleet.start();
--- a/test/Gateway/FakeStore.h
+++ b/test/Gateway/FakeStore.h
@@ -30,7 +30,7 @@
   bool HistoryCompacted = false;
   /// The store's revision as reported by reads of the configuration.
   Revision StoreRevision = 0;
-  /// Changes returned by calls for changes that do not wait.
+  /// Changes that `Changes` returns if it is called with a zero wait.
   std::vector<FleetChange> UnwatchedChanges;
   /// Whether stale reads return the configuration before the last change.
   std::atomic<bool> ReplicasLag{false};
@@ -122,7 +122,8 @@
   }
 };
 
-/// A feed over a `FakeStore`, for a router of the given role.
+/// A feed over a `FakeStore`, for a router of the given role. `Relay` is true
+/// for a relay and false for a follower.
 struct FeedFixture {
   explicit FeedFixture(bool Relay = true,
                        const std::function<void(FakeStore &)> &Before = {})
@@ -162,8 +163,8 @@
     return false;
   }
 
-  /// Simulates a relay that repeatedly proves that it has all changes up to
-  /// this revision.
+  /// Simulates a relay that has all changes up to `SeenRevision` and repeatedly
+  /// proves the configuration of `FakeStore`, which starts at revision 10.
   void receiveProofsFor(Duration Time, Revision SeenRevision) const {
     const TimePoint Until = Clock::sinceBoot().now() + Time;
     while (Clock::sinceBoot().now() < Until) {
--- a/test/Gateway/FleetDistributorTest.cpp
+++ b/test/Gateway/FleetDistributorTest.cpp
@@ -46,7 +46,7 @@
     this->FollowerState.applyServers(Empty, {});
   }
 
-  /// Passes the current states to both exchanges.
+  /// Passes the current states to both distributors.
   void updateViews() {
     this->Relay.updateView(
         std::make_shared<FleetView>(this->RelayState.view()));
@@ -107,9 +107,9 @@
 
 } // namespace
 
-// A revoked key must not keep working for too long at a follower. The relay's
-// proof was dated by the arrival of the status message.
-Test(FleetExchange, aProofIsNeverNewerThanTheRelaysOwn) {
+// Guards against dating a relay's proof by the arrival of its status: a revoked
+// key would keep working for too long at a follower.
+Test(FleetDistributor, aProofIsNeverNewerThanTheRelaysOwn) {
   for (const Duration Age : {Duration(400ms), Duration(3s)}) {
     RelayAndFollower P;
     const TimePoint Before = Clock::sinceBoot().now();
@@ -121,7 +121,7 @@
   }
 }
 
-Test(FleetExchange, sendsAllChangesAfterTheFollowersRevision) {
+Test(FleetDistributor, sendsAllChangesAfterTheFollowersRevision) {
   RelayAndFollower P;
   constexpr Revision ServerCount = 25;
   for (Revision ModRevision = 2; ModRevision < 2 + ServerCount; ++ModRevision)
@@ -147,10 +147,10 @@
   cr_expect_eq(Received.RouterEndpoints->at("r").Cores, 0.5);
 }
 
-// A router must not send requests to a removed server. The datagram with the
-// change was lost and the next one arrived, but all changes that were sent
-// counted as known.
-Test(FleetExchange, resendsLostChanges) {
+// Guards against counting all sent changes as known if a datagram with changes
+// is lost and the next one arrives: the router would send requests to a removed
+// server.
+Test(FleetDistributor, resendsLostChanges) {
   RelayAndFollower P;
   for (Revision ModRevision = 2; ModRevision < 40; ++ModRevision)
     P.RelayState.applyChange(
@@ -163,10 +163,11 @@
   cr_expect_eq(P.FollowerState.view().Servers->size(), 38);
 }
 
-// Servers of a lost zone must not keep getting requests. Their entries were
-// deleted in one revision with more changes than fit into a message, the second
-// message was lost, and the first one alone marked the revision as seen.
-Test(FleetExchange, aRevisionIsSeenOnlyWithAllOfItsChanges) {
+// Guards against marking a revision as seen with only a part of its changes:
+// the servers of a lost zone would keep getting requests. Their entries are
+// deleted in one revision with more changes than fit into a message, and the
+// second message is lost.
+Test(FleetDistributor, aRevisionIsSeenOnlyWithAllOfItsChanges) {
   RelayAndFollower P;
   for (Revision ModRevision = 2; ModRevision < 27; ++ModRevision) {
     P.RelayState.applyChange(
@@ -191,9 +192,9 @@
   cr_expect(P.FollowerState.view().Servers->empty());
 }
 
-// Followers must not apply changes half a second late, as they did when changes
-// were sent only in reply to a request.
-Test(FleetExchange, pushesChangesToRecentFollowers) {
+// Guards against sending changes only in reply to requests: followers would
+// apply them half a second late.
+Test(FleetDistributor, pushesChangesToRecentFollowers) {
   RelayAndFollower P;
   P.updateViews();
   TimePoint ChangedAt{};
@@ -208,10 +209,10 @@
   cr_expect_lt(Delay.count(), Duration(200ms).count());
 }
 
-// Requests must not reach a server 2.04 s after it started to drain. The
-// relay's datagram with that change was lost, and lost changes were resent only
-// with the next request; requests are 2 s apart.
-Test(FleetExchange, requestsLostChangesAfterTheNextStatus) {
+// Guards against resending lost changes only with the next regular request, up
+// to 2 s later: requests would reach a server too long after it started to
+// drain. The datagram with that change is lost.
+Test(FleetDistributor, requestsLostChangesAfterTheNextStatus) {
   RelayAndFollower P;
   P.updateViews();
   TimePoint ChangedAt{};
@@ -231,10 +232,10 @@
   cr_expect_lt(Delay.count(), Duration(450ms).count());
 }
 
-// A router must not lack servers permanently. After it was unreachable for
-// longer than its relay's history, it received the relay's latest changes as if
-// nothing were missing before them.
-Test(FleetExchange, aRelayReportsTheStartOfItsHistory) {
+// Guards against a router that lacks servers permanently: it was unreachable
+// for longer than its relay's history, and would apply the relay's latest
+// changes as if nothing were missing before them.
+Test(FleetDistributor, aRelayReportsTheStartOfItsHistory) {
   RelayAndFollower P;
   StoredServers LaterList;
   LaterList.ReadRevision = 100;
@@ -250,7 +251,7 @@
   cr_expect_eq(P.LastStatus->SeenRevision, 105);
 }
 
-Test(FleetExchange, switchesToAnotherRelay) {
+Test(FleetDistributor, switchesToAnotherRelay) {
   RelayAndFollower P;
   P.updateViews();
   cr_assert(P.runUntil([&P] { return P.LastStatus.has_value(); }));
@@ -325,14 +326,14 @@
 
 } // namespace
 
-// The routers of a cluster must not read the store themselves for seconds,
-// which cost 1,000 calls. The store rejected their relay and served the relays
-// of the other clusters, but a router asked no other relay before two own reads
-// had reached the store. Fails without `FleetExchange::requestOtherStatuses`.
-Test(FleetExchange, aRelayOfAnotherClusterSubstitutesForADisconnectedOne) {
+// Guards against routers of a cluster that read the store themselves for
+// seconds: the store rejects their relay and serves the relays of the other
+// clusters, so one of these must substitute. Fails without
+// `FleetDistributor::requestOtherStatuses`.
+Test(FleetDistributor, aRelayOfAnotherClusterSubstitutesForADisconnectedOne) {
   TwoClusters T;
   T.prove();
-  std::optional<TimePoint> LastOwnProof;
+  std::optional<TimePoint> LastProofBefore;
   std::optional<Duration> Gap;
   T.Follower.start([&](const RelayMessage &Message) {
     const auto *Status = std::get_if<RelayStatus>(&Message);
@@ -340,9 +341,9 @@
       return;
     if (T.DisconnectedRelay == 0) {
       T.DisconnectedRelay = Status->SenderHash;
-      LastOwnProof = Status->ProvenAt;
+      LastProofBefore = Status->ProvenAt;
     } else if (Status->SenderHash != T.DisconnectedRelay) {
-      Gap = Status->ProvenAt - *LastOwnProof;
+      Gap = Status->ProvenAt - *LastProofBefore;
       T.Fleet.Loop.stop();
     }
   });
@@ -354,11 +355,11 @@
   cr_expect(T.Follower.role() == RelayRole::Follower);
 }
 
-// A relay of 38 routers sent 5.7 MB per second, most of it to other zones.
-// After the loss of a zone, followers that lacked hundreds of changes repeated
-// their requests while the changes arrived, and each request was answered with
-// all of them. Fails without `ResendInterval`, with 36 messages.
-Test(FleetExchange, doesNotResendPendingChangesWithEachRequest) {
+// Guards against resending all changes with each request of a follower that
+// lacks hundreds of changes, as after the loss of a zone, and repeats its
+// request while they arrive: a relay would send megabytes per second. Fails
+// without `ResendInterval`, with 36 messages.
+Test(FleetDistributor, doesNotResendPendingChangesWithEachRequest) {
   RelayAndFollower P;
   for (Revision ModRevision = 2; ModRevision < 32; ++ModRevision)
     P.RelayState.applyChange(
@@ -374,10 +375,10 @@
   cr_expect_leq(P.UpdatesReceived, 9, "%d messages", P.UpdatesReceived);
 }
 
-// A follower that lacks the changes of a lost zone must not stay behind for
-// seconds while its relay resends them. A thousand datagrams were sent at once,
-// and the socket buffer holds about a hundred.
-Test(FleetExchange, sendsManyChangesInPartsThatFitTheBuffer) {
+// Guards against sending all changes of a lost zone at once: the socket buffer
+// holds about a hundred datagrams, and a follower would stay behind for seconds
+// while the relay resends the others.
+Test(FleetDistributor, sendsManyChangesInPartsThatFitTheBuffer) {
   RelayAndFollower P;
   for (Revision ModRevision = 2; ModRevision < 6002; ++ModRevision)
     P.RelayState.applyChange(
--- a/test/Gateway/FleetFeedCallsTest.cpp
+++ b/test/Gateway/FleetFeedCallsTest.cpp
@@ -24,10 +24,9 @@
 
 } // namespace
 
-// The start of 195 routers cost 1,900 calls on the store: each used
-// linearizable reads for the configuration and both lists, although its relay
-// proves the former and sends what the latter lack. Fails with
-// `ReadConsistency::Linearizable` in `nextListConsistency`.
+// Guards against linearizable reads at the start, for the configuration and the
+// lists, although the relay proves the former and sends what the latter lack.
+// Fails with `ReadConsistency::Linearizable` in `nextListConsistency`.
 Test(FleetFeedCalls, aStartingFollowerMakesNoLinearizableRead) {
   FeedFixture F(false);
   F.receiveProofsFor(1500ms, 10);
@@ -37,9 +36,9 @@
   cr_expect(age(*F.view()) < 500ms);
 }
 
-// A stale read must not count as the newest configuration. Otherwise keys are
-// refused, or an old configuration counts as proven, if the replica that a
-// router reads a new configuration from lags behind.
+// Guards against taking a stale read for the newest configuration: if the
+// replica that a router reads a new configuration from lags behind, keys would
+// be refused, or an old configuration would count as proven.
 Test(FleetFeedCalls, aStaleConfigurationIsReadAgainAndProvesNothing) {
   FeedFixture F(false);
   cr_assert(F.eventually(
@@ -61,10 +60,9 @@
   cr_expect(now() - AnnouncedAt < 900ms);
 }
 
-// An outage of the store of 6 s cost 195 routers 1,600 failed calls. Several
-// relays answered without a new proof, but the watcher and the prover of each
-// router tried the store themselves. Fails with four calls if
-// `RelayTrust::storeSeemsUnreachable` returns false.
+// Guards against calls on the store by every router in an outage, although
+// several relays report it by answering without a new proof. Fails with four
+// calls if `RelayTrust::storeSeemsUnreachable` returns false.
 Test(FleetFeedCalls, anOutageReportedByTheRelaysCostsOneCall) {
   FeedFixture F(false);
   F.receiveProofsFor(700ms, 10);
@@ -85,9 +83,9 @@
   cr_expect_eq(F.Store.Watches, Watches);
 }
 
-// If the store rejects one router and serves the relays, that router must not
-// call the store with each status of its relay. When a configuration changed in
-// the meantime, each new proof of a relay ended the backoff as at the end of an
+// Guards against calls on the store with each status of the relay if the store
+// rejects one router and serves the relays: if the configuration changes in the
+// meantime, a new proof of a relay must not end the backoff as at the end of an
 // outage. Fails without `FailedAlone`, with about twenty calls per second.
 Test(FleetFeedCalls, aRouterRejectedAloneBacksOff) {
   FeedFixture F(false);
@@ -105,9 +103,8 @@
   cr_expect_leq(F.Store.ConfigurationReads - Before, 6);
 }
 
-// A restart of 195 routers cost two calls each for leases and entries: a new
-// lease and a new entry were written although the entry of the earlier process
-// still existed.
+// Guards against two calls for a new lease and a new entry if the entry of the
+// router's earlier process still exists.
 Test(FleetFeedCalls, adoptsTheEntryOfTheEarlierProcess) {
   FeedFixture F(true, [](FakeStore &Store) {
     Store.Routers.push_back({"r", "127.0.0.1:9", 1, 2, 77});
@@ -119,10 +116,10 @@
   cr_expect_eq(F.Store.RenewedLease, 77);
 }
 
-// Routers that reach the store must not use an old configuration and removed
-// servers for over 3 s. The store rejected a third of the fleet including all
-// relays, and every router accepted the relays' report of an outage. Fails
-// without the check of the role in `FleetFeed::acceptsOutageReport`.
+// Guards against a verifier that accepts the relays' report of an outage: if
+// the store rejects all relays and serves other routers, these would use an old
+// configuration and removed servers for over 3 s. Fails without the check of
+// the role in `FleetFeed::acceptsOutageReport`.
 Test(FleetFeedCalls, aVerifierReadsTheStoreWhateverTheRelaysReport) {
   FeedFixture F(RelayRole::Verifier);
   F.receiveProofsFor(300ms, 10);
@@ -141,9 +138,10 @@
   cr_expect_gt(F.Store.Watches, Watches);
 }
 
-// A router must not be unlisted, and idle as a relay and allocator, for up to
-// 6 s. It adopted the lease of its earlier process, whose request to end that
-// lease reached the store late, and noticed the loss at the next renewal only.
+// Guards against a router that is unlisted, and idle as a relay and allocator,
+// for up to 6 s: it has adopted the lease of its earlier process, whose request
+// to end that lease reaches the store late, and would notice the loss at the
+// next renewal only.
 Test(FleetFeedCalls, rewritesItsRemovedEntryAtOnce) {
   FeedFixture F(true, [](FakeStore &Store) {
     Store.Routers.push_back({"r", "127.0.0.1:9", 1, 2, 77});
@@ -157,8 +155,8 @@
   cr_expect_eq(F.Store.Registrations, 1);
 }
 
-// If 195 routers start together, each reads an empty list first and would
-// consider itself a relay.
+// Guards against routers that start together, each of which reads an empty list
+// first and considers itself a relay.
 Test(FleetFeedCalls, aRouterThatFindsNoOtherRegistersAndRetriesTheLists) {
   FeedFixture F(true, [](FakeStore &Store) { Store.Routers.clear(); });
   // The feed registers on its prover thread.
--- a/test/Gateway/FleetFeedTest.cpp
+++ b/test/Gateway/FleetFeedTest.cpp
@@ -13,8 +13,8 @@
   cr_assert(age(*F.view()) < 1200ms);
 }
 
-// A revoked key must not keep working at a router that cannot reach the store.
-// A failed call, or a watch without changes, counted as a proof.
+// Guards against counting a failed call or a watch without changes as a proof:
+// a revoked key would keep working at a router that cannot reach the store.
 Test(FleetFeed, anUnreachableStoreProvesNothing) {
   FeedFixture F;
   cr_assert(F.eventually(
@@ -28,10 +28,10 @@
   cr_assert_not_null(F.view()->Configuration);
 }
 
-// A server that was removed while the store compacted its history must not get
-// requests forever. The watch continued from the newest revision and missed the
-// change.
-Test(FleetFeed, reloadsEverythingIfTheHistoryIsCompacted) {
+// Guards against a watch that continues from the newest revision after the
+// store has compacted its history: a server that was removed in between would
+// get requests forever.
+Test(FleetFeed, reloadsTheListsIfTheHistoryIsCompacted) {
   FeedFixture F;
   {
     const std::lock_guard<std::mutex> Lock(F.Store.Mutex);
@@ -52,8 +52,8 @@
       [](const FleetView &View) { return View.Servers->empty(); }));
 }
 
-// The number of calls on the store must not grow with the fleet, which it did
-// when each router read the configuration.
+// Guards against reads of the configuration by each router: the number of calls
+// on the store would grow with the fleet.
 Test(FleetFeed, aProofOfARelayReplacesAnOwnRead) {
   FeedFixture F(false);
   cr_assert(F.eventually(
@@ -83,9 +83,9 @@
   cr_assert(F.view()->ProvenAt == Proven);
 }
 
-// Requests must not wait for 0.2 s while routers are stopped one after the
-// other. The entry of an allocator that had stopped was left to its lease and
-// lapsed seconds later.
+// Guards against leaving the entry of a stopped router to its lease: the entry
+// would lapse seconds later, and requests would wait for 0.2 s for an allocator
+// that has stopped.
 Test(FleetFeed, aLeavingRouterRemovesItsEntryAtOnce) {
   FeedFixture F;
   cr_assert(F.eventually(
@@ -108,8 +108,8 @@
   cr_assert_gt(F.Store.ServerReads, Before);
 }
 
-// The number of calls on the store must not grow with the fleet. With a watch
-// of every router, 85 routers made 200 calls per second.
+// Guards against a watch by each router: the number of calls on the store would
+// grow with the fleet.
 Test(FleetFeed, aFollowerReceivesChangesFromItsRelayOnly) {
   FeedFixture F(false);
   cr_assert(F.eventually(
@@ -130,9 +130,10 @@
   cr_expect_eq(F.Store.Watches, Watches);
 }
 
-// Requests must not reach a server more than two seconds after it started to
-// drain. If the relay answered but was disconnected from the store, a router
-// left it only after two own proofs.
+// Guards against a router that leaves a relay without a new proof only after
+// two own proofs: if the relay answers but is disconnected from the store,
+// requests would reach a server more than two seconds after it started to
+// drain.
 Test(FleetFeed, doesNotRelyOnARelayWithoutANewProof) {
   FeedFixture F(false);
   cr_assert(F.eventually(
@@ -181,9 +182,8 @@
                Duration(200ms).count());
 }
 
-// An outage of the store of 8 s must not cost as many calls as the rest of the
-// day. Every router retried a quarter of a second after each failure, without
-// backoff.
+// Guards against retries at a fixed interval: all routers together would make
+// thousands of calls in an outage of the store.
 Test(FleetFeed, backsOffFromAnUnreachableStore) {
   FeedFixture F(false);
   // Two threads read the lists and the configuration.
@@ -201,9 +201,9 @@
   cr_expect_geq(Calls, 1);
 }
 
-// Requests must not reach a server seconds after it started to drain while the
-// store is healthy. After the connection to the store had silently lost data,
-// the pending watch call kept waiting and looked like a store without changes.
+// Guards against a watch call that keeps waiting after the connection to the
+// store has silently lost data, and looks like a store without changes:
+// requests would reach a server seconds after it started to drain.
 Test(FleetFeed, detectsAWatchThatHangs) {
   FeedFixture F;
   cr_assert(F.eventually(
@@ -224,9 +224,10 @@
   F.Store.WatchHangs = false;
 }
 
-// Requests must not reach a server for 1.7 s after its entry was removed. If
-// the relay had just been disconnected from the store and this router had not,
-// the relay's grace period for lapsed entries delayed the removal here too.
+// Guards against delaying a removal that a relay has sent by the grace period
+// for lapsed entries, if the relay was disconnected from the store and this
+// router was not: requests would reach a server for 1.7 s after its entry was
+// removed.
 Test(FleetFeed, appliesARemovalSentByARelayAtOnce) {
   FeedFixture F(false);
   cr_assert(F.eventually(
@@ -238,9 +239,10 @@
   cr_expect(F.view()->Servers->empty());
 }
 
-// Requests must not reach removed servers long after an outage. A call of a
-// follower failed; once the store was back, the follower received everything
-// from its relay, but only a call of its own ended the outage.
+// Guards against an outage that ends only with a successful call of the
+// router's own: a follower whose call has failed receives everything from its
+// relay once the store is back, and would keep sending requests to removed
+// servers.
 Test(FleetFeed, anOutageEndsWhenTheRelayReachesTheStore) {
   FeedFixture F(false);
   cr_assert(F.eventually(
@@ -258,10 +260,10 @@
   cr_expect(F.view()->Servers->empty());
 }
 
-// Routers must not refuse keys for up to 5 s after the store has recovered. If
-// a configuration was accepted during the recovery, the relay's proof was for
-// another configuration, and the router's own retry still used the backoff of
-// the outage.
+// Guards against refusing keys for up to 5 s after the store has recovered: if
+// a configuration is accepted during the recovery, the relay's proof is for
+// another configuration, and the router's own retry must not wait for the
+// backoff of the outage.
 Test(FleetFeed, readsTheStoreAtOnceWhenTheRelayReachesItAgain) {
   FeedFixture F(false);
   cr_assert(F.eventually(
@@ -283,8 +285,9 @@
   cr_expect(age(*F.view()) < 600ms);
 }
 
-// The routers of a cluster must not refuse keys while the store is healthy. A
-// relay that was disconnected from the store but answered was not switched.
+// Guards against following a relay that answers but is disconnected from the
+// store: the routers of its cluster would refuse keys while the store is
+// healthy.
 Test(FleetFeed, switchesARelayThatIsDisconnectedFromTheStore) {
   FeedFixture F(false);
   cr_assert(F.eventually(
@@ -298,8 +301,9 @@
   cr_expect(age(*F.view()) < 3s);
 }
 
-// Requests must not wait for a router that does not know the servers yet. It
-// registered, and so became an allocator, before it had read the fleet.
+// Guards against a router that registers, and so becomes an allocator, before
+// it has read the fleet: requests would wait for a router that does not know
+// the servers yet.
 Test(FleetFeed, aRouterRegistersOnceItKnowsTheFleet) {
   FakeStore Store;
   Store.Unreachable = true;
--- a/test/Gateway/FleetStateTest.cpp
+++ b/test/Gateway/FleetStateTest.cpp
@@ -26,9 +26,9 @@
 
 } // namespace
 
-// A removed route must not work again. That happened when the response of a
-// slow read arrived after the watch had reported a newer version, and the last
-// response won instead of the newest revision.
+// Guards against a last response that wins instead of the newest revision: if
+// the response of a slow read arrives after the watch has reported a newer
+// version, a removed route would work again.
 Test(FleetState, ignoresAnOlderConfiguration) {
   FleetState State;
   cr_assert(State.applyConfiguration(configuration(5, 50)));
@@ -48,10 +48,10 @@
   cr_assert_eq(State.view().Servers->size(), 1U);
 }
 
-// Requests must not be sent to a process that has ended. After a server crashed
-// and restarted, a delayed heartbeat of the earlier process was written after
-// the first one of the new process, and the newest revision won instead of the
-// newest process.
+// Guards against a newest revision that wins instead of the newest process:
+// after a server has crashed and restarted, a delayed heartbeat of the earlier
+// process may be written after the first one of the new process, and requests
+// would be sent to a process that has ended.
 Test(FleetState, ignoresALateHeartbeatOfAnEarlierProcess) {
   FleetState State;
   const auto StartedAt = [](std::int64_t StartedMs, Revision ModRevision,
@@ -88,8 +88,8 @@
   cr_assert_not(State.view().Servers->at("a").Draining);
 }
 
-// A server must not be used with its earlier entry after that was overwritten
-// with an invalid one. Invalid entries were ignored.
+// Guards against ignoring an invalid entry: its server would be used with the
+// earlier entry.
 Test(FleetState, anInvalidEntryRemovesItsServerUntilTheNextHeartbeat) {
   FleetState State;
   State.applyChange(FleetChange(server("a", 10)), at(1s));
@@ -110,9 +110,9 @@
   cr_assert_eq(State.view().Servers->size(), 1U);
 }
 
-// Requests must not be refused for two seconds after an outage of the store.
-// Entries lapse in the outage and return once the servers reach the store
-// again; servers with a lapsed entry were considered removed.
+// Guards against removing servers whose entries lapse in an outage of the
+// store: the entries return once the servers reach the store again, and
+// requests would be refused for two seconds after the outage.
 Test(FleetState, keepsServersWhoseEntriesLapseInAnOutage) {
   FleetState State;
   State.recordStoreReachable(true, at(0s));
@@ -155,9 +155,9 @@
   cr_assert(State.view().ProvenAt == at(5s));
 }
 
-// Idle routers must not use processor time. A proof arrives twice a second with
-// a new view; each view had its own copies of the lists, so that all components
-// processed them as if they had changed.
+// Guards against views with their own copies of unchanged lists: all components
+// would process the lists with each proof, as if these had changed, and idle
+// routers would use CPU time.
 Test(FleetState, unchangedListsAreTheSameObjects) {
   FleetState State;
   State.applyChange(FleetChange(server("a", 10)), at(0s));
@@ -180,8 +180,9 @@
 
 namespace {
 
-StoredServer inZone(const std::string &Id, Revision ModRevision,
-                    std::optional<Duration> WarmUpLeft = Duration(0)) {
+StoredServer
+serverInNorthZone(const std::string &Id, Revision ModRevision,
+                  std::optional<Duration> WarmUpLeft = Duration(0)) {
   StoredServer Stored = server(Id, ModRevision);
   Stored.Server.Service = "engines";
   Stored.Server.Zone = "north";
@@ -189,7 +190,7 @@
   return Stored;
 }
 
-StoredConfiguration warmingUp() {
+StoredConfiguration configurationWithWarmUp() {
   auto Configuration = std::make_shared<GatewayConfiguration>();
   Configuration->Version = 1;
   Configuration->Services["engines"].WarmUp = {3s, 9.1};
@@ -200,24 +201,25 @@
 
 Test(FleetState, anEvacuatedZoneGetsNoRequestsUntilItIsRestored) {
   FleetState State;
-  State.applyChange(FleetChange(inZone("a", 10)), at(1s));
+  State.applyChange(FleetChange(serverInNorthZone("a", 10)), at(1s));
   State.applyChange(FleetChange(EvacuatedZone{"north", 11}), at(1s));
   State.applyChange(FleetChange(EvacuatedZone{"nowhere", 12}), at(1s));
   cr_assert_not(State.view().Servers->at("a").acceptsRequests());
   cr_assert_eq(State.view().EvacuatedZones->size(), 2U);
   // The same for a server that starts in the zone during the evacuation.
-  State.applyChange(FleetChange(inZone("b", 13)), at(1s));
+  State.applyChange(FleetChange(serverInNorthZone("b", 13)), at(1s));
   cr_assert_not(State.view().Servers->at("b").acceptsRequests());
   State.applyChange(FleetChange(RestoredZone{"north", 14}), at(2s));
   cr_assert(State.view().Servers->at("a").acceptsRequests());
 }
 
-// A zone that was evacuated again must not get requests. It was restored and
-// evacuated in quick succession, the changes arrived out of order or with an
-// older list, and the last message won.
+// Guards against a last message that wins instead of the newest revision: if a
+// zone is restored and evacuated in quick succession, the changes may arrive
+// out of order or with an older list, and the evacuated zone would get
+// requests.
 Test(FleetState, theNewestChangeOfAZoneWinsInAnyOrder) {
   FleetState State;
-  State.applyChange(FleetChange(inZone("a", 10)), at(1s));
+  State.applyChange(FleetChange(serverInNorthZone("a", 10)), at(1s));
   State.applyChange(FleetChange(EvacuatedZone{"north", 20}), at(1s));
   State.applyChange(FleetChange(EvacuatedZone{"north", 22}), at(1s));
   State.applyChange(FleetChange(RestoredZone{"north", 21}), at(1s));
@@ -232,27 +234,28 @@
   cr_assert(State.view().Servers->at("a").acceptsRequests());
 }
 
-// The servers of a restored zone must not crash together. The restoration
-// arrives before the entries that report the servers' cold state, and the older
-// entries were used.
+// Guards against using the older entries of the servers of a restored zone: the
+// restoration arrives before the entries that report the servers' cold state,
+// and the servers would crash together.
 Test(FleetState, serversOfARestoredZoneWarmUp) {
   FleetState State;
-  State.applyConfiguration(warmingUp());
-  State.applyChange(FleetChange(inZone("a", 10)), at(1s));
+  State.applyConfiguration(configurationWithWarmUp());
+  State.applyChange(FleetChange(serverInNorthZone("a", 10)), at(1s));
   State.applyChange(FleetChange(EvacuatedZone{"north", 11}), at(1s));
   State.applyChange(FleetChange(RestoredZone{"north", 20}), at(9s));
   cr_assert_eq(State.view().Servers->at("a").WarmUpEndsAt, at(12s));
   // An entry written after the restoration is used.
-  State.applyChange(FleetChange(inZone("a", 21, 1s)), at(9500ms));
+  State.applyChange(FleetChange(serverInNorthZone("a", 21, 1s)), at(9500ms));
   cr_assert_eq(State.view().Servers->at("a").WarmUpEndsAt, at(10500ms));
 }
 
 Test(FleetState, aServerThatStatesNoWarmUpCountsAsCold) {
   FleetState State;
-  State.applyChange(FleetChange(inZone("a", 10, std::nullopt)), at(1s));
-  State.applyChange(FleetChange(inZone("b", 11)), at(1s));
+  State.applyChange(FleetChange(serverInNorthZone("a", 10, std::nullopt)),
+                    at(1s));
+  State.applyChange(FleetChange(serverInNorthZone("b", 11)), at(1s));
   // The length of the warm-up is stated in the configuration.
-  State.applyConfiguration(warmingUp());
+  State.applyConfiguration(configurationWithWarmUp());
   cr_assert_eq(State.view().Servers->at("a").WarmUpEndsAt, at(4s));
   cr_assert_eq(State.view().Servers->at("b").WarmUpEndsAt, TimePoint{});
 }
--- a/test/Gateway/FrontTest.cpp
+++ b/test/Gateway/FrontTest.cpp
@@ -288,8 +288,8 @@
   cr_assert_eq(Server.requests().size(), 0U);
 }
 
-// Guards against a single counter for all refusals: when hundreds of requests
-// were refused, the reasons could only be found by counting log lines.
+// Guards against a single counter for all refusals: operators must see the
+// reasons without counting log lines.
 Test(GatewayFront, refusalsAreCountedByReason) {
   FrontFixture F;
   F.start(5s);
--- a/test/Gateway/LoopbackRouters.h
+++ b/test/Gateway/LoopbackRouters.h
@@ -10,7 +10,7 @@
 
 namespace parsleywing::test {
 
-/// Router exchanges on loopback addresses that share one event loop.
+/// Router messengers on loopback addresses that share one event loop.
 struct LoopbackRouters {
   explicit LoopbackRouters(Clock C) : Loop(std::move(C)) {}
 
--- a/test/Gateway/RelayClustersTest.cpp
+++ b/test/Gateway/RelayClustersTest.cpp
@@ -11,7 +11,7 @@
   cr_assert_eq(Clusters[0].Zones.size(), 3U);
 }
 
-Test(RelayClusters, zonesShareRelaysWhereThereAreFewerRelaysThanZones) {
+Test(RelayClusters, zonesShareRelaysIfThereAreFewerRelaysThanZones) {
   const auto Clusters =
       relayClusters({{"a", 17}, {"b", 14}, {"c", 16}, {"d", 16}});
   cr_assert_eq(Clusters.size(), 2U);
@@ -20,9 +20,9 @@
   cr_assert_neq(Clusters[0].Key, Clusters[1].Key);
 }
 
-// Most traffic between routers must not cross zones, which cost more than
-// everything else together. When a zone of a fleet of 3,000 servers was lost
-// and restored, each change was sent to 300 routers by relays in any zone.
+// Guards against relays in any zone: when a zone of a large fleet is lost and
+// restored, each change would cross the zones' links to most routers, which is
+// charged for.
 Test(RelayClusters, inALargeFleetEveryRouterHasARelayOfItsZone) {
   const auto Clusters =
       relayClusters({{"a", 78}, {"b", 73}, {"c", 76}, {"d", 75}});
--- a/test/Gateway/RelayTrustTest.cpp
+++ b/test/Gateway/RelayTrustTest.cpp
@@ -43,18 +43,17 @@
   cr_expect_not(Trust.storeSeemsUnreachable(Start + 2s));
 }
 
-// The routers of a small fleet must not send requests to a removed server. Its
-// only relay reported that it was disconnected from the store, and that counted
-// as an outage.
+// Guards against taking the report of the only relay for an outage: the routers
+// of a small fleet would send requests to a removed server.
 Test(RelayTrust, oneRelayAloneIndicatesNoOutage) {
   RelayTrust Trust(RelayTimes::of({}));
   Trust.recordStatus(status(1, Start), Start + 3s);
   cr_expect_not(Trust.storeSeemsUnreachable(Start + 3s));
 }
 
-// Routers must not use a configuration for over 3 s too long while the store
-// answers them. The store rejected a third of the fleet including both relays,
-// and two reports counted as an outage.
+// Guards against taking two reports for an outage: if the store rejects a third
+// of a fleet including both relays, the other routers would use a configuration
+// for over 3 s too long.
 Test(RelayTrust, theRelaysOfASmallFleetAloneIndicateNoOutage) {
   RelayTrust Trust(RelayTimes::of({}));
   for (const std::uint64_t Sender : {1U, 2U, 3U})
@@ -62,7 +61,7 @@
   cr_expect_not(Trust.storeSeemsUnreachable(Start + 3s));
 }
 
-Test(RelayTrust, followersAreNoWitnesses) {
+Test(RelayTrust, reportsOfFollowersIndicateNoOutage) {
   RelayTrust Trust(RelayTimes::of({}));
   for (const std::uint64_t Sender : {1U, 2U, 3U, 4U, 5U}) {
     RelayStatus Follower = status(Sender, Start);
--- a/test/Gateway/RouterMessengerTest.cpp
+++ b/test/Gateway/RouterMessengerTest.cpp
@@ -12,16 +12,16 @@
 void ignore(const RouterMessage &, const Poco::Net::SocketAddress &) {}
 
 /// A key whose first router is not the given one.
-std::uint64_t keyOfOtherRouter(RouterMessenger &Exchange) {
+std::uint64_t keyOfOtherRouter(RouterMessenger &Messenger) {
   std::uint64_t Key = 1;
-  while (Exchange.firstFor(Key) == Exchange.self())
+  while (Messenger.firstFor(Key) == Messenger.self())
     ++Key;
   return Key;
 }
 
 } // namespace
 
-Test(RouterExchange, allRoutersAgreeOnTheFirst) {
+Test(RouterMessenger, allRoutersAgreeOnTheFirst) {
   LoopbackRouters Fleet(Clock::paused());
   for (const char *Name : {"r1", "r2", "r3"})
     cr_assert(Fleet.add(Name, 1).open(ignore));
@@ -31,7 +31,7 @@
       cr_assert_eq(Each->firstFor(Key), Fleet.Messengers[0]->firstFor(Key));
 }
 
-Test(RouterExchange, largerVmsAreFirstMoreOften) {
+Test(RouterMessenger, largerVmsAreFirstMoreOften) {
   LoopbackRouters Fleet(Clock::paused());
   cr_assert(Fleet.add("small", 0.25).open(ignore));
   cr_assert(Fleet.add("large", 1).open(ignore));
@@ -44,10 +44,10 @@
   cr_expect_gt(Large, Keys * 95 / 100);
 }
 
-// Requests must not wait for an allocator that has stopped, and a router that
-// was briefly slow must allocate again. The cached first router was not
-// recomputed when a suspicion started, or ended after two seconds.
-Test(RouterExchange, aSuspicionEndsAfterAWhile) {
+// Guards against a cached first router that is not recomputed when a router is
+// skipped or used again: requests would wait for an allocator that has stopped,
+// or a router that was briefly slow would no longer allocate.
+Test(RouterMessenger, aSkippedRouterIsUsedAgainAfterAWhile) {
   Clock Time = Clock::paused();
   LoopbackRouters Fleet(Time);
   RouterMessenger &Self = Fleet.add("r1", 1);
@@ -59,14 +59,14 @@
   const std::string First = Self.firstFor(Key);
   Self.skip(First);
   cr_expect_neq(Self.firstFor(Key), First);
-  // A new list does not end the suspicion.
+  // The router is still skipped after a new list.
   Fleet.publishList();
   cr_expect_neq(Self.firstFor(Key), First);
   Time.advance(2s);
   cr_expect_eq(Self.firstFor(Key), First);
 }
 
-Test(RouterExchange, aLeavingRouterIsFirstForNoKey) {
+Test(RouterMessenger, aLeavingRouterIsFirstForNoKey) {
   LoopbackRouters Fleet(Clock::paused());
   RouterMessenger &Self = Fleet.add("r1", 1);
   cr_assert(Self.open(ignore));
@@ -77,7 +77,7 @@
     cr_assert_eq(Self.firstFor(Key), "r2");
 }
 
-Test(RouterExchange, datagramsReachTheNamedRouter) {
+Test(RouterMessenger, datagramsReachTheNamedRouter) {
   LoopbackRouters Fleet(Clock::steady());
   RouterMessenger &Self = Fleet.add("r1", 1);
   RouterMessenger &Other = Fleet.add("r2", 1);
@@ -99,27 +99,26 @@
   cr_expect_eq(std::get<AllocationQueued>(Received[6]).Id.Number, 7U);
 }
 
-// The requests of the busiest router must not be allocated for 10 s by routers
-// that know no engine. Under a flood its event loop had few turns, each of
-// which read a limited number of replies. The rest were read 0.5 s late or
-// lost, so the router considered their allocators unreachable. Fails with 64
-// datagrams per turn.
-Test(RouterExchange, readsAllPendingDatagramsInOneTurn) {
+// Guards against reading a limited number of datagrams per iteration:
+// iterations of a busy loop are up to 0.1 s apart, so replies would be read too
+// late or lost, and their allocators skipped as unreachable. Fails with 64
+// datagrams per iteration.
+Test(RouterMessenger, readsAllPendingDatagramsInOneIteration) {
   constexpr int Datagrams = 150;
   LoopbackRouters Fleet(Clock::steady());
   RouterMessenger &Self = Fleet.add("r1", 1);
   RouterMessenger &Other = Fleet.add("r2", 1);
   int Received = 0;
-  int Turn = 0;
-  std::set<int> TurnsWithDatagrams;
-  std::function<void()> CountTurn = [&] {
-    ++Turn;
-    Fleet.Loop.after(Duration::zero(), CountTurn);
+  int Iteration = 0;
+  std::set<int> IterationsWithDatagrams;
+  std::function<void()> CountIteration = [&] {
+    ++Iteration;
+    Fleet.Loop.after(Duration::zero(), CountIteration);
   };
   cr_assert(Self.open(ignore));
   cr_assert(
       Other.open([&](const RouterMessage &, const Poco::Net::SocketAddress &) {
-        TurnsWithDatagrams.insert(Turn);
+        IterationsWithDatagrams.insert(Iteration);
         if (++Received == Datagrams)
           Fleet.Loop.stop();
       }));
@@ -129,9 +128,9 @@
   Large.Items.resize(1);
   for (int Number = 0; Number < Datagrams; ++Number)
     Self.send("r2", Large);
-  CountTurn();
+  CountIteration();
   Fleet.Loop.after(5s, [&] { Fleet.Loop.stop(); });
   Fleet.Loop.run();
   cr_assert_eq(Received, Datagrams);
-  cr_expect_eq(TurnsWithDatagrams.size(), 1);
+  cr_expect_eq(IterationsWithDatagrams.size(), 1);
 }
