--- a/src/Gateway/FleetDistributor.cpp
+++ b/src/Gateway/FleetDistributor.cpp
@@ -47,7 +47,7 @@
 
 /// The minimum time before the same changes are resent to a follower. One that
 /// lacks thousands of changes repeats its request while they arrive, and must
-/// not get all of them each time.
+/// not get all of them each time, which takes several MB per second of a relay.
 constexpr Duration ResendInterval = std::chrono::milliseconds(500);
 /// Maximum number of messages with changes sent to a follower at once: 90 KB. A
 /// socket buffer holds about a hundred of these datagrams; more would be lost
--- a/src/Gateway/FleetDistributor.h
+++ b/src/Gateway/FleetDistributor.h
@@ -74,8 +74,8 @@
 /// seconds.
 ///
 /// The store may reject all relays and serve other routers. Followers would
-/// take that for an outage and keep an old configuration. Up to eight other
-/// routers, the verifiers, therefore check for themselves.
+/// take that for an outage and use an old configuration for some 3 s too long.
+/// Up to eight other routers, the verifiers, therefore check for themselves.
 ///
 /// A relay pushes proofs and changes to the routers that asked it recently, and
 /// resends changes with each of their requests until they have them.
--- a/src/Gateway/FleetState.cpp
+++ b/src/Gateway/FleetState.cpp
@@ -27,9 +27,9 @@
 
 /// Number of changes kept for followers: at least the minimum, and three per
 /// server and router. When a zone is lost, each of its servers is removed, is
-/// listed again under another identity, and reports its warm-up. A shorter
-/// history would make every router reload all lists at once, 1 MB each with
-/// 3,000 servers. A quarter of the history is dropped at once.
+/// listed again under another identity, and reports its warm-up. With only 512
+/// changes for 3,000 servers, every router would have to reload all lists at
+/// the same time, 1 MB each. A quarter of the history is dropped at once.
 constexpr std::size_t MinHistory = 512;
 constexpr std::size_t ChangesPerEntry = 3;
 constexpr std::size_t DroppedDivisor = 4;
--- a/src/Gateway/RouterMessenger.cpp
+++ b/src/Gateway/RouterMessenger.cpp
@@ -33,8 +33,8 @@
 constexpr std::size_t UsualMessageSize = 250;
 constexpr std::size_t MaxReceivedSize = 65536;
 /// Usually enough to read all pending datagrams. Iterations of a busy loop are
-/// up to 0.1 s apart, so replies that are left over would be read too late or
-/// lost, and their allocators would be skipped as unreachable.
+/// up to 0.1 s apart. With 64 datagrams per iteration, replies are read 0.5 s
+/// late or lost, and their allocators are skipped as unreachable.
 constexpr int MaxDatagramsPerIteration = 2048;
 
 std::size_t sizeBound(const RouterMessage &Message) {
