--- a/lab/Engine.cpp
+++ b/lab/Engine.cpp
@@ -30,7 +30,7 @@
         this->UsedTokens + NeededTokens > this->Parameters.MemoryTokens)
       return;
     RunningRequest Admitted;
-    std::uint64_t CachedTokens = this->Cache.residentTokens(Next.Parts);
+    std::uint64_t CachedTokens = this->Cache.prefilledTokens(Next.Parts);
     this->Counts.CachedTokens += CachedTokens;
     Admitted.PrefillableAt = Now;
     if (this->Parameters.FetchTokensPerMs > 0 &&
--- a/lab/Engine.h
+++ b/lab/Engine.h
@@ -80,7 +80,7 @@
 
   /// Number of tokens at the start of the prompt that the engine has cached.
   std::uint64_t cachedTokens(const std::vector<PromptPart> &Parts) const {
-    return this->Cache.residentTokens(Parts);
+    return this->Cache.prefilledTokens(Parts);
   }
   const EngineCounts &counts() const { return this->Counts; }
 
--- a/lab/Play.cpp
+++ b/lab/Play.cpp
@@ -192,11 +192,11 @@
     const Call &TheCall = this->Calls[CallIndex];
     AllocationRequest Request;
     Request.Id = correlationIdOf(CallIndex, this->States[CallIndex].Attempts);
-    Request.Service = hashName(ServiceName);
+    Request.Group = hashName(ServiceName);
     Request.Account = TheCall.Account + 1;
     Request.Parts = TheCall.Parts;
     Request.PromptTokens = TheCall.PromptTokens;
-    Request.OutputTokens = TheCall.OutputTokens;
+    Request.MaxOutputTokens = TheCall.OutputTokens;
     const Milliseconds ObjectiveLeft =
         this->classOf(CallIndex).Objective - this->elapsed(CallIndex);
     const Milliseconds TimeLeft =
--- a/src/Gateway/AllocationAgent.cpp
+++ b/src/Gateway/AllocationAgent.cpp
@@ -80,10 +80,10 @@
 void AllocationAgent::request(AllocationRequest Request, Callback OnOutcome) {
   this->Counters.Requests.add();
   const CorrelationId Id = Request.Id;
-  Request.Service =
-      this->Groups.groupForRequest(Request.Service, Request.Parts, Id.Number);
+  Request.Group =
+      this->Groups.groupForRequest(Request.Group, Request.Parts, Id.Number);
   PendingRequest Pending;
-  Pending.Allocator = this->Routers.firstFor(Request.Service);
+  Pending.Allocator = this->Routers.firstFor(Request.Group);
   Pending.Request = std::move(Request);
   Pending.OnOutcome = std::move(OnOutcome);
   Pending.RequestedAt = this->Loop.clock().now();
@@ -138,7 +138,7 @@
   Pending.SendCount = 0;
   Pending.Queued = false;
   Pending.Allocator = ++Pending.SkippedAllocators < MaxSkippedAllocators
-                          ? this->Routers.firstFor(Pending.Request.Service)
+                          ? this->Routers.firstFor(Pending.Request.Group)
                           : this->Routers.self();
   Pending.FirstSentAt = this->BootClock.now();
   this->sendRequest(Pending);
@@ -183,7 +183,7 @@
           : this->Groups.groupOfServer(Listed->Id, Listed->Service);
   ActiveAttempt Attempt{Group, Server, Load, this->Routers.firstFor(Group)};
   this->sendTo(Attempt.Allocator,
-               GrantActive{Id, Server, Load.PrefillTokens, Load.OutputTokens,
+               GrantActive{Id, Server, Load.PrefillTokens, Load.MaxOutputTokens,
                            Load.ServerStartedMs});
   this->ActiveAttempts[Id] = std::move(Attempt);
 }
@@ -212,7 +212,7 @@
     Attempt.Allocator = this->Routers.firstFor(Attempt.Service);
     this->sendTo(Attempt.Allocator,
                  GrantActive{Id, Attempt.Server, Attempt.Load.PrefillTokens,
-                             Attempt.Load.OutputTokens,
+                             Attempt.Load.MaxOutputTokens,
                              Attempt.Load.ServerStartedMs});
   }
   this->Loop.after(ReportInterval, [this] { this->reportActiveAttempts(); });
@@ -271,7 +271,7 @@
 void AllocationAgent::logRefusal(const AllocationRefusal &Refusal) const {
   logLazily(LogPart::Peer, [this, &Refusal] {
     const CapacitySummary Capacity = this->LocalAllocator.capacityOf(
-        Refusal.Service, this->Loop.clock().now());
+        Refusal.Group, this->Loop.clock().now());
     return "ask=" + textOf(Refusal.Id) + " refused: waiting=" +
            std::to_string(this->LocalAllocator.queuedRequests()) +
            " at-servers=" +
@@ -279,7 +279,7 @@
            " free=" + std::to_string(Capacity.Free) +
            " slots-taken=" + std::to_string(Capacity.SlotsFull) +
            " prompts-wait=" + std::to_string(Capacity.PrefillFull) +
-           " unsound=" + std::to_string(Capacity.Unhealthy) +
+           " unsound=" + std::to_string(Capacity.Unusable) +
            " warming-up=" + std::to_string(Capacity.WarmingUp) +
            " return-after=" +
            secondsText(std::chrono::milliseconds(Refusal.RetryAfterMs));
--- a/src/Gateway/CrashDetector.cpp
+++ b/src/Gateway/CrashDetector.cpp
@@ -212,7 +212,7 @@
 bool CrashDetector::checkRefused(const RequestIdentity &Request) {
   if (!this->Registry.isRefused(Request))
     return false;
-  this->Registry.recordRefused(Request, this->Loop.clock().now());
+  this->Registry.recordRefusedAgain(Request, this->Loop.clock().now());
   return true;
 }
 
--- a/src/Gateway/GatewayRequestAnswer.cpp
+++ b/src/Gateway/GatewayRequestAnswer.cpp
@@ -48,13 +48,13 @@
   const TimePoint Now = this->Context.Loop.clock().now();
   this->LastReceivedAt = Now;
   this->HeadReceived = true;
-  this->Context.Servers.recordActivity(this->Choice.Server, Now);
+  this->Context.Servers.recordReceived(this->Choice.Server, Now);
   this->ResponseHead = Head;
   this->ResponseFields = Fields;
   const bool Success = Head.Status >= HttpOk && Head.Status < HttpSuccessEnd;
   if (Success && !Fields.HasReceipt) {
     this->closeUpstream();
-    this->endAttempt(this->Progress.ResponseStarted ? AttemptResult::Truncated
+    this->endAttempt(this->Progress.ResponseStarted ? AttemptResult::Interrupted
                                                     : AttemptResult::NoResponse,
                      ServerVerdict::Failed);
     return;
@@ -77,7 +77,7 @@
 void GatewayRequest::onResponsePayload(std::string_view Payload) {
   const TimePoint Now = this->Context.Loop.clock().now();
   this->LastReceivedAt = Now;
-  this->Context.Servers.recordActivity(this->Choice.Server, Now);
+  this->Context.Servers.recordReceived(this->Choice.Server, Now);
   this->recordFirstChunk();
   if (this->Streaming && this->ResponseHead.Status < HttpSuccessEnd) {
     this->forwardEvents(Payload);
@@ -99,7 +99,7 @@
       // An event is missing, so the following ones must not be forwarded.
       this->Session->sendChunk(CompleteEvents);
       this->closeUpstream();
-      this->endAttempt(AttemptResult::Truncated, ServerVerdict::Failed);
+      this->endAttempt(AttemptResult::Interrupted, ServerVerdict::Failed);
       return;
     }
     if (Event.Id)
@@ -120,7 +120,7 @@
   if (this->ResponseHead.Status >= HttpSuccessEnd)
     return AttemptResult::ErrorResponse;
   if (this->Streaming && !this->Splitter.partialEvent().empty())
-    return AttemptResult::Truncated;
+    return AttemptResult::Interrupted;
   return AttemptResult::Served;
 }
 
@@ -154,7 +154,7 @@
   }
   if (End == UpstreamEnd::Broken)
     this->reportSuspectedCrash(CrashDetector::AttemptEnd::Broken);
-  this->endAttempt(this->Progress.ResponseStarted ? AttemptResult::Truncated
+  this->endAttempt(this->Progress.ResponseStarted ? AttemptResult::Interrupted
                                                   : AttemptResult::NoResponse,
                    ServerVerdict::Failed);
 }
--- a/src/Gateway/GatewayRequestSend.cpp
+++ b/src/Gateway/GatewayRequestSend.cpp
@@ -64,12 +64,12 @@
   };
   AllocationRequest Request;
   Request.Id = this->Context.Agent.newId();
-  Request.Service = this->ServiceHash;
+  Request.Group = this->ServiceHash;
   Request.Account = hashName(this->Account);
   Request.Zone = hashName(this->Context.Settings.Zone);
   Request.Parts = this->CallerFields.PromptParts;
   Request.PromptTokens = this->CallerFields.PromptTokens;
-  Request.OutputTokens = this->CallerFields.MaxOutputTokens;
+  Request.MaxOutputTokens = this->CallerFields.MaxOutputTokens;
   Request.ExcludedServers.assign(this->TriedServers.begin(),
                                  this->TriedServers.end());
   Request.SpreadKey = this->spreadKey();
@@ -163,11 +163,11 @@
 void GatewayRequest::placeLocally() {
   this->SendDeadline.reset();
   PlacementQuery Query;
-  Query.Service = this->ServiceHash;
+  Query.Group = this->ServiceHash;
   Query.Zone = hashName(this->Context.Settings.Zone);
   Query.Parts = &this->CallerFields.PromptParts;
   Query.PromptTokens = this->CallerFields.PromptTokens;
-  Query.OutputTokens = this->CallerFields.MaxOutputTokens;
+  Query.MaxOutputTokens = this->CallerFields.MaxOutputTokens;
   Query.ExcludedServers = &this->TriedServers;
   Query.SpreadKey = this->spreadKey();
   Query.Now = this->Context.Loop.clock().now();
@@ -330,12 +330,12 @@
   const bool Restarted = this->Load.ServerStartedMs <
                          this->Context.Servers.startOf(this->Choice.Server);
   const bool ServerActive =
-      !Restarted && this->Context.Servers.activeSince(this->Choice.Server,
-                                                      this->LastReceivedAt);
+      !Restarted && this->Context.Servers.receivedSince(this->Choice.Server,
+                                                        this->LastReceivedAt);
   RequestProgress ProgressAfter = this->Progress;
   ++ProgressAfter.Runs;
   const AttemptResult Result = this->Progress.ResponseStarted
-                                   ? AttemptResult::Truncated
+                                   ? AttemptResult::Interrupted
                                    : AttemptResult::NoResponse;
   ProgressAfter.TimeLeft = this->timeLeft();
   // If no retry is left, the response that may still arrive is the only one.
@@ -380,8 +380,8 @@
     RetryAllowed = this->Context.retryAllowance(this->Service)
                        .tryAcquire(Now, this->Context.View->RouterCount);
   const NextStep Step = nextStep(this->Progress, Result, RetryAllowed);
-  const bool Broken =
-      Result == AttemptResult::NoResponse || Result == AttemptResult::Truncated;
+  const bool Broken = Result == AttemptResult::NoResponse ||
+                      Result == AttemptResult::Interrupted;
   if (Step != NextStep::Done)
     logLazily(LogPart::Caller, [&, this] {
       return "request=" + this->CallerFields.RequestId +
--- a/src/Placement/Allocator.cpp
+++ b/src/Placement/Allocator.cpp
@@ -10,19 +10,21 @@
 /// The maximum pending prefill work of a server. Longer queues at an engine
 /// delay requests that could meet their objective elsewhere or later. Shorter
 /// queues let the engine idle between a grant and the arrival of its request,
-/// about 10 ms.
+/// which takes about 10 ms.
 constexpr double MaxPendingPrefillMs = 200;
 
 /// An attempt that its router has not reported for this time has ended, and the
-/// report of its end was lost.
+/// report of its end was lost. Routers report each active attempt every 250 ms.
 constexpr Duration GrantReportTimeout = std::chrono::milliseconds(1500);
+/// How often `tick` looks for such attempts.
 constexpr Duration ExpiryInterval = std::chrono::milliseconds(100);
 
+/// The lower bound of `MaxPendingPrefillTokens`, for slow engines.
 constexpr std::uint64_t MinPendingPrefillTokens = 1024;
 
 /// Without a request for this time, another router may have allocated the
-/// servers, so their cache contents have to be queried. A service with less
-/// than one request in this time benefits little from a cache.
+/// servers, so their cache contents have to be queried. A group with less than
+/// one request in this time benefits little from a cache.
 constexpr Duration CacheKnowledgeLifetime = std::chrono::seconds(4);
 
 } // namespace
@@ -36,13 +38,13 @@
                            const GatewayConfiguration *Configuration,
                            const ServerGroups &Groups, const ViewTime &Time) {
   this->Servers.setServers(Listed, Configuration, &Groups, Time);
-  this->dropLostGrants();
-  this->ServiceOf.clear();
+  this->dropGrantsOfEarlierProcesses();
+  this->GroupOf.clear();
   if (Configuration == nullptr)
     return;
   std::uint32_t Engines = 0;
   for (const auto &[Id, Server] : *Listed) {
-    this->ServiceOf[hashName(Id)] = Groups.groupOfServer(Id, Server.Service);
+    this->GroupOf[hashName(Id)] = Groups.groupOfServer(Id, Server.Service);
     const auto Service = Configuration->Services.find(Server.Service);
     const bool IsEngine = Service != Configuration->Services.end() &&
                           Service->second.KvCapacityTokens > 0;
@@ -51,12 +53,12 @@
   }
   if (Engines == 0 || Configuration->Limits.TokensPerSecond == 0)
     return;
-  AllocationLimits Limit;
-  Limit.PrefillTokensPerMs =
+  AllocationParameters Assumed;
+  Assumed.PrefillTokensPerMs =
       static_cast<double>(Configuration->Limits.TokensPerSecond) / Engines /
       1000.0;
-  Limit.MaxPendingPrefillTokens = std::max<std::uint64_t>(
-      static_cast<std::uint64_t>(Limit.PrefillTokensPerMs *
+  Assumed.MaxPendingPrefillTokens = std::max<std::uint64_t>(
+      static_cast<std::uint64_t>(Assumed.PrefillTokensPerMs *
                                  MaxPendingPrefillMs),
       MinPendingPrefillTokens);
   for (const auto &[Id, Server] : *Listed) {
@@ -64,30 +66,32 @@
     if (Service == Configuration->Services.end())
       continue;
     if (this->Options.FetchCached)
-      Limit.Fetch = fetchCostOf(Service->second, Limit.PrefillTokensPerMs);
-    this->Limits[this->ServiceOf.at(hashName(Id))] = Limit;
+      Assumed.Fetch = fetchCostOf(Service->second, Assumed.PrefillTokensPerMs);
+    this->Parameters[this->GroupOf.at(hashName(Id))] = Assumed;
   }
 }
 
-AllocationLimits Allocator::limitsOf(std::uint64_t Service) const {
-  const auto Found = this->Limits.find(Service);
-  return Found == this->Limits.end() ? AllocationLimits{} : Found->second;
+AllocationParameters Allocator::parametersOf(std::uint64_t Group) const {
+  const auto Found = this->Parameters.find(Group);
+  return Found == this->Parameters.end() ? AllocationParameters{}
+                                         : Found->second;
 }
 
 void Allocator::handle(const RouterMessage &Message, TimePoint Now) {
   std::visit([this, Now](const auto &M) { this->process(M, Now); }, Message);
 }
 
-/// Without this, an allocator that takes over servers would consider their
-/// caches empty and have cached parts prefilled again at other servers.
-void Allocator::recordRequest(std::uint64_t Service, TimePoint Now) {
-  const auto [Last, Fresh] = this->LastRequestAt.try_emplace(Service, Now);
-  const bool StillKnown = !Fresh && Now - Last->second < CacheKnowledgeLifetime;
+/// An allocator that takes over servers would otherwise consider their caches
+/// empty and have cached parts prefilled again at other servers.
+void Allocator::checkCacheKnowledge(std::uint64_t Group, TimePoint Now) {
+  const auto [Last, Inserted] = this->LastRequestAt.try_emplace(Group, Now);
+  const bool StillKnown =
+      !Inserted && Now - Last->second < CacheKnowledgeLifetime;
   Last->second = Now;
-  if (StillKnown || !this->limitsOf(Service).Fetch.PerToken)
+  if (StillKnown || !this->parametersOf(Group).Fetch.PerToken)
     return;
-  for (const auto &[Server, Group] : this->ServiceOf)
-    if (Group == Service && this->Servers.usable(Server, Now))
+  for (const auto &[Server, ServerGroup] : this->GroupOf)
+    if (ServerGroup == Group && this->Servers.usable(Server, Now))
       this->UnknownCaches.push_back(Server);
 }
 
@@ -99,11 +103,11 @@
   return std::exchange(this->Replies, {});
 }
 
-double Allocator::lowestVirtualTime(std::uint64_t Service) const {
+double Allocator::lowestVirtualTime(std::uint64_t Group) const {
   double Lowest = 0;
   bool Any = false;
   for (const auto &[Key, State] : this->Accounts) {
-    if (Key.first != Service || State.Queue.empty())
+    if (Key.first != Group || State.Queue.empty())
       continue;
     Lowest = Any ? std::min(Lowest, State.VirtualTime) : State.VirtualTime;
     Any = true;
@@ -112,7 +116,7 @@
 }
 
 void Allocator::process(const AllocationRequest &Request, TimePoint Now) {
-  // Repeated because the reply was lost or late.
+  // The router repeats a request whose reply was lost or is late.
   if (const auto Granted = this->ActiveGrants.find(Request.Id);
       Granted != this->ActiveGrants.end()) {
     this->Replies.emplace_back(AllocationGrant{
@@ -125,7 +129,7 @@
     this->Replies.emplace_back(AllocationQueued{Request.Id});
     return;
   }
-  this->recordRequest(Request.Service, Now);
+  this->checkCacheKnowledge(Request.Group, Now);
   QueuedRequest Queued;
   Queued.Request = Request;
   Queued.ArrivedAt = Now;
@@ -136,27 +140,27 @@
   Queued.ArrivedLate = Queued.Late;
   Queued.ExcludedServers.insert(Request.ExcludedServers.begin(),
                                 Request.ExcludedServers.end());
-  const AccountKey Key{Request.Service, Request.Account};
+  const AccountKey Key{Request.Group, Request.Account};
   AccountState &State = this->Accounts[Key];
   // An idle account does not accumulate credit.
   if (State.Queue.empty())
     State.VirtualTime =
-        std::max(State.VirtualTime, this->lowestVirtualTime(Request.Service));
+        std::max(State.VirtualTime, this->lowestVirtualTime(Request.Group));
   Queued.ArrivalNumber = ++this->LastArrivalNumber;
   const bool QueuesBehindOthers =
       !State.Queue.empty() &&
-      State.Queue.begin()->first <= this->queueKey(Queued);
+      State.Queue.begin()->first <= this->sortKeyOf(Queued);
   // A request with an earlier attempt may have run, and its response may have
   // started. A refusal would make it fail or truncate the response, so it waits
   // as long as it can still be served.
   const bool IsNew = Request.ExcludedServers.empty();
   if (this->Options.RefuseLikelyTimeouts && IsNew && QueuesBehindOthers &&
-      State.timeouts(Queued.Late).wouldTimeOut(this->queueKey(Queued), Now)) {
+      State.timeouts(Queued.Late).wouldTimeOut(this->sortKeyOf(Queued), Now)) {
     this->refuse(Request);
     return;
   }
-  State.Queue.emplace(this->queueKey(Queued), Request.Id);
-  ++this->QueuedCounts[Request.Service];
+  State.Queue.emplace(this->sortKeyOf(Queued), Request.Id);
+  ++this->QueuedCounts[Request.Group];
   this->QueuedRequests.emplace(Request.Id, std::move(Queued));
   this->dispatch(Now);
   if (this->QueuedRequests.contains(Request.Id))
@@ -186,7 +190,7 @@
   this->ActiveGrants.erase(Found);
 }
 
-void Allocator::dropLostGrants() {
+void Allocator::dropGrantsOfEarlierProcesses() {
   std::erase_if(this->ActiveGrants, [this](const auto &Each) {
     return Each.second.Load.ServerStartedMs <
            this->Servers.startOf(Each.second.Server);
@@ -197,24 +201,24 @@
   const std::int64_t KnownStart = this->Servers.startOf(Message.Server);
   if (Message.ServerStartedMs > KnownStart) {
     this->Servers.recordStart(Message.Server, Message.ServerStartedMs);
-    this->dropLostGrants();
+    this->dropGrantsOfEarlierProcesses();
   }
   // The attempt was sent to an earlier process. A grant of this allocator is
   // for the current process, even if the router does not know of the restart.
   if (Message.ServerStartedMs < KnownStart &&
       !this->ActiveGrants.contains(Message.Id))
     return;
-  const auto [Found, Fresh] = this->ActiveGrants.try_emplace(
+  const auto [Found, Inserted] = this->ActiveGrants.try_emplace(
       Message.Id, ActiveGrant{Message.Server,
                               0,
-                              {Message.PrefillTokens, Message.OutputTokens,
+                              {Message.PrefillTokens, Message.MaxOutputTokens,
                                Message.ServerStartedMs},
                               Now});
-  if (Fresh) {
+  if (Inserted) {
     this->Servers.recordSent(Message.Server, Found->second.Load, {}, Now);
     return;
   }
-  // The router has sent the request to another server since.
+  // The router has sent the request to another server in the meantime.
   if (Found->second.Server != Message.Server) {
     this->process(GrantEnded{Message.Id, ServerVerdict::Healthy}, Now);
     this->process(Message, Now);
@@ -252,7 +256,7 @@
   for (auto &[Id, Queued] : this->QueuedRequests) {
     const double PrefillMs =
         Queued.PlannedTokens /
-        this->limitsOf(Queued.Request.Service).PrefillTokensPerMs;
+        this->parametersOf(Queued.Request.Group).PrefillTokensPerMs;
     const Duration Needed{static_cast<Duration::rep>(PrefillMs * 1000)};
     if (Now >= Queued.WaitDeadline)
       Expired.push_back(Id);
@@ -261,9 +265,9 @@
   }
   for (const CorrelationId &Id : Expired) {
     const QueuedRequest &Queued = this->QueuedRequests.at(Id);
-    this->Accounts[{Queued.Request.Service, Queued.Request.Account}]
+    this->Accounts[{Queued.Request.Group, Queued.Request.Account}]
         .timeouts(Queued.ArrivedLate)
-        .recordTimeout(this->queueKey(Queued), Now);
+        .recordTimeout(this->sortKeyOf(Queued), Now);
     this->refuse(Queued.Request);
     this->removeQueued(Id);
   }
@@ -274,10 +278,10 @@
   if (Found == this->QueuedRequests.end())
     return;
   this->planFor(Found->second, 0, 0);
-  const AccountKey Key{Found->second.Request.Service,
+  const AccountKey Key{Found->second.Request.Group,
                        Found->second.Request.Account};
-  this->Accounts[Key].Queue.erase({this->queueKey(Found->second), Id});
-  const auto Count = this->QueuedCounts.find(Found->second.Request.Service);
+  this->Accounts[Key].Queue.erase({this->sortKeyOf(Found->second), Id});
+  const auto Count = this->QueuedCounts.find(Found->second.Request.Group);
   if (--Count->second == 0)
     this->QueuedCounts.erase(Count);
   this->QueuedRequests.erase(Found);
--- a/src/Placement/Allocator.h
+++ b/src/Placement/Allocator.h
@@ -10,12 +10,15 @@
 
 namespace parsleywing {
 
-/// How much work an allocator gives to the engines of a service at a time.
-struct AllocationLimits {
-  /// The maximum number of pending prefill tokens at one server; further
-  /// requests wait at the allocator. Engines admit requests in order of
-  /// arrival, so a request that is queued at an engine can neither be reordered
-  /// nor withdrawn.
+/// What an allocator assumes of the engines of a group, and how much work it
+/// gives to one of them at a time. The defaults apply if the configuration
+/// states no token throughput.
+struct AllocationParameters {
+  /// A server gets another prompt while its pending prefill tokens and half of
+  /// the new prompt do not exceed this. A server without pending prefill tokens
+  /// gets a prompt of any length. Other requests wait at the allocator: engines
+  /// admit requests in order of arrival, so a request that is queued at an
+  /// engine can neither be reordered nor withdrawn.
   std::uint64_t MaxPendingPrefillTokens = 5000;
   /// The estimated prefill speed of one server.
   double PrefillTokensPerMs = 25;
@@ -38,30 +41,32 @@
   PlacementWeights Weights;
 };
 
-/// How many servers of a service have free capacity, and why the others do not.
+/// How many servers of a group have free capacity, and why the others do not.
 struct CapacitySummary {
   std::uint32_t Free = 0;
   /// All slots are occupied.
   std::uint32_t SlotsFull = 0;
   /// Too many prompt tokens are waiting for prefill.
   std::uint32_t PrefillFull = 0;
-  /// The server has failed recently.
-  std::uint32_t Unhealthy = 0;
+  /// The server has failed recently, is draining, or is in an evacuated
+  /// availability zone.
+  std::uint32_t Unusable = 0;
   /// The server is warming up, and has reached its warm-up limit or is owned by
   /// another allocator.
   std::uint32_t WarmingUp = 0;
 };
 
-/// Allocates the servers of a service to the requests of all routers. Requests
-/// wait in a long queue here instead of at the engines, and are served by how
-/// much each client account has received and by which requests can still meet
-/// their latency objective. Performs no I/O and has no clock of its own; the
-/// caller delivers its replies.
+/// Allocates servers to the requests of all routers, in groups (`ServerGroups`)
+/// that are independent of each other. Requests wait here instead of at the
+/// engines. Requests that can still meet their latency objective come before
+/// late ones, and among them the client account that has received the least
+/// comes first. Performs no I/O and has no clock of its own; the owner of an
+/// allocator delivers its replies.
 ///
 /// `Allocator.cpp` maintains the state from messages and time;
 /// `AllocatorGrants.cpp` grants and refuses requests.
 ///
-/// Any router can be the allocator of a service, and several routers may
+/// Any router can be the allocator of a group, and several routers may
 /// consider themselves the allocator for some time. Each of them then fills the
 /// servers on its own, which makes the servers busier than planned but violates
 /// no guarantee.
@@ -69,6 +74,8 @@
 public:
   explicit Allocator(AllocatorOptions O = {});
 
+  /// Servers are identified by the hashes of their identities (`hashName`) in
+  /// all other functions.
   void setServers(const std::shared_ptr<const ServerList> &Listed,
                   const GatewayConfiguration *Configuration,
                   const ServerGroups &Groups, const ViewTime &Time = {});
@@ -102,9 +109,7 @@
 
   std::size_t queuedRequests() const { return this->QueuedRequests.size(); }
   std::size_t activeGrants() const { return this->ActiveGrants.size(); }
-  /// How many servers of a service (or group) have capacity, and what limits
-  /// the others.
-  CapacitySummary capacityOf(std::uint64_t Service, TimePoint Now) const;
+  CapacitySummary capacityOf(std::uint64_t Group, TimePoint Now) const;
   const ServerTable &serverTable() const { return this->Servers; }
 
 private:
@@ -113,11 +118,13 @@
     TimePoint ArrivedAt{};
     TimePoint ObjectiveDeadline{};
     TimePoint WaitDeadline{};
+    /// Whether the request can no longer meet its latency objective, now and
+    /// when it arrived.
     bool Late = false;
     bool ArrivedLate = false;
     std::set<std::uint64_t> ExcludedServers;
-    /// The server for which the request currently waits, and the tokens that
-    /// are counted as queued there.
+    /// The server for which the request currently waits, and the prefill tokens
+    /// that are counted there for it.
     std::uint64_t PlannedServer = 0;
     std::uint32_t PlannedTokens = 0;
     TimePoint PlannedAt{};
@@ -137,14 +144,18 @@
   };
 
   struct AccountState {
-    /// The tokens that the account has received; the lowest is served first.
+    /// The tokens granted to the account: prompt tokens, and maximum output
+    /// tokens times `OutputWeight`. Raised to the lowest value of the accounts
+    /// that wait in the group when the account's queue becomes non-empty. The
+    /// account with the lowest value is served first.
     double VirtualTime = 0;
-    /// The waiting requests, ordered by their work for an engine in tokens. The
-    /// smallest request is served first, which serves the most callers if not
-    /// all can be served: in order of arrival, a few long prompts delay many
-    /// short ones until these are late or refused. The order applies only
-    /// within an account; the share of an account does not depend on the size
-    /// of its requests.
+    /// The waiting requests in the order of `sortKeyOf`: by their work for an
+    /// engine in tokens, or by arrival if `SmallestFirst` is off. The smallest
+    /// request is served first, which serves the most callers if not all can be
+    /// served: in order of arrival, a few long prompts delay many short ones
+    /// until these are late or refused. The order applies only within an
+    /// account; the share of an account does not depend on the size of its
+    /// requests.
     std::set<std::pair<double, CorrelationId>> Queue;
     /// Timeouts of requests that could meet their objective on arrival, and of
     /// requests that arrived late.
@@ -156,6 +167,7 @@
     }
   };
 
+  /// The group and the account.
   using AccountKey = std::pair<std::uint64_t, std::uint64_t>;
 
   void process(const AllocationRequest &Request, TimePoint Now);
@@ -167,49 +179,48 @@
   template <typename Other> void process(const Other &, TimePoint) {}
 
   void dispatch(TimePoint Now);
-  bool grantNext(std::uint64_t Service, TimePoint Now, bool Late);
+  bool grantNext(std::uint64_t Group, TimePoint Now, bool Late);
   /// `AnyServer` permits any server with capacity, even if prefilling the
   /// prompt there costs more than waiting for the best server.
   bool tryGrant(QueuedRequest &Queued, TimePoint Now, bool AnyServer);
   /// Whether an account has received much less than the one that has received
   /// the most.
   bool isUnderserved(const AccountKey &Key, double MaxVirtualTime) const;
-  bool anyCapacity(std::uint64_t Service, TimePoint Now) const;
+  bool anyCapacity(std::uint64_t Group, TimePoint Now) const;
   bool hasCapacity(std::uint64_t Server, std::uint32_t PrefillTokens) const;
   bool hasFreeSlot(std::uint64_t Server) const;
   void grant(const QueuedRequest &Queued, const ServerChoice &Choice,
              TimePoint Now);
   void refuse(const AllocationRequest &Request);
   void removeQueued(const CorrelationId &Id);
-  /// Counts the request's tokens as queued at this server instead of the
-  /// previous one.
+  /// Moves the request's tokens from its previously planned server to this one.
   void planFor(QueuedRequest &Queued, std::uint64_t Server,
                std::uint32_t Tokens);
   void expireQueued(TimePoint Now);
   void expireGrants(TimePoint Now);
-  /// Marks the caches of the service's servers as unknown if this allocator has
+  /// Marks the caches of the group's servers as unknown if this allocator has
   /// not allocated them recently.
-  void recordRequest(std::uint64_t Service, TimePoint Now);
+  void checkCacheKnowledge(std::uint64_t Group, TimePoint Now);
   /// Drops grants to earlier processes of servers that have restarted.
-  void dropLostGrants();
-  AllocationLimits limitsOf(std::uint64_t Service) const;
-  double lowestVirtualTime(std::uint64_t Service) const;
+  void dropGrantsOfEarlierProcesses();
+  AllocationParameters parametersOf(std::uint64_t Group) const;
+  double lowestVirtualTime(std::uint64_t Group) const;
 
   /// The sort key of a request in its account's queue.
-  double queueKey(const QueuedRequest &Queued) const;
+  double sortKeyOf(const QueuedRequest &Queued) const;
 
   AllocatorOptions Options;
   ServerTable Servers;
-  std::map<std::uint64_t, AllocationLimits> Limits;
-  /// The service (or group) of each listed server.
-  std::unordered_map<std::uint64_t, std::uint64_t> ServiceOf;
+  std::map<std::uint64_t, AllocationParameters> Parameters;
+  /// The group of each listed server.
+  std::unordered_map<std::uint64_t, std::uint64_t> GroupOf;
   std::map<CorrelationId, QueuedRequest> QueuedRequests;
   std::map<CorrelationId, ActiveGrant> ActiveGrants;
   std::map<AccountKey, AccountState> Accounts;
-  /// The time of the last allocation request for each service.
+  /// The time of the last allocation request for each group.
   std::unordered_map<std::uint64_t, TimePoint> LastRequestAt;
   std::vector<std::uint64_t> UnknownCaches;
-  /// The number of queued requests for each service.
+  /// The number of queued requests for each group.
   std::map<std::uint64_t, std::size_t> QueuedCounts;
   std::vector<RouterMessage> Replies;
   TimePoint LastExpiry{};
--- a/src/Placement/AllocatorGrants.cpp
+++ b/src/Placement/AllocatorGrants.cpp
@@ -8,7 +8,7 @@
 
 /// The number of requests of one account that are tried for a server with
 /// capacity, since the first may be planned for a server that is full.
-constexpr int MaxExamined = 6;
+constexpr int MaxRequestsTried = 6;
 
 /// How long a queued request keeps its planned server before it is placed
 /// again. Placement costs a few microseconds per server, and the end of every
@@ -20,13 +20,13 @@
 /// routers that cannot reach an allocator.
 constexpr double UsableSlotFraction = 0.92;
 
-/// Bounds for the retry time of a refused caller, which is the estimated time
-/// to serve the current queue.
+/// The bounds of `RetryAfterMs`, which is the estimated time to prefill the
+/// prompts that are queued for the group.
 constexpr std::uint32_t MinRetryAfterMs = 250;
 constexpr std::uint32_t MaxRetryAfterMs = 1000;
 
 /// A generated token counts as this many prompt tokens in the usage of an
-/// account, as in the capacity figures of the operators.
+/// account, as in the token throughput that the operators state.
 constexpr double OutputWeight = 2;
 
 /// An account is underserved if its virtual time is this far below that of
@@ -37,7 +37,7 @@
 constexpr double UnderservedSeconds = 8;
 
 double costOf(const AllocationRequest &Request) {
-  return Request.PromptTokens + OutputWeight * Request.OutputTokens;
+  return Request.PromptTokens + OutputWeight * Request.MaxOutputTokens;
 }
 
 /// The lifetime of a grant for a server that is warming up, counted from when
@@ -62,19 +62,19 @@
     Shared += Request.Parts[I].Tokens;
   const double Prefill =
       Request.PromptTokens - (1 - SharedPrefillFraction) * Shared;
-  return std::max(Prefill, 0.0) + OutputWeight * Request.OutputTokens;
+  return std::max(Prefill, 0.0) + OutputWeight * Request.MaxOutputTokens;
 }
 
 } // namespace
 
-double Allocator::queueKey(const QueuedRequest &Queued) const {
+double Allocator::sortKeyOf(const QueuedRequest &Queued) const {
   return this->Options.SmallestFirst
              ? workOf(Queued.Request)
              : static_cast<double>(Queued.ArrivalNumber);
 }
 
-bool Allocator::anyCapacity(std::uint64_t Service, TimePoint Now) const {
-  return this->Servers.anyUsable(Service, Now, [this](std::uint64_t Server) {
+bool Allocator::anyCapacity(std::uint64_t Group, TimePoint Now) const {
+  return this->Servers.anyUsable(Group, Now, [this](std::uint64_t Server) {
     return this->hasCapacity(Server, 0);
   });
 }
@@ -87,14 +87,14 @@
   return this->Servers.running(Server) + 1 <= std::max(Slots, 1.0);
 }
 
-CapacitySummary Allocator::capacityOf(std::uint64_t Service,
+CapacitySummary Allocator::capacityOf(std::uint64_t Group,
                                       TimePoint Now) const {
   CapacitySummary Summary;
-  for (const auto &[Server, Group] : this->ServiceOf) {
-    if (Group != Service)
+  for (const auto &[Server, ServerGroup] : this->GroupOf) {
+    if (ServerGroup != Group)
       continue;
     if (!this->Servers.usableIfGranted(Server, Now))
-      ++Summary.Unhealthy;
+      ++Summary.Unusable;
     else if (!this->Servers.usable(Server, Now))
       ++Summary.WarmingUp;
     else if (!this->hasFreeSlot(Server))
@@ -109,41 +109,41 @@
 
 bool Allocator::hasCapacity(std::uint64_t Server,
                             std::uint32_t PrefillTokens) const {
-  const auto Service = this->ServiceOf.find(Server);
-  if (Service == this->ServiceOf.end() || !this->hasFreeSlot(Server))
+  const auto Found = this->GroupOf.find(Server);
+  if (Found == this->GroupOf.end() || !this->hasFreeSlot(Server))
     return false;
+  // Half of the prompt: the limit may be exceeded by at most the other half.
   const std::uint64_t Pending = this->Servers.pendingPrefillTokens(Server);
   return Pending == 0 ||
          Pending + PrefillTokens / 2 <=
-             this->limitsOf(Service->second).MaxPendingPrefillTokens;
+             this->parametersOf(Found->second).MaxPendingPrefillTokens;
 }
 
 void Allocator::dispatch(TimePoint Now) {
   for (const bool Late : {false, true})
-    for (const auto &[Service, Count] : std::map(this->QueuedCounts))
-      while (this->anyCapacity(Service, Now) &&
-             this->grantNext(Service, Now, Late))
+    for (const auto &[Group, Count] : std::map(this->QueuedCounts))
+      while (this->anyCapacity(Group, Now) && this->grantNext(Group, Now, Late))
         continue;
 }
 
 /// Grants a server to the account that has received the least, of those for
 /// which a server has capacity.
-bool Allocator::grantNext(std::uint64_t Service, TimePoint Now, bool Late) {
+bool Allocator::grantNext(std::uint64_t Group, TimePoint Now, bool Late) {
   std::vector<std::pair<double, AccountKey>> Order;
-  const auto First = this->Accounts.lower_bound({Service, 0});
+  const auto First = this->Accounts.lower_bound({Group, 0});
   for (auto Each = First;
-       Each != this->Accounts.end() && Each->first.first == Service; ++Each)
+       Each != this->Accounts.end() && Each->first.first == Group; ++Each)
     if (!Each->second.Queue.empty())
       Order.emplace_back(Each->second.VirtualTime, Each->first);
   std::sort(Order.begin(), Order.end());
   for (const auto &[VirtualTime, Key] : Order) {
     const bool Underserved = this->isUnderserved(Key, Order.back().first);
-    int Examined = 0;
-    for (const auto &[Load, Id] : this->Accounts.at(Key).Queue) {
+    int Tried = 0;
+    for (const auto &[SortKey, Id] : this->Accounts.at(Key).Queue) {
       QueuedRequest &Queued = this->QueuedRequests.at(Id);
       if (Queued.Late != Late)
         continue;
-      if (++Examined > MaxExamined)
+      if (++Tried > MaxRequestsTried)
         break;
       // Placed recently, and the planned server is still full.
       const bool PlanStillFull =
@@ -162,7 +162,8 @@
 
 bool Allocator::isUnderserved(const AccountKey &Key,
                               double MaxVirtualTime) const {
-  const double PerSecond = this->limitsOf(Key.first).PrefillTokensPerMs * 1000;
+  const double PerSecond =
+      this->parametersOf(Key.first).PrefillTokensPerMs * 1000;
   return this->Options.UnderservedUseAnyServer &&
          MaxVirtualTime - this->Accounts.at(Key).VirtualTime >
              PerSecond * UnderservedSeconds;
@@ -172,14 +173,14 @@
   // The request's own tokens must not count against its planned server.
   this->planFor(Queued, 0, 0);
   PlacementQuery Query;
-  Query.Service = Queued.Request.Service;
+  Query.Group = Queued.Request.Group;
   Query.Zone = Queued.Request.Zone;
   Query.Parts = &Queued.Request.Parts;
   Query.PromptTokens = Queued.Request.PromptTokens;
-  Query.OutputTokens = Queued.Request.OutputTokens;
-  const AllocationLimits Limit = this->limitsOf(Queued.Request.Service);
-  Query.PrefillTokensPerSecond = Limit.PrefillTokensPerMs * 1000;
-  Query.Fetch = Limit.Fetch;
+  Query.MaxOutputTokens = Queued.Request.MaxOutputTokens;
+  const AllocationParameters Assumed = this->parametersOf(Queued.Request.Group);
+  Query.PrefillTokensPerSecond = Assumed.PrefillTokensPerMs * 1000;
+  Query.Fetch = Assumed.Fetch;
   Query.Weights = this->Options.Weights;
   Query.ExcludedServers = &Queued.ExcludedServers;
   Query.Now = Now;
@@ -204,7 +205,7 @@
 void Allocator::grant(const QueuedRequest &Queued, const ServerChoice &Choice,
                       TimePoint Now) {
   const AllocationRequest &Request = Queued.Request;
-  const AttemptLoad Load{Choice.PrefillTokens, Request.OutputTokens,
+  const AttemptLoad Load{Choice.PrefillTokens, Request.MaxOutputTokens,
                          this->Servers.startOf(Choice.Server)};
   std::uint32_t SendWithinMs = 0;
   if (this->Servers.isWarmingUp(Choice.Server, Now))
@@ -213,9 +214,9 @@
   this->ActiveGrants[Request.Id] = {Choice.Server, Choice.FetchSource,
                                     Load,          Now,
                                     Request.Parts, SendWithinMs};
-  AccountState &Account = this->Accounts[{Request.Service, Request.Account}];
+  AccountState &Account = this->Accounts[{Request.Group, Request.Account}];
   Account.VirtualTime += costOf(Request);
-  Account.timeouts(Queued.ArrivedLate).recordServed(this->queueKey(Queued));
+  Account.timeouts(Queued.ArrivedLate).recordServed(this->sortKeyOf(Queued));
   this->Replies.emplace_back(AllocationGrant{
       Request.Id, Choice.Server, Choice.PrefillTokens, Choice.BacklogTokens,
       Load.ServerStartedMs, Choice.FetchSource, SendWithinMs});
@@ -225,27 +226,28 @@
 void Allocator::refuse(const AllocationRequest &Request) {
   double QueuedTokens = 0;
   for (const auto &[Id, Each] : this->QueuedRequests)
-    if (Each.Request.Service == Request.Service)
+    if (Each.Request.Group == Request.Group)
       QueuedTokens += Each.PlannedTokens;
-  const std::uint32_t Engines =
-      std::max(this->Servers.serverCount(Request.Service), 1U);
-  const double DrainMs = QueuedTokens / Engines /
-                         this->limitsOf(Request.Service).PrefillTokensPerMs;
+  const std::uint32_t ServerCount =
+      std::max(this->Servers.serverCount(Request.Group), 1U);
+  const double QueuePrefillMs =
+      QueuedTokens / ServerCount /
+      this->parametersOf(Request.Group).PrefillTokensPerMs;
   const auto RetryAfterMs = static_cast<std::uint32_t>(
-      std::clamp<double>(DrainMs, MinRetryAfterMs, MaxRetryAfterMs));
+      std::clamp<double>(QueuePrefillMs, MinRetryAfterMs, MaxRetryAfterMs));
   this->Replies.emplace_back(
-      AllocationRefusal{Request.Id, RetryAfterMs, Request.Service});
+      AllocationRefusal{Request.Id, RetryAfterMs, Request.Group});
 }
 
 void Allocator::planFor(QueuedRequest &Queued, std::uint64_t Server,
                         std::uint32_t Tokens) {
   if (Queued.PlannedTokens > 0)
-    this->Servers.addQueuedTokens(
+    this->Servers.addPlannedTokens(
         Queued.PlannedServer, -static_cast<std::int64_t>(Queued.PlannedTokens));
   Queued.PlannedServer = Server;
   Queued.PlannedTokens = Tokens;
   if (Tokens > 0)
-    this->Servers.addQueuedTokens(Server, Tokens);
+    this->Servers.addPlannedTokens(Server, Tokens);
 }
 
 } // namespace parsleywing
--- a/src/Placement/AttemptPolicy.cpp
+++ b/src/Placement/AttemptPolicy.cpp
@@ -7,8 +7,9 @@
 namespace {
 
 /// The maximum number of attempts of one request, including attempts that did
-/// not run it. Each attempt costs time of the caller and a refusal by a server.
-/// Three attempts are enough for a draining server and then a full one.
+/// not run it. Each attempt costs some of the caller's time and work of a
+/// server that refuses it. Three attempts are enough to reach another server
+/// after a draining one and a full one.
 constexpr std::uint32_t MaxAttempts = 4;
 
 /// With less time left than this, another attempt cannot get a response.
@@ -27,7 +28,7 @@
     return true;
   case AttemptResult::ErrorResponse:
   case AttemptResult::NoResponse:
-  case AttemptResult::Truncated:
+  case AttemptResult::Interrupted:
     return Progress.Repeatable && Progress.Runs < Progress.MaxRuns;
   }
   return false;
@@ -38,12 +39,12 @@
 }
 
 NextStep nextStep(const RequestProgress &Progress, AttemptResult Result,
-                  bool Retry) {
+                  bool RetryPossible) {
   if (Result == AttemptResult::Served)
     return NextStep::Done;
-  if (Retry) {
+  if (RetryPossible) {
     PARSLEYWING_INVARIANT(Progress.Repeatable || Progress.Runs == 0,
-                          "a request that may run once at most is not sent "
+                          "a request that may run at most once is not sent "
                           "again after it may have run");
     return NextStep::Retry;
   }
--- a/src/Placement/AttemptPolicy.h
+++ b/src/Placement/AttemptPolicy.h
@@ -15,7 +15,7 @@
   NotSent,       ///< No byte of the request has left this router.
   NotRun,        ///< The server stated that it did not run the request.
   NoResponse,    ///< No usable response; the request may have run.
-  Truncated,     ///< The stream broke after some events had been forwarded.
+  Interrupted,   ///< The stream broke after some events had been forwarded.
 };
 
 inline constexpr EnumNames<AttemptResult, 6> AttemptResultNames{{
@@ -24,15 +24,16 @@
     {AttemptResult::NotSent, "not-sent"},
     {AttemptResult::NotRun, "not-run"},
     {AttemptResult::NoResponse, "lost"},
-    {AttemptResult::Truncated, "broken-off"},
+    {AttemptResult::Interrupted, "broken-off"},
 }};
 
 /// The state of a request after an attempt has ended.
 struct RequestProgress {
   /// More than one server may run the request.
   bool Repeatable = false;
+  /// The maximum of `Runs`.
   std::uint32_t MaxRuns = 1;
-  /// Attempts that may have run the request.
+  /// The number of attempts that may have run the request.
   std::uint32_t Runs = 0;
   std::uint32_t Attempts = 0;
   /// Part of a response has been forwarded to the caller.
@@ -60,16 +61,18 @@
 }};
 
 /// Whether the request itself permits another attempt after this result. The
-/// caller has to check the service's `RetryAllowance` as well.
+/// code that calls this must also check the service's `RetryAllowance`.
 bool mayRetry(const RequestProgress &Progress, AttemptResult Result);
 
-/// Whether an attempt after this result counts as a retry at the service.
+/// Whether an attempt after this result counts as a retry at the service. It
+/// does not if no byte was sent, since the service then has no work from the
+/// attempt before.
 bool countsAsRetry(AttemptResult Result);
 
-/// The next step after an attempt. `Retry` states whether another attempt is
-/// both permitted and possible.
+/// The next step after an attempt. `RetryPossible` states whether another
+/// attempt is both permitted and possible.
 NextStep nextStep(const RequestProgress &Progress, AttemptResult Result,
-                  bool Retry);
+                  bool RetryPossible);
 
 } // namespace parsleywing
 
--- a/src/Placement/CacheModel.cpp
+++ b/src/Placement/CacheModel.cpp
@@ -25,7 +25,7 @@
   for (const PromptPart &Part : Parts)
     if (const auto Found = this->Index.find(Part.Id);
         Found != this->Index.end())
-      Found->second->Resident = true;
+      Found->second->Prefilled = true;
 }
 
 void CacheModel::addReported(const std::vector<PromptPart> &Parts) {
@@ -40,10 +40,10 @@
   }
 }
 
-void CacheModel::evictUnfilled(const std::vector<PromptPart> &Parts) {
+void CacheModel::evictUnprefilled(const std::vector<PromptPart> &Parts) {
   for (const PromptPart &Part : Parts)
     if (const auto Found = this->Index.find(Part.Id);
-        Found != this->Index.end() && !Found->second->Resident)
+        Found != this->Index.end() && !Found->second->Prefilled)
       this->evict(Found->second);
 }
 
@@ -59,11 +59,11 @@
 }
 
 std::uint64_t
-CacheModel::residentTokens(const std::vector<PromptPart> &Parts) const {
+CacheModel::prefilledTokens(const std::vector<PromptPart> &Parts) const {
   std::uint64_t Tokens = 0;
   for (const PromptPart &Part : Parts) {
     const auto Found = this->Index.find(Part.Id);
-    if (Found == this->Index.end() || !Found->second->Resident)
+    if (Found == this->Index.end() || !Found->second->Prefilled)
       break;
     Tokens += Part.Tokens;
   }
--- a/src/Placement/CacheModel.h
+++ b/src/Placement/CacheModel.h
@@ -20,25 +20,27 @@
   /// Records that a prompt was sent to the engine. All of its parts become the
   /// most recently used ones; new parts are not prefilled yet.
   void insert(const std::vector<PromptPart> &Parts);
-  /// Marks the parts of a prompt as prefilled, and so as resident.
+  /// Marks the parts of a prompt as prefilled, and so as cached.
   void markPrefilled(const std::vector<PromptPart> &Parts);
-  /// Removes the parts of a prompt that was never prefilled, unless another
-  /// prompt has made them resident.
-  void evictUnfilled(const std::vector<PromptPart> &Parts);
+  /// Removes the parts of a prompt that was never prefilled, except parts that
+  /// were prefilled for another prompt.
+  void evictUnprefilled(const std::vector<PromptPart> &Parts);
 
   /// Adds parts that the engine reports as cached. They count as less recently
   /// used than all known parts, since they are older than everything sent since
   /// the query. Parts that do not fit are ignored.
   void addReported(const std::vector<PromptPart> &Parts);
 
-  /// The number of tokens at the start of the prompt that will be cached when
-  /// the engine starts a request that is sent now. A part counts only if all
-  /// parts before it are cached too.
+  /// The number of tokens at the start of the prompt that the engine is
+  /// expected to have cached when it starts a request that is sent now: those
+  /// of parts that are prefilled or were sent. A part counts only if all parts
+  /// before it count too.
   std::uint64_t expectedTokens(const std::vector<PromptPart> &Parts) const;
-  /// Like `expectedTokens`, but only prefilled parts, which other engines can
-  /// fetch.
-  std::uint64_t residentTokens(const std::vector<PromptPart> &Parts) const;
+  /// Like `expectedTokens`, but counts only prefilled parts, which other
+  /// engines can fetch.
+  std::uint64_t prefilledTokens(const std::vector<PromptPart> &Parts) const;
 
+  /// Whether the part is prefilled or was sent.
   bool contains(std::uint64_t Part) const { return this->Index.contains(Part); }
 
   void clear();
@@ -46,7 +48,7 @@
 private:
   struct Entry {
     PromptPart Part;
-    bool Resident = false;
+    bool Prefilled = false;
   };
   using LruList = std::list<Entry>;
 
--- a/src/Placement/CrashRegistry.cpp
+++ b/src/Placement/CrashRegistry.cpp
@@ -6,15 +6,19 @@
 
 namespace {
 
-/// A request with this many crashes that no other request explains is refused.
+/// A request with this many crashes that are not attributed to another request
+/// is refused.
 constexpr std::size_t CrashesToRefuse = 3;
 
-/// A request with this many crashes is refused even if another request explains
-/// them: two requests that cause crashes may have been at the same servers.
+/// A request with this many crashes is refused even if they are attributed to
+/// another request: two requests that cause crashes may have been at the same
+/// servers.
 constexpr std::size_t CrashesToRefuseAlways = 5;
 
-/// The time until a refused request may be probed, first and again after a
-/// probe that crashed a fourth server.
+/// The minimum time between the last crash or probe of a refused request and
+/// its next probe: `FirstProbeDelay` while it has only the `CrashesToRefuse`
+/// crashes for which it was refused, `SecondProbeDelay` with more crashes, for
+/// example after a probe that crashed another server.
 constexpr Duration FirstProbeDelay = std::chrono::minutes(10);
 constexpr Duration SecondProbeDelay = std::chrono::hours(1);
 
@@ -48,7 +52,7 @@
 
 } // namespace
 
-std::size_t CrashRegistry::Suspect::activeCrashes() const {
+std::size_t CrashRegistry::Suspect::unclearedCrashes() const {
   return static_cast<std::size_t>(
       std::count_if(this->Crashes.begin(), this->Crashes.end(),
                     [](const auto &Each) { return !Each.second; }));
@@ -58,24 +62,24 @@
   const TimePoint Seen = Now - std::chrono::seconds(Fact.AgeSeconds);
   if (Now - Seen > SuspectLifetime)
     return false;
-  const auto [Found, NewEntry] = this->Suspects.try_emplace(Fact.Request);
-  Suspect &Entry = Found->second;
-  if (NewEntry)
+  const auto [Found, Inserted] = this->Suspects.try_emplace(Fact.Request);
+  Suspect &Suspected = Found->second;
+  if (Inserted)
     this->ShortHashes.insert(Fact.Request.ShortHash);
-  Entry.LastSeen = NewEntry ? Seen : std::max(Entry.LastSeen, Seen);
+  Suspected.LastSeen = Inserted ? Seen : std::max(Suspected.LastSeen, Seen);
   const auto [Crash, NewCrash] =
-      Entry.Crashes.try_emplace(Fact.Process, Fact.Cleared);
+      Suspected.Crashes.try_emplace(Fact.Process, Fact.Cleared);
   const bool ClearedNow = Fact.Cleared && !Crash->second;
   const bool Changed = NewCrash || ClearedNow;
   if (NewCrash)
-    Entry.LastCrashOrProbe = std::max(Entry.LastCrashOrProbe, Seen);
-  const bool AffectedBefore = affectsRefusals(Entry);
+    Suspected.LastCrashOrProbe = std::max(Suspected.LastCrashOrProbe, Seen);
+  const bool AffectedBefore = affectsRefusals(Suspected);
   Crash->second = Crash->second || Fact.Cleared;
-  if (Entry.Crashes.size() > MaxCrashesPerSuspect)
-    dropOneCrash(Entry.Crashes);
-  if (Changed && (AffectedBefore || affectsRefusals(Entry)))
+  if (Suspected.Crashes.size() > MaxCrashesPerSuspect)
+    dropOneCrash(Suspected.Crashes);
+  if (Changed && (AffectedBefore || affectsRefusals(Suspected)))
     this->updateRefusals();
-  if (NewEntry)
+  if (Inserted)
     this->evictExcess();
   return Changed;
 }
@@ -106,8 +110,8 @@
   return Found != this->Suspects.end() && Found->second.Refused;
 }
 
-void CrashRegistry::recordRefused(const RequestIdentity &Request,
-                                  TimePoint Now) {
+void CrashRegistry::recordRefusedAgain(const RequestIdentity &Request,
+                                       TimePoint Now) {
   const auto Found = this->Suspects.find(Request);
   if (Found != this->Suspects.end())
     Found->second.LastSeen = Now;
@@ -118,7 +122,7 @@
   const auto Found = this->Suspects.find(Request);
   if (Found == this->Suspects.end() || !Found->second.Refused)
     return false;
-  const std::size_t Crashes = Found->second.activeCrashes();
+  const std::size_t Crashes = Found->second.unclearedCrashes();
   const Duration Delay =
       Crashes <= CrashesToRefuse ? FirstProbeDelay : SecondProbeDelay;
   return Crashes < CrashesToRefuseAlways &&
@@ -133,7 +137,7 @@
 
 std::size_t CrashRegistry::crashCount(const RequestIdentity &Request) const {
   const auto Found = this->Suspects.find(Request);
-  return Found == this->Suspects.end() ? 0 : Found->second.activeCrashes();
+  return Found == this->Suspects.end() ? 0 : Found->second.unclearedCrashes();
 }
 
 std::size_t CrashRegistry::refusedCount() const {
@@ -142,31 +146,31 @@
                     [](const auto &Each) { return Each.second.Refused; }));
 }
 
-bool CrashRegistry::affectsRefusals(const Suspect &Entry) {
-  return Entry.activeCrashes() >= CrashesToRefuse;
+bool CrashRegistry::affectsRefusals(const Suspect &Suspected) {
+  return Suspected.unclearedCrashes() >= CrashesToRefuse;
 }
 
 void CrashRegistry::updateRefusals() {
   std::vector<Suspect *> Undecided;
-  for (auto &[Request, Entry] : this->Suspects) {
-    const std::size_t Count = Entry.activeCrashes();
-    Entry.Refused = Count >= CrashesToRefuseAlways;
+  for (auto &[Request, Suspected] : this->Suspects) {
+    const std::size_t Count = Suspected.unclearedCrashes();
+    Suspected.Refused = Count >= CrashesToRefuseAlways;
     if (Count >= CrashesToRefuse)
-      Undecided.push_back(&Entry);
+      Undecided.push_back(&Suspected);
   }
-  std::set<ServerProcess> Explained;
-  const auto Unexplained = [&Explained](const Suspect &Entry) {
-    return std::count_if(Entry.Crashes.begin(), Entry.Crashes.end(),
-                         [&Explained](const auto &Each) {
+  std::set<ServerProcess> Attributed;
+  const auto Unattributed = [&Attributed](const Suspect &Suspected) {
+    return std::count_if(Suspected.Crashes.begin(), Suspected.Crashes.end(),
+                         [&Attributed](const auto &Each) {
                            return !Each.second &&
-                                  !Explained.contains(Each.first);
+                                  !Attributed.contains(Each.first);
                          });
   };
   while (!Undecided.empty()) {
     std::map<const Suspect *, std::ptrdiff_t> Remaining;
     std::ptrdiff_t MaxRemaining = 0;
     for (const Suspect *Each : Undecided) {
-      Remaining[Each] = Unexplained(*Each);
+      Remaining[Each] = Unattributed(*Each);
       MaxRemaining = std::max(MaxRemaining, Remaining[Each]);
     }
     if (MaxRemaining < static_cast<std::ptrdiff_t>(CrashesToRefuse))
@@ -178,7 +182,7 @@
         Each->Refused = true;
         for (const auto &[Process, Cleared] : Each->Crashes)
           if (!Cleared)
-            Explained.insert(Process);
+            Attributed.insert(Process);
       }
     std::erase_if(Undecided, [&](const Suspect *Each) {
       return Remaining[Each] == MaxRemaining;
@@ -194,8 +198,9 @@
   const auto Least = std::min_element(
       this->Suspects.begin(), this->Suspects.end(),
       [](const auto &Left, const auto &Right) {
-        return std::pair(Left.second.activeCrashes(), Left.second.LastSeen) <
-               std::pair(Right.second.activeCrashes(), Right.second.LastSeen);
+        return std::pair(Left.second.unclearedCrashes(), Left.second.LastSeen) <
+               std::pair(Right.second.unclearedCrashes(),
+                         Right.second.LastSeen);
       });
   this->erase(Least);
 }
@@ -239,7 +244,7 @@
 std::vector<CrashFact> CrashRegistry::nextFacts(std::size_t MaxFacts,
                                                 TimePoint Now) {
   std::vector<CrashFact> Facts;
-  auto Each = this->Suspects.upper_bound(this->LastSent);
+  auto Each = this->Suspects.upper_bound(this->LastVisited);
   for (std::size_t Examined = 0;
        Examined < this->Suspects.size() && Facts.size() < MaxFacts;
        ++Examined) {
@@ -248,7 +253,7 @@
     if (Facts.size() + Each->second.Crashes.size() > MaxFacts)
       break;
     appendFacts(*Each, Now, Facts);
-    this->LastSent = Each->first;
+    this->LastVisited = Each->first;
     ++Each;
   }
   return Facts;
--- a/src/Placement/CrashRegistry.h
+++ b/src/Placement/CrashRegistry.h
@@ -51,12 +51,13 @@
 /// which requests cause crashes and must be refused. All routers eventually
 /// hold the same facts, and make the same decisions from the same facts.
 ///
-/// A crash also ends innocent requests at the server, and their retries may
-/// meet the next crash by chance. Therefore a crash that a refused request
-/// explains does not count against other requests. Of all requests with enough
-/// crashes, those with the most are refused first, and the remaining requests
-/// are judged only by crashes that are still unexplained. A new fact may cause
-/// a request to be refused or to be accepted again. A request that gets a
+/// A crash also ends requests at the server that did not cause it, and their
+/// retries may be at the next server that crashes by chance. A crash is
+/// therefore attributed to the refused requests with the most crashes, and no
+/// longer counts against others: of all requests with enough crashes, those
+/// with the most are refused first, and only the crashes that are still
+/// unattributed decide on the remaining requests. A new fact may cause a
+/// request to be refused or to be accepted again. A request that gets a
 /// complete response starts over.
 ///
 /// Performs no I/O and has no clock of its own.
@@ -71,14 +72,15 @@
 
   /// Whether the request must not be sent to a server.
   bool isRefused(const RequestIdentity &Request) const;
-  /// A refused request was received again, which extends the lifetime of its
-  /// record.
-  void recordRefused(const RequestIdentity &Request, TimePoint Now);
+  /// Records that a refused request was received again, which extends the
+  /// lifetime of its entry.
+  void recordRefusedAgain(const RequestIdentity &Request, TimePoint Now);
 
   /// Whether a refused request may be sent once, as a probe, to find out
-  /// whether it still crashes servers: it may have been innocent, or the
-  /// servers may have been fixed. Permitted at most twice per request, a long
-  /// time after its last crash and its last probe.
+  /// whether it still crashes servers: it may not have caused the crashes, or
+  /// the servers may have been fixed. Permitted a long time after the last
+  /// crash and the last probe, until the request has five crashes that are not
+  /// cleared. At most two probes therefore crash a server.
   bool mayProbe(const RequestIdentity &Request, TimePoint Now) const;
   void recordProbe(const RequestIdentity &Request, TimePoint Now);
 
@@ -91,11 +93,11 @@
     return this->ShortHashes.contains(ShortHash);
   }
 
-  /// The next facts to send to another router, at most `MaxFacts` (which must
-  /// be at least 12). Cycles through the facts of refused requests and of
-  /// requests that were seen recently.
+  /// The next facts to send to another router, at most `MaxFacts`, which must
+  /// be at least `MaxCrashesPerSuspect` (12). Cycles through the facts of
+  /// refused requests and of requests that were seen recently.
   std::vector<CrashFact> nextFacts(std::size_t MaxFacts, TimePoint Now);
-  /// All of these facts.
+  /// All facts through which `nextFacts` cycles.
   std::vector<CrashFact> allFacts(TimePoint Now) const;
 
   /// Removes requests that were not seen for a long time. Called periodically.
@@ -106,8 +108,8 @@
 
   /// Calls `Visit` with each recorded request, for the state dump.
   template <typename Visitor> void visit(Visitor Visit) const {
-    for (const auto &[Request, Entry] : this->Suspects)
-      Visit(Request, Entry.activeCrashes(), Entry.Refused);
+    for (const auto &[Request, Suspected] : this->Suspects)
+      Visit(Request, Suspected.unclearedCrashes(), Suspected.Refused);
   }
 
 private:
@@ -118,23 +120,24 @@
     TimePoint LastCrashOrProbe{};
     bool Refused = false;
 
-    std::size_t activeCrashes() const;
+    std::size_t unclearedCrashes() const;
   };
   using SuspectMap = std::map<RequestIdentity, Suspect>;
 
-  /// Whether a change of this entry may change which requests are refused.
-  static bool affectsRefusals(const Suspect &Entry);
+  /// Whether a change of this request's crashes may change which requests are
+  /// refused.
+  static bool affectsRefusals(const Suspect &Suspected);
   void updateRefusals();
   void evictExcess();
   void erase(SuspectMap::iterator Position);
-  /// Appends the facts of an entry, unless they need not be sent any more.
+  /// Appends the facts of a request, unless they need not be sent any more.
   static void appendFacts(const SuspectMap::value_type &Entry, TimePoint Now,
                           std::vector<CrashFact> &Facts);
 
   SuspectMap Suspects;
   std::multiset<std::uint32_t> ShortHashes;
-  /// The request whose facts `nextFacts` returned last.
-  RequestIdentity LastSent;
+  /// The request that `nextFacts` visited last.
+  RequestIdentity LastVisited;
 };
 
 } // namespace parsleywing
--- a/src/Placement/FleetView.h
+++ b/src/Placement/FleetView.h
@@ -16,16 +16,20 @@
 
 namespace parsleywing {
 
-/// Whether a request may run more than once.
+/// How often a request may run, and how it is responded to.
 enum class RequestKind {
-  Safe,   ///< Idempotent: may run more than once.
-  Unsafe, ///< Runs at most once.
-  Stream, ///< The response is an event stream; like `Unsafe` unless resumable.
+  /// May run more than once.
+  Idempotent,
+  /// Runs at most once.
+  AtMostOnce,
+  /// The response is an event stream. Like `AtMostOnce`, unless the route is
+  /// resumable.
+  Stream,
 };
 
 inline constexpr EnumNames<RequestKind, 3> RequestKindNames{{
-    {RequestKind::Safe, "safe"},
-    {RequestKind::Unsafe, "unsafe"},
+    {RequestKind::Idempotent, "safe"},
+    {RequestKind::AtMostOnce, "unsafe"},
     {RequestKind::Stream, "stream"},
 }};
 
@@ -41,12 +45,12 @@
   std::string Host;
   /// Begins and ends with a slash.
   std::string Prefix;
-  RequestKind Kind = RequestKind::Unsafe;
+  RequestKind Kind = RequestKind::AtMostOnce;
   std::vector<RouteTarget> Targets;
   /// The maximum time until the caller has the complete response.
   Duration Timeout{};
-  /// The target latency of the response, or of the first event of a stream.
-  /// Later responses are worth less.
+  /// The target time until the first chunk of the response. Later responses are
+  /// worth less.
   Duration LatencyObjective{};
   /// The maximum number of attempts that may run the request. Attempts that
   /// provably did not run it do not count.
@@ -60,7 +64,7 @@
 
   /// Whether the request may run on more than one server.
   bool repeatable() const {
-    return this->Kind == RequestKind::Safe ||
+    return this->Kind == RequestKind::Idempotent ||
            (this->Kind == RequestKind::Stream && this->Resumable);
   }
 };
@@ -89,7 +93,8 @@
   std::size_t MaxBodyBytes = 4U << 20U;
   Duration HeaderTimeout = std::chrono::seconds(3);
   Duration IdleTimeout = std::chrono::seconds(15);
-  /// The token throughput of all engines together; 0 if not configured.
+  /// The token throughput of all engines together, as stated by the operators;
+  /// 0 if not configured. Allocators use it as the engines' prefill speed.
   std::uint64_t TokensPerSecond = 0;
 };
 
@@ -162,16 +167,16 @@
   std::uint32_t RouterCount = 1;
   /// The listed routers, including this one.
   std::shared_ptr<const RouterList> RouterEndpoints;
-  /// The last time at which the configuration was known to be the newest: when
-  /// the request that confirmed it was sent, on a clock that includes suspended
-  /// time.
+  /// The latest time at which the configuration is known to have been the
+  /// newest: when the request was sent whose response confirmed it. On the
+  /// clock that includes suspended time.
   TimePoint ProvenAt{};
   /// The revision of the configuration in the store.
   std::int64_t ConfigurationRevision = 0;
   /// The lists contain all changes of servers and routers up to this revision.
   std::int64_t SeenRevision = 0;
-  /// The last time at which the lists were known to be complete, on the same
-  /// clock.
+  /// The latest time at which the lists are known to have been complete, on the
+  /// same clock.
   TimePoint ListsProvenAt{};
   /// Evacuated availability zones, each with the revision of its evacuation.
   std::shared_ptr<const std::map<std::string, std::int64_t>> EvacuatedZones;
--- a/src/Placement/PromptPart.h
+++ b/src/Placement/PromptPart.h
@@ -6,7 +6,8 @@
 
 namespace parsleywing {
 
-/// A part of a prompt that several requests may share.
+/// A named part of a prompt. Several requests may share all parts of their
+/// prompts but the last.
 struct PromptPart {
   /// The hash of the part's name.
   std::uint64_t Id = 0;
@@ -24,9 +25,8 @@
   std::vector<PromptPart> Parts;
 };
 
-/// The deepest part that other requests may share, by which requests are
-/// grouped; null if there is none. The last part of a prompt is specific to its
-/// request.
+/// The last part of the prompt that other requests may share, which is the one
+/// before the last; null if there is none. Requests are grouped by it.
 inline const PromptPart *sharedPart(const std::vector<PromptPart> &Parts) {
   return Parts.size() < 2 ? nullptr : &Parts[Parts.size() - 2];
 }
--- a/src/Placement/RecentTimeouts.h
+++ b/src/Placement/RecentTimeouts.h
@@ -9,15 +9,16 @@
 
 /// Predicts which requests of an account would time out in the queue. While a
 /// request has timed out recently, a new request of at least the same work that
-/// queues behind others would time out as well. Has no clock of its own.
+/// queues behind others would time out as well. `Work` is the sort key of a
+/// request in its account's queue. Has no clock of its own.
 ///
 /// This matters if one account sends much more than its share. Without the
 /// prediction, each of its larger requests waits until it is too late and is
 /// refused only then, with little of the caller's time left. A timeout counts
 /// for half a second. After that, the next request waits again and shows
-/// whether the overload lasts. The drain rate of the queue does not predict
-/// these timeouts, since the queues of accounts that are served smallest first
-/// are short.
+/// whether the overload lasts. How fast the queue becomes shorter does not
+/// predict these timeouts, since the queues of accounts that are served
+/// smallest first are short.
 class RecentTimeouts {
 public:
   /// A request of this work has timed out in the queue.
--- a/src/Placement/RequestIdentity.h
+++ b/src/Placement/RequestIdentity.h
@@ -15,8 +15,8 @@
 struct RequestIdentity {
   std::uint64_t High = 0;
   std::uint64_t Low = 0;
-  /// A cheap hash that differs for almost all requests; it costs a fiftieth of
-  /// the digest.
+  /// A hash that differs for almost all requests and takes a fiftieth of the
+  /// digest's time.
   std::uint32_t ShortHash = 0;
 
   friend bool operator==(const RequestIdentity &,
@@ -42,7 +42,7 @@
   std::string_view Body;
 };
 
-/// Hashes the complete body, at about 6 microseconds per KB.
+/// Hashes the complete body, which takes about 6 microseconds per KB.
 RequestIdentity identityOf(const RequestContent &Content);
 
 /// `RequestIdentity::ShortHash` alone, without the digest.
--- a/src/Placement/RetryAllowance.cpp
+++ b/src/Placement/RetryAllowance.cpp
@@ -4,8 +4,8 @@
 
 namespace {
 
-/// The fraction of the limit that is used. The rest allows for windows that
-/// start at another time than those of this router.
+/// The fraction of the bounds that is used. The rest is a reserve, since the
+/// bounds also hold in windows that begin at other times than this router's.
 constexpr double UsedFraction = 0.75;
 
 } // namespace
--- a/src/Placement/RetryAllowance.h
+++ b/src/Placement/RetryAllowance.h
@@ -10,17 +10,17 @@
 
 /// The limit on retries to one service, for all routers together.
 struct RetryBounds {
-  /// Retries per request within the window.
+  /// The permitted retries per request within the window.
   double Ratio = 0.2;
   Duration Window = std::chrono::seconds(10);
   /// Additional retries per window, for the whole fleet.
   double Slack = 50;
 };
 
-/// Limits the retries to one service. Without a limit, a failing service gets
-/// twice its load just when it can handle it least. Each router uses the ratio
-/// of its own requests and an equal share of the slack, so that routers need
-/// not communicate.
+/// Limits the retries that this router sends to one service. Without a limit, a
+/// failing service gets twice its load just when it can handle it least. Each
+/// router uses the ratio of its own requests and an equal share of the slack,
+/// so that routers need not communicate.
 class RetryAllowance {
 public:
   explicit RetryAllowance(RetryBounds B) : Bounds(B) {}
--- a/src/Placement/RouterMessages.cpp
+++ b/src/Placement/RouterMessages.cpp
@@ -9,15 +9,16 @@
 
 namespace {
 
-/// The first bytes of each datagram; must change with the wire format.
+/// The number with which each datagram begins: "PWA4" in ASCII. It must change
+/// with the wire format.
 constexpr std::uint32_t FormatMagic = 0x50574134;
 
 template <std::size_t Index = 0>
-bool readMessage(std::size_t Target, PeerInputArchive &Ar,
+bool readMessage(std::size_t WantedIndex, PeerInputArchive &Ar,
                  std::vector<RouterMessage> &Messages) {
   if constexpr (Index < std::variant_size_v<RouterMessage>) {
-    if (Target != Index)
-      return readMessage<Index + 1>(Target, Ar, Messages);
+    if (WantedIndex != Index)
+      return readMessage<Index + 1>(WantedIndex, Ar, Messages);
     std::variant_alternative_t<Index, RouterMessage> Value;
     Ar(Value);
     Messages.emplace_back(std::in_place_index<Index>, std::move(Value));
@@ -52,12 +53,12 @@
     std::uint32_t Magic = 0;
     Ar(Magic);
     if (Magic != FormatMagic)
-      return failure(ErrorCode::Malformed, "unknown message format");
+      return failure(ErrorCode::Malformed, "message format is not 0x50574134");
     while (Ar.remaining() > 0) {
       std::uint8_t Index = 0;
       Ar(Index);
       if (!readMessage(Index, Ar, Messages))
-        return failure(ErrorCode::Malformed, "unknown message kind");
+        return failure(ErrorCode::Malformed, "message kind is out of range");
     }
   } catch (const std::exception &Problem) {
     return failure(ErrorCode::Malformed, Problem.what());
--- a/src/Placement/RouterMessages.h
+++ b/src/Placement/RouterMessages.h
@@ -40,22 +40,25 @@
 /// allocator.
 std::string textOf(const CorrelationId &Id);
 
-/// Asks the allocator of a service for a server that can run a request.
+/// Asks the allocator of a group of servers for one that can run a request.
+/// Routers identify accounts, zones and servers to each other by the hashes of
+/// their names (`hashName`).
 struct AllocationRequest {
   CorrelationId Id;
-  /// Routers identify services, accounts, zones and servers to each other by
-  /// the hashes of their names.
-  std::uint64_t Service = 0;
+  /// The group of servers (`ServerGroups`) for the request; the hash of the
+  /// service if that has only one group. Whoever creates the request sets the
+  /// hash of the service, which `AllocationAgent` replaces by the group.
+  std::uint64_t Group = 0;
   std::uint64_t Account = 0;
   std::uint64_t Zone = 0;
   std::vector<PromptPart> Parts;
   std::uint32_t PromptTokens = 0;
   /// The maximum number of tokens that may be generated.
-  std::uint32_t OutputTokens = 0;
+  std::uint32_t MaxOutputTokens = 0;
   /// Servers that earlier attempts have used.
   std::vector<std::uint64_t> ExcludedServers;
-  /// Milliseconds until the latency objective of the first response chunk
-  /// expires; zero or negative if it has expired.
+  /// Milliseconds until the latency objective expires, in which the first chunk
+  /// of the response should arrive; zero or negative if it has expired.
   std::int32_t ObjectiveLeftMs = 0;
   /// The maximum time in the allocator's queue, in milliseconds.
   std::int32_t MaxWaitMs = 0;
@@ -63,14 +66,15 @@
   std::optional<std::uint32_t> SpreadKey;
 
   template <class Archive> void serialize(Archive &Ar) {
-    Ar(this->Id, this->Service, this->Account, this->Zone, this->PromptTokens,
-       this->OutputTokens, this->ObjectiveLeftMs, this->MaxWaitMs);
+    Ar(this->Id, this->Group, this->Account, this->Zone, this->PromptTokens,
+       this->MaxOutputTokens, this->ObjectiveLeftMs, this->MaxWaitMs);
     Ar(this->SpreadKey);
     serializeCompactList(Ar, this->Parts);
     serializeCompactList(Ar, this->ExcludedServers);
   }
 
-  /// Serializes a list with its length in a single byte.
+  /// Serializes a list with its length in a single byte. The list must have at
+  /// most 255 entries. Other messages use this too.
   template <class Archive, class Entry>
   static void serializeCompactList(Archive &Ar, std::vector<Entry> &Entries) {
     auto Count = static_cast<std::uint8_t>(Entries.size());
@@ -100,7 +104,9 @@
   CorrelationId Id;
   std::uint64_t Server = 0;
   std::uint32_t PrefillTokens = 0;
-  /// Prompt tokens that the server has to prefill before this request.
+  /// The estimated work ahead of the request at the server, in prompt tokens:
+  /// the pending prefill, and a fixed cost for each running request. 0 if the
+  /// grant is sent again.
   std::uint32_t BacklogTokens = 0;
   /// When the server's process started, as far as the allocator knows. The
   /// grant may be the first message that tells the router of a restart.
@@ -119,21 +125,22 @@
   }
 };
 
-/// Rejects an allocation request that cannot be served in time.
+/// Refuses an allocation request that cannot be served in time.
 struct AllocationRefusal {
   CorrelationId Id;
   /// When capacity is likely to be available again.
   std::uint32_t RetryAfterMs = 0;
-  /// The service (or group) of the request. Used only in the allocator's own
-  /// log; not serialized.
-  std::uint64_t Service = 0;
+  /// The group of the request. Used only in the allocator's own log; not
+  /// serialized.
+  std::uint64_t Group = 0;
 
   template <class Archive> void serialize(Archive &Ar) {
     Ar(this->Id, this->RetryAfterMs);
   }
 };
 
-/// Reports that the server has started to respond, so the prompt is prefilled.
+/// Reports that the first chunk of the response has arrived, so the prompt is
+/// prefilled.
 struct GrantStarted {
   CorrelationId Id;
 
@@ -158,12 +165,12 @@
   std::uint64_t Server = 0;
   /// Zero once the prompt is prefilled.
   std::uint32_t PrefillTokens = 0;
-  std::uint32_t OutputTokens = 0;
+  std::uint32_t MaxOutputTokens = 0;
   /// When the server process that received the request started.
   std::int64_t ServerStartedMs = 0;
 
   template <class Archive> void serialize(Archive &Ar) {
-    Ar(this->Id, this->Server, this->PrefillTokens, this->OutputTokens,
+    Ar(this->Id, this->Server, this->PrefillTokens, this->MaxOutputTokens,
        this->ServerStartedMs);
   }
 };
@@ -181,13 +188,14 @@
 };
 
 /// The state of a relay's view, sent in response to a `FleetStatusRequest` and
-/// again with each later proof. The receiver counts the proof's time from the
-/// point at which it sent its own request, which is before the relay received
-/// it. A delayed message therefore makes a proof look older, never newer.
+/// again after each later proof that the view is the newest. The times of
+/// proofs are relative to the receipt of the request. The receiver counts them
+/// from when it sent the request, which is before the relay received it. A
+/// delayed message therefore makes a proof look older, never newer.
 struct FleetStatus {
   CorrelationId Id;
-  /// The time for which the proof holds, relative to the relay's receipt of the
-  /// request; negative if it is earlier.
+  /// When the relay's configuration was last proven to be the newest, in
+  /// milliseconds after the relay received the request; negative if before.
   std::int32_t ProvenAfterMs = 0;
   /// The revision of the relay's configuration.
   std::int64_t ConfigurationRevision = 0;
@@ -198,7 +206,8 @@
   /// The relay reads the store itself, so an old proof means that it cannot
   /// reach the store.
   bool ReadsStore = false;
-  /// The time at which the lists were complete, relative like `ProvenAfterMs`.
+  /// When the relay's lists were last proven to be complete, counted in the
+  /// same way as `ProvenAfterMs`.
   std::int32_t ListsProvenAfterMs = 0;
 
   template <class Archive> void serialize(Archive &Ar) {
@@ -211,6 +220,7 @@
 enum class FleetUpdateKind : std::uint8_t {
   ServerListed,
   ServerRemoved,
+  /// The server's entry exists but cannot be used.
   ServerUnusable,
   RouterListed,
   RouterRemoved,
@@ -248,6 +258,7 @@
 /// All changes of the lists after `AfterRevision`, up to and including
 /// `ToRevision`.
 struct FleetUpdate {
+  /// Identifies the receiver's last `FleetStatusRequest`.
   CorrelationId Id;
   std::int64_t AfterRevision = 0;
   std::int64_t ToRevision = 0;
@@ -275,7 +286,8 @@
 };
 
 /// A message between routers. The index of the alternative and the order of the
-/// serialized fields are the wire format and must not change.
+/// serialized fields are the wire format. If either changes, `FormatMagic` must
+/// change too.
 using RouterMessage =
     std::variant<AllocationRequest, AllocationQueued, AllocationCancelled,
                  AllocationGrant, AllocationRefusal, GrantStarted, GrantEnded,
--- a/src/Placement/ServerGroups.cpp
+++ b/src/Placement/ServerGroups.cpp
@@ -10,13 +10,12 @@
 
 /// The maximum mean size of a group. A request is bound to one group by its
 /// shared part and cannot use others if this group is full. Groups are
-/// therefore as large as one allocator can handle: allocating 35 engines took
-/// 0.16 of the 0.5 cores of a large VM, and 140 engines took all of them.
+/// therefore as large as one allocator can handle: of the 0.5 cores of a large
+/// VM, it needs 0.16 for 35 engines and all for 140 engines.
 constexpr std::uint64_t MaxMeanGroupSize = 40;
 
-/// The number of groups is a power of two, so that it stays the same if the
-/// service grows or shrinks a little.
-std::uint64_t groupsFor(std::uint64_t Servers) {
+/// A power of two, so that most changes of the server count leave it the same.
+std::uint64_t groupCountFor(std::uint64_t Servers) {
   if (Servers <= MaxMeanGroupSize)
     return 1;
   return std::bit_ceil((Servers + MaxMeanGroupSize - 1) / MaxMeanGroupSize);
@@ -29,14 +28,14 @@
   for (const auto &[Id, Server] : Servers)
     ++Counts[hashName(Server.Service)];
   for (const auto &[Service, Count] : Counts) {
-    Partition &Entry = this->Partitions[Service];
-    Entry.Groups = groupsFor(Count);
-    Entry.Sizes.resize(Entry.Groups);
+    ServiceGroups &Entry = this->GroupsByService[Service];
+    Entry.GroupCount = groupCountFor(Count);
+    Entry.Sizes.resize(Entry.GroupCount);
   }
   for (const auto &[Id, Server] : Servers) {
-    Partition &Entry = this->Partitions[hashName(Server.Service)];
+    ServiceGroups &Entry = this->GroupsByService[hashName(Server.Service)];
     if (Server.acceptsRequests())
-      ++Entry.Sizes[hashName(Id) % Entry.Groups];
+      ++Entry.Sizes[hashName(Id) % Entry.GroupCount];
   }
 }
 
@@ -48,18 +47,18 @@
 std::uint64_t ServerGroups::groupOfServer(const std::string &ServerId,
                                           const std::string &Service) const {
   const std::uint64_t Hash = hashName(Service);
-  const auto Found = this->Partitions.find(Hash);
-  if (Found == this->Partitions.end())
+  const auto Found = this->GroupsByService.find(Hash);
+  if (Found == this->GroupsByService.end())
     return Hash;
-  return groupKey(Hash, hashName(ServerId) % Found->second.Groups);
+  return groupKey(Hash, hashName(ServerId) % Found->second.GroupCount);
 }
 
 std::uint64_t
 ServerGroups::groupForRequest(std::uint64_t Service,
                               const std::vector<PromptPart> &Parts,
                               std::uint64_t FallbackKey) const {
-  const auto Found = this->Partitions.find(Service);
-  if (Found == this->Partitions.end() || Found->second.Groups == 1)
+  const auto Found = this->GroupsByService.find(Service);
+  if (Found == this->GroupsByService.end() || Found->second.GroupCount == 1)
     return Service;
   const PromptPart *Shared = sharedPart(Parts);
   const std::uint64_t GroupingKey =
@@ -68,8 +67,8 @@
   // size.
   std::uint64_t Best = 0;
   double BestScore = -1;
-  const Partition &Entry = Found->second;
-  for (std::uint64_t Index = 0; Index < Entry.Groups; ++Index) {
+  const ServiceGroups &Entry = Found->second;
+  for (std::uint64_t Index = 0; Index < Entry.GroupCount; ++Index) {
     if (Entry.Sizes[Index] == 0)
       continue;
     const double Score = weightedRendezvousScore(
--- a/src/Placement/ServerGroups.h
+++ b/src/Placement/ServerGroups.h
@@ -11,14 +11,15 @@
 
 /// Partitions the servers of each service into groups of bounded size. Each
 /// group has its own allocator, so that the work of an allocator does not grow
-/// with the fleet. All routers compute the same groups from the same list. Most
-/// servers stay in their group when others come and go: the number of groups
-/// changes only when the service has grown or shrunk by half.
+/// with the fleet. All routers compute the same groups from the same list. The
+/// number of groups of a service is a power of two. It changes only when the
+/// number of listed servers crosses 40, 80, 160 and so on, so that servers
+/// mostly stay in their group when others come and go.
 class ServerGroups {
 public:
   explicit ServerGroups(const ServerList &Servers = {});
 
-  /// The group of a server; the service itself if it is not partitioned.
+  /// The group of a server; the hash of the service if that has only one group.
   std::uint64_t groupOfServer(const std::string &ServerId,
                               const std::string &Service) const;
 
@@ -31,15 +32,15 @@
                                 std::uint64_t FallbackKey) const;
 
 private:
-  struct Partition {
-    std::uint64_t Groups = 1;
+  struct ServiceGroups {
+    std::uint64_t GroupCount = 1;
     /// For each group, the number of servers that accept requests.
     std::vector<std::uint32_t> Sizes;
   };
 
   static std::uint64_t groupKey(std::uint64_t Service, std::uint64_t Index);
 
-  std::map<std::uint64_t, Partition> Partitions;
+  std::map<std::uint64_t, ServiceGroups> GroupsByService;
 };
 
 } // namespace parsleywing
--- a/src/Placement/ServerTable.cpp
+++ b/src/Placement/ServerTable.cpp
@@ -10,9 +10,9 @@
 
 namespace {
 
-/// The cost of each running request in prompt tokens. It breaks ties in favor
-/// of the server with fewer streams: beside other streams, a token of a stream
-/// takes a thousandth of the time of a step.
+/// The cost of each running request in prompt tokens. It is small and mainly
+/// breaks ties in favor of the server with fewer streams: in a step with other
+/// streams, a token of one more stream takes a thousandth of the time.
 constexpr std::uint64_t RunningRequestCost = 40;
 
 /// The cost of a server in another zone in prompt tokens: connecting and
@@ -33,13 +33,14 @@
 /// The KV capacity of an engine whose service does not state it.
 constexpr std::uint64_t DefaultKvCapacityTokens = 100'000;
 
-/// The backoff of a failed server. It doubles with each consecutive failure,
-/// including the first.
+/// The backoff after the first failure of a server is twice this. It doubles
+/// with each further consecutive failure, up to `MaxBackoff`.
 constexpr Duration BaseBackoff = std::chrono::milliseconds(250);
 constexpr Duration MaxBackoff = std::chrono::seconds(4);
+/// Keeps the factor in range; `MaxBackoff` is reached with fewer.
 constexpr std::uint32_t MaxDoublings = 5;
-/// Consecutive failures until a server that still responds is backed off from.
-/// A healthy server responds to some requests with an error.
+/// The number of consecutive failures after which a server that still responds
+/// gets a backoff. A healthy server responds to some requests with an error.
 constexpr std::uint32_t FailuresBeforeBackoff = 3;
 
 /// A server that has requests of this router and sends nothing for this time
@@ -51,13 +52,13 @@
 /// at a second engine.
 constexpr double FetchWeight = 5;
 
-/// The time to find the source and to receive the first bytes: 5 ms and 2 ms on
-/// the engines known so far.
+/// The time to find the source and to receive the first bytes of a fetched
+/// part: 5 ms and 2 ms with the known engines.
 constexpr double FetchSetupMs = 5;
 
-/// Above this cost per token, relative to prefilling the token again, nothing
-/// is fetched: the estimate of a transfer that waits for others is not more
-/// accurate than this.
+/// The maximum cost of a fetched token, relative to prefilling it again. Above
+/// it, nothing is fetched, since the estimate for a transfer that waits for
+/// others is not accurate enough to rely on the smaller difference.
 constexpr double MaxFetchCostPerToken = 0.5;
 
 Duration backoffAfter(std::uint32_t Failures) {
@@ -108,29 +109,28 @@
 void ServerTable::setServers(std::shared_ptr<const ServerList> Servers,
                              const GatewayConfiguration *Configuration,
                              const ServerGroups *Groups, const ViewTime &Time) {
-  this->ActiveServers = std::move(Servers);
-  this->ByService.clear();
+  this->ListedServers = std::move(Servers);
+  this->ByGroup.clear();
   for (auto &[Hash, Entry] : this->Entries)
-    Entry.Server = nullptr;
-  for (const auto &[Id, Server] : *this->ActiveServers) {
+    Entry.Listing = nullptr;
+  for (const auto &[Id, Server] : *this->ListedServers) {
     this->recordStart(hashName(Id), Server.StartedMs);
     ServerEntry &Entry = this->Entries[hashName(Id)];
-    Entry.Server = &Server;
-    Entry.Service = Groups == nullptr
-                        ? hashName(Server.Service)
-                        : Groups->groupOfServer(Id, Server.Service);
-    this->ByService[Entry.Service].emplace_back(hashName(Id), &Entry);
+    Entry.Listing = &Server;
+    Entry.Group = Groups == nullptr ? hashName(Server.Service)
+                                    : Groups->groupOfServer(Id, Server.Service);
+    this->ByGroup[Entry.Group].emplace_back(hashName(Id), &Entry);
     Entry.Zone = hashName(Server.Zone);
     std::uint64_t Tokens = DefaultKvCapacityTokens;
-    WarmUpLimiter Limit;
+    WarmUpLimiter Limiter;
     if (Configuration != nullptr)
       if (const auto Found = Configuration->Services.find(Server.Service);
           Found != Configuration->Services.end()) {
         if (Found->second.KvCapacityTokens > 0)
           Tokens = Found->second.KvCapacityTokens;
-        Limit = WarmUpLimiter(Found->second.WarmUp, this->FleetWarmUpBounds);
+        Limiter = WarmUpLimiter(Found->second.WarmUp, this->FleetWarmUpBounds);
       }
-    Entry.SendLimiter.copyRateFrom(Limit);
+    Entry.SendLimiter.copyRateFrom(Limiter);
     if (Server.StartedMs >= Entry.StartedMs)
       Entry.RestartUnlisted = false;
     Entry.WarmUpEndsAt = Server.WarmUpEndsAt > Time.SinceBoot
@@ -140,7 +140,7 @@
         static_cast<double>(Tokens) * CacheFraction));
   }
   std::erase_if(this->Entries, [](const auto &Entry) {
-    return Entry.second.Server == nullptr && Entry.second.Running == 0;
+    return Entry.second.Listing == nullptr && Entry.second.Running == 0;
   });
 }
 
@@ -152,18 +152,18 @@
   // the earlier process, keep the backoff of that process, and be chosen for
   // prompts that it no longer has cached.
   ServerEntry New;
-  New.Server = Entry.Server;
-  New.Service = Entry.Service;
+  New.Listing = Entry.Listing;
+  New.Group = Entry.Group;
   New.Zone = Entry.Zone;
   New.StartedMs = StartedMs;
-  // Queued requests are not lost by the restart.
-  New.QueuedTokens = Entry.QueuedTokens;
+  // Requests that wait at the allocator are not lost by the restart.
+  New.PlannedTokens = Entry.PlannedTokens;
   New.Cache.setCapacity(Entry.Cache.capacity());
   // The new process is cold, whatever the list entry of the earlier process
   // says. Requests sent to the earlier one within the last second may still
   // arrive, so the limiter keeps its state.
   New.SendLimiter = Entry.SendLimiter;
-  New.RestartUnlisted = Entry.Server != nullptr;
+  New.RestartUnlisted = Entry.Listing != nullptr;
   Entry = std::move(New);
 }
 
@@ -178,9 +178,10 @@
   if (!this->DetectsSilence)
     return true;
   const bool AwaitsResponse =
-      Entry.Running > 0 && Entry.LastSent > Entry.LastActivity;
+      Entry.Running > 0 && Entry.LastSentAt > Entry.LastReceivedAt;
   return !AwaitsResponse ||
-         Now - std::max(Entry.LastActivity, Entry.LastSent) < SilenceTimeout;
+         Now - std::max(Entry.LastReceivedAt, Entry.LastSentAt) <
+             SilenceTimeout;
 }
 
 bool ServerTable::isAvailable(std::uint64_t Server, const ServerEntry &Entry,
@@ -209,26 +210,28 @@
   return Totals;
 }
 
-double ServerTable::recentPrefillAt(const ServerEntry &Entry, TimePoint Now) {
-  const std::chrono::duration<double> Elapsed = Now - Entry.RecentPrefillAt;
+double ServerTable::recentPrefillTokens(const ServerEntry &Entry,
+                                        TimePoint Now) {
+  const std::chrono::duration<double> Elapsed =
+      Now - Entry.RecentPrefillUpdatedAt;
   return Entry.RecentPrefillTokens *
          std::exp(-Elapsed.count() / PrefillWindowSeconds);
 }
 
-double ServerTable::interference(const ServerEntry &Entry,
-                                 const PlacementQuery &Query,
-                                 std::uint64_t PrefillTokens) {
+double ServerTable::contentionCost(const ServerEntry &Entry,
+                                   const PlacementQuery &Query,
+                                   std::uint64_t PrefillTokens) {
   const double MaxTokens = Query.PrefillTokensPerSecond * PrefillWindowSeconds;
   const double Busy =
       MaxTokens > 0
-          ? std::min(recentPrefillAt(Entry, Query.Now) / MaxTokens, 1.0)
+          ? std::min(recentPrefillTokens(Entry, Query.Now) / MaxTokens, 1.0)
           : 0;
-  const double Slots = std::max<double>(Entry.Server->Slots, 1);
+  const double Slots = std::max<double>(Entry.Listing->Slots, 1);
   const double Occupancy =
       std::pow(Entry.Running / Slots, OccupiedSlotsExponent);
   return Query.Weights.OccupiedSlots * Occupancy *
              static_cast<double>(PrefillTokens) +
-         Query.Weights.PrefillInterference * Busy * Query.OutputTokens;
+         Query.Weights.PrefillInterference * Busy * Query.MaxOutputTokens;
 }
 
 std::uint64_t ServerTable::backlogOf(const ServerEntry &Entry) {
@@ -236,11 +239,11 @@
 }
 
 ServerTable::CacheLocations
-ServerTable::findCached(const PlacementQuery &Query,
-                        const PromptPart &Shared) const {
+ServerTable::locateParts(const PlacementQuery &Query,
+                         const PromptPart &Shared) const {
   CacheLocations Found;
   std::uint64_t HomeScore = 0;
-  for (const auto &[Hash, Listed] : this->ByService.at(Query.Service)) {
+  for (const auto &[Hash, Listed] : this->ByGroup.at(Query.Group)) {
     const ServerEntry &Entry = *Listed;
     if (!this->acceptsRequests(Entry))
       continue;
@@ -250,11 +253,11 @@
       HomeScore = Score;
     }
     if (Entry.Cache.contains(Shared.Id))
-      Found.SharedIsCached = true;
-    Found.MaxCachedTokens = std::max(Found.MaxCachedTokens,
-                                     Entry.Cache.expectedTokens(*Query.Parts));
+      Found.SharedIsExpected = true;
+    Found.MaxExpectedTokens = std::max(
+        Found.MaxExpectedTokens, Entry.Cache.expectedTokens(*Query.Parts));
     const std::uint64_t ResidentTokens =
-        Entry.Cache.residentTokens(*Query.Parts);
+        Entry.Cache.prefilledTokens(*Query.Parts);
     if (ResidentTokens > Found.FetchableTokens &&
         this->isHealthy(Entry, Query.Now)) {
       Found.FetchSource = Hash;
@@ -265,7 +268,7 @@
 }
 
 ServerTable::Candidate
-ServerTable::makeCandidate(std::uint64_t Hash, const ServerEntry &Server,
+ServerTable::makeCandidate(std::uint64_t Hash, const ServerEntry &Entry,
                            const PlacementQuery &Query,
                            const CacheLocations &Locations) {
   const auto Weighted = [](std::uint64_t Tokens, double Weight) {
@@ -273,7 +276,7 @@
   };
   Candidate Result;
   std::uint64_t CachedTokens =
-      Query.Parts == nullptr ? 0 : Server.Cache.expectedTokens(*Query.Parts);
+      Query.Parts == nullptr ? 0 : Entry.Cache.expectedTokens(*Query.Parts);
   const std::uint64_t Fetchable = Locations.FetchableTokens > CachedTokens
                                       ? Locations.FetchableTokens - CachedTokens
                                       : 0;
@@ -284,21 +287,21 @@
   }
   // Parts that cannot be fetched, or that another engine is still prefilling,
   // are prefilled again here.
-  if (Locations.MaxCachedTokens > CachedTokens)
-    Result.Cost += Weighted(Locations.MaxCachedTokens - CachedTokens,
+  if (Locations.MaxExpectedTokens > CachedTokens)
+    Result.Cost += Weighted(Locations.MaxExpectedTokens - CachedTokens,
                             Query.Weights.DuplicatePrefill);
   const std::uint64_t PrefillTokens =
       Query.PromptTokens -
       std::min<std::uint64_t>(Query.PromptTokens, CachedTokens);
-  const std::uint64_t Backlog = backlogOf(Server);
+  const std::uint64_t Backlog = backlogOf(Entry);
   Result.Cost += Backlog + PrefillTokens;
   Result.Cost +=
-      static_cast<std::uint64_t>(interference(Server, Query, PrefillTokens));
-  if (Server.QueuedTokens > 0)
-    Result.Cost += static_cast<std::uint64_t>(Server.QueuedTokens);
-  if (Server.Zone != Query.Zone)
+      static_cast<std::uint64_t>(contentionCost(Entry, Query, PrefillTokens));
+  if (Entry.PlannedTokens > 0)
+    Result.Cost += static_cast<std::uint64_t>(Entry.PlannedTokens);
+  if (Entry.Zone != Query.Zone)
     Result.Cost += OtherZoneCost;
-  if (Locations.HomeServer != 0 && !Locations.SharedIsCached &&
+  if (Locations.HomeServer != 0 && !Locations.SharedIsExpected &&
       Hash != Locations.HomeServer)
     Result.Cost += Weighted(sharedTokens(Query), Query.Weights.NonHomeServer);
   Result.Choice.Server = Hash;
@@ -310,12 +313,12 @@
 std::optional<ServerChoice> ServerTable::place(const PlacementQuery &Query) {
   const PromptPart *Shared =
       Query.Parts == nullptr ? nullptr : sharedPart(*Query.Parts);
-  const auto Candidates = this->ByService.find(Query.Service);
-  if (Candidates == this->ByService.end())
+  const auto Candidates = this->ByGroup.find(Query.Group);
+  if (Candidates == this->ByGroup.end())
     return std::nullopt;
   CacheLocations Locations;
   if (Shared != nullptr)
-    Locations = this->findCached(Query, *Shared);
+    Locations = this->locateParts(Query, *Shared);
   std::optional<Candidate> Best;
   for (const auto &[Hash, Entry] : Candidates->second) {
     if (!this->acceptsRequests(*Entry) ||
@@ -346,10 +349,11 @@
   if (Load.ServerStartedMs != Entry.StartedMs)
     return;
   ++Entry.Running;
-  Entry.RecentPrefillTokens = recentPrefillAt(Entry, Now) + Load.PrefillTokens;
-  Entry.RecentPrefillAt = Now;
+  Entry.RecentPrefillTokens =
+      recentPrefillTokens(Entry, Now) + Load.PrefillTokens;
+  Entry.RecentPrefillUpdatedAt = Now;
   Entry.PendingPrefillTokens += Load.PrefillTokens;
-  Entry.LastSent = std::max(Entry.LastSent, Now);
+  Entry.LastSentAt = std::max(Entry.LastSentAt, Now);
   Entry.SendLimiter.recordSent(Now);
   Entry.Cache.insert(Parts);
 }
@@ -375,7 +379,7 @@
   Entry.PendingPrefillTokens -=
       std::min<std::uint64_t>(Entry.PendingPrefillTokens, Load.PrefillTokens);
   if (Load.PrefillTokens > 0)
-    Entry.Cache.evictUnfilled(Parts);
+    Entry.Cache.evictUnprefilled(Parts);
   if (Verdict == ServerVerdict::Healthy) {
     Entry.ConsecutiveFailures = 0;
     Entry.BackoffUntil = TimePoint{};
@@ -401,14 +405,14 @@
     Entry.Cache.addReported(Reported.Parts);
 }
 
-void ServerTable::recordActivity(std::uint64_t Server, TimePoint Now) {
-  this->Entries[Server].LastActivity = Now;
+void ServerTable::recordReceived(std::uint64_t Server, TimePoint Now) {
+  this->Entries[Server].LastReceivedAt = Now;
 }
 
-void ServerTable::addQueuedTokens(std::uint64_t Server, std::int64_t Tokens) {
+void ServerTable::addPlannedTokens(std::uint64_t Server, std::int64_t Tokens) {
   const auto Found = this->Entries.find(Server);
   if (Found != this->Entries.end())
-    Found->second.QueuedTokens += Tokens;
+    Found->second.PlannedTokens += Tokens;
 }
 
 const ServerTable::ServerEntry *
@@ -417,9 +421,9 @@
   return Found == this->Entries.end() ? nullptr : &Found->second;
 }
 
-bool ServerTable::activeSince(std::uint64_t Server, TimePoint Time) const {
+bool ServerTable::receivedSince(std::uint64_t Server, TimePoint Time) const {
   const ServerEntry *Entry = this->findEntry(Server);
-  return Entry != nullptr && Entry->LastActivity > Time;
+  return Entry != nullptr && Entry->LastReceivedAt > Time;
 }
 
 std::uint32_t ServerTable::running(std::uint64_t Server) const {
@@ -446,12 +450,12 @@
 
 const GatewayServer *ServerTable::find(std::uint64_t Server) const {
   const ServerEntry *Entry = this->findEntry(Server);
-  return Entry == nullptr ? nullptr : Entry->Server;
+  return Entry == nullptr ? nullptr : Entry->Listing;
 }
 
-std::uint32_t ServerTable::serverCount(std::uint64_t Service) const {
-  const auto Found = this->ByService.find(Service);
-  if (Found == this->ByService.end())
+std::uint32_t ServerTable::serverCount(std::uint64_t Group) const {
+  const auto Found = this->ByGroup.find(Group);
+  if (Found == this->ByGroup.end())
     return 0;
   return static_cast<std::uint32_t>(std::count_if(
       Found->second.begin(), Found->second.end(), [this](const auto &Entry) {
--- a/src/Placement/ServerTable.h
+++ b/src/Placement/ServerTable.h
@@ -27,8 +27,9 @@
 };
 
 /// The fetch cost in a service whose engines prefill `PrefillTokensPerMs`. The
-/// cost per token is empty if the link is so slow that prefilling the part
-/// again costs about the same.
+/// cost per token is empty if the service's engines cannot fetch, or if the
+/// link is so slow that fetching would cost more than half of prefilling again
+/// (`MaxFetchCostPerToken`).
 FetchCost fetchCostOf(const GatewayService &Service, double PrefillTokensPerMs);
 
 /// The weights of a server's placement cost beside its backlog, all in prompt
@@ -36,15 +37,16 @@
 struct PlacementWeights {
   /// Per token that is cached at another server and would be prefilled again
   /// here: this takes engine time from other requests and evicts other parts
-  /// from the cache. Above 3, the queues at the server with the cached part
-  /// cost more than is saved.
+  /// from the cache. Higher values lengthen the queues at servers with cached
+  /// parts; above 3, this costs more than is saved.
   double DuplicatePrefill = 3;
   /// Per prompt token at a server with all slots occupied; fewer occupied slots
   /// weigh less. An engine whose slots are full of streams cannot prefill, and
   /// its prefill capacity is idle while prompts wait elsewhere. Prompts
-  /// therefore go to servers with free slots. The weight depends on the number
-  /// of slots and not on the tokens that running requests may still generate,
-  /// since the latter left engines without prompts while requests were refused.
+  /// therefore go to servers with free slots. The cost depends on the number of
+  /// occupied slots, and not on the tokens that running requests may still
+  /// generate: a cost by these tokens leaves engines without prompts while
+  /// requests are refused.
   double OccupiedSlots = 100;
   /// Per token to generate at an engine that prefills all the time, since each
   /// prefill step delays the streams that run beside it.
@@ -55,14 +57,19 @@
   double NonHomeServer = 0.5;
 };
 
-/// A request for which to choose a server. Names are hashes (`hashName`).
+/// A request for which to choose a server. Zones and servers are identified by
+/// the hashes of their names (`hashName`).
 struct PlacementQuery {
-  std::uint64_t Service = 0;
+  /// The group of servers (`ServerGroups`) for the request. It is the hash of
+  /// the service if the service has only one group, or if the table was set
+  /// without groups.
+  std::uint64_t Group = 0;
   std::uint64_t Zone = 0;
   const std::vector<PromptPart> *Parts = nullptr;
   std::uint32_t PromptTokens = 0;
-  std::uint32_t OutputTokens = 0;
-  /// The prefill speed of one server of the service; 0 if unknown.
+  /// The maximum number of tokens that may be generated.
+  std::uint32_t MaxOutputTokens = 0;
+  /// The prefill speed of one server of the group; 0 if unknown.
   double PrefillTokensPerSecond = 0;
   FetchCost Fetch;
   PlacementWeights Weights;
@@ -83,7 +90,7 @@
   /// Prompt tokens still to prefill; 0 once the prompt is prefilled.
   std::uint32_t PrefillTokens = 0;
   /// The maximum number of tokens to generate.
-  std::uint32_t OutputTokens = 0;
+  std::uint32_t MaxOutputTokens = 0;
   /// When the server process that received the request started.
   std::int64_t ServerStartedMs = 0;
 };
@@ -93,7 +100,8 @@
   std::uint64_t Server = 0;
   /// Prompt tokens that the server will have to prefill for the request.
   std::uint32_t PrefillTokens = 0;
-  /// The work ahead of the request, in prompt tokens.
+  /// The estimated work ahead of the request at the server, in prompt tokens:
+  /// the pending prefill, and a fixed cost for each running request.
   std::uint32_t BacklogTokens = 0;
   /// The server from which to fetch the cached prefix of the prompt; 0 for
   /// none.
@@ -117,22 +125,24 @@
     {ServerVerdict::Silent, "silent"},
 }};
 
-/// One point in time on two clocks: the one that the owner of a `ServerTable`
-/// uses, and the one that includes suspended time, which the fleet view uses.
+/// One point in time on two clocks: the one that the router uses with a
+/// `ServerTable`, and the one that includes suspended time, which the fleet
+/// view uses.
 struct ViewTime {
   TimePoint Now{};
   TimePoint SinceBoot{};
 };
 
 /// Tracks the load and health of each server, and chooses servers for requests.
+/// Servers are identified by the hashes of their identities (`hashName`).
 /// Performs no I/O and has no clock of its own. A router has one table for the
 /// requests that it sends itself, and one for the servers that it allocates.
 ///
 /// A request is placed where its prompt is prefilled soonest: the cost includes
 /// the prompt tokens that wait at the server and those of the request that the
-/// server has not cached. A prompt part that no server has cached goes to the
-/// first server in the part's rendezvous order, so that independent routers
-/// agree.
+/// server has not cached. A prompt part that no server is expected to have
+/// cached preferably goes to the first server in the part's rendezvous order,
+/// so that independent routers agree.
 class ServerTable {
 public:
   /// Replaces the list of servers and the settings of their services, and drops
@@ -148,14 +158,14 @@
   void setWarmUpBounds(const WarmUpBounds &Bounds) {
     this->FleetWarmUpBounds = Bounds;
   }
-  /// Sets the predicate that decides whether only this table's owner may grant
-  /// a server that is warming up. Without it, such servers are not used.
+  /// Sets the predicate that decides whether this router alone may grant a
+  /// server that is warming up. Without it, such servers are not used.
   void setWarmUpOwnership(std::function<bool(std::uint64_t Server)> Owns) {
     this->OwnsWarmUp = std::move(Owns);
   }
   bool isWarmingUp(std::uint64_t Server, TimePoint Now) const;
   /// The number of servers that are warming up, and the total rate permitted
-  /// for those that this table's owner grants.
+  /// for those that this router owns.
   struct WarmUpTotals {
     std::uint32_t Servers = 0;
     double GrantedPerSecond = 0;
@@ -179,13 +189,13 @@
                    const std::vector<PromptPart> &Parts, ServerVerdict Verdict,
                    TimePoint Now);
   /// Records that data was received from the server.
-  void recordActivity(std::uint64_t Server, TimePoint Now);
+  void recordReceived(std::uint64_t Server, TimePoint Now);
 
   /// Records the parts that the server reports as cached.
   void recordCached(std::uint64_t Server, const CachedParts &Reported);
 
   /// Whether anything was received from the server after this time.
-  bool activeSince(std::uint64_t Server, TimePoint Time) const;
+  bool receivedSince(std::uint64_t Server, TimePoint Time) const;
 
   /// The number of requests in progress at the server.
   std::uint32_t running(std::uint64_t Server) const;
@@ -199,23 +209,21 @@
 
   /// Whether requests may be sent to the server now.
   bool usable(std::uint64_t Server, TimePoint Now) const;
-  /// Like `usable`, for a request with a grant from the owner of a server that
-  /// is warming up: the warm-up limit is not checked again.
+  /// Like `usable`, but without the warm-up limit: for a request with a grant
+  /// from the allocator that owns the server, which has checked the limit.
   bool usableIfGranted(std::uint64_t Server, TimePoint Now) const;
 
   /// The server with this hash; null if it is not listed.
   const GatewayServer *find(std::uint64_t Server) const;
 
-  /// The number of servers of a service (or group) that accept requests.
-  std::uint32_t serverCount(std::uint64_t Service) const;
+  /// The number of servers of the group that accept requests.
+  std::uint32_t serverCount(std::uint64_t Group) const;
 
-  /// Whether the predicate holds for a server of the service (or group) that is
-  /// usable now.
+  /// Whether the predicate holds for a server of the group that is usable now.
   template <typename Predicate>
-  bool anyUsable(std::uint64_t Service, TimePoint Now,
-                 Predicate Matches) const {
-    const auto Found = this->ByService.find(Service);
-    if (Found == this->ByService.end())
+  bool anyUsable(std::uint64_t Group, TimePoint Now, Predicate Matches) const {
+    const auto Found = this->ByGroup.find(Group);
+    if (Found == this->ByGroup.end())
       return false;
     for (const auto &[Hash, Entry] : Found->second)
       if (this->acceptsRequests(*Entry) &&
@@ -224,11 +232,11 @@
     return false;
   }
 
-  /// Adds the tokens of queued requests that are planned for the server. They
-  /// count as if the requests had been sent.
-  void addQueuedTokens(std::uint64_t Server, std::int64_t Tokens);
+  /// Adds the prefill tokens of a request that waits at the allocator and is
+  /// planned for the server. They count as if the request had been sent.
+  void addPlannedTokens(std::uint64_t Server, std::int64_t Tokens);
 
-  const ServerList &servers() const { return *this->ActiveServers; }
+  const ServerList &servers() const { return *this->ListedServers; }
 
   /// Whether a server that has requests but sends nothing counts as unhealthy.
   /// Only the router that receives the responses can decide this.
@@ -236,21 +244,23 @@
 
 private:
   struct ServerEntry {
-    const GatewayServer *Server = nullptr;
-    std::uint64_t Service = 0;
+    /// The server's entry in the list; null if it is not listed.
+    const GatewayServer *Listing = nullptr;
+    std::uint64_t Group = 0;
     std::uint64_t Zone = 0;
     std::int64_t StartedMs = 0;
     std::uint32_t Running = 0;
     std::uint64_t PendingPrefillTokens = 0;
     /// Exponentially decaying sum of the prefill tokens that were sent, as of
-    /// `RecentPrefillAt`.
+    /// `RecentPrefillUpdatedAt`.
     double RecentPrefillTokens = 0;
-    TimePoint RecentPrefillAt{};
-    std::int64_t QueuedTokens = 0;
+    TimePoint RecentPrefillUpdatedAt{};
+    /// See `addPlannedTokens`.
+    std::int64_t PlannedTokens = 0;
     std::uint32_t ConsecutiveFailures = 0;
     TimePoint BackoffUntil{};
-    TimePoint LastActivity{};
-    TimePoint LastSent{};
+    TimePoint LastReceivedAt{};
+    TimePoint LastSentAt{};
     CacheModel Cache;
     TimePoint WarmUpEndsAt{};
     /// The process has restarted, and the list does not have the new process
@@ -260,7 +270,7 @@
   };
 
   bool acceptsRequests(const ServerEntry &Entry) const {
-    return Entry.Server != nullptr && Entry.Server->acceptsRequests();
+    return Entry.Listing != nullptr && Entry.Listing->acceptsRequests();
   }
   static bool isWarmingUp(const ServerEntry &Entry, TimePoint Now) {
     return Entry.SendLimiter.isLimited() &&
@@ -271,20 +281,25 @@
                    TimePoint Now) const;
   bool isHealthy(const ServerEntry &Entry, TimePoint Now) const;
   static std::uint64_t backlogOf(const ServerEntry &Entry);
-  static double recentPrefillAt(const ServerEntry &Entry, TimePoint Now);
+  /// `RecentPrefillTokens` at this time.
+  static double recentPrefillTokens(const ServerEntry &Entry, TimePoint Now);
   /// The cost of the delay that the request and the requests that run at the
   /// server would cause each other, in prompt tokens.
-  static double interference(const ServerEntry &Entry,
-                             const PlacementQuery &Query,
-                             std::uint64_t PrefillTokens);
+  static double contentionCost(const ServerEntry &Entry,
+                               const PlacementQuery &Query,
+                               std::uint64_t PrefillTokens);
   const ServerEntry *findEntry(std::uint64_t Server) const;
 
-  /// Which servers have parts of a prompt cached.
+  /// Which servers have parts of a prompt cached, or will have after the
+  /// requests that were sent to them.
   struct CacheLocations {
     /// The first server in the rendezvous order of the shared part.
     std::uint64_t HomeServer = 0;
-    bool SharedIsCached = false;
-    std::uint64_t MaxCachedTokens = 0;
+    /// Whether a server is expected to have the shared part cached.
+    bool SharedIsExpected = false;
+    /// The longest prefix of the prompt that a server is expected to have
+    /// cached.
+    std::uint64_t MaxExpectedTokens = 0;
     /// The healthy server with the longest prefilled prefix of the prompt; 0
     /// for none.
     std::uint64_t FetchSource = 0;
@@ -295,20 +310,20 @@
     ServerChoice Choice;
     std::uint64_t Cost = 0;
   };
-  static Candidate makeCandidate(std::uint64_t Hash, const ServerEntry &Server,
+  static Candidate makeCandidate(std::uint64_t Hash, const ServerEntry &Entry,
                                  const PlacementQuery &Query,
                                  const CacheLocations &Locations);
-  CacheLocations findCached(const PlacementQuery &Query,
-                            const PromptPart &Shared) const;
+  CacheLocations locateParts(const PlacementQuery &Query,
+                             const PromptPart &Shared) const;
 
-  std::shared_ptr<const ServerList> ActiveServers =
+  std::shared_ptr<const ServerList> ListedServers =
       std::make_shared<ServerList>();
   /// Ordered, so that ties are broken in the same way in every process.
   std::map<std::uint64_t, ServerEntry> Entries;
-  /// The listed servers by service (or group).
+  /// The listed servers by group.
   std::unordered_map<std::uint64_t,
                      std::vector<std::pair<std::uint64_t, ServerEntry *>>>
-      ByService;
+      ByGroup;
   bool DetectsSilence = true;
   WarmUpBounds FleetWarmUpBounds;
   std::function<bool(std::uint64_t)> OwnsWarmUp;
--- a/src/Placement/WarmUp.cpp
+++ b/src/Placement/WarmUp.cpp
@@ -6,10 +6,10 @@
 
 namespace {
 
-/// The fraction of the slack that may be used as a burst, and the fraction of
-/// the whole bound that is reserved. What they leave is for routers that
-/// consider the server warm.
+/// The burst, as a fraction of the fleet's slack. The rest of the slack is left
+/// for requests from routers that consider the server warm.
 constexpr double BurstFraction = 0.4;
+/// The fraction of the fleet's bound that is left for such requests as well.
 constexpr double ReserveFraction = 0.15;
 
 /// With a burst below one token, nothing could ever be sent.
@@ -22,12 +22,13 @@
 } // namespace
 
 WarmUpLimiter::WarmUpLimiter(const WarmUpLoad &Load, const WarmUpBounds &Bounds)
-    : Limited(Load.PerSecond > 0) {
-  const double Bound = Load.PerSecond * Bounds.RateFactor + Bounds.Slack;
+    : Limited(Load.RequestsPerSecond > 0) {
+  const double Bound =
+      Load.RequestsPerSecond * Bounds.RateFactor + Bounds.Slack;
   this->Burst = std::max(Bounds.Slack * BurstFraction, MinBurst);
   const double SustainedBound = Bound * (1 - ReserveFraction) - this->Burst;
   this->Rate = std::clamp(SustainedBound / (1 + secondsOf(MaxWarmUpSendDelay)),
-                          0.0, Load.PerSecond);
+                          0.0, Load.RequestsPerSecond);
   this->Tokens = this->Burst;
 }
 
@@ -41,12 +42,13 @@
 }
 
 void WarmUpLimiter::recordSent(TimePoint Now) {
-  // The load of a warm server may exceed the rate, and older requests no longer
-  // count. The debt is therefore limited to one second and the send delay.
-  // Without this floor, the server would get no requests for as long as it was
-  // loaded before.
-  const double Floor = -this->Rate * (1 + secondsOf(MaxWarmUpSendDelay));
-  this->Tokens = std::max(this->tokensAt(Now) - 1, Floor);
+  // The number of tokens may become negative, since requests to a warm server
+  // are counted whatever their rate. Its lower bound is the number of requests
+  // that the rate permits in one second and the send delay, since older
+  // requests no longer count. Without a lower bound, a server that turns cold
+  // would get no requests for as long as it was loaded before.
+  const double MinTokens = -this->Rate * (1 + secondsOf(MaxWarmUpSendDelay));
+  this->Tokens = std::max(this->tokensAt(Now) - 1, MinTokens);
   this->RefilledAt = Now;
 }
 
--- a/src/Placement/WarmUp.h
+++ b/src/Placement/WarmUp.h
@@ -10,13 +10,13 @@
 struct WarmUpLoad {
   /// The time from the server's start to the end of the warm-up.
   Duration Period{};
-  /// Requests per second.
-  double PerSecond = 0;
+  double RequestsPerSecond = 0;
 };
 
-/// How far the whole fleet may exceed that rate at one server, from the
-/// operators' settings: at most `RateFactor` times the rate, plus `Slack`
-/// requests, in any second. Above this bound the server crashes.
+/// The upper bound on the requests of the whole fleet to one server that is
+/// warming up, from the operators' settings: `RateFactor` times
+/// `WarmUpLoad::RequestsPerSecond`, plus `Slack` requests, in any second. Above
+/// this bound the server crashes.
 struct WarmUpBounds {
   double RateFactor = 1.5;
   double Slack = 5;
@@ -29,7 +29,8 @@
 inline constexpr Duration WarmUpGrantLifetime = std::chrono::milliseconds(100);
 
 /// The maximum time from such a grant to the first byte of the request: the
-/// grant's lifetime and the time for a new connection to the server.
+/// grant's lifetime and the router's timeout for a new connection to the
+/// server, which must not be longer than 400 ms.
 inline constexpr Duration MaxWarmUpSendDelay =
     WarmUpGrantLifetime + std::chrono::milliseconds(400);
 
@@ -56,7 +57,8 @@
   bool hasToken(TimePoint Now) const;
   void recordSent(TimePoint Now);
 
-  /// Copies rate and burst from another limiter, and keeps the current tokens.
+  /// Copies rate and burst from another limiter. Keeps its own tokens, unless
+  /// it was unlimited so far.
   void copyRateFrom(const WarmUpLimiter &Other);
 
 private:
--- a/test/Adapter/FormatTest.cpp
+++ b/test/Adapter/FormatTest.cpp
@@ -121,7 +121,7 @@
   cr_assert_null(Configuration->findRoute("h", "/b"));
   // An unknown kind is treated as the one that may run only once.
   cr_assert_eq(Configuration->findRoute("h", "/a/b/c")->Kind,
-               RequestKind::Unsafe);
+               RequestKind::AtMostOnce);
   cr_assert_eq(Configuration->Services.at("s").KvCapacityTokens, 240898U);
   cr_assert_eq(Configuration->AccountOfKey.at("k2"), "acc");
   cr_assert_eq(Configuration->Limits.MaxHeaderBytes, 100U);
@@ -201,9 +201,9 @@
   cr_assert(Configuration.has_value());
   cr_assert(Configuration->Services.at("s").WarmUp.Period ==
             std::chrono::seconds(3));
-  cr_assert_float_eq(Configuration->Services.at("s").WarmUp.PerSecond, 9.1,
-                     1e-9);
-  cr_assert_eq(Configuration->Services.at("plain").WarmUp.PerSecond, 0);
+  cr_assert_float_eq(Configuration->Services.at("s").WarmUp.RequestsPerSecond,
+                     9.1, 1e-9);
+  cr_assert_eq(Configuration->Services.at("plain").WarmUp.RequestsPerSecond, 0);
 }
 
 Test(FleetFormat, acceptsOrRejectsArbitraryEntries) {
--- a/test/Gateway/FrontFixture.cpp
+++ b/test/Gateway/FrontFixture.cpp
@@ -49,8 +49,8 @@
   this->Configuration.AccountOfKey["key"] = "acc";
   GatewayRoute Stream = route("/stream/", RequestKind::Stream);
   Stream.Resumable = true;
-  this->Configuration.Routes = {route("/safe/", RequestKind::Safe),
-                                route("/unsafe/", RequestKind::Unsafe),
+  this->Configuration.Routes = {route("/safe/", RequestKind::Idempotent),
+                                route("/unsafe/", RequestKind::AtMostOnce),
                                 route("/once/", RequestKind::Stream), Stream};
   this->Configuration.Services["plain"].Name = "plain";
 }
--- a/test/Placement/AllocatorTest.cpp
+++ b/test/Placement/AllocatorTest.cpp
@@ -39,11 +39,11 @@
     AllocationRequest Request;
     Request.ExcludedServers = std::move(ExcludedServers);
     Request.Id = {1, ++this->LastNumber};
-    Request.Service = Service;
+    Request.Group = Service;
     Request.Account = Account;
     Request.Parts = {{1'000'000 + this->LastNumber, Tokens}};
     Request.PromptTokens = Tokens;
-    Request.OutputTokens = 10;
+    Request.MaxOutputTokens = 10;
     Request.ObjectiveLeftMs = ObjectiveLeftMs;
     Request.MaxWaitMs = ObjectiveLeftMs > 0 ? ObjectiveLeftMs : 300;
     this->AccountOf[Request.Id] = Account;
@@ -151,7 +151,7 @@
   Fixture F(3);
   AllocationRequest Request;
   Request.Id = {7, 1};
-  Request.Service = Service;
+  Request.Group = Service;
   Request.Parts = {{5, 100}};
   Request.PromptTokens = 100;
   Request.ObjectiveLeftMs = 500;
--- a/test/Placement/CrashRegistryTest.cpp
+++ b/test/Placement/CrashRegistryTest.cpp
@@ -160,7 +160,7 @@
 Test(CrashRegistry, keepsARefusedRequestThatIsStillReceived) {
   CrashRegistry Registry;
   recordCrashes(Registry, 1, {1, 2, 3});
-  Registry.recordRefused(request(1), Start + 20h);
+  Registry.recordRefusedAgain(request(1), Start + 20h);
   Registry.removeExpired(Start + 40h);
   cr_assert(Registry.isRefused(request(1)));
 }
--- a/test/Placement/PolicyTest.cpp
+++ b/test/Placement/PolicyTest.cpp
@@ -54,7 +54,7 @@
 Test(AttemptPolicy, truncatesAStartedResponse) {
   RequestProgress Progress = progress(false, 1);
   Progress.ResponseStarted = true;
-  cr_assert_eq(nextStep(Progress, AttemptResult::Truncated, false),
+  cr_assert_eq(nextStep(Progress, AttemptResult::Interrupted, false),
                NextStep::Truncate);
   cr_assert_eq(nextStep(Progress, AttemptResult::ErrorResponse, false),
                NextStep::Truncate);
--- a/test/Placement/ServerTableTest.cpp
+++ b/test/Placement/ServerTableTest.cpp
@@ -25,7 +25,7 @@
 
 PlacementQuery makeQuery(const std::vector<PromptPart> &Parts) {
   PlacementQuery Query;
-  Query.Service = Service;
+  Query.Group = Service;
   Query.Zone = hashName("a");
   Query.Parts = &Parts;
   for (const PromptPart &Part : Parts)
@@ -89,7 +89,7 @@
   Table.recordSent(Server, {10, 0}, {}, TimePoint(1s));
   cr_assert(Table.usable(Server, TimePoint(1s + 600ms)));
   cr_assert_not(Table.usable(Server, TimePoint(1s + 800ms)));
-  Table.recordActivity(Server, TimePoint(1s + 900ms));
+  Table.recordReceived(Server, TimePoint(1s + 900ms));
   cr_assert(Table.usable(Server, TimePoint(1s + 950ms)));
 }
 
@@ -253,7 +253,7 @@
   Cache.setCapacity(250);
   Cache.insert({{1, 100}});
   Cache.addReported({{1, 100}, {2, 100}, {3, 100}, {4, 50}});
-  cr_assert_eq(Cache.residentTokens({{1, 100}, {2, 100}}), 200U);
+  cr_assert_eq(Cache.prefilledTokens({{1, 100}, {2, 100}}), 200U);
   cr_assert_not(Cache.contains(3));
   cr_assert(Cache.contains(4));
   Cache.insert({{5, 100}});
--- a/test/Placement/WarmUpTest.cpp
+++ b/test/Placement/WarmUpTest.cpp
@@ -129,7 +129,7 @@
   for (std::uint64_t Number = 1; Number <= 20; ++Number) {
     AllocationRequest Request;
     Request.Id = {1, Number};
-    Request.Service = hashName("engines");
+    Request.Group = hashName("engines");
     Request.PromptTokens = 10;
     Request.ObjectiveLeftMs = 500;
     Request.MaxWaitMs = 500;
@@ -267,7 +267,7 @@
     }
     AllocationRequest Request;
     Request.Id = {From, ++this->LastNumber};
-    Request.Service = hashName("engines");
+    Request.Group = hashName("engines");
     Request.PromptTokens = 10;
     Request.ObjectiveLeftMs = 400;
     Request.MaxWaitMs = 400;
