--- a/test/Placement/AllocatorTest.cpp
+++ b/test/Placement/AllocatorTest.cpp
@@ -236,7 +236,8 @@
 Test(Allocator, reportsUnknownCachesAfterATakeover) {
   Fixture F(3);
   F.request(1, 1000);
-  cr_assert(F.Subject.takeUnknownCaches().empty(), "engines that cannot fetch");
+  cr_assert(F.Subject.takeUnknownCaches().empty(),
+            "caches reported although engines cannot fetch");
   Fixture Fetching(3);
   GatewayService &EngineService = Fetching.Configuration.Services["engines"];
   EngineService.KvBytesPerToken = 18'432;
@@ -365,7 +366,7 @@
   const FloodRefusals Refusals = runFlood(F, 5s);
   cr_expect_gt(Refusals.OnArrival, Refusals.AfterWait, "%d and %d",
                Refusals.OnArrival, Refusals.AfterWait);
-  // The engine is still busy all the time.
+  // One grant ends in each of the 100 steps, so the engine stays busy.
   cr_expect_geq(F.GrantCounts[1], 95);
   // Other accounts are not refused, nor requests small enough to go first.
   const int Before = F.RefusedCount;
--- a/test/Placement/CrashRegistryTest.cpp
+++ b/test/Placement/CrashRegistryTest.cpp
@@ -11,6 +11,7 @@
 
 constexpr TimePoint Start{};
 
+/// All requests of the tests have the short hash 7.
 RequestIdentity request(std::uint64_t Number) { return {Number, 0, 7}; }
 
 CrashFact makeFact(std::uint64_t Request, std::uint64_t Server,
@@ -25,7 +26,7 @@
     Registry.record(makeFact(Request, Server), Start);
 }
 
-/// Which of the first requests are refused.
+/// For each of the first requests, whether it is refused.
 std::vector<bool> refusals(const CrashRegistry &Registry,
                            std::uint64_t Requests) {
   std::vector<bool> Refused;
@@ -58,9 +59,9 @@
   cr_assert(Registry.isRefused(request(1)));
 }
 
-// Guards against refusing an innocent request that was at the same servers as
-// one that causes crashes.
-Test(CrashRegistry, countsACrashAgainstTheRequestThatExplainsTheMost) {
+// Guards against refusing a request that caused no crashes, but was at the same
+// servers as one that did.
+Test(CrashRegistry, attributesACrashToTheRequestWithTheMostCrashes) {
   CrashRegistry Registry;
   recordCrashes(Registry, 1, {1, 2, 3, 4});
   recordCrashes(Registry, 2, {2, 3, 4});
@@ -70,7 +71,7 @@
 
 // Guards against a permanent refusal for crashes that turn out to be caused by
 // another request.
-Test(CrashRegistry, acceptsARequestAgainOnceAnotherExplainsItsCrashes) {
+Test(CrashRegistry, acceptsARequestAgainOnceItsCrashesAreAttributedToAnother) {
   CrashRegistry Registry;
   recordCrashes(Registry, 1, {1, 2, 3});
   recordCrashes(Registry, 2, {1, 2, 3});
@@ -81,9 +82,9 @@
   cr_assert(Registry.isRefused(request(2)));
 }
 
-// Guards against a request that causes crashes but is never refused, since
-// another one explains its crashes.
-Test(CrashRegistry, refusesAfterFiveCrashesEvenIfAnotherExplainsThem) {
+// Guards against a request that causes crashes but is never refused, since its
+// crashes are attributed to another one.
+Test(CrashRegistry, refusesAfterFiveCrashesEvenIfAttributedToAnother) {
   CrashRegistry Registry;
   recordCrashes(Registry, 1, {1, 2, 3, 4, 5, 6});
   recordCrashes(Registry, 2, {1, 2, 3, 4});
@@ -167,11 +168,12 @@
 
 // Guards against unbounded memory in a flood of crashes, and against eviction
 // of the refused requests.
-Test(CrashRegistry, evictsTheLeastSuspiciousRequestFirst) {
+Test(CrashRegistry, evictsTheRequestWithTheFewestCrashesFirst) {
   CrashRegistry Registry;
   recordCrashes(Registry, 1, {1, 2, 3});
   for (std::uint64_t I = 2; I < 10'000; ++I)
     Registry.record(makeFact(I, I), Start + 1s);
+  // `MaxSuspects`.
   cr_assert_leq(Registry.size(), 4096U);
   cr_assert(Registry.isRefused(request(1)));
 }
@@ -188,7 +190,7 @@
   cr_assert_eq(Requests.size(), 100U);
 }
 
-Test(CrashRegistry, sendsOnlyFactsOfRefusedRequestsForLong) {
+Test(CrashRegistry, sendsFactsOfOtherRequestsOnlyBriefly) {
   CrashRegistry Registry;
   recordCrashes(Registry, 1, {1, 2, 3});
   recordCrashes(Registry, 2, {1});
@@ -197,7 +199,7 @@
 }
 
 // Guards against requests that are refused forever, and against endless probes.
-Test(CrashRegistry, permitsTwoProbesOfARefusedRequest) {
+Test(CrashRegistry, permitsProbesUntilTwoHaveCrashedAServer) {
   CrashRegistry Registry;
   recordCrashes(Registry, 1, {1, 2, 3});
   cr_assert_not(Registry.mayProbe(request(1), Start + 9min));
--- a/test/Placement/ServerGroupsTest.cpp
+++ b/test/Placement/ServerGroupsTest.cpp
@@ -36,6 +36,7 @@
   cr_expect_eq(sizes(ServerGroups(engines(140)), engines(140)).size(), 4U);
   for (const auto &[Group, Count] :
        sizes(ServerGroups(engines(3000)), engines(3000)))
+    // The mean is 23; hashing makes some groups larger.
     cr_expect_leq(Count, 48);
 }
 
@@ -43,7 +44,7 @@
 // send ten times their usual load, their prompt parts map to a few groups, and
 // each request is bound to the group of its shared part. At most a fraction of
 // 0.07 of the work may find its group full. With groups of 17 engines instead
-// of 35 the fraction is 0.084.
+// of 35, the fraction is 0.084 and the test fails.
 Test(ServerGroups, areLargeEnoughForAFlood) {
   const ServerList Listed = engines(140);
   const ServerGroups Groups(Listed);
--- a/test/Placement/ServerTableTest.cpp
+++ b/test/Placement/ServerTableTest.cpp
@@ -36,7 +36,7 @@
 
 } // namespace
 
-Test(CacheModel, keepsTheNewestPartsAndCountsOnlyCompletePrefixes) {
+Test(CacheModel, keepsTheMostRecentlyUsedPartsAndCountsOnlyCompletePrefixes) {
   CacheModel Cache;
   Cache.setCapacity(250);
   Cache.insert({{1, 100}, {2, 50}});
@@ -122,10 +122,10 @@
   Table.setServers(Listed, nullptr);
   const std::uint64_t Server = hashName("e0");
   const std::vector<PromptPart> Parts{{1, 4000}, {2, 500}};
-  const AttemptLoad OldLoad{4500, 50, 100};
-  Table.recordSent(Server, OldLoad, Parts, TimePoint(1s));
-  Table.recordSent(Server, OldLoad, Parts, TimePoint(1s));
-  Table.recordEnded(Server, OldLoad, {}, ServerVerdict::Unreachable,
+  const AttemptLoad EarlierLoad{4500, 50, 100};
+  Table.recordSent(Server, EarlierLoad, Parts, TimePoint(1s));
+  Table.recordSent(Server, EarlierLoad, Parts, TimePoint(1s));
+  Table.recordEnded(Server, EarlierLoad, {}, ServerVerdict::Unreachable,
                     TimePoint(1s));
   cr_assert_not(Table.usable(Server, TimePoint(1s)));
   auto Relisted = std::make_shared<ServerList>(*Listed);
@@ -135,11 +135,12 @@
   cr_assert_eq(Table.running(Server), 0U);
   cr_assert_eq(Table.pendingPrefillTokens(Server), 0U);
   cr_assert_eq(Table.place(makeQuery(Parts))->PrefillTokens, 4500U);
-  // Late reports of the old process change nothing.
+  // Late reports of the earlier process change nothing.
   const AttemptLoad NewLoad{100, 10, 200};
   Table.recordSent(Server, NewLoad, {}, TimePoint(1s));
-  Table.recordEnded(Server, OldLoad, {}, ServerVerdict::Silent, TimePoint(1s));
-  Table.recordSent(Server, OldLoad, Parts, TimePoint(1s));
+  Table.recordEnded(Server, EarlierLoad, {}, ServerVerdict::Silent,
+                    TimePoint(1s));
+  Table.recordSent(Server, EarlierLoad, Parts, TimePoint(1s));
   cr_assert_eq(Table.running(Server), 1U);
   cr_assert_eq(Table.pendingPrefillTokens(Server), 100U);
   cr_assert(Table.usable(Server, TimePoint(1s)));
@@ -179,8 +180,8 @@
 
 // Guards against engines that spend a sixth of their time on prefilling parts
 // that another engine has cached: if that engine is busy, the next request with
-// the part goes to another engine, which has to fetch the part. That takes a
-// thirtieth of the time.
+// the part goes to another engine, which has to fetch the part. Fetching takes
+// a thirtieth of the time of prefilling.
 Test(ServerTable, fetchesACachedPartFromABusyServer) {
   BusyCacheHolder F;
   PlacementQuery Query = makeQuery(F.NextParts);
@@ -201,7 +202,7 @@
 // Guards against prefilling a part at several engines at once: a new part is
 // sent to one engine, and the next request with it to another, which cannot
 // fetch it before the first engine has prefilled it. A part that was only sent
-// must not count as cached.
+// must not be fetched.
 Test(ServerTable, doesNotFetchAPartThatIsNotPrefilledYet) {
   ServerTable Table;
   Table.setServers(engines(2), nullptr);
--- a/test/Placement/WarmUpTest.cpp
+++ b/test/Placement/WarmUpTest.cpp
@@ -140,6 +140,7 @@
       ++GrantCounts[Grant->Server];
       cr_assert_eq(Grant->SendWithinMs > 0, Grant->Server == hashName("cold"));
     }
+  // The burst of the limiter is two requests.
   cr_assert_eq(GrantCounts[hashName("cold")], 2);
   cr_assert_eq(GrantCounts[hashName("warm")], 18);
 }
@@ -233,9 +234,9 @@
   void readList(Router &Each) {
     const TimePoint ReadAt = this->Now - this->randomUpTo(50ms);
     std::shared_ptr<const RouterList> List = this->History.front().second;
-    for (const auto &[ChangedAt, OldList] : this->History)
+    for (const auto &[ChangedAt, EarlierList] : this->History)
       if (ChangedAt <= ReadAt)
-        List = OldList;
+        List = EarlierList;
     Each.SeenList = List;
     FleetView View;
     View.Configuration = this->Configuration;
@@ -380,7 +381,8 @@
                     "seed %zu: %zu in one second", Seed, Max);
     }
   }
-  // Most of the rate is used nevertheless.
+  // The servers still get requests: on average more than one per second each,
+  // in 40 s per seed.
   cr_assert_gt(Sent, static_cast<std::size_t>(SeedCount) * 2 * 40);
   cr_assert_gt(LateGrants, 0);
 }
