--- a/lab/Load.cpp
+++ b/lab/Load.cpp
@@ -12,8 +12,8 @@
 
 namespace {
 
-/// Sizes are clamped to this multiple of their mean, since real requests have
-/// size limits.
+/// Sizes are clamped to this multiple of their mean, since real calls have size
+/// limits.
 constexpr double MaxTimesMean = 8;
 constexpr double SharedPartSpread = 0.6;
 
@@ -21,14 +21,14 @@
 class CallGenerator {
 public:
   CallGenerator(const Scenario &S, std::uint64_t Seed)
-      : Setup(S), Random(Seed) {
+      : TheScenario(S), Random(Seed) {
     for (std::uint32_t I = 0; I < S.Accounts; ++I)
       this->AccountWeights.push_back(std::pow(I + 1.0, -S.AccountSkew));
   }
 
   std::vector<Call> generate() {
     std::vector<Call> Calls;
-    for (std::size_t I = 0; I < this->Setup.Classes.size(); ++I)
+    for (std::size_t I = 0; I < this->TheScenario.Classes.size(); ++I)
       this->generateClass(I, Calls);
     std::stable_sort(
         Calls.begin(), Calls.end(),
@@ -38,23 +38,23 @@
 
 private:
   void generateClass(std::size_t Index, std::vector<Call> &Calls) {
-    const RequestClass &Class = this->Setup.Classes[Index];
+    const CallClass &Class = this->TheScenario.Classes[Index];
     this->drawSharedParts(Class);
     Milliseconds Now = 0;
-    while (Class.RequestsPerSecond > 0) {
+    while (Class.CallsPerSecond > 0) {
       const double RateFactor = this->meanRateFactor(Now);
       boost::random::exponential_distribution<double> Interval(
-          Class.RequestsPerSecond * RateFactor / 1000);
+          Class.CallsPerSecond * RateFactor / 1000);
       Now += Interval(this->Random);
-      if (Now >= this->Setup.Length)
+      if (Now >= this->TheScenario.Length)
         return;
       Calls.push_back(this->generateCall(Index, Now));
     }
   }
 
-  /// Draws the sizes of shared parts once, since all requests that use a part
+  /// Draws the sizes of shared parts once, since all calls that use a part
   /// have to agree on its size.
-  void drawSharedParts(const RequestClass &Class) {
+  void drawSharedParts(const CallClass &Class) {
     this->SharedParts.assign(Class.SharedLevels.size(), {});
     for (std::size_t Level = 0; Level < Class.SharedLevels.size(); ++Level)
       for (std::uint32_t I = 0; I < Class.SharedLevels[Level].Variants; ++I)
@@ -65,7 +65,7 @@
   }
 
   Call generateCall(std::size_t Index, Milliseconds Now) {
-    const RequestClass &Class = this->Setup.Classes[Index];
+    const CallClass &Class = this->TheScenario.Classes[Index];
     Call NewCall;
     NewCall.At = Now;
     NewCall.Class = Index;
@@ -96,7 +96,7 @@
 
   double rateFactorOf(std::uint32_t Account, Milliseconds Now) const {
     double RateFactor = 1;
-    for (const Flood &Each : this->Setup.Floods)
+    for (const Flood &Each : this->TheScenario.Floods)
       if (Each.Account == Account && Each.From <= Now && Now < Each.To)
         RateFactor *= Each.RateFactor;
     return RateFactor;
@@ -121,7 +121,7 @@
     return Distribution(this->Random);
   }
 
-  const Scenario &Setup;
+  const Scenario &TheScenario;
   boost::random::mt19937_64 Random;
   std::vector<double> AccountWeights;
   std::vector<std::vector<PromptPart>> SharedParts;
@@ -130,8 +130,9 @@
 
 } // namespace
 
-std::vector<Call> generateCalls(const Scenario &Setup, std::uint64_t Seed) {
-  return CallGenerator(Setup, Seed).generate();
+std::vector<Call> generateCalls(const Scenario &TheScenario,
+                                std::uint64_t Seed) {
+  return CallGenerator(TheScenario, Seed).generate();
 }
 
 } // namespace parsleywing::lab
--- a/lab/Main.cpp
+++ b/lab/Main.cpp
@@ -1,5 +1,5 @@
-#include "lab/Play.h"
 #include "lab/ScenarioReader.h"
+#include "lab/Simulation.h"
 
 #include <boost/program_options.hpp>
 #include <cmath>
@@ -34,8 +34,8 @@
   NoDuplicatePrefill.Weights.DuplicatePrefill = 0;
   AllocatorOptions NoAnyServer;
   NoAnyServer.UnderservedUseAnyServer = false;
-  AllocatorOptions HoldTimeouts;
-  HoldTimeouts.RefuseLikelyTimeouts = false;
+  AllocatorOptions NoEarlyRefusal;
+  NoEarlyRefusal.RefuseLikelyTimeouts = false;
   return {{"allocator", AllocatorPolicy{}},
           {"in-order", AllocatorPolicy{InOrder}},
           {"no-fetch", AllocatorPolicy{NoFetch}},
@@ -43,7 +43,7 @@
           {"no-interference", AllocatorPolicy{NoInterference}},
           {"no-read-again", AllocatorPolicy{NoDuplicatePrefill}},
           {"no-behind", AllocatorPolicy{NoAnyServer}},
-          {"holds-vain", AllocatorPolicy{HoldTimeouts}},
+          {"holds-vain", AllocatorPolicy{NoEarlyRefusal}},
           {"least-loaded", LeastLoadedPolicy{}},
           {"two-choices", TwoChoicesPolicy{}},
           {"home", HomePolicy{}}};
@@ -57,12 +57,12 @@
   return nullptr;
 }
 
-void printOutcomes(const std::string &Name, const Outcomes &Outcome) {
+void printOutcomes(const std::string &Name, const OutcomeTotals &Totals) {
   std::cout << std::left << std::setw(22) << Name << std::right << std::setw(8)
-            << Outcome.Calls << std::setw(8) << Outcome.OnTime << std::setw(7)
-            << Outcome.Late << std::setw(9) << Outcome.Refused << std::setw(7)
-            << Outcome.CallerDisconnected << std::setw(8) << std::fixed
-            << std::setprecision(3) << Outcome.worth() << '\n';
+            << Totals.Calls << std::setw(8) << Totals.OnTime << std::setw(7)
+            << Totals.Late << std::setw(9) << Totals.Refused << std::setw(7)
+            << Totals.CallerDisconnected << std::setw(8) << std::fixed
+            << std::setprecision(3) << Totals.payoffShare() << '\n';
 }
 
 void printResult(const SimulationResult &Result) {
@@ -70,11 +70,11 @@
       << "                         calls on-time   late  refused   left   "
          "worth\n";
   printOutcomes("all", Result.Total);
-  for (const auto &[Name, Outcome] : Result.ByClass)
-    printOutcomes(Name, Outcome);
-  for (const auto &[Name, Outcome] : Result.LargestByClass)
-    printOutcomes(Name + ", largest 10th", Outcome);
-  std::cout << "worst accounts " << Result.worstAccountsWorth()
+  for (const auto &[Name, Totals] : Result.ByClass)
+    printOutcomes(Name, Totals);
+  for (const auto &[Name, Totals] : Result.LargestByClass)
+    printOutcomes(Name + ", largest 10th", Totals);
+  std::cout << "worst accounts " << Result.worstAccountsPayoffShare()
             << ", engines busy " << Result.Utilisation << '\n'
             << "first token, ms: p50 " << std::setprecision(0)
             << Result.firstTokenQuantile(0.5) << ", p95 "
@@ -89,26 +89,27 @@
             << Result.Engines.GeneratedTokens << '\n';
 }
 
-/// Compares the worth of policies. Prints the mean paired difference of each to
-/// the first one, and its 95 % confidence interval.
-void compare(const Scenario &Setup,
+/// Compares the payoff shares of policies. Prints the mean paired difference of
+/// each to the first one, and its 95 % confidence interval.
+void compare(const Scenario &TheScenario,
              const std::vector<NamedPolicy> &SelectedPolicies, unsigned Seeds) {
   constexpr double NormalQuantile = 1.96;
   std::cout << "policy,worth,worst accounts,difference,plus or minus\n";
-  std::vector<double> BaselineWorths;
+  std::vector<double> BaselineShares;
   for (const NamedPolicy &Each : SelectedPolicies) {
-    double WorthSum = 0;
+    double ShareSum = 0;
     double WorstAccountsSum = 0;
     double DifferenceSum = 0;
     double SquareSum = 0;
     for (unsigned Seed = 1; Seed <= Seeds; ++Seed) {
-      const SimulationResult Result = simulate(Setup, Seed, Each.Definition);
-      const double Worth = Result.Total.worth();
-      if (BaselineWorths.size() < Seeds)
-        BaselineWorths.push_back(Worth);
-      const double Difference = Worth - BaselineWorths[Seed - 1];
-      WorthSum += Worth;
-      WorstAccountsSum += Result.worstAccountsWorth();
+      const SimulationResult Result =
+          simulate(TheScenario, Seed, Each.Definition);
+      const double Share = Result.Total.payoffShare();
+      if (BaselineShares.size() < Seeds)
+        BaselineShares.push_back(Share);
+      const double Difference = Share - BaselineShares[Seed - 1];
+      ShareSum += Share;
+      WorstAccountsSum += Result.worstAccountsPayoffShare();
       DifferenceSum += Difference;
       SquareSum += Difference * Difference;
       std::cerr << Each.Name << " seed " << Seed << " of " << Seeds << '\r';
@@ -118,7 +119,7 @@
         Seeds > 1 ? std::max(0.0, SquareSum - Seeds * Mean * Mean) / (Seeds - 1)
                   : 0;
     std::cout << Each.Name << std::fixed << std::setprecision(4) << ','
-              << WorthSum / Seeds << ',' << WorstAccountsSum / Seeds << ','
+              << ShareSum / Seeds << ',' << WorstAccountsSum / Seeds << ','
               << Mean << ',' << NormalQuantile * std::sqrt(Variance / Seeds)
               << '\n';
   }
@@ -146,11 +147,11 @@
       "seed for run")("seeds", options::value(&Seeds),
                       "for compare: use the seeds from 1 to this number")(
       "read-again", options::value(&GivenOptions.Weights.DuplicatePrefill),
-      "weight for the policy 'given'")(
+      "weight of duplicate prefill in the policy 'given'")(
       "taken-slots", options::value(&GivenOptions.Weights.OccupiedSlots),
-      "weight for the policy 'given'")(
+      "weight of occupied slots in the policy 'given'")(
       "reading-harm", options::value(&GivenOptions.Weights.PrefillInterference),
-      "weight for the policy 'given'");
+      "weight of prefill interference in the policy 'given'");
   options::positional_options_description Order;
   Order.add("command", 1).add("scenario", 1);
   options::variables_map Values;
@@ -179,16 +180,18 @@
                          "least one seed are required; see --help");
   if (SelectedPolicies.empty())
     SelectedPolicies = IsComparison ? Policies : std::vector{Policies.front()};
-  const auto Setup = readScenario(Path);
-  if (!Setup)
-    throw options::error(Setup.error().Message);
+  const auto TheScenario = readScenario(Path);
+  if (!TheScenario)
+    throw options::error(TheScenario.error().Message);
   if (IsComparison) {
-    compare(*Setup, SelectedPolicies, Seeds);
+    compare(*TheScenario, SelectedPolicies, Seeds);
     return 0;
   }
-  printResult(simulate(*Setup, Seed, SelectedPolicies.front().Definition));
+  printResult(
+      simulate(*TheScenario, Seed, SelectedPolicies.front().Definition));
   std::cout << "upper bound on the worth of any policy: "
-            << std::setprecision(3) << worthUpperBound(*Setup, Seed) << '\n';
+            << std::setprecision(3) << payoffShareUpperBound(*TheScenario, Seed)
+            << '\n';
   return 0;
 }
 
--- a/lab/ScenarioReader.cpp
+++ b/lab/ScenarioReader.cpp
@@ -78,7 +78,7 @@
     if (Separator == std::string::npos)
       throw Poco::DataFormatException(
           "a level of shared parts must have the form "
-          "TOKENSxTHINGS, not " +
+          "TOKENSxVARIANTS, not " +
           Each);
     SharedPartLevel Level;
     Level.MeanTokens =
@@ -114,15 +114,16 @@
   Input.rejectUnknownKeys();
   if (Parameters.Slots == 0 || Parameters.PrefillTokensPerMs <= 0 ||
       Parameters.PrefillChunkTokens == 0)
-    throw Poco::DataFormatException("slots, read-tokens-per-ms and "
-                                    "read-chunk-tokens must be positive");
+    throw Poco::DataFormatException(
+        "engine.slots, engine.read-tokens-per-ms and "
+        "engine.read-chunk-tokens must be positive");
   return Parameters;
 }
 
-RequestClass readClass(const std::string &Name, Section Input) {
-  RequestClass Class;
+CallClass readClass(const std::string &Name, Section Input) {
+  CallClass Class;
   Class.Name = Name;
-  Class.RequestsPerSecond = Input.required("per-second");
+  Class.CallsPerSecond = Input.required("per-second");
   Class.SharedLevels = parseSharedLevels(Input.text("shared"));
   Class.MeanOwnTokens = Input.required("own-tokens");
   Class.OwnSpread = Input.number("own-spread", 0);
@@ -148,31 +149,35 @@
   const Poco::AutoPtr<IniFileConfiguration> File(
       new IniFileConfiguration(Path));
   Section Main(*File, "scenario");
-  Scenario Setup;
-  Setup.Name = std::filesystem::path(Path).stem();
-  Setup.Engines = toCount(Main.required("engines"));
-  Setup.Accounts = toCount(Main.number("accounts", Setup.Accounts));
-  Setup.AccountSkew = Main.number("account-skew", Setup.AccountSkew);
-  Setup.Length = Main.required("length-s") * 1000;
-  Setup.StatedTokensPerSecond =
+  Scenario TheScenario;
+  TheScenario.Name = std::filesystem::path(Path).stem();
+  TheScenario.Engines = toCount(Main.required("engines"));
+  TheScenario.Accounts = toCount(Main.number("accounts", TheScenario.Accounts));
+  TheScenario.AccountSkew =
+      Main.number("account-skew", TheScenario.AccountSkew);
+  TheScenario.Length = Main.required("length-s") * 1000;
+  TheScenario.StatedTokensPerSecond =
       toCount(Main.required("stated-tokens-per-second"));
-  Setup.OneWayDelay = Main.number("way-ms", Setup.OneWayDelay);
+  TheScenario.OneWayDelay = Main.number("way-ms", TheScenario.OneWayDelay);
   Main.rejectUnknownKeys();
-  Setup.Parameters = readEngine(Section(*File, "engine"));
+  TheScenario.Parameters = readEngine(Section(*File, "engine"));
   IniFileConfiguration::Keys Sections;
   File->keys(Sections);
   for (const std::string &Each : Sections) {
     if (Each.starts_with("class-"))
-      Setup.Classes.push_back(readClass(Each.substr(6), Section(*File, Each)));
+      TheScenario.Classes.push_back(
+          readClass(Each.substr(6), Section(*File, Each)));
     else if (Each.starts_with("flood-"))
-      Setup.Floods.push_back(readFlood(Section(*File, Each)));
+      TheScenario.Floods.push_back(readFlood(Section(*File, Each)));
     else if (Each != "scenario" && Each != "engine")
       throw Poco::DataFormatException("section " + Each + " is unknown");
   }
-  if (Setup.Engines == 0 || Setup.Accounts == 0 || Setup.Classes.empty())
+  if (TheScenario.Engines == 0 || TheScenario.Accounts == 0 ||
+      TheScenario.Classes.empty())
     throw Poco::DataFormatException(
-        "a scenario needs at least one engine, account and class");
-  return Setup;
+        "scenario.engines, scenario.accounts and the number of class-NAME "
+        "sections must be at least 1");
+  return TheScenario;
 }
 
 } // namespace
--- a/lab/Play.cpp
+++ b/lab/Simulation.cpp
@@ -1,4 +1,4 @@
-#include "lab/Play.h"
+#include "lab/Simulation.h"
 
 #include "Runtime/Id.h"
 #include "Runtime/Overloaded.h"
@@ -15,8 +15,9 @@
 
 namespace {
 
-/// The share of the payoff that a late response earns, and the weights of the
-/// payoff's fixed and size-dependent terms.
+/// The share of the payoff that a late response earns, the weights of the fixed
+/// and the size-dependent term of the payoff, and the maximum relative size in
+/// the latter. See `OutcomeTotals`.
 constexpr double LatePayoffShare = 0.3;
 constexpr double FixedPayoff = 0.3;
 constexpr double SizePayoff = 0.7;
@@ -24,8 +25,9 @@
 
 constexpr Milliseconds TickInterval = 5;
 constexpr Milliseconds ReportInterval = 250;
-/// The router's rule: a request that is already late waits for at most a
-/// quarter of its remaining time, and no longer than half a second.
+/// As in the router (GatewayRequestSend.cpp): a request that is already late
+/// waits for at most a quarter of its remaining time, and no longer than half a
+/// second.
 constexpr double LateWaitShare = 0.25;
 constexpr Milliseconds MaxLateWait = 500;
 /// Minimum time that a request needs. A refused caller that has less time left
@@ -44,7 +46,7 @@
 
 /// The payoff of a call, which depends on its prompt size relative to the mean
 /// of its class.
-double payoffOf(const RequestClass &Class, const Call &TheCall) {
+double payoffOf(const CallClass &Class, const Call &TheCall) {
   double Mean = Class.MeanOwnTokens;
   for (const SharedPartLevel &Level : Class.SharedLevels)
     Mean += Level.MeanTokens;
@@ -56,20 +58,20 @@
 class Simulation {
 public:
   Simulation(const Scenario &S, std::uint64_t Seed, const Policy &P)
-      : Setup(S), SelectedPolicy(P), Calls(generateCalls(S, Seed)),
+      : TheScenario(S), SelectedPolicy(P), Calls(generateCalls(S, Seed)),
         Random(Seed), Engines(S.Engines, Engine(S.Parameters)),
         OpenRequests(S.Engines, 0) {
     this->States.resize(this->Calls.size());
-    if (const auto *UsedPolicy =
+    if (const auto *AllocatorSettings =
             std::get_if<AllocatorPolicy>(&this->SelectedPolicy))
-      this->makeAllocator(*UsedPolicy);
+      this->makeAllocator(*AllocatorSettings);
   }
 
   SimulationResult run() {
     for (std::size_t CallIndex = 0; CallIndex < this->Calls.size(); ++CallIndex)
       this->schedule(this->Calls[CallIndex].At,
                      [this, CallIndex] { this->startAttempt(CallIndex); });
-    if (this->SharedAllocator) {
+    if (this->FleetAllocator) {
       this->schedule(TickInterval, [this] { this->tick(); });
       this->schedule(ReportInterval, [this] { this->reportActiveGrants(); });
     }
@@ -83,11 +85,11 @@
   }
 
 private:
-  enum class End { None, OnTime, Late, Refused, Disconnected };
+  enum class CallOutcome { InProgress, OnTime, Late, Refused, Disconnected };
 
   struct CallState {
     std::uint32_t Attempts = 0;
-    End Ended = End::None;
+    CallOutcome Outcome = CallOutcome::InProgress;
     std::optional<std::size_t> EngineIndex;
     std::optional<Milliseconds> TimeToFirstToken;
     Milliseconds StartedAt = 0;
@@ -106,32 +108,33 @@
     this->Events.push({Time, ++this->LastOrder, std::move(Action)});
   }
 
-  void makeAllocator(const AllocatorPolicy &UsedPolicy) {
+  void makeAllocator(const AllocatorPolicy &AllocatorSettings) {
     auto Servers = std::make_shared<ServerList>();
     for (std::size_t EngineIndex = 0; EngineIndex < this->Engines.size();
          ++EngineIndex) {
       GatewayServer Server;
       Server.Id = engineName(EngineIndex);
       Server.Service = ServiceName;
-      Server.Slots = this->Setup.Parameters.Slots;
+      Server.Slots = this->TheScenario.Parameters.Slots;
       Servers->emplace(Server.Id, Server);
       this->EngineByHash[hashName(Server.Id)] = EngineIndex;
     }
     GatewayService Service;
     Service.Name = ServiceName;
-    Service.KvCapacityTokens = this->Setup.Parameters.MemoryTokens;
+    Service.KvCapacityTokens = this->TheScenario.Parameters.MemoryTokens;
     Service.KvBytesPerToken = 1;
-    Service.LinkBytesPerMs = this->Setup.Parameters.FetchTokensPerMs;
+    Service.LinkBytesPerMs = this->TheScenario.Parameters.FetchTokensPerMs;
     this->Configuration.Services[ServiceName] = Service;
     this->Configuration.Limits.TokensPerSecond =
-        this->Setup.StatedTokensPerSecond;
-    this->SharedAllocator = std::make_unique<Allocator>(UsedPolicy.Options);
-    this->SharedAllocator->setServers(Servers, &this->Configuration,
-                                      ServerGroups(*Servers));
+        this->TheScenario.StatedTokensPerSecond;
+    this->FleetAllocator =
+        std::make_unique<Allocator>(AllocatorSettings.Options);
+    this->FleetAllocator->setServers(Servers, &this->Configuration,
+                                     ServerGroups(*Servers));
   }
 
-  const RequestClass &classOf(std::size_t CallIndex) const {
-    return this->Setup.Classes[this->Calls[CallIndex].Class];
+  const CallClass &classOf(std::size_t CallIndex) const {
+    return this->TheScenario.Classes[this->Calls[CallIndex].Class];
   }
   Milliseconds elapsed(std::size_t CallIndex) const {
     return this->Now - this->Calls[CallIndex].At;
@@ -205,14 +208,14 @@
     Request.MaxWaitMs = static_cast<std::int32_t>(
         ObjectiveLeft > 0 ? ObjectiveLeft
                           : std::min(TimeLeft * LateWaitShare, MaxLateWait));
-    this->schedule(this->Now + this->Setup.OneWayDelay, [this, Request] {
-      this->SharedAllocator->handle(Request, toTimePoint(this->Now));
+    this->schedule(this->Now + this->TheScenario.OneWayDelay, [this, Request] {
+      this->FleetAllocator->handle(Request, toTimePoint(this->Now));
       this->processReplies();
     });
   }
 
   void processReplies() {
-    for (const RouterMessage &Each : this->SharedAllocator->takeReplies())
+    for (const RouterMessage &Each : this->FleetAllocator->takeReplies())
       std::visit(Overloaded{
                      [this](const AllocationGrant &M) { this->onGrant(M); },
                      [this](const AllocationRefusal &M) { this->onRefusal(M); },
@@ -223,9 +226,9 @@
 
   void onGrant(const AllocationGrant &Grant) {
     const std::size_t CallIndex = Grant.Id.Number;
-    if (this->States[CallIndex].Ended != End::None) {
-      this->SharedAllocator->handle(
-          GrantEnded{Grant.Id, ServerVerdict::Healthy}, toTimePoint(this->Now));
+    if (this->States[CallIndex].Outcome != CallOutcome::InProgress) {
+      this->FleetAllocator->handle(GrantEnded{Grant.Id, ServerVerdict::Healthy},
+                                   toTimePoint(this->Now));
       return;
     }
     std::uint64_t Fetchable = 0;
@@ -240,20 +243,21 @@
   void onRefusal(const AllocationRefusal &Refusal) {
     const std::size_t CallIndex = Refusal.Id.Number;
     CallState &State = this->States[CallIndex];
-    if (State.Ended != End::None)
+    if (State.Outcome != CallOutcome::InProgress)
       return;
-    this->RefusalTimes.push_back(this->Now + this->Setup.OneWayDelay -
+    this->RefusalTimes.push_back(this->Now + this->TheScenario.OneWayDelay -
                                  State.StartedAt);
     const Milliseconds TimeLeft =
         this->classOf(CallIndex).TimeLimit - this->elapsed(CallIndex);
+    // The caller waits for at most a third of its remaining time.
     const Milliseconds Wait =
         std::min<Milliseconds>(Refusal.RetryAfterMs, TimeLeft / 3);
     if (State.Attempts > 1 || TimeLeft < MinAttemptTime) {
-      State.Ended = End::Refused;
+      State.Outcome = CallOutcome::Refused;
       return;
     }
     this->schedule(this->Now + Wait, [this, CallIndex] {
-      if (this->States[CallIndex].Ended == End::None)
+      if (this->States[CallIndex].Outcome == CallOutcome::InProgress)
         this->startAttempt(CallIndex);
     });
   }
@@ -267,15 +271,16 @@
         correlationIdOf(CallIndex, this->States[CallIndex].Attempts),
         TheCall.Parts, TheCall.PromptTokens, TheCall.OutputTokens, Fetchable};
     this->ActiveCalls.insert(CallIndex);
-    this->schedule(this->Now + this->Setup.OneWayDelay, [this, CallIndex,
-                                                         EngineIndex, Request] {
-      if (this->States[CallIndex].Ended != End::None)
-        return;
-      const bool WasIdle = !this->Engines[EngineIndex].nextStepAt();
-      this->Engines[EngineIndex].submit(Request, this->Now);
-      if (WasIdle)
-        this->scheduleStep(EngineIndex);
-    });
+    this->schedule(
+        this->Now + this->TheScenario.OneWayDelay,
+        [this, CallIndex, EngineIndex, Request] {
+          if (this->States[CallIndex].Outcome != CallOutcome::InProgress)
+            return;
+          const bool WasIdle = !this->Engines[EngineIndex].nextStepAt();
+          this->Engines[EngineIndex].submit(Request, this->Now);
+          if (WasIdle)
+            this->scheduleStep(EngineIndex);
+        });
   }
 
   void scheduleStep(std::size_t EngineIndex) {
@@ -292,54 +297,54 @@
   void onEngineEvent(const EngineEvent &Progress) {
     const std::size_t CallIndex = Progress.Id.Number;
     CallState &State = this->States[CallIndex];
-    if (State.Ended != End::None)
+    if (State.Outcome != CallOutcome::InProgress)
       return;
     if (Progress.IsFirstToken) {
       State.TimeToFirstToken =
-          this->elapsed(CallIndex) + this->Setup.OneWayDelay;
-      if (this->SharedAllocator)
-        this->SharedAllocator->handle(GrantStarted{Progress.Id},
-                                      toTimePoint(this->Now));
+          this->elapsed(CallIndex) + this->TheScenario.OneWayDelay;
+      if (this->FleetAllocator)
+        this->FleetAllocator->handle(GrantStarted{Progress.Id},
+                                     toTimePoint(this->Now));
       return;
     }
     const bool OnTime =
         *State.TimeToFirstToken <= this->classOf(CallIndex).Objective;
-    this->finish(CallIndex, OnTime ? End::OnTime : End::Late);
+    this->finish(CallIndex, OnTime ? CallOutcome::OnTime : CallOutcome::Late);
   }
 
   void disconnect(std::size_t CallIndex) {
     CallState &State = this->States[CallIndex];
-    if (State.Ended != End::None)
+    if (State.Outcome != CallOutcome::InProgress)
       return;
     if (State.EngineIndex)
       this->Engines[*State.EngineIndex].cancel(
           correlationIdOf(CallIndex, State.Attempts));
-    if (this->SharedAllocator)
-      this->SharedAllocator->handle(
+    if (this->FleetAllocator)
+      this->FleetAllocator->handle(
           AllocationCancelled{correlationIdOf(CallIndex, State.Attempts)},
           toTimePoint(this->Now));
-    this->finish(CallIndex, End::Disconnected);
+    this->finish(CallIndex, CallOutcome::Disconnected);
   }
 
-  void finish(std::size_t CallIndex, End Ended) {
+  void finish(std::size_t CallIndex, CallOutcome Outcome) {
     CallState &State = this->States[CallIndex];
-    State.Ended = Ended;
+    State.Outcome = Outcome;
     this->ActiveCalls.erase(CallIndex);
     if (!State.EngineIndex)
       return;
     --this->OpenRequests[*State.EngineIndex];
-    if (!this->SharedAllocator)
+    if (!this->FleetAllocator)
       return;
-    this->SharedAllocator->handle(
+    this->FleetAllocator->handle(
         GrantEnded{correlationIdOf(CallIndex, State.Attempts),
                    ServerVerdict::Healthy},
         toTimePoint(this->Now));
-    this->SharedAllocator->tick(toTimePoint(this->Now));
+    this->FleetAllocator->tick(toTimePoint(this->Now));
     this->processReplies();
   }
 
   void tick() {
-    this->SharedAllocator->tick(toTimePoint(this->Now));
+    this->FleetAllocator->tick(toTimePoint(this->Now));
     this->processReplies();
     if (!this->isDone())
       this->schedule(this->Now + TickInterval, [this] { this->tick(); });
@@ -350,7 +355,7 @@
     for (const std::size_t CallIndex : this->ActiveCalls) {
       const CallState &State = this->States[CallIndex];
       const std::uint32_t PrefillTokens = State.TimeToFirstToken ? 0 : 1;
-      this->SharedAllocator->handle(
+      this->FleetAllocator->handle(
           GrantActive{correlationIdOf(CallIndex, State.Attempts),
                       hashName(engineName(*State.EngineIndex)), PrefillTokens,
                       this->Calls[CallIndex].OutputTokens},
@@ -362,8 +367,8 @@
   }
 
   bool isDone() const {
-    return this->Now > this->Setup.Length && this->ActiveCalls.empty() &&
-           this->SharedAllocator->queuedRequests() == 0;
+    return this->Now > this->TheScenario.Length && this->ActiveCalls.empty() &&
+           this->FleetAllocator->queuedRequests() == 0;
   }
 
   SimulationResult result() const {
@@ -371,14 +376,15 @@
     for (std::size_t CallIndex = 0; CallIndex < this->Calls.size();
          ++CallIndex) {
       const Call &TheCall = this->Calls[CallIndex];
-      const RequestClass &Class = this->classOf(CallIndex);
+      const CallClass &Class = this->classOf(CallIndex);
       this->count(CallIndex, Result.Total);
       this->count(CallIndex, Result.ByClass[Class.Name]);
       this->count(CallIndex, Result.ByAccount[TheCall.Account]);
       if (this->isLargest(CallIndex))
         this->count(CallIndex, Result.LargestByClass[Class.Name]);
       const CallState &State = this->States[CallIndex];
-      if (State.Ended == End::OnTime || State.Ended == End::Late)
+      if (State.Outcome == CallOutcome::OnTime ||
+          State.Outcome == CallOutcome::Late)
         Result.FirstTokens.push_back(*State.TimeToFirstToken);
     }
     std::sort(Result.FirstTokens.begin(), Result.FirstTokens.end());
@@ -412,31 +418,33 @@
     return this->isLargest(CallIndex);
   }
 
-  void count(std::size_t CallIndex, Outcomes &Outcome) const {
+  void count(std::size_t CallIndex, OutcomeTotals &Totals) const {
     const double Payoff =
         payoffOf(this->classOf(CallIndex), this->Calls[CallIndex]);
-    ++Outcome.Calls;
-    Outcome.PossiblePayoff += Payoff;
-    switch (this->States[CallIndex].Ended) {
-    case End::OnTime:
-      ++Outcome.OnTime;
-      Outcome.EarnedPayoff += Payoff;
+    ++Totals.Calls;
+    Totals.PossiblePayoff += Payoff;
+    switch (this->States[CallIndex].Outcome) {
+    case CallOutcome::OnTime:
+      ++Totals.OnTime;
+      Totals.EarnedPayoff += Payoff;
       return;
-    case End::Late:
-      ++Outcome.Late;
-      Outcome.EarnedPayoff += Payoff * LatePayoffShare;
+    case CallOutcome::Late:
+      ++Totals.Late;
+      Totals.EarnedPayoff += Payoff * LatePayoffShare;
       return;
-    case End::Refused:
-      ++Outcome.Refused;
+    case CallOutcome::Refused:
+      ++Totals.Refused;
       return;
-    case End::None:
-    case End::Disconnected:
-      ++Outcome.CallerDisconnected;
+    // `InProgress` does not occur here: each call ends at its time limit at the
+    // latest.
+    case CallOutcome::InProgress:
+    case CallOutcome::Disconnected:
+      ++Totals.CallerDisconnected;
       return;
     }
   }
 
-  const Scenario &Setup;
+  const Scenario &TheScenario;
   const Policy &SelectedPolicy;
   std::vector<Call> Calls;
   boost::random::mt19937_64 Random;
@@ -447,7 +455,7 @@
   std::set<std::size_t> ActiveCalls;
   std::vector<Milliseconds> RefusalTimes;
   GatewayConfiguration Configuration;
-  std::unique_ptr<Allocator> SharedAllocator;
+  std::unique_ptr<Allocator> FleetAllocator;
   std::map<std::uint64_t, std::size_t> EngineByHash;
   std::priority_queue<Event> Events;
   std::uint64_t LastOrder = 0;
@@ -457,17 +465,17 @@
 
 } // namespace
 
-double SimulationResult::worstAccountsWorth() const {
-  std::vector<double> Worths;
-  for (const auto &[Account, Outcome] : this->ByAccount)
-    Worths.push_back(Outcome.worth());
-  std::sort(Worths.begin(), Worths.end());
-  const std::size_t WorstCount = std::max<std::size_t>(Worths.size() / 10, 1);
-  if (Worths.empty())
+double SimulationResult::worstAccountsPayoffShare() const {
+  std::vector<double> Shares;
+  for (const auto &[Account, Totals] : this->ByAccount)
+    Shares.push_back(Totals.payoffShare());
+  std::sort(Shares.begin(), Shares.end());
+  const std::size_t WorstCount = std::max<std::size_t>(Shares.size() / 10, 1);
+  if (Shares.empty())
     return 1;
   return std::accumulate(
-             Worths.begin(),
-             Worths.begin() + static_cast<std::ptrdiff_t>(WorstCount), 0.0) /
+             Shares.begin(),
+             Shares.begin() + static_cast<std::ptrdiff_t>(WorstCount), 0.0) /
          static_cast<double>(WorstCount);
 }
 
@@ -493,25 +501,26 @@
   return quantileOf(this->RefusalTimes, Fraction);
 }
 
-SimulationResult simulate(const Scenario &Setup, std::uint64_t Seed,
+SimulationResult simulate(const Scenario &TheScenario, std::uint64_t Seed,
                           const Policy &SelectedPolicy) {
-  return Simulation(Setup, Seed, SelectedPolicy).run();
+  return Simulation(TheScenario, Seed, SelectedPolicy).run();
 }
 
-double worthUpperBound(const Scenario &Setup, std::uint64_t Seed) {
+double payoffShareUpperBound(const Scenario &TheScenario, std::uint64_t Seed) {
   struct CallCost {
     double Payoff = 0;
     double EngineTime = 0;
   };
   std::vector<CallCost> Costs;
   double PossiblePayoff = 0;
-  for (const Call &TheCall : generateCalls(Setup, Seed)) {
-    const RequestClass &Class = Setup.Classes[TheCall.Class];
+  for (const Call &TheCall : generateCalls(TheScenario, Seed)) {
+    const CallClass &Class = TheScenario.Classes[TheCall.Class];
     const double OwnTokens = TheCall.Parts.back().Tokens;
     const double Payoff = payoffOf(Class, TheCall);
-    Costs.push_back({Payoff, OwnTokens / Setup.Parameters.PrefillTokensPerMs +
-                                 TheCall.OutputTokens *
-                                     Setup.Parameters.StepTimePerRequest});
+    Costs.push_back(
+        {Payoff,
+         OwnTokens / TheScenario.Parameters.PrefillTokensPerMs +
+             TheCall.OutputTokens * TheScenario.Parameters.StepTimePerRequest});
     PossiblePayoff += Payoff;
   }
   std::sort(Costs.begin(), Costs.end(),
@@ -519,7 +528,7 @@
               return Left.Payoff * Right.EngineTime >
                      Right.Payoff * Left.EngineTime;
             });
-  double TimeLeft = Setup.Engines * Setup.Length;
+  double TimeLeft = TheScenario.Engines * TheScenario.Length;
   double EarnedPayoff = 0;
   for (const CallCost &Each : Costs) {
     const double Fraction = std::min(1.0, TimeLeft / Each.EngineTime);
--- a/lab/Play.h
+++ b/lab/Simulation.h
@@ -1,5 +1,5 @@
-#ifndef PARSLEYWING_LAB_PLAY_H
-#define PARSLEYWING_LAB_PLAY_H
+#ifndef PARSLEYWING_LAB_SIMULATION_H
+#define PARSLEYWING_LAB_SIMULATION_H
 
 #include "Placement/Allocator.h"
 #include "lab/Load.h"
@@ -24,8 +24,8 @@
 using Policy = std::variant<AllocatorPolicy, LeastLoadedPolicy,
                             TwoChoicesPolicy, HomePolicy>;
 
-/// The outcomes of calls, as seen by their callers.
-struct Outcomes {
+/// The number of calls by outcome, as seen by their callers, and their payoff.
+struct OutcomeTotals {
   std::uint32_t Calls = 0;
   std::uint32_t OnTime = 0;
   std::uint32_t Late = 0;
@@ -34,13 +34,13 @@
   std::uint32_t CallerDisconnected = 0;
   /// Payoff of the served calls, and of all calls if all were on time. The
   /// payoff of a call is 0.3 plus 0.7 times its prompt size relative to the
-  /// mean of its class, which counts as four at most. A late response earns 0.3
-  /// of it. All classes have the same weight.
+  /// mean of its class, capped at 4. A late response earns 0.3 of it. A call of
+  /// mean size earns the same in all classes.
   double EarnedPayoff = 0;
   double PossiblePayoff = 0;
 
-  /// The share of the possible payoff that was earned.
-  double worth() const {
+  /// The share of the possible payoff that was earned. Printed as `worth`.
+  double payoffShare() const {
     return this->PossiblePayoff > 0 ? this->EarnedPayoff / this->PossiblePayoff
                                     : 1;
   }
@@ -48,11 +48,11 @@
 
 /// The result of a simulation.
 struct SimulationResult {
-  Outcomes Total;
-  std::map<std::string, Outcomes> ByClass;
-  std::map<std::uint32_t, Outcomes> ByAccount;
+  OutcomeTotals Total;
+  std::map<std::string, OutcomeTotals> ByClass;
+  std::map<std::uint32_t, OutcomeTotals> ByAccount;
   /// The tenth of the calls with the largest prompts, by class.
-  std::map<std::string, Outcomes> LargestByClass;
+  std::map<std::string, OutcomeTotals> LargestByClass;
   EngineCounts Engines;
   /// Times to the first token of the served calls, ascending.
   std::vector<Milliseconds> FirstTokens;
@@ -61,21 +61,21 @@
   /// Fraction of the engines' time in which they had work.
   double Utilisation = 0;
 
-  /// The mean worth of the tenth of the accounts with the lowest worth, at
-  /// least one account.
-  double worstAccountsWorth() const;
+  /// The mean payoff share of the tenth of the accounts with the lowest payoff
+  /// share, at least one account.
+  double worstAccountsPayoffShare() const;
   Milliseconds firstTokenQuantile(double Fraction) const;
   Milliseconds refusalTimeQuantile(double Fraction) const;
 };
 
 /// Simulates a policy with the load that the scenario and the seed generate.
-SimulationResult simulate(const Scenario &Setup, std::uint64_t Seed,
+SimulationResult simulate(const Scenario &TheScenario, std::uint64_t Seed,
                           const Policy &SelectedPolicy);
 
-/// An upper bound on the worth of any policy: all calls are known in advance,
-/// shared parts cost nothing, engines never wait, and the calls with the
-/// highest payoff per engine time are served first.
-double worthUpperBound(const Scenario &Setup, std::uint64_t Seed);
+/// An upper bound on the payoff share of any policy: all calls are known in
+/// advance, shared parts cost nothing, engines never wait, and the calls with
+/// the highest payoff per engine time are served first.
+double payoffShareUpperBound(const Scenario &TheScenario, std::uint64_t Seed);
 
 } // namespace parsleywing::lab
 
--- a/test/Lab/AllocationLoadTest.cpp
+++ b/test/Lab/AllocationLoadTest.cpp
@@ -1,5 +1,5 @@
-#include "lab/Play.h"
 #include "lab/ScenarioReader.h"
+#include "lab/Simulation.h"
 
 #include <criterion/criterion.h>
 #include <fstream>
@@ -19,20 +19,21 @@
   return *Loaded;
 }
 
-/// Results over all seeds: means of the worths, sums of the counts.
+/// Results over all seeds: means of the payoff shares, sums of the counts.
 struct Series {
-  double Worth = 0;
+  double PayoffShare = 0;
   double WorstAccounts = 0;
   std::uint64_t PrefilledTokens = 0;
   std::uint32_t OnTime = 0;
 };
 
-Series simulateSeeds(const Scenario &Setup, const Policy &SelectedPolicy) {
+Series simulateSeeds(const Scenario &TheScenario,
+                     const Policy &SelectedPolicy) {
   Series Sum;
   for (std::uint64_t Seed = 1; Seed <= Seeds; ++Seed) {
-    const SimulationResult Result = simulate(Setup, Seed, SelectedPolicy);
-    Sum.Worth += Result.Total.worth() / Seeds;
-    Sum.WorstAccounts += Result.worstAccountsWorth() / Seeds;
+    const SimulationResult Result = simulate(TheScenario, Seed, SelectedPolicy);
+    Sum.PayoffShare += Result.Total.payoffShare() / Seeds;
+    Sum.WorstAccounts += Result.worstAccountsPayoffShare() / Seeds;
     Sum.PrefilledTokens += Result.Engines.PrefilledTokens;
     Sum.OnTime += Result.Total.OnTime;
   }
@@ -48,11 +49,11 @@
   AllocatorOptions InOrder;
   InOrder.SmallestFirst = false;
   for (const char *Name : {"overloaded-reviews", "flood"}) {
-    const Scenario Setup = scenario(Name);
-    const Series With = simulateSeeds(Setup, AllocatorPolicy{});
-    const Series Without = simulateSeeds(Setup, AllocatorPolicy{InOrder});
-    cr_expect_gt(With.Worth, Without.Worth + 0.02, "%s: %f, %f", Name,
-                 With.Worth, Without.Worth);
+    const Scenario TheScenario = scenario(Name);
+    const Series With = simulateSeeds(TheScenario, AllocatorPolicy{});
+    const Series Without = simulateSeeds(TheScenario, AllocatorPolicy{InOrder});
+    cr_expect_gt(With.PayoffShare, Without.PayoffShare + 0.02, "%s: %f, %f",
+                 Name, With.PayoffShare, Without.PayoffShare);
     cr_expect_gt(With.OnTime, Without.OnTime);
     cr_expect_gt(With.WorstAccounts, Without.WorstAccounts + 0.05);
   }
@@ -61,14 +62,14 @@
 // The cost of serving the smallest requests first: the largest requests are
 // served less often, but at least half as often as their class as a whole.
 Test(AllocationLoad, largestOfAClassAreNotStarved) {
-  const Scenario Setup = scenario("overloaded-reviews");
+  const Scenario TheScenario = scenario("overloaded-reviews");
   for (std::uint64_t Seed = 1; Seed <= Seeds; ++Seed) {
-    const SimulationResult Result = simulate(Setup, Seed, AllocatorPolicy{});
+    const SimulationResult Result =
+        simulate(TheScenario, Seed, AllocatorPolicy{});
     for (const auto &[Name, Class] : Result.ByClass) {
-      const Outcomes &Largest = Result.LargestByClass.at(Name);
-      const auto Served = [](const Outcomes &Outcome) {
-        return static_cast<double>(Outcome.OnTime + Outcome.Late) /
-               Outcome.Calls;
+      const OutcomeTotals &Largest = Result.LargestByClass.at(Name);
+      const auto Served = [](const OutcomeTotals &Totals) {
+        return static_cast<double>(Totals.OnTime + Totals.Late) / Totals.Calls;
       };
       cr_expect_gt(Served(Largest), Served(Class) / 2, "%s, seed %lu: %f, %f",
                    Name.c_str(), Seed, Served(Largest), Served(Class));
@@ -81,11 +82,11 @@
 Test(AllocationLoad, fetchingCachedPartsServesMoreCallers) {
   AllocatorOptions NoFetch;
   NoFetch.FetchCached = false;
-  const Scenario Setup = scenario("overloaded-reviews");
-  const Series With = simulateSeeds(Setup, AllocatorPolicy{});
-  const Series Without = simulateSeeds(Setup, AllocatorPolicy{NoFetch});
-  cr_expect_gt(With.Worth, Without.Worth + 0.03, "%f, %f", With.Worth,
-               Without.Worth);
+  const Scenario TheScenario = scenario("overloaded-reviews");
+  const Series With = simulateSeeds(TheScenario, AllocatorPolicy{});
+  const Series Without = simulateSeeds(TheScenario, AllocatorPolicy{NoFetch});
+  cr_expect_gt(With.PayoffShare, Without.PayoffShare + 0.03, "%f, %f",
+               With.PayoffShare, Without.PayoffShare);
   cr_expect_gt(With.OnTime, Without.OnTime);
 }
 
@@ -95,9 +96,11 @@
   AllocatorOptions Without;
   Without.Weights.OccupiedSlots = 0;
   for (const char *Name : {"overloaded-reviews", "flood"}) {
-    const Scenario Setup = scenario(Name);
-    cr_expect_gt(simulateSeeds(Setup, AllocatorPolicy{}).Worth,
-                 simulateSeeds(Setup, AllocatorPolicy{Without}).Worth + 0.02);
+    const Scenario TheScenario = scenario(Name);
+    cr_expect_gt(
+        simulateSeeds(TheScenario, AllocatorPolicy{}).PayoffShare,
+        simulateSeeds(TheScenario, AllocatorPolicy{Without}).PayoffShare +
+            0.02);
   }
 }
 
@@ -109,40 +112,44 @@
 Test(AllocationLoad, likelyTimeoutsAreRefusedOnArrival) {
   AllocatorOptions Without;
   Without.RefuseLikelyTimeouts = false;
-  const Scenario Setup = scenario("flood");
+  const Scenario TheScenario = scenario("flood");
   for (std::uint64_t Seed = 1; Seed <= Seeds; ++Seed) {
-    const SimulationResult Refusing = simulate(Setup, Seed, AllocatorPolicy{});
+    const SimulationResult Refusing =
+        simulate(TheScenario, Seed, AllocatorPolicy{});
     const SimulationResult Waiting =
-        simulate(Setup, Seed, AllocatorPolicy{Without});
+        simulate(TheScenario, Seed, AllocatorPolicy{Without});
     cr_expect_lt(Refusing.refusalTimeQuantile(0.5), 20);
     cr_expect_gt(Waiting.refusalTimeQuantile(0.5), 300);
   }
-  // The uncertainty of the difference, measured with twelve seeds.
+  // Smaller differences are within the noise of the simulation.
   constexpr double Noise = 0.007;
-  cr_expect_gt(simulateSeeds(Setup, AllocatorPolicy{}).Worth,
-               simulateSeeds(Setup, AllocatorPolicy{Without}).Worth - Noise);
-  const Scenario OverloadedSetup = scenario("overloaded-reviews");
-  cr_expect_gt(simulateSeeds(OverloadedSetup, AllocatorPolicy{}).Worth,
-               simulateSeeds(OverloadedSetup, AllocatorPolicy{Without}).Worth -
-                   Noise);
+  cr_expect_gt(
+      simulateSeeds(TheScenario, AllocatorPolicy{}).PayoffShare,
+      simulateSeeds(TheScenario, AllocatorPolicy{Without}).PayoffShare - Noise);
+  const Scenario OverloadedScenario = scenario("overloaded-reviews");
+  cr_expect_gt(
+      simulateSeeds(OverloadedScenario, AllocatorPolicy{}).PayoffShare,
+      simulateSeeds(OverloadedScenario, AllocatorPolicy{Without}).PayoffShare -
+          Noise);
 }
 
 // A deployment that differs from all known ones: slow engines, little memory,
 // and links over which fetching gains nothing. Nothing is fetched, and nearly
 // all calls are served.
 Test(AllocationLoad, nothingIsFetchedOverSlowLinks) {
-  const Scenario Setup = scenario("slow-links");
+  const Scenario TheScenario = scenario("slow-links");
   for (std::uint64_t Seed = 1; Seed <= Seeds; ++Seed) {
-    const SimulationResult Result = simulate(Setup, Seed, AllocatorPolicy{});
+    const SimulationResult Result =
+        simulate(TheScenario, Seed, AllocatorPolicy{});
     cr_expect_eq(Result.Engines.FetchedTokens, 0U);
-    cr_expect_gt(Result.Total.worth(), 0.95);
+    cr_expect_gt(Result.Total.payoffShare(), 0.95);
   }
 }
 
 Test(AllocationLoad, simulationIsDeterministic) {
-  const Scenario Setup = scenario("flood");
-  const SimulationResult First = simulate(Setup, 3, AllocatorPolicy{});
-  const SimulationResult Second = simulate(Setup, 3, AllocatorPolicy{});
+  const Scenario TheScenario = scenario("flood");
+  const SimulationResult First = simulate(TheScenario, 3, AllocatorPolicy{});
+  const SimulationResult Second = simulate(TheScenario, 3, AllocatorPolicy{});
   cr_expect_eq(First.Total.OnTime, Second.Total.OnTime);
   cr_expect_eq(First.Engines.PrefilledTokens, Second.Engines.PrefilledTokens);
   cr_expect_eq(First.FirstTokens, Second.FirstTokens);
@@ -166,7 +173,7 @@
     cr_expect_neq(ErrorMessage(Text).find(Expected), std::string::npos, "%s",
                   ErrorMessage(Text).c_str());
   };
-  ExpectMention(ValidText + "shared = 5\n", "TOKENSxTHINGS");
+  ExpectMention(ValidText + "shared = 5\n", "TOKENSxVARIANTS");
   ExpectMention(ValidText + "own-tokns = 5\n", "own-tokns");
   ExpectMention(ValidText + "[flood-x]\naccount = 1\n", "from-s");
   ExpectMention(ValidText + "[engine]\nslots = many\n", "engine.slots");
