--- a/src/Placement/RouterMessages.h
+++ b/src/Placement/RouterMessages.h
@@ -45,9 +45,9 @@
 /// their names (`hashName`).
 struct AllocationRequest {
   CorrelationId Id;
-  /// The group of servers (`ServerGroups`) for the request. It is the hash of
-  /// the service if the service has only one group, and until the router has
-  /// determined the group.
+  /// The group of servers (`ServerGroups`) for the request; the hash of the
+  /// service if that has only one group. Whoever creates the request sets the
+  /// hash of the service, which `AllocationAgent` replaces by the group.
   std::uint64_t Group = 0;
   std::uint64_t Account = 0;
   std::uint64_t Zone = 0;
--- a/src/Placement/ServerTable.cpp
+++ b/src/Placement/ServerTable.cpp
@@ -140,7 +140,7 @@
         static_cast<double>(Tokens) * CacheFraction));
   }
   std::erase_if(this->Entries, [](const auto &Entry) {
-    return Entry.second.Server == nullptr && Entry.second.Running == 0;
+    return Entry.second.Listing == nullptr && Entry.second.Running == 0;
   });
 }
 
