--- a/src/Gateway/FleetFeedProver.cpp
+++ b/src/Gateway/FleetFeedProver.cpp
@@ -236,7 +236,7 @@
     return;
   this->State.recordStoreReachable(false, Now);
   this->FailedAt = Now;
-  log(LogPart::Platform, LogLevel::Warn, "store=lost call=relay");
+  log(LogPart::Platform, LogLevel::Warn, "store=lost call=relays");
 }
 
 /// Whether a linearizable read of the configuration is due, to prove that it is
--- a/src/Gateway/GatewayFront.cpp
+++ b/src/Gateway/GatewayFront.cpp
@@ -424,7 +424,7 @@
     return;
   log(LogPart::Caller, LogLevel::Info,
       "drain begins with " + std::to_string(this->CallerChannels.size()) +
-          " caller connections");
+          " connections of callers");
   this->Context.Draining = true;
   this->Routers.leave();
   this->DrainStartedAt = RequestedAt;
@@ -450,7 +450,7 @@
   if (Finished || Remaining < Duration::zero()) {
     log(LogPart::Caller, LogLevel::Info,
         "drain ends with " + std::to_string(this->CallerChannels.size()) +
-            " caller connections");
+            " connections of callers");
     this->abortUnsentChannels();
     this->Loop.stop();
     return;
--- a/src/Gateway/GatewayFrontFleet.cpp
+++ b/src/Gateway/GatewayFrontFleet.cpp
@@ -10,8 +10,8 @@
   this->PartsReader.setPartsCallback(
       [this](const GatewayServer &Server, const CachedParts &Cached) {
         log(LogPart::Backend, LogLevel::Info,
-            "server=" + Server.Id + " caches " +
-                std::to_string(Cached.Parts.size()) + " prompt parts");
+            "server=" + Server.Id + " keeps " +
+                std::to_string(Cached.Parts.size()) + " parts");
         this->Agent.recordCached(hashName(Server.Id), Cached);
       });
   this->Agent.setUnknownCacheCallback([this](std::uint64_t Server) {
