--- a/src/Gateway/AllocationAgent.cpp
+++ b/src/Gateway/AllocationAgent.cpp
@@ -43,22 +43,21 @@
 } // namespace
 
 AllocationCounters::AllocationCounters(Metrics &Into)
-    : Requests(Into.counter(
-          {"allocation_asks_total", "Allocation requests for a server.", ""})),
-      Grants(Into.counter({"allocation_answers_total",
-                           "Replies to allocation requests.",
+    : Requests(Into.counter({"allocation_asks_total",
+                             "Requests for which a server was asked.", ""})),
+      Grants(Into.counter({"allocation_answers_total", "Answers to such asks.",
                            "answer=\"granted\""})),
       Refusals(
           Into.counter({"allocation_answers_total", "", "answer=\"refused\""})),
       Unanswered(
           Into.counter({"allocation_answers_total", "", "answer=\"none\""})),
       WarmUpGrants(Into.counter({"warm_up_grants_total",
-                                 "Grants of servers that warm up, as received "
-                                 "by the requesting routers.",
+                                 "Grants of servers that warm up, as heard by "
+                                 "the routers that asked.",
                                  ""})),
-      LateWarmUpGrants(Into.counter(
-          {"warm_up_grants_late_total",
-           "Of these, not used since they arrived too late.", ""})) {}
+      LateWarmUpGrants(
+          Into.counter({"warm_up_grants_late_total",
+                        "Of these, not used since they came too late.", ""})) {}
 
 AllocationAgent::AllocationAgent(EventLoop &L, RouterMessenger &R,
                                  std::uint64_t P, const WarmUpBounds &WarmUps,
--- a/src/Gateway/CachedPartsReader.cpp
+++ b/src/Gateway/CachedPartsReader.cpp
@@ -28,12 +28,11 @@
 CachedPartsReader::CachedPartsReader(EventLoop &L, const WireFormat &F,
                                      UpstreamPool &P, Metrics &M)
     : Loop(L), Format(F), Pool(P),
-      Queries(M.counter(
-          {"kept_parts_asked_total",
-           "Queries to engines for the prompt parts in their cache.", ""})),
+      Queries(M.counter({"kept_parts_asked_total",
+                         "Engines that were asked what they keep.", ""})),
       FailedQueries(
           M.counter({"kept_parts_failures_total",
-                     "Cache queries without a usable response.", ""})) {}
+                     "Such questions without a usable answer.", ""})) {}
 
 void CachedPartsReader::query(const GatewayServer &Server) {
   if (!this->PendingIds.insert(Server.Id).second)
--- a/src/Gateway/CrashDetector.cpp
+++ b/src/Gateway/CrashDetector.cpp
@@ -51,24 +51,22 @@
 CrashDetector::CrashDetector(EventLoop &L, RouterMessenger &R, std::uint64_t P,
                              Metrics &M)
     : Loop(L), Routers(R), RouterProcess(P),
-      Crashes(M.counter({"server_crashes_total",
-                         "Servers that crashed with active requests of this "
-                         "router.",
-                         ""})),
+      Crashes(M.counter(
+          {"server_crashes_total",
+           "Servers that crashed with requests of this router in hand.", ""})),
       Random(P) {
   for (const auto &[Outcome, Name] : ConnectOutcomeNames)
-    this->CheckCounters[Outcome] = &M.counter(
-        {"server_checks_total",
-         "Connections made after a broken one, to check whether the server has "
-         "crashed.",
-         "outcome=\"" + std::string(Name) + "\""});
+    this->CheckCounters[Outcome] =
+        &M.counter({"server_checks_total",
+                    "Connections that were made behind a broken one, to see "
+                    "whether the server has crashed.",
+                    "outcome=\"" + std::string(Name) + "\""});
   M.callback(MetricKind::Gauge,
              {"crash_suspects",
-              "Requests that were active at servers that crashed.", ""},
+              "Requests that were in hand at servers that crashed.", ""},
              [this] { return static_cast<double>(this->Registry.size()); });
   M.callback(
-      MetricKind::Gauge,
-      {"crash_refused", "Of these, requests that are refused.", ""},
+      MetricKind::Gauge, {"crash_refused", "Of these, refused for it.", ""},
       [this] { return static_cast<double>(this->Registry.refusedCount()); });
 }
 
--- a/src/Gateway/FleetFeed.cpp
+++ b/src/Gateway/FleetFeed.cpp
@@ -31,22 +31,22 @@
 } // namespace
 
 FleetFeedCounters::FleetFeedCounters(Metrics &Into)
-    : CheapCalls(Into.counter({"fleet_store_cheap_calls_total",
-                               "Of the calls on the store, stale reads and "
-                               "renewals: a tenth of the price.",
-                               ""})),
-      FailedCalls(Into.counter({"fleet_store_failures_total",
-                                "Calls on the store that failed.", ""})),
+    : CheapCalls(Into.counter(
+          {"fleet_store_cheap_calls_total",
+           "Of the calls, stale reads and renewals: a tenth of the price.",
+           ""})),
+      FailedCalls(Into.counter(
+          {"fleet_store_failures_total", "Such calls that failed.", ""})),
       Reloads(Into.counter(
-          {"fleet_reloads_total", "Times that all lists were read.", ""})),
-      InvalidEntries(Into.counter(
-          {"fleet_unusable_entries_total", "Invalid entries of servers.", ""})),
-      ConfigurationsApplied(
-          Into.counter({"configurations_taken_total",
-                        "Configurations that became active.", ""})) {
+          {"fleet_reloads_total", "Times that everything was read anew.", ""})),
+      InvalidEntries(
+          Into.counter({"fleet_unusable_entries_total",
+                        "Entries of servers that could not be read.", ""})),
+      ConfigurationsApplied(Into.counter(
+          {"configurations_taken_total", "Versions that came in force.", ""})) {
   for (const auto &[Purpose, Name] : StoreCallPurposeNames)
     this->Calls[Purpose] = &Into.counter(
-        {"fleet_store_calls_total", "Calls on the store, by purpose.",
+        {"fleet_store_calls_total", "Calls on the store, by what they are for.",
          "cause=\"" + std::string(Name) + "\""});
 }
 
--- a/src/Gateway/GatewayContext.cpp
+++ b/src/Gateway/GatewayContext.cpp
@@ -6,16 +6,16 @@
 
 Counter &outcomeCounter(Metrics &Registry, const char *Name) {
   return Registry.counter({"requests_ended_total",
-                           "Caller requests by outcome.",
+                           "Requests of callers by how they ended.",
                            "outcome=\"" + std::string(Name) + "\""});
 }
 
 Counter &lossCounter(Metrics &Registry, const char *Bytes) {
   return Registry.counter(
       {"caller_connections_lossy_total",
-       "Caller connections that ended with lost bytes: of a response (unsent), "
-       "of the caller (unread), or received after the router had finished the "
-       "connection (discarded).",
+       "Connections of callers that ended with bytes lost: of an answer "
+       "(unsent), of the caller (unread), or sent behind the end that the "
+       "router had given the connection (discarded).",
        "bytes=\"" + std::string(Bytes) + "\""});
 }
 
@@ -23,7 +23,7 @@
 
 GatewayCounters::GatewayCounters(Metrics &Registry)
     : Requests(Registry.counter(
-          {"requests_total", "Completely received caller requests.", ""})),
+          {"requests_total", "Requests of callers that were read whole.", ""})),
       Served(outcomeCounter(Registry, "served")),
       Refused(outcomeCounter(Registry, "refused")),
       Failed(outcomeCounter(Registry, "failed")),
@@ -31,30 +31,27 @@
       Denied(outcomeCounter(Registry, "denied")),
       Truncated(outcomeCounter(Registry, "cut_off")),
       CallersDisconnected(outcomeCounter(Registry, "caller_left")),
-      CallersOverLimit(Registry.counter(
-          {"callers_turned_away_total",
-           "Requests refused because too many callers were connected.", ""})),
+      CallersOverLimit(
+          Registry.counter({"callers_turned_away_total",
+                            "Requests refused for want of room.", ""})),
       ClosedWithUnsent(lossCounter(Registry, "unsent")),
       ClosedWithUnread(lossCounter(Registry, "unread")),
       ClosedWithDiscarded(lossCounter(Registry, "discarded")),
-      Attempts(Registry.counter(
-          {"sends_total", "Attempts to send a request to a server.", ""})),
+      Attempts(
+          Registry.counter({"sends_total", "Requests sent to servers.", ""})),
       Retries(Registry.counter(
-          {"repeats_total", "Requests sent to a server again.", ""})),
+          {"repeats_total", "Requests sent to a server once more.", ""})),
       Resumed(Registry.counter(
           {"resumed_total", "Streams continued at another server.", ""})),
       NewConnections(Registry.counter(
           {"server_connections_total", "New connections to servers.", ""})),
       StreamEvents(Registry.counter(
-          {"stream_events_total", "Stream events forwarded to callers.", ""})),
+          {"stream_events_total", "Stream events passed on to callers.", ""})),
       TimeToFirstChunk(Registry.latency(
           {"first_piece_seconds",
-           "Time from a request's arrival to the first byte of the response "
-           "body.",
-           ""})),
-      RequestDuration(
-          Registry.latency({"request_seconds",
-                            "Time from a request's arrival to its end.", ""})) {
+           "From a request's arrival to the first byte of its answer.", ""})),
+      RequestDuration(Registry.latency(
+          {"request_seconds", "From a request's arrival to its end.", ""})) {
   for (const auto &[Reason, Name] : RefusalReasonNames)
     this->RefusedByReason[Reason] = &Registry.counter(
         {"requests_refused_total", "Requests refused, by reason.",
--- a/src/Gateway/GatewayFront.cpp
+++ b/src/Gateway/GatewayFront.cpp
@@ -121,22 +121,19 @@
 void GatewayFront::addGauges() {
   this->MetricsRegistry.callback(
       MetricKind::Gauge,
-      {"loop_lag_seconds",
-       "How late timers run, averaged over recent loop iterations.", ""},
-      [this] {
+      {"loop_lag_seconds", "How late the last timer was served.", ""}, [this] {
         return std::chrono::duration<double>(this->Loop.lag()).count();
       });
   this->MetricsRegistry.callback(
       MetricKind::Gauge,
       {"configuration_proof_age_seconds",
-       "Time since the configuration was confirmed to be the newest one.", ""},
+       "Time since the configuration was proved to be the newest one.", ""},
       [this] {
         return std::chrono::duration<double>(this->Context.proofAge()).count();
       });
   this->MetricsRegistry.callback(
       MetricKind::Gauge,
-      {"configuration_version",
-       "Active configuration version; 0 if none is known.", ""},
+      {"configuration_version", "Version in force; 0 where none is known.", ""},
       [this] {
         const auto &Active = this->Context.View->Configuration;
         return Active == nullptr ? 0.0 : static_cast<double>(Active->Version);
@@ -147,28 +144,27 @@
   };
   this->MetricsRegistry.callback(
       MetricKind::Gauge,
-      {"warming_servers", "Servers that are warming up after a start.", ""},
+      {"warming_servers", "Servers that warm up behind their start.", ""},
       [WarmUps] { return static_cast<double>(WarmUps().Servers); });
   this->MetricsRegistry.callback(
       MetricKind::Gauge,
       {"warm_up_grants_allowed_per_second",
-       "Total request rate of the warming servers whose grants this router "
-       "issues.",
-       ""},
+       "What those of them bear together that this router alone grants.", ""},
       [WarmUps] { return WarmUps().GrantedPerSecond; });
   this->MetricsRegistry.callback(
       MetricKind::Gauge,
-      {"evacuated_zones", "Availability zones under evacuation.", ""}, [this] {
+      {"evacuated_zones", "Availability zones that are to be left.", ""},
+      [this] {
         const auto &Zones = this->Context.View->EvacuatedZones;
         return Zones == nullptr ? 0.0 : static_cast<double>(Zones->size());
       });
   this->MetricsRegistry.callback(
-      MetricKind::Gauge, {"caller_connections", "Open caller connections.", ""},
+      MetricKind::Gauge,
+      {"caller_connections", "Open connections of callers.", ""},
       [this] { return static_cast<double>(this->CallerChannels.size()); });
   this->MetricsRegistry.callback(
       MetricKind::Gauge,
-      {"idle_server_connections", "Idle connections to servers in the pool.",
-       ""},
+      {"idle_server_connections", "Kept connections to servers.", ""},
       [this] { return static_cast<double>(this->Pool.idleCount()); });
 }
 
--- a/src/Gateway/RouterMessenger.cpp
+++ b/src/Gateway/RouterMessenger.cpp
@@ -60,8 +60,8 @@
     : Loop(L), Settings(std::move(O)),
       Datagrams(M.counter(
           {"allocation_datagrams_total", "Datagrams sent to routers.", ""})),
-      Malformed(M.counter(
-          {"allocation_malformed_total", "Malformed datagrams.", ""})) {}
+      Malformed(M.counter({"allocation_malformed_total",
+                           "Datagrams that could not be read.", ""})) {}
 
 RouterMessenger::~RouterMessenger() {
   if (this->Opened)
--- a/src/Program/RouterProcess.cpp
+++ b/src/Program/RouterProcess.cpp
@@ -158,16 +158,17 @@
            this->RouterSettings.Name + "\",availability_zone=\"" +
            this->RouterSettings.Zone + "\""},
       [] { return 1.0; });
-  this->MetricsRegistry.callback(
-      MetricKind::Counter,
-      {"process_cpu_seconds_total", "CPU time that the process has used.", ""},
-      cpuSeconds);
-  AddGauge("process_resident_bytes", "Resident memory of the process.",
+  this->MetricsRegistry.callback(MetricKind::Counter,
+                                 {"process_cpu_seconds_total",
+                                  "Processor time that the process has used.",
+                                  ""},
+                                 cpuSeconds);
+  AddGauge("process_resident_bytes", "Memory of the process in RAM.",
            residentBytes);
-  AddGauge("requests_open", "Requests without a final response.", [this] {
+  AddGauge("requests_open", "Requests without a final answer.", [this] {
     return static_cast<double>(this->Control.openRequests());
   });
-  AddGauge("configuration_generation", "Generation of the active declarations.",
+  AddGauge("configuration_generation", "Generation of the declarations.",
            [this] {
              return static_cast<double>(
                  this->Callers.context().declarations().Active->Generation);
@@ -187,7 +188,7 @@
 void RouterProcess::addTrafficMetrics() {
   const CallerCounters &Caller = this->Callers.counters();
   for (const auto &[Outcome, Name] : RequestOutcomeNames)
-    this->addCounter({"requests_total", "Final responses to callers.",
+    this->addCounter({"requests_total", "Final answers to callers.",
                       "outcome=\"" + std::string(Name) + "\""},
                      [&Caller, Index = static_cast<std::size_t>(Outcome)] {
                        return static_cast<double>(
@@ -202,22 +203,20 @@
   AddBackend("backend_attempts_total", "Attempts at backend servers.",
              Backend.Attempts);
   AddBackend("backend_interrupted_total",
-             "Attempts that failed after the request may have been sent.",
+             "Attempts that broke after the request may have left.",
              Backend.Interrupted);
-  AddBackend("backend_resumes_total", "Interrupted streams that were resumed.",
+  AddBackend("backend_resumes_total", "Broken streams taken up again.",
              Backend.Resumes);
-  AddBackend("backend_silences_total",
-             "Attempts ended because no progress was made.",
+  AddBackend("backend_silences_total", "Attempts ended by lack of progress.",
              Backend.ProgressTimeouts);
   AddBackend("backend_foreign_events_total",
-             "Events that belonged to another response and were dropped.",
-             Backend.ForeignEvents);
+             "Events of another response, dropped.", Backend.ForeignEvents);
   AddBackend("load_report_bytes_total", "Bytes of load reports and probes.",
              Backend.PollBytes);
 }
 
 void RouterProcess::addControlMetrics() {
-  const auto Peer = [this](PeerCounters::Number PeerCounters::*Field) {
+  const auto Peer = [this](PeerCounters::Counter PeerCounters::*Field) {
     return [this, Field] {
       const PeerTransport *Peers = this->Links.peerTransport();
       return Peers ? static_cast<double>(Peers->counters().*Field) : 0.0;
@@ -228,14 +227,14 @@
                     ""},
                    Peer(&PeerCounters::DatagramBytesOut));
   this->addCounter({"peer_received_bytes_total",
-                    "Bytes of datagrams from other routers, headers included.",
+                    "Bytes of datagrams of other routers, headers included.",
                     ""},
                    Peer(&PeerCounters::DatagramBytesIn));
   this->addCounter({"peer_bulk_sent_bytes_total",
                     "Bytes sent to other routers over TCP.", ""},
                    Peer(&PeerCounters::BulkBytesOut));
   for (const auto &[Kind, Name] : StoreCallNames)
-    this->addCounter({"store_calls_total", "Calls to the platform's store.",
+    this->addCounter({"store_calls_total", "Calls on the platform's store.",
                       "kind=\"" + std::string(Name) + "\""},
                      [this, Call = Kind] {
                        return static_cast<double>(
