--- a/src/Caller/CallerServer.cpp
+++ b/src/Caller/CallerServer.cpp
@@ -60,7 +60,7 @@
     const CallerSettings &Settings = this->Context.Settings;
     const Problem P{
         ProblemType::ConnectionLimit,
-        "This router has reached its maximum number of connections.",
+        "This router serves as many connections as it may.",
         RequestOutcome::NotRun, Settings.LimitRetryAfter};
     const std::string Identity = Settings.RouterName + "-" +
                                  this->Context.IncarnationNumber + "-" +
