--- a/src/Decision/Actions.h
+++ b/src/Decision/Actions.h
@@ -11,57 +11,57 @@
 
 namespace parsleywing {
 
-/// Send the request to this server now.
+/// Sends the request to a backend server.
 struct StartAttempt {
   RequestId Request;
   AttemptNumber Attempt;
   ServerId Server;
 };
 
-/// Fetch the rest of an answer whose connection broke, over a new connection
-/// to the same server. It never starts the request anew: a server that does
-/// not know the stream is to be reported as `Rejected`.
+/// Fetches the rest of a response whose connection broke, over a new
+/// connection to the same server. It never starts the request again: if the
+/// server does not know the stream, the attempt ends as `Rejected`.
 struct ResumeAttempt {
   RequestId Request;
-  /// The number of this try; events about it bear it.
+  /// The number of this attempt; its events carry it.
   AttemptNumber Attempt;
   ServerId Server;
-  /// What was passed on already, as `AttemptEnded` told it.
+  /// The part already forwarded, as reported by `AttemptEnded`.
   std::uint64_t Offset;
-  /// The attempt that started the stream, under whose number the server knows
-  /// it.
+  /// The attempt that started the stream. The server identifies the stream by
+  /// its number.
   AttemptNumber OriginalAttempt;
 };
 
-/// Pass the request on to another router, since this one drains. Ends with
+/// Hands the request over to another router because this one drains. Ends with
 /// `HandOverEnded`.
 struct HandOverRequest {
   RequestId Request;
   RouterId Router;
   AttemptNumber Attempt;
-  /// The run record is held here; the other router makes no claim of its own.
+  /// This router holds the run record, so the other one does not claim it.
   bool RecordHeld;
-  /// IP:port where callers reach that router; empty where it is not known.
+  /// IP:port of that router for callers; empty if unknown.
   std::string Address = {};
 };
 
-/// Break off an attempt or a hand-over; its end is still reported as an event.
+/// Cancels an attempt or a hand-over. Its end is still reported as an event.
 struct CancelAttempt {
   RequestId Request;
   AttemptNumber Attempt;
 };
 
-/// Give the caller its final answer, at once.
+/// Sends the final response to the caller, immediately.
 struct FinishRequest {
   RequestId Request;
   RequestOutcome Outcome;
   ResponseReason Reason;
-  /// When to come back; zero where coming back is of no use.
+  /// When to retry; zero if a retry is of no use.
   Duration RetryAfter;
 };
 
-/// Make the run record of (account, key) under this identity, if there is none.
-/// Answered by `RunRecordAnswered`.
+/// Creates the run record of (account, key) with this identity if there is
+/// none. The result is a `RunRecordVerdictReceived`.
 struct ClaimRunRecord {
   RequestId Request;
   AccountId Account;
@@ -69,8 +69,8 @@
   std::string Identity;
 };
 
-/// Note in the run record that the request ran to its end. Only where the
-/// record bears this identity. No answer is awaited.
+/// Marks the run record as completed if it has this identity. No reply is
+/// expected.
 struct CompleteRunRecord {
   RequestId Request;
   AccountId Account;
@@ -79,10 +79,10 @@
   RequestOutcome Outcome;
 };
 
-/// Remove the run record, since the request certainly did not run. Only where
-/// the record bears this identity; it must not overtake the claim before it.
-/// No answer is awaited: a record left behind refuses a repeat that could have
-/// run, and permits none that may not.
+/// Removes the run record if it has this identity, because the request
+/// certainly did not run. It must not be reordered before the claim. No reply
+/// is expected: a record that remains only refuses a duplicate that could have
+/// run, and never permits one that must not.
 struct ReleaseRunRecord {
   RequestId Request;
   AccountId Account;
@@ -90,18 +90,18 @@
   std::string Identity;
 };
 
-/// The drain is over: no request is open here any more.
+/// The drain is complete: this router has no open request.
 struct DrainFinished {
-  /// Requests that the drain's time limit cut off.
+  /// Requests that were aborted at the time limit of the drain.
   std::uint64_t Unfinished;
 };
 
-/// Ask these backend servers for their load from now on, and no others.
+/// Replaces the set of backend servers whose load is polled.
 struct WatchServers {
   std::vector<ServerId> Servers;
 };
 
-/// Everything that the control thread may ask of the other threads.
+/// Every action that the control thread may order from the other threads.
 using Action =
     std::variant<StartAttempt, ResumeAttempt, HandOverRequest, CancelAttempt,
                  FinishRequest, ClaimRunRecord, CompleteRunRecord,
--- a/src/Decision/Declarations.h
+++ b/src/Decision/Declarations.h
@@ -12,10 +12,10 @@
 
 namespace parsleywing {
 
-/// How a backend server of a service is spoken to.
+/// The protocol between a router and the backend servers of a service.
 enum class ServiceKind {
-  Engine, ///< A model engine, through the streamed responses API.
-  Plain,  ///< Any HTTP service; requests and answers pass unchanged.
+  Engine, ///< A model engine with the streaming responses API.
+  Plain,  ///< Any HTTP service; requests and responses pass unchanged.
 };
 
 inline constexpr EnumNames<ServiceKind, 2> ServiceKindNames{{
@@ -23,7 +23,7 @@
     {ServiceKind::Plain, "plain"},
 }};
 
-/// Whether a backend server refuses orders that carry an old fencing number.
+/// Whether a backend server refuses orders with an outdated fencing number.
 enum class FencingCheck { Checked, Ignored };
 
 inline constexpr EnumNames<FencingCheck, 2> FencingCheckNames{{
@@ -31,33 +31,34 @@
     {FencingCheck::Ignored, "ignored"},
 }};
 
-/// A client account as the operators declare it.
+/// A client account as declared by the operators.
 struct AccountDeclaration {
   std::string Name;
-  /// Weight of the account's part of capacity; 1 to 1,000,000.
+  /// Weight of the account's share of the capacity; 1 to 1,000,000.
   std::uint32_t Share = 1;
-  /// SHA-256 of the account's key, in lower-case hexadecimal.
+  /// SHA-256 of the account's API key, in lower-case hexadecimal.
   std::string KeyDigest;
   std::vector<ServiceId> Services;
-  /// Requests that may wait at one router before further ones are refused.
+  /// Requests that may wait for their first attempt at one router; further ones
+  /// are refused.
   std::uint32_t MaxQueued = 1000;
-  /// Requests that may be admitted and unanswered at one router.
+  /// Requests that may be admitted and not yet answered at one router.
   std::uint32_t MaxInFlight = 1000;
 
   friend bool operator==(const AccountDeclaration &,
                          const AccountDeclaration &) = default;
 };
 
-/// A service that callers name in their requests.
+/// A service that callers select by name in their requests.
 struct ServiceDeclaration {
   std::string Name;
   ServiceKind Kind = ServiceKind::Engine;
-  /// Whether a call may be sent again after it may have run.
+  /// Whether a request may be retried after it may have run.
   bool Repeatable = true;
   std::vector<ServerId> Servers;
-  /// What the engines call the model; empty where they use the service's name.
+  /// The model's name at the engines; empty if it is the service's name.
   std::string Model;
-  /// The most output tokens that a caller may ask of one request.
+  /// The maximum of output tokens that a caller may set for a request.
   std::uint32_t MaxOutputTokens = 100'000;
 
   friend bool operator==(const ServiceDeclaration &,
@@ -71,14 +72,15 @@
   std::string Address;
   std::string Zone;
   FencingCheck Fencing = FencingCheck::Ignored;
-  /// Requests that it may run at once; the learnt window stays at or below.
+  /// Requests that it may run concurrently. The adaptive admission window never
+  /// exceeds this.
   std::uint32_t MaxConcurrent = 8;
 
   friend bool operator==(const ServerDeclaration &,
                          const ServerDeclaration &) = default;
 };
 
-/// The whole set of operators' declarations in force, never changed in place.
+/// The complete, active declarations of the operators. Immutable once shared.
 struct Declarations {
   std::uint64_t Generation = 0;
   std::map<AccountId, AccountDeclaration> Accounts;
--- a/src/Decision/Events.h
+++ b/src/Decision/Events.h
@@ -11,69 +11,70 @@
 
 namespace parsleywing {
 
-/// A caller's request passed its checks and waits for a decision.
+/// A caller's request passed validation and awaits a decision.
 struct RequestArrived {
   RequestDescription Description;
 };
 
-/// The caller closed its connection before its final answer.
+/// The caller closed its connection before the final response.
 struct CallerDisconnected {
   RequestId Request;
 };
 
-/// From here on, bytes of the attempt may have reached the server.
+/// Bytes of the attempt may have reached the server.
 struct AttemptSent {
   RequestId Request;
   AttemptNumber Attempt;
 };
 
-/// Tokens generated for the attempt so far, in all.
+/// The total of tokens generated for the attempt so far.
 struct AttemptProgressed {
   RequestId Request;
   AttemptNumber Attempt;
   std::uint64_t Tokens;
 };
 
-/// An attempt is over. Tokens are the whole cost as the server reported it.
+/// An attempt ended. `Tokens` is its total cost as reported by the server.
 struct AttemptEnded {
   RequestId Request;
   AttemptNumber Attempt;
   AttemptOutcome Outcome;
   std::uint64_t Tokens;
-  /// How much of the answer was passed on to the caller, by all attempts, in
-  /// the unit in which the server resumes. Zero only where the caller has got
-  /// nothing and what was collected for it is thrown away.
+  /// How much of the response all attempts have forwarded to the caller, in the
+  /// unit in which the server resumes. Zero only if the caller has received
+  /// nothing and the buffered part has been discarded.
   std::uint64_t Offset = 0;
 };
 
-/// The store of run records answered a claim, or did not in time.
+/// The store of run records replied to a claim, or failed to reply in time.
 struct RunRecordVerdictReceived {
   RequestId Request;
   RunRecordVerdict Verdict;
 };
 
-/// Another router's answer to a request handed over to it ended. `Rejected`
-/// means that it said for certain that the request did not run.
+/// The response of the router that a request was handed over to ended.
+/// `Rejected` means that it reported with certainty that the request did not
+/// run.
 struct HandOverEnded {
   RequestId Request;
   AttemptNumber Attempt;
   AttemptOutcome Outcome;
-  /// As in `AttemptEnded`.
+  /// Same as in `AttemptEnded`.
   std::uint64_t Offset = 0;
 };
 
-/// A server's own report of its load; it may describe a moment long past.
+/// A server's own load report. It may be out of date.
 struct LoadReported {
   ServerId Server;
   std::uint32_t Running;
   std::uint32_t Waiting;
 };
 
-/// Why a server may or may not get new work.
+/// Whether a server may receive new requests, and why not.
 enum class ServerCondition {
   Usable,
-  Leaving, ///< It finishes what it runs and gets nothing new.
-  Failed,  ///< It does not answer on new connections.
+  Leaving, ///< It finishes its running requests and receives no new ones.
+  Failed,  ///< It does not respond on new connections.
 };
 
 inline constexpr EnumNames<ServerCondition, 3> ServerConditionNames{{
@@ -82,28 +83,28 @@
     {ServerCondition::Failed, "failed"},
 }};
 
-/// A source said that the condition of a server changed.
+/// A source reported a change of a server's condition.
 struct ServerConditionChanged {
   ServerId Server;
   ServerCondition Condition;
 };
 
-/// The platform's list as just read, as far as it names backend servers. It may
-/// be old. Servers that it does not name are in neither part.
+/// The backend servers in the platform's list, as just read. The list may be
+/// stale. Servers missing from it are in neither vector.
 struct ServersListed {
   std::vector<ServerId> Leaving;
   std::vector<ServerId> Live;
 };
 
-/// New declarations are in force at this router.
+/// New declarations are active at this router.
 struct DeclarationsChanged {
   DeclarationsPtr Active;
 };
 
-/// Time passed; deadlines and intervals are looked at.
+/// Checks deadlines and intervals.
 struct Tick {};
 
-/// Everything that the control thread decides upon.
+/// Every event that the control thread handles.
 using Event =
     std::variant<RequestArrived, CallerDisconnected, AttemptSent,
                  AttemptProgressed, AttemptEnded, LoadReported,
--- a/src/Decision/PeerPart.h
+++ b/src/Decision/PeerPart.h
@@ -11,26 +11,26 @@
 namespace parsleywing {
 
 /// One message from a decision module of one router to the same module of
-/// another. Several travel in one datagram. An alternative is known on the
-/// wire by its index, so new ones are appended at the end.
+/// another. A datagram may contain several. The wire format identifies an
+/// alternative by its index, so new ones are appended at the end.
 using PeerPart = std::variant<MembershipMessage, FairMessage,
                               ConfigurationMessage, ServerNotices>;
 
-/// A part came from a router process; the transport checked its origin.
+/// A part arrived from a router process. The transport has verified its origin.
 struct PeerPartReceived {
   RouterId From;
   Incarnation IncarnationNumber = 0;
   PeerPart Part;
-  /// IP:port it came from; empty for bulk.
+  /// IP:port of the sender; empty for bulk messages.
   std::string Address;
 };
 
-/// Asks the transport to send a part. It may be lost, late or doubled.
+/// Sends a part to another router. It may be lost, delayed or duplicated.
 struct SendToPeer {
   RouterId To;
   PeerPart Part;
-  bool Urgent = false; ///< Leaves within about 2 ms, before other parts.
-  bool Bulk = false;   ///< Too large for a datagram: goes over TCP.
+  bool Urgent = false; ///< Sent within about 2 ms, before other parts.
+  bool Bulk = false;   ///< Too large for a datagram; sent over TCP.
 };
 
 } // namespace parsleywing
--- a/src/Decision/Request/AdmissionRate.h
+++ b/src/Decision/Request/AdmissionRate.h
@@ -8,30 +8,30 @@
 
 namespace parsleywing {
 
-/// Measures how fast waiting requests go to servers, and from it when a caller
-/// that was refused does well to come back.
+/// Measures the rate at which queued requests are admitted to servers, and
+/// derives the retry delay for refused callers from it.
 class AdmissionRate {
 public:
   explicit AdmissionRate(const RetryAfterSettings &S) : Settings(S) {}
 
-  /// A waiting request went to a server.
+  /// A queued request was admitted to a server.
   void countAdmitted() { ++this->Admitted; }
 
-  /// Folds what was counted into the mean, once a second.
+  /// Updates the moving average, once per second.
   void tick(TimePoint Now);
 
-  /// The time that so many waiting requests need at the measured rate, drawn
-  /// up to half as long again, within the settings' bounds.
+  /// The time to admit `Waiting` requests at the measured rate, with a random
+  /// extension of up to half of it, within the bounds of the settings.
   Duration retryAfter(std::size_t Waiting, Jitter &Random) const;
 
-  /// Requests a second.
+  /// Admitted requests per second.
   double perSecond() const { return this->Mean; }
 
 private:
   RetryAfterSettings Settings;
   std::size_t Admitted = 0;
   double Mean = 0;
-  TimePoint LastFold;
+  TimePoint UpdatedAt;
 };
 
 } // namespace parsleywing
--- a/src/Decision/Request/DrainPlan.cpp
+++ b/src/Decision/Request/DrainPlan.cpp
@@ -3,31 +3,31 @@
 namespace parsleywing {
 
 void DrainPlan::start(TimePoint Now) {
-  if (!this->Started)
-    this->Started = Now;
+  if (!this->StartedAt)
+    this->StartedAt = Now;
 }
 
 std::optional<RouterId> DrainPlan::nextRouter() {
-  const auto &Members = this->Current.Members;
-  for (std::size_t Tried = 0; Tried < Members.size(); ++Tried) {
-    const Member &Candidate = Members[this->Turn++ % Members.size()];
-    if (!Candidate.Draining && Candidate.Router != this->Current.Self)
+  const auto &Members = this->CurrentView.Members;
+  for (std::size_t Checked = 0; Checked < Members.size(); ++Checked) {
+    const Member &Candidate = Members[this->NextMember++ % Members.size()];
+    if (!Candidate.Draining && Candidate.Router != this->CurrentView.Self)
       return Candidate.Router;
   }
   return std::nullopt;
 }
 
 bool DrainPlan::checkHardLimit(TimePoint Now) {
-  if (!this->Started || this->LimitPassed ||
+  if (!this->StartedAt || this->LimitPassed ||
       this->Settings.HardLimit == Duration::zero() ||
-      Now < *this->Started + this->Settings.HardLimit)
+      Now < *this->StartedAt + this->Settings.HardLimit)
     return false;
   this->LimitPassed = true;
   return true;
 }
 
 bool DrainPlan::checkFinished(std::size_t OpenRequests) {
-  if (!this->Started || this->Finished || OpenRequests > 0)
+  if (!this->StartedAt || this->Finished || OpenRequests > 0)
     return false;
   this->Finished = true;
   return true;
--- a/src/Decision/Request/DrainPlan.h
+++ b/src/Decision/Request/DrainPlan.h
@@ -8,40 +8,40 @@
 
 namespace parsleywing {
 
-/// Whether this router drains, where its waiting requests go, and when what is
-/// left is cut off.
+/// Whether this router drains, which routers take over its queued requests, and
+/// when its remaining requests are aborted.
 class DrainPlan {
 public:
   explicit DrainPlan(const DrainSettings &S) : Settings(S) {}
 
-  /// A second order changes nothing.
+  /// Further calls have no effect.
   void start(TimePoint Now);
 
-  void setView(View V) { this->Current = std::move(V); }
+  void setView(View V) { this->CurrentView = std::move(V); }
 
-  bool isDraining() const { return this->Started.has_value(); }
+  bool isDraining() const { return this->StartedAt.has_value(); }
 
-  /// The next router to hand a request over to, in turn over those that do not
-  /// drain; nothing where there is no other.
+  /// The next router to hand a request over to, round-robin over those that do
+  /// not drain; empty if there is none.
   std::optional<RouterId> nextRouter();
 
-  /// True once, when the hard limit has passed.
+  /// Returns true once, after the hard limit has passed.
   bool checkHardLimit(TimePoint Now);
 
-  /// A request was cut off by the hard limit.
-  void countUnfinished() { ++this->Cut; }
+  /// A request was aborted at the hard limit.
+  void countUnfinished() { ++this->UnfinishedCount; }
 
-  std::uint64_t unfinished() const { return this->Cut; }
+  std::uint64_t unfinished() const { return this->UnfinishedCount; }
 
-  /// True once, when the drain has been ordered and nothing is open.
+  /// Returns true once, after the drain was ordered and no request is open.
   bool checkFinished(std::size_t OpenRequests);
 
 private:
   DrainSettings Settings;
-  View Current;
-  std::optional<TimePoint> Started;
-  std::size_t Turn = 0;
-  std::uint64_t Cut = 0;
+  View CurrentView;
+  std::optional<TimePoint> StartedAt;
+  std::size_t NextMember = 0;
+  std::uint64_t UnfinishedCount = 0;
   bool LimitPassed = false;
   bool Finished = false;
 };
--- a/src/Decision/Request/IdempotencyKeyCache.cpp
+++ b/src/Decision/Request/IdempotencyKeyCache.cpp
@@ -6,31 +6,31 @@
 
 std::optional<RequestOutcome>
 IdempotencyKeyCache::find(AccountId Account, const std::string &Key) const {
-  const auto Found = this->Known.find({Account, Key});
-  if (Found == this->Known.end())
+  const auto Found = this->Outcomes.find({Account, Key});
+  if (Found == this->Outcomes.end())
     return std::nullopt;
   return Found->second;
 }
 
 void IdempotencyKeyCache::addOpen(AccountId Account, const std::string &Key) {
   const bool Added =
-      this->Known.emplace(FullKey{Account, Key}, RequestOutcome::Unknown)
+      this->Outcomes.emplace(FullKey{Account, Key}, RequestOutcome::Unknown)
           .second;
-  PARSLEYWING_INVARIANT(Added, "a key is open once at a router");
+  PARSLEYWING_INVARIANT(Added, "a key has one open request at a router");
 }
 
 void IdempotencyKeyCache::markEnded(AccountId Account, const std::string &Key,
                                     RequestOutcome Outcome) {
-  this->Known[{Account, Key}] = Outcome;
-  this->Ended.emplace_back(Account, Key);
-  if (this->Ended.size() <= this->Most)
+  this->Outcomes[{Account, Key}] = Outcome;
+  this->EndedKeys.emplace_back(Account, Key);
+  if (this->EndedKeys.size() <= this->EndedLimit)
     return;
-  this->Known.erase(this->Ended.front());
-  this->Ended.pop_front();
+  this->Outcomes.erase(this->EndedKeys.front());
+  this->EndedKeys.pop_front();
 }
 
 void IdempotencyKeyCache::remove(AccountId Account, const std::string &Key) {
-  this->Known.erase({Account, Key});
+  this->Outcomes.erase({Account, Key});
 }
 
 } // namespace parsleywing
--- a/src/Decision/Request/IdempotencyKeyCache.h
+++ b/src/Decision/Request/IdempotencyKeyCache.h
@@ -10,38 +10,38 @@
 
 namespace parsleywing {
 
-/// Remembers the idempotency keys that are open or ended a short while ago at
-/// this router, so that a repeat is recognised without the store. Nothing that
-/// must hold rests on it: a key that it forgot is still in the store's record.
+/// Caches the idempotency keys of open and recently ended requests at this
+/// router, to recognise duplicates without the store. Correctness does not
+/// depend on it: an evicted key still has its run record in the store.
 ///
-/// Open keys are bounded by the limit of open requests, ended ones by `Most`;
-/// the oldest is forgotten first.
+/// The number of open keys is bounded by the limit of open requests, that of
+/// ended ones by `MaxEnded`; the oldest ended key is evicted first.
 class IdempotencyKeyCache {
 public:
-  explicit IdempotencyKeyCache(std::size_t MostEnded) : Most(MostEnded) {}
+  explicit IdempotencyKeyCache(std::size_t MaxEnded) : EndedLimit(MaxEnded) {}
 
-  /// What a repeat of the key is to be told; nothing where the key is new.
-  /// `Unknown` stands also for a request that is still open.
+  /// The outcome to report for a duplicate of the key; empty if the key is not
+  /// cached. `Unknown` also if the request is still open.
   std::optional<RequestOutcome> find(AccountId Account,
                                      const std::string &Key) const;
 
   void addOpen(AccountId Account, const std::string &Key);
 
-  /// The request with the key may have run.
+  /// The request with the key ended and may have run.
   void markEnded(AccountId Account, const std::string &Key,
                  RequestOutcome Outcome);
 
-  /// The request with the key did not run; a repeat may.
+  /// The request with the key did not run; a duplicate may run.
   void remove(AccountId Account, const std::string &Key);
 
-  std::size_t size() const { return this->Known.size(); }
+  std::size_t size() const { return this->Outcomes.size(); }
 
 private:
   using FullKey = std::pair<AccountId, std::string>;
 
-  std::size_t Most;
-  std::map<FullKey, RequestOutcome> Known;
-  std::deque<FullKey> Ended;
+  std::size_t EndedLimit;
+  std::map<FullKey, RequestOutcome> Outcomes;
+  std::deque<FullKey> EndedKeys;
 };
 
 } // namespace parsleywing
--- a/src/Decision/Request/Jitter.h
+++ b/src/Decision/Request/Jitter.h
@@ -8,24 +8,24 @@
 
 namespace parsleywing {
 
-/// Draws waits so that requests that failed together do not come back
-/// together. The same seed draws the same waits.
+/// Randomizes delays so that requests that failed together are not retried
+/// together. The same seed gives the same delays.
 class Jitter {
 public:
-  explicit Jitter(std::uint64_t Seed) : Numbers(Seed) {}
+  explicit Jitter(std::uint64_t Seed) : Generator(Seed) {}
 
-  /// A wait between `Low` and `High` times the given one.
-  Duration spread(Duration Wait, double Low, double High) {
-    const double Drawn =
-        static_cast<double>(this->Numbers() - std::mt19937_64::min()) /
+  /// A random delay between `Low` and `High` times `Delay`.
+  Duration spread(Duration Delay, double Low, double High) {
+    const double Fraction =
+        static_cast<double>(this->Generator() - std::mt19937_64::min()) /
         static_cast<double>(std::mt19937_64::max());
-    const double Factor = Low + (High - Low) * Drawn;
-    return Duration(
-        static_cast<Duration::rep>(static_cast<double>(Wait.count()) * Factor));
+    const double Factor = Low + (High - Low) * Fraction;
+    return Duration(static_cast<Duration::rep>(
+        static_cast<double>(Delay.count()) * Factor));
   }
 
 private:
-  std::mt19937_64 Numbers;
+  std::mt19937_64 Generator;
 };
 
 } // namespace parsleywing
--- a/src/Decision/Request/LoadShedder.cpp
+++ b/src/Decision/Request/LoadShedder.cpp
@@ -6,54 +6,57 @@
 
 LimitDecision LoadShedder::decide(AccountId Account) const {
   const auto Found = this->Accounts.find(Account);
-  const auto Declared = this->InForce->Accounts.find(Account);
+  const auto Declared = this->ActiveDeclarations->Accounts.find(Account);
   if (Found != this->Accounts.end()) {
     if (Found->second.Open >= this->Settings.MaxOpenPerAccount)
       return {ResponseReason::AccountQueueFull, {}};
-    if (Declared != this->InForce->Accounts.end() &&
-        Found->second.Waits.size() >= Declared->second.MaxQueued)
+    if (Declared != this->ActiveDeclarations->Accounts.end() &&
+        Found->second.WaitingRequests.size() >= Declared->second.MaxQueued)
       return {ResponseReason::AccountQueueFull, {}};
   }
   if (this->Waiting >= this->Settings.MaxWaiting)
-    return this->makeRoom(Account, ResponseReason::RouterQueueFull);
+    return this->chooseShed(Account, ResponseReason::RouterQueueFull);
   if (this->Open >= this->Settings.MaxOpen)
-    return this->makeRoom(Account, ResponseReason::Overloaded);
+    return this->chooseShed(Account, ResponseReason::Overloaded);
   return {};
 }
 
-LimitDecision LoadShedder::makeRoom(AccountId Arriving,
-                                    ResponseReason Reason) const {
+LimitDecision LoadShedder::chooseShed(AccountId Arriving,
+                                      ResponseReason Reason) const {
   if (this->Ranked.empty())
     return {Reason, {}};
-  const auto &[Load, Heaviest] = *this->Ranked.rbegin();
+  const auto &[HighestLoad, Heaviest] = *this->Ranked.rbegin();
   const auto Found = this->Accounts.find(Arriving);
-  const std::size_t Own =
-      Found == this->Accounts.end() ? 0 : Found->second.Waits.size();
-  if (Heaviest == Arriving || this->loadOf(Arriving, Own + 1) >= Load)
+  const std::size_t QueuedCount =
+      Found == this->Accounts.end() ? 0 : Found->second.WaitingRequests.size();
+  if (Heaviest == Arriving ||
+      this->loadOf(Arriving, QueuedCount + 1) >= HighestLoad)
     return {Reason, {}};
-  return {{}, this->Accounts.at(Heaviest).Waits.rbegin()->second};
+  return {{}, this->Accounts.at(Heaviest).WaitingRequests.rbegin()->second};
 }
 
 void LoadShedder::add(AccountId Account, RequestId Request) {
-  auto &Held = this->Accounts[Account];
-  ++Held.Open;
+  auto &State = this->Accounts[Account];
+  ++State.Open;
   ++this->Open;
   ++this->Waiting;
   const std::uint64_t Arrival = this->NextArrival++;
   this->Arrivals.emplace(Request, Arrival);
-  Held.Waits.emplace(Arrival, Request);
-  this->rank(Account, Held.Waits.size() - 1, Held.Waits.size());
+  State.WaitingRequests.emplace(Arrival, Request);
+  this->rank(Account, State.WaitingRequests.size() - 1,
+             State.WaitingRequests.size());
 }
 
 void LoadShedder::stopWaiting(AccountId Account, RequestId Request) {
   auto Found = this->Arrivals.find(Request);
   if (Found == this->Arrivals.end())
     return;
-  auto &Held = this->Accounts.at(Account);
-  Held.Waits.erase({Found->second, Request});
+  auto &State = this->Accounts.at(Account);
+  State.WaitingRequests.erase({Found->second, Request});
   this->Arrivals.erase(Found);
   --this->Waiting;
-  this->rank(Account, Held.Waits.size() + 1, Held.Waits.size());
+  this->rank(Account, State.WaitingRequests.size() + 1,
+             State.WaitingRequests.size());
 }
 
 void LoadShedder::remove(AccountId Account, RequestId Request) {
@@ -67,17 +70,18 @@
 }
 
 void LoadShedder::setDeclarations(DeclarationsPtr Declared) {
-  this->InForce = std::move(Declared);
+  this->ActiveDeclarations = std::move(Declared);
   this->Ranked.clear();
-  for (const auto &[Account, Held] : this->Accounts)
-    this->rank(Account, 0, Held.Waits.size());
+  for (const auto &[Account, State] : this->Accounts)
+    this->rank(Account, 0, State.WaitingRequests.size());
 }
 
-double LoadShedder::loadOf(AccountId Account, std::size_t Waits) const {
-  const auto Found = this->InForce->Accounts.find(Account);
-  const double Share =
-      Found == this->InForce->Accounts.end() ? 1 : Found->second.Share;
-  return static_cast<double>(Waits) / Share;
+double LoadShedder::loadOf(AccountId Account, std::size_t QueuedCount) const {
+  const auto Found = this->ActiveDeclarations->Accounts.find(Account);
+  const double Share = Found == this->ActiveDeclarations->Accounts.end()
+                           ? 1
+                           : Found->second.Share;
+  return static_cast<double>(QueuedCount) / Share;
 }
 
 void LoadShedder::rank(AccountId Account, std::size_t Before,
--- a/src/Decision/Request/LoadShedder.h
+++ b/src/Decision/Request/LoadShedder.h
@@ -12,57 +12,59 @@
 
 namespace parsleywing {
 
-/// What is to happen to an arriving request.
+/// The decision on an arriving request.
 struct LimitDecision {
-  /// Why it is refused; nothing where it is let in.
+  /// Why it is refused; empty if it is accepted.
   std::optional<ResponseReason> Refusal;
-  /// The waiting request that makes room for it.
+  /// The queued request to refuse in its place.
   std::optional<RequestId> Shed;
 };
 
-/// Keeps the limits on requests, by account and for the router. When the
-/// router's own limit is met, the account with the most waiting requests for
-/// its share makes room, with its newest, which would have waited longest.
-/// So an account that floods loses its own requests and no other's.
+/// Enforces the limits on requests, per account and per router. At the router's
+/// limit, sheds a request of the account with the most queued requests relative
+/// to its share: the newest one, which would have waited longest. An account
+/// that floods the router thus loses only its own requests.
 ///
-/// Every call costs a logarithm of the number of accounts and requests.
+/// Every call takes logarithmic time in the number of accounts and requests.
 class LoadShedder {
 public:
   explicit LoadShedder(const LimitSettings &S) : Settings(S) {}
 
-  /// Weighs a request that would be added now.
+  /// Decides on a request of this account that arrives now.
   LimitDecision decide(AccountId Account) const;
 
-  /// Adds an open request that waits for its first attempt.
+  /// Adds an open request that is queued for its first attempt.
   void add(AccountId Account, RequestId Request);
 
-  /// The request no longer waits for its first attempt. It may be told twice.
+  /// The request is no longer queued for its first attempt. May be called
+  /// repeatedly.
   void stopWaiting(AccountId Account, RequestId Request);
 
-  /// The request got its final answer.
+  /// The request got its final response.
   void remove(AccountId Account, RequestId Request);
 
-  /// Takes over shares and the accounts' own limits.
+  /// Updates the accounts' shares and limits.
   void setDeclarations(DeclarationsPtr Declared);
 
   std::size_t openCount() const { return this->Open; }
   std::size_t waitingCount() const { return this->Waiting; }
 
 private:
-  struct Account {
+  struct AccountState {
     std::size_t Open = 0;
-    /// By order of arrival.
-    std::set<std::pair<std::uint64_t, RequestId>> Waits;
+    /// In the order of arrival.
+    std::set<std::pair<std::uint64_t, RequestId>> WaitingRequests;
   };
   using Load = std::pair<double, AccountId>;
 
-  double loadOf(AccountId Account, std::size_t Waiting) const;
+  /// The number of queued requests relative to the account's share.
+  double loadOf(AccountId Account, std::size_t QueuedCount) const;
   void rank(AccountId Account, std::size_t Before, std::size_t After);
-  LimitDecision makeRoom(AccountId Account, ResponseReason Reason) const;
+  LimitDecision chooseShed(AccountId Account, ResponseReason Reason) const;
 
   LimitSettings Settings;
-  DeclarationsPtr InForce = std::make_shared<Declarations>();
-  std::map<AccountId, Account> Accounts;
+  DeclarationsPtr ActiveDeclarations = std::make_shared<Declarations>();
+  std::map<AccountId, AccountState> Accounts;
   std::set<Load> Ranked;
   std::unordered_map<RequestId, std::uint64_t> Arrivals;
   std::uint64_t NextArrival = 0;
--- a/src/Decision/Request/RequestCounters.h
+++ b/src/Decision/Request/RequestCounters.h
@@ -8,27 +8,27 @@
 
 namespace parsleywing {
 
-/// What the table of requests has done since its process started.
+/// Counters of the request table since the start of the process.
 struct RequestCounters {
   std::uint64_t Arrived = 0;
-  /// Final answers, by outcome and by reason, in the order of their values.
+  /// Final responses by outcome and by reason, indexed by enum value.
   std::array<std::uint64_t, RequestOutcomeNames.size()> Outcomes{};
   std::array<std::uint64_t, ResponseReasonNames.size()> Reasons{};
   std::uint64_t Attempts = 0;
   std::uint64_t Retries = 0;
   std::uint64_t Resumes = 0;
   std::uint64_t HandOvers = 0;
-  /// Waiting requests that made room for another account's.
+  /// Queued requests refused in favour of another account's.
   std::uint64_t Shed = 0;
-  /// Attempts cancelled since they stood still.
+  /// Attempts cancelled for lack of progress.
   std::uint64_t StalledAttempts = 0;
-  /// Events of an attempt or a request that was over, or said twice.
+  /// Duplicate events, and events of ended attempts or requests.
   std::uint64_t DroppedEvents = 0;
-  /// Slots given back though the end of their attempt was never reported.
+  /// Attempts whose end was not reported within the cancel timeout.
   std::uint64_t CancelTimeouts = 0;
   std::uint64_t Claims = 0;
   std::uint64_t ClaimsUnanswered = 0;
-  /// Repeats of a key recognised here, without the store.
+  /// Duplicates of a key recognised here, without the store.
   std::uint64_t KeyCacheHits = 0;
 
   std::uint64_t of(RequestOutcome Outcome) const {
--- a/src/Decision/Request/RequestEntry.h
+++ b/src/Decision/Request/RequestEntry.h
@@ -6,23 +6,24 @@
 
 namespace parsleywing {
 
-/// How a request stands to the run record of its key.
+/// Who owns the run record of a request's idempotency key.
 enum class RecordOwnership {
-  None,          ///< It needs none, or another request has it.
-  ClaimPending,  ///< A claim is under way and may take effect at any time.
-  Held,          ///< The record bears this request's identity.
-  HeldElsewhere, ///< The router that handed the request over holds it.
+  None,          ///< The request needs none, or another request owns it.
+  ClaimPending,  ///< A claim is in progress and may take effect at any time.
+  Held,          ///< The record has this request's identity.
+  HeldElsewhere, ///< The router that handed the request over owns it.
 };
 
-/// What the table knows of one open request.
+/// The state of one open request.
 struct RequestEntry {
   RequestDescription Description;
   RequestState State = RequestState::Received;
   RecordOwnership Record = RecordOwnership::None;
 
-  /// The number given out last, to an attempt, a resumption or a hand-over.
+  /// The number of the last attempt, resumption or hand-over.
   AttemptNumber Attempt = 0;
-  /// The attempt whose stream the current one fetches; itself for a start.
+  /// The attempt whose stream the current one resumes; the current one itself
+  /// if it is no resumption.
   AttemptNumber OriginalAttempt = 0;
   ServerId Server;
   std::uint64_t Tokens = 0;
@@ -32,20 +33,21 @@
   std::uint32_t Resumes = 0;
   std::uint32_t HandOvers = 0;
 
-  /// The attempt given out last has not been reported as ended.
+  /// The end of the last attempt has not been reported.
   bool InFlight = false;
-  /// Of that attempt: it was reported as sent, and as generating.
+  /// The last attempt has been reported as sent.
   bool SentReported = false;
+  /// The last attempt has been reported as generating.
   bool Progressed = false;
-  /// It counts against its server in the scheduler.
+  /// It occupies a slot of its server in the scheduler.
   bool HasSlot = false;
-  /// An attempt that is over may have run. Never taken back.
+  /// An ended attempt may have run. Never reset.
   bool MayHaveRun = false;
 
   bool isResume() const { return this->OriginalAttempt != this->Attempt; }
 
-  /// An engine knows the stream, and the rest of it can be of use. A
-  /// repeatable request of which nothing was passed on is better started anew.
+  /// Whether an engine knows the stream and the rest of it is useful. A
+  /// repeatable request is restarted instead if nothing has been forwarded.
   bool isWorthResuming() const {
     return this->Description.Kind == ServiceKind::Engine &&
            (this->Offset > 0 || !this->Description.Repeatable);
--- a/src/Decision/Request/RequestSettings.h
+++ b/src/Decision/Request/RequestSettings.h
@@ -8,66 +8,68 @@
 
 namespace parsleywing {
 
-/// How many requests one router holds.
+/// Limits on the requests of one router.
 struct LimitSettings {
-  /// Requests without a final answer, of all accounts.
+  /// Requests without a final response, of all accounts.
   std::size_t MaxOpen = 10000;
-  /// The same for each account.
+  /// The same per account.
   std::size_t MaxOpenPerAccount = 2500;
-  /// Requests that wait for their first attempt, of all accounts. An account's
-  /// own limit stands in its declaration.
+  /// Requests queued for their first attempt, of all accounts. The limit of an
+  /// account is in its declaration.
   std::size_t MaxWaiting = 8000;
 };
 
-/// How often a request is tried again.
+/// Limits on the attempts of a request.
 struct RetrySettings {
-  /// Attempts of one request, the first counted.
+  /// Attempts per request, including the first.
   std::uint32_t MaxAttempts = 4;
-  /// Retries that an account gains by each first attempt of its own.
+  /// Retries that an account gains with each of its first attempts.
   double BudgetFraction = 0.1;
-  /// Retries that an account can save up.
+  /// Maximum of retries that an account can accumulate.
   double BudgetBurst = 10;
-  /// Retries a second that the router adds for all accounts together.
+  /// Retries per second that all accounts of the router share in addition.
   double BudgetFloorPerSecond = 1;
-  /// The first wait before a retry, doubled each time; the wait itself is drawn
-  /// between half of it and all of it.
+  /// The delay before the first retry, doubled for each further one. The actual
+  /// delay is random between half of it and all of it.
   Duration Backoff = std::chrono::milliseconds(50);
   Duration MaxBackoff = std::chrono::seconds(2);
-  /// Tries to fetch the rest of one answer, in all.
+  /// Attempts to fetch the rest of one response, in total.
   std::uint32_t MaxResumes = 4;
 };
 
-/// How long an attempt may stand still.
+/// Timeouts for the progress of an attempt.
 struct ProgressSettings {
-  /// From the order to send to the first token.
+  /// From the start of the attempt to the first token.
   Duration FirstTokenTimeout = std::chrono::seconds(30);
-  /// Between two reports of progress.
+  /// Between two progress reports.
   Duration TokenTimeout = std::chrono::seconds(10);
-  /// From the order to send to the end, for services that report no progress.
+  /// From the start of the attempt to its end, for services that report no
+  /// progress.
   Duration PlainResponseTimeout = std::chrono::seconds(120);
-  /// From a cancel until the end of the attempt is taken as never to come.
+  /// From a cancel until the end of the attempt is no longer awaited.
   Duration CancelTimeout = std::chrono::seconds(5);
 };
 
-/// Run records of requests that may not be repeated.
+/// Run records of requests that must not run twice.
 struct RecordSettings {
-  /// The longest wait for an answer to a claim.
+  /// Maximum wait for the reply to a claim.
   Duration ClaimTimeout = std::chrono::seconds(1);
-  /// Ended keys remembered here; about 150 bytes each.
+  /// Keys of ended requests that are cached here; about 150 bytes each.
   std::size_t MaxEndedKeys = 20000;
 };
 
-/// When callers that were refused are told to come back.
+/// Bounds of the retry delay that refused callers get.
 struct RetryAfterSettings {
   Duration Min = std::chrono::seconds(1);
   Duration Max = std::chrono::seconds(60);
 };
 
-/// A graceful shutdown.
+/// The graceful shutdown of a router.
 struct DrainSettings {
-  /// When requests still open are cut off; zero for never.
+  /// When requests that are still open are aborted; zero for never.
   Duration HardLimit = std::chrono::minutes(10);
-  /// Routers to which one request is offered before it is served here.
+  /// Routers that one request is offered to. After that it is refused, or
+  /// served here if an earlier attempt may have run.
   std::uint32_t MaxHandOvers = 3;
 };
 
@@ -79,7 +81,7 @@
   RecordSettings Records;
   RetryAfterSettings RetryAfter;
   DrainSettings Drain;
-  /// Start of the random numbers for jitter; should differ between routers.
+  /// Random seed for jitter; should differ between routers.
   std::uint64_t Seed = 1;
 };
 
--- a/src/Decision/Request/RequestState.h
+++ b/src/Decision/Request/RequestState.h
@@ -5,20 +5,20 @@
 
 namespace parsleywing {
 
-/// Where a request stands. docs/REQUESTS.md says for each state what each
-/// event does.
+/// The state of a request. docs/REQUESTS.md describes the effect of each event
+/// in each state.
 enum class RequestState {
-  Received,   ///< It arrived; its limits are being checked.
-  Claiming,   ///< It waits for its run record.
-  Queued,     ///< It waits in the scheduler.
-  Admitted,   ///< An attempt was ordered; from here bytes may leave any moment.
+  Received,   ///< It has arrived; limits are being checked.
+  Claiming,   ///< It waits for the claim of its run record.
+  Queued,     ///< It is queued in the scheduler.
+  Admitted,   ///< An attempt was ordered; bytes may be sent at any time.
   Sent,       ///< Bytes may have reached the server.
-  Streaming,  ///< The server generates the answer.
-  Cancelling, ///< A stuck attempt was broken off; its end is awaited.
-  Resuming,   ///< It waits to fetch the rest of its answer.
+  Streaming,  ///< The server is generating the response.
+  Cancelling, ///< A stalled attempt was cancelled; its end is awaited.
+  Resuming,   ///< It waits to fetch the rest of its response.
   BackingOff, ///< It waits to be queued again.
-  HandedOver, ///< Another router has it.
-  Finished,   ///< It got its final answer.
+  HandedOver, ///< It was handed over to another router.
+  Finished,   ///< It got its final response.
 };
 
 inline constexpr EnumNames<RequestState, 11> RequestStateNames{{
@@ -35,7 +35,7 @@
     {RequestState::Finished, "finished"},
 }};
 
-/// Whether the state machine has a step from one state to the other.
+/// Whether the state machine permits this transition.
 constexpr bool isValidTransition(RequestState From, RequestState To) {
   using enum RequestState;
   if (To == Finished)
--- a/src/Decision/Request/RequestTable.h
+++ b/src/Decision/Request/RequestTable.h
@@ -18,45 +18,45 @@
 
 namespace parsleywing {
 
-/// The scheduler let a waiting request go to a server.
+/// The scheduler admitted a queued request to a server.
 struct RequestAdmitted {
   RequestId Request;
   ServerId Server;
 };
 
-/// What the table of requests is told.
+/// The events of the request table.
 using RequestEvent =
     std::variant<RequestArrived, RequestAdmitted, CallerDisconnected,
                  AttemptSent, AttemptProgressed, AttemptEnded,
                  RunRecordVerdictReceived, HandOverEnded, DeclarationsChanged,
                  ViewChanged, Tick, DrainRequested>;
 
-/// Put the request into the scheduler's queue.
+/// Adds the request to the scheduler's queue.
 struct QueueRequest {
   RequestDescription Description;
-  /// The server at which it failed last, which is the last to choose; zero
-  /// where there is none.
+  /// The server at which it failed last, to be chosen only if no other is
+  /// available; zero if there is none.
   ServerId AvoidServer;
 };
 
-/// Take the request out of the scheduler's queue.
+/// Removes the request from the scheduler's queue.
 struct WithdrawRequest {
   RequestId Request;
 };
 
-/// Tell the scheduler what the request has cost up to now.
+/// Reports the cost of the request so far to the scheduler.
 struct ChargeRequest {
   RequestId Request;
   std::uint64_t Tokens;
 };
 
-/// Give the request's slot back, at this whole cost of the attempt.
+/// Releases the request's slot and reports the total cost of the attempt.
 struct ReleaseSlot {
   RequestId Request;
   std::uint64_t Tokens;
 };
 
-/// What the table of requests asks for.
+/// The actions of the request table.
 using RequestAction =
     std::variant<QueueRequest, WithdrawRequest, ChargeRequest, ReleaseSlot,
                  StartAttempt, ResumeAttempt, HandOverRequest, CancelAttempt,
@@ -65,19 +65,19 @@
 
 using RequestActions = std::vector<RequestAction>;
 
-/// Holds the state of every request at this router from its arrival to its one
-/// final answer. Does no I/O and reads no clock. docs/REQUESTS.md has the table
-/// of states and failures.
+/// Keeps the state of every request at this router from its arrival to its one
+/// final response. Does no I/O and reads no clock. docs/REQUESTS.md has the
+/// table of states and failures.
 ///
-/// An event costs a logarithm of the number of open requests; a tick with
-/// nothing due costs a few comparisons.
+/// An event takes logarithmic time in the number of open requests; a tick
+/// without due timers takes a few comparisons.
 class RequestTable {
 public:
   explicit RequestTable(const RequestSettings &S = {});
 
   RequestActions handle(TimePoint Now, const RequestEvent &Event);
 
-  /// Requests that have no final answer yet.
+  /// The number of requests without a final response.
   std::size_t openRequests() const { return this->OpenRequests.size(); }
 
   const RequestCounters &counters() const { return this->Counters; }
@@ -85,13 +85,13 @@
   Poco::JSON::Object::Ptr dump() const;
 
 private:
-  /// An attempt that runs on though its request has its answer.
+  /// An attempt that is still running after the final response of its request.
   struct OrphanedAttempt {
     AttemptNumber Attempt;
     std::uint64_t Tokens;
   };
 
-  // RequestTable.cpp: arrival, waiting, the final answer.
+  // RequestTable.cpp: arrival, queueing and the final response.
   void on(const RequestArrived &Event);
   void on(const RequestAdmitted &Event);
   void on(const CallerDisconnected &Event);
@@ -109,7 +109,7 @@
               ResponseReason Reason);
   void updateRunRecord(const RequestEntry &Request, RequestOutcome Outcome);
 
-  // RequestTableAttempts.cpp: from the order to send to the attempt's end.
+  // RequestTableAttempts.cpp: from the start of an attempt to its end.
   void on(const AttemptSent &Event);
   void on(const AttemptProgressed &Event);
   void on(const AttemptEnded &Event);
@@ -123,9 +123,9 @@
   void resume(RequestEntry &Request);
   void scheduleRetry(RequestEntry &Request, AttemptOutcome Outcome);
   void releaseSlot(RequestEntry &Request);
-  Duration backoff(std::uint32_t Tries);
+  Duration backoff(std::uint32_t FailedAttempts);
 
-  // RequestTableDrain.cpp: the graceful shutdown.
+  // RequestTableDrain.cpp: graceful shutdown.
   void on(const ViewChanged &Event);
   void on(const DrainRequested &Event);
   void on(const HandOverEnded &Event);
@@ -139,8 +139,8 @@
   RequestEntry *findAttempt(RequestId Request, AttemptNumber Attempt);
   bool isOrphaned(RequestId Request, AttemptNumber Attempt) const;
 
-  template <typename ActionType> void emit(ActionType Wanted) {
-    this->PendingActions.emplace_back(std::move(Wanted));
+  template <typename ActionType> void emit(ActionType Emitted) {
+    this->PendingActions.emplace_back(std::move(Emitted));
   }
 
   RequestSettings Settings;
@@ -152,17 +152,17 @@
   AdmissionRate Rate;
   DrainPlan Drain;
   StallDetector Stalls;
-  /// The end of the caller's patience, of every open request.
+  /// The caller's deadline of every open request.
   TimerQueue Deadlines;
-  /// The end of what the state waits for: an answer to a claim, a backoff, the
-  /// end of a cancelled attempt.
+  /// The timeouts of waiting states: a reply to a claim, a backoff, the end of
+  /// a cancelled attempt.
   TimerQueue StateTimers;
-  /// The end of the grace of attempts in `Ending`.
+  /// The cancel timeouts of `OrphanedAttempts`.
   TimerQueue OrphanTimers;
   std::unordered_map<RequestId, RequestEntry> OpenRequests;
   std::unordered_map<RequestId, OrphanedAttempt> OrphanedAttempts;
 
-  /// Of the event at hand.
+  /// The time of the current event.
   TimePoint Now;
   RequestActions PendingActions;
 };
--- a/src/Decision/Request/RequestTypes.h
+++ b/src/Decision/Request/RequestTypes.h
@@ -11,44 +11,44 @@
 
 namespace parsleywing {
 
-/// Counts the attempts of one request, from 1.
+/// The number of an attempt of one request, starting at 1.
 using AttemptNumber = std::uint32_t;
 
-/// What a request needs decided about it. The body stays with the thread that
-/// serves the caller.
+/// The properties of a request that decisions depend on. The body stays in the
+/// thread that serves the caller.
 struct RequestDescription {
   RequestId Request;
   AccountId Account;
   ServiceId Service;
-  /// Whether the request may be sent again after it may have run.
+  /// Whether the request may be retried after it may have run.
   bool Repeatable = true;
-  /// From the caller's `Idempotency-Key`; empty where there is none.
+  /// The caller's `Idempotency-Key` header; empty if there is none.
   std::string IdempotencyKey;
-  /// The caller's rough hint of the cost, in tokens; at least 1.
+  /// The caller's rough estimate of the cost, in tokens; at least 1.
   std::uint64_t EstimatedTokens = 1;
-  /// When the caller no longer wants the answer.
+  /// When the response is of no more use to the caller.
   TimePoint Deadline;
-  /// The request's identity, unlike any other's in the fleet and across
-  /// restarts of its router. A run record bears it, so that a claim whose reply
-  /// was lost is recognised as one's own. Needed where there is a key.
+  /// The request's identity, unique in the fleet and across restarts of its
+  /// router. Stored in the run record to recognise this request's own claim if
+  /// the reply to it was lost. Required if there is a key.
   std::string Identity;
   /// Engines report progress and can resume a stream; plain services cannot.
   ServiceKind Kind = ServiceKind::Engine;
-  /// A router that drains handed the request over and holds its run record.
+  /// A draining router handed the request over and owns its run record.
   bool RecordHeldElsewhere = false;
-  /// A router that drains handed the request over. It is not handed on, so that
-  /// two routers that drain cannot pass it to and fro.
+  /// A draining router handed the request over. It is not handed over again:
+  /// otherwise, two draining routers could do so back and forth.
   bool HandedOver = false;
 };
 
 /// How one attempt at a backend server ended.
 enum class AttemptOutcome {
-  Completed,          ///< The whole answer was passed on.
+  Completed,          ///< The complete response was forwarded.
   NotSent,            ///< No byte of the request can have left this process.
-  Rejected,           ///< The server said for certain that it did not run it.
-  Interrupted,        ///< It broke after the request may have left.
-  Cancelled,          ///< It was cancelled on this router's order.
-  CallerDisconnected, ///< The caller closed its connection while it ran.
+  Rejected,           ///< The server stated that it did not run the request.
+  Interrupted,        ///< It failed after the request may have been sent.
+  Cancelled,          ///< This router cancelled it.
+  CallerDisconnected, ///< The caller closed its connection during the attempt.
 };
 
 inline constexpr EnumNames<AttemptOutcome, 6> AttemptOutcomeNames{{
@@ -60,14 +60,14 @@
     {AttemptOutcome::CallerDisconnected, "caller-left"},
 }};
 
-/// The final word to a caller on its request. Every answer carries it.
+/// The outcome of a request as reported to its caller in every response.
 enum class RequestOutcome {
-  /// It ran to its end and the answer is whole. With the reason `AlreadyRun`:
-  /// an earlier request with the same idempotency key did, and this one brings
-  /// no answer.
+  /// It ran to its end and the response is complete. With the reason
+  /// `AlreadyRun`, an earlier request with the same idempotency key did, and
+  /// this response does not include the earlier one.
   Completed,
   NotRun,  ///< It certainly did not run and never will.
-  Unknown, ///< It may have run; the answer is missing or incomplete.
+  Unknown, ///< It may have run; the response is missing or incomplete.
 };
 
 inline constexpr EnumNames<RequestOutcome, 3> RequestOutcomeNames{{
@@ -76,7 +76,7 @@
     {RequestOutcome::Unknown, "unknown"},
 }};
 
-/// Why a request got its final answer.
+/// The reason for the final response to a request.
 enum class ResponseReason {
   Served,
   DeadlinePassed,
@@ -107,12 +107,12 @@
     {ResponseReason::CallerDisconnected, "caller-left"},
 }};
 
-/// What the store of run records says to a claim.
+/// The result of claiming a run record in the store.
 enum class RunRecordVerdict {
-  Claimed,         ///< The record is this request's, made now or found as such.
-  TakenByOther,    ///< Another request holds it, which may have run.
-  CompletedBefore, ///< Another request held it and ran to its end.
-  Unavailable,     ///< No answer; a claim may still take effect later.
+  Claimed,         ///< This request owns the record, created now or before.
+  TakenByOther,    ///< Another request owns it and may have run.
+  CompletedBefore, ///< Another request owns it and has run to its end.
+  Unavailable,     ///< No reply; the claim may still take effect later.
 };
 
 inline constexpr EnumNames<RunRecordVerdict, 4> RunRecordVerdictNames{{
--- a/src/Decision/Request/RetryBudget.cpp
+++ b/src/Decision/Request/RetryBudget.cpp
@@ -7,27 +7,28 @@
 
 namespace {
 
-/// Seconds of the floor that can be saved up.
+/// Seconds of the floor rate that can accumulate.
 constexpr double FloorSeconds = 5;
 
-constexpr std::int64_t WholeRetry = 1000;
+/// One retry, in thousandths.
+constexpr std::int64_t OneRetry = 1000;
 
 std::int64_t inThousandths(double Retries) {
-  return std::llround(Retries * static_cast<double>(WholeRetry));
+  return std::llround(Retries * static_cast<double>(OneRetry));
 }
 
 } // namespace
 
 void RetryBudget::countFirstAttempt(AccountId Account) {
-  std::int64_t &Left = this->Saved[Account];
-  Left = std::min(Left + inThousandths(this->Settings.BudgetFraction),
-                  inThousandths(this->Settings.BudgetBurst));
+  std::int64_t &Balance = this->Saved[Account];
+  Balance = std::min(Balance + inThousandths(this->Settings.BudgetFraction),
+                     inThousandths(this->Settings.BudgetBurst));
 }
 
 bool RetryBudget::tryAcquire(TimePoint Now, AccountId Account) {
   auto Found = this->Saved.find(Account);
-  if (Found != this->Saved.end() && Found->second >= WholeRetry) {
-    Found->second -= WholeRetry;
+  if (Found != this->Saved.end() && Found->second >= OneRetry) {
+    Found->second -= OneRetry;
     return true;
   }
   this->refillFloor(Now);
@@ -38,13 +39,13 @@
 }
 
 void RetryBudget::refillFloor(TimePoint Now) {
-  const double Passed =
-      std::chrono::duration<double>(Now - this->FloorFilled).count();
-  const double Most =
+  const double Elapsed =
+      std::chrono::duration<double>(Now - this->FloorRefilledAt).count();
+  const double MaxFloor =
       std::max(1.0, FloorSeconds * this->Settings.BudgetFloorPerSecond);
   this->Floor = std::min(
-      Most, this->Floor + Passed * this->Settings.BudgetFloorPerSecond);
-  this->FloorFilled = Now;
+      MaxFloor, this->Floor + Elapsed * this->Settings.BudgetFloorPerSecond);
+  this->FloorRefilledAt = Now;
 }
 
 } // namespace parsleywing
--- a/src/Decision/Request/StallDetector.cpp
+++ b/src/Decision/Request/StallDetector.cpp
@@ -3,39 +3,40 @@
 namespace parsleywing {
 
 void StallDetector::start(TimePoint Now, RequestId Request, ServiceKind Kind) {
-  const Duration Limit = Kind == ServiceKind::Plain
-                             ? this->Settings.PlainResponseTimeout
-                             : this->Settings.FirstTokenTimeout;
-  this->Watched[Request] = Watch{Now, Limit};
-  this->Timers.set(Request, Now + Limit);
+  const Duration Timeout = Kind == ServiceKind::Plain
+                               ? this->Settings.PlainResponseTimeout
+                               : this->Settings.FirstTokenTimeout;
+  this->Entries[Request] = Entry{Now, Timeout};
+  this->Timers.set(Request, Now + Timeout);
 }
 
 void StallDetector::progressed(TimePoint Now, RequestId Request) {
-  auto Found = this->Watched.find(Request);
-  if (Found == this->Watched.end())
+  auto Found = this->Entries.find(Request);
+  if (Found == this->Entries.end())
     return;
-  Watch &W = Found->second;
-  W.Last = Now;
-  if (W.Limit == this->Settings.TokenTimeout)
+  Entry &E = Found->second;
+  E.LastProgress = Now;
+  if (E.Timeout == this->Settings.TokenTimeout)
     return;
-  W.Limit = this->Settings.TokenTimeout;
-  this->Timers.set(Request, Now + W.Limit);
+  E.Timeout = this->Settings.TokenTimeout;
+  this->Timers.set(Request, Now + E.Timeout);
 }
 
 void StallDetector::stop(RequestId Request) {
-  this->Watched.erase(Request);
+  this->Entries.erase(Request);
   this->Timers.clear(Request);
 }
 
 std::optional<RequestId> StallDetector::takeStalled(TimePoint Now) {
   while (std::optional<RequestId> Due = this->Timers.takeDue(Now)) {
-    const auto Found = this->Watched.find(*Due);
-    const TimePoint Limit = Found->second.Last + Found->second.Limit;
-    if (Limit > Now) {
-      this->Timers.set(*Due, Limit);
+    const auto Found = this->Entries.find(*Due);
+    const TimePoint StalledAt =
+        Found->second.LastProgress + Found->second.Timeout;
+    if (StalledAt > Now) {
+      this->Timers.set(*Due, StalledAt);
       continue;
     }
-    this->Watched.erase(Found);
+    this->Entries.erase(Found);
     return Due;
   }
   return std::nullopt;
--- a/src/Decision/Request/StallDetector.h
+++ b/src/Decision/Request/StallDetector.h
@@ -7,35 +7,35 @@
 
 namespace parsleywing {
 
-/// Finds attempts that stand still. A connection that something on the way has
-/// lost track of looks open for good: only the lack of progress shows it.
+/// Detects attempts without progress. A connection whose state was lost on the
+/// network path stays open indefinitely; only the lack of progress reveals it.
 ///
-/// Progress costs one hash look-up, since it comes with every token; the timer
-/// is moved only when it runs out.
+/// Progress costs one hash lookup because it is reported for every token; the
+/// timer is rescheduled only when it expires.
 class StallDetector {
 public:
   explicit StallDetector(const ProgressSettings &S) : Settings(S) {}
 
-  /// Watches an attempt that was ordered now.
+  /// Watches an attempt that is ordered at `Now`.
   void start(TimePoint Now, RequestId Request, ServiceKind Kind);
 
   void progressed(TimePoint Now, RequestId Request);
 
   void stop(RequestId Request);
 
-  /// Takes out one request that has stood still for too long.
+  /// Removes and returns one request whose attempt has stalled.
   std::optional<RequestId> takeStalled(TimePoint Now);
 
-  std::size_t size() const { return this->Watched.size(); }
+  std::size_t size() const { return this->Entries.size(); }
 
 private:
-  struct Watch {
-    TimePoint Last;
-    Duration Limit;
+  struct Entry {
+    TimePoint LastProgress;
+    Duration Timeout;
   };
 
   ProgressSettings Settings;
-  std::unordered_map<RequestId, Watch> Watched;
+  std::unordered_map<RequestId, Entry> Entries;
   TimerQueue Timers;
 };
 
--- a/src/Decision/Request/TimerQueue.h
+++ b/src/Decision/Request/TimerQueue.h
@@ -11,27 +11,27 @@
 
 namespace parsleywing {
 
-/// At most one moment for each request, the earliest first. Setting and
-/// clearing cost a logarithm of the number of requests; a look when nothing is
-/// due costs one comparison.
+/// At most one timer per request, ordered by due time. Setting and clearing a
+/// timer takes logarithmic time in the number of requests; a check while none
+/// is due takes one comparison.
 class TimerQueue {
 public:
-  /// Sets the moment, in place of an earlier one.
-  void set(RequestId Request, TimePoint At) {
+  /// Sets the request's timer and replaces an earlier one.
+  void set(RequestId Request, TimePoint DueAt) {
     this->clear(Request);
-    this->Moments.emplace(Request, At);
-    this->Order.emplace(At, Request);
+    this->DueTimes.emplace(Request, DueAt);
+    this->Order.emplace(DueAt, Request);
   }
 
   void clear(RequestId Request) {
-    auto Found = this->Moments.find(Request);
-    if (Found == this->Moments.end())
+    auto Found = this->DueTimes.find(Request);
+    if (Found == this->DueTimes.end())
       return;
     this->Order.erase({Found->second, Request});
-    this->Moments.erase(Found);
+    this->DueTimes.erase(Found);
   }
 
-  /// Takes out one request whose moment has come.
+  /// Removes and returns one request whose timer is due.
   std::optional<RequestId> takeDue(TimePoint Now) {
     if (this->Order.empty() || this->Order.begin()->first > Now)
       return std::nullopt;
@@ -43,7 +43,7 @@
   std::size_t size() const { return this->Order.size(); }
 
 private:
-  std::unordered_map<RequestId, TimePoint> Moments;
+  std::unordered_map<RequestId, TimePoint> DueTimes;
   std::set<std::pair<TimePoint, RequestId>> Order;
 };
 
--- a/src/Decision/RouterCore.cpp
+++ b/src/Decision/RouterCore.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// True where the variant has an alternative of this type.
+/// Whether the variant has an alternative of this type.
 template <typename Type, typename Variant> struct IsAlternative;
 template <typename Type, typename... Types>
 struct IsAlternative<Type, std::variant<Types...>>
@@ -23,16 +23,17 @@
       Servers(S.Servers, S.Membership.Self.IncarnationNumber),
       Owners(this->Membership.view()) {}
 
-std::vector<Action> RouterCore::handle(TimePoint Now, const Event &Happened) {
+std::vector<Action> RouterCore::handle(TimePoint Now, const Event &NewEvent) {
   if (!this->Started) {
-    // The first view, of this router alone, comes from no change.
+    // The first view contains only this router and is not announced by an
+    // event.
     this->Started = true;
-    this->changeView(Now, ViewChanged{this->Membership.view()});
+    this->applyView(Now, ViewChanged{this->Membership.view()});
   }
   std::visit(
       [&]<typename Type>(const Type &E) {
         if constexpr (std::is_same_v<Type, PeerPartReceived>)
-          this->fromPeer(Now, E);
+          this->dispatchPeerPart(Now, E);
         if constexpr (std::is_same_v<Type, Tick>)
           this->toMembership(Now, MembershipTick{});
         if constexpr (IsAlternative<Type, MembershipEvent>::value)
@@ -41,20 +42,22 @@
           this->toConfiguration(Now, E);
         if constexpr (IsAlternative<Type, RequestEvent>::value)
           this->toRequests(Now, E);
-        // The scheduler hears of a server's condition only once merged.
+        // The scheduler gets only the merged condition of a server, from
+        // `ServerConditions`.
         if constexpr (IsAlternative<Type, FairnessEvent>::value &&
                       !std::is_same_v<Type, ServerConditionChanged>)
           this->toScheduler(Now, E);
         if constexpr (IsAlternative<Type, ServersEvent>::value)
           this->toServers(Now, E);
         if constexpr (std::is_same_v<Type, DeclarationsChanged>)
-          this->takeDeclarations(E);
+          this->updateDeclarations(E);
       },
-      Happened);
-  return std::exchange(this->Pending, {});
+      NewEvent);
+  return std::exchange(this->PendingActions, {});
 }
 
-void RouterCore::fromPeer(TimePoint Now, const PeerPartReceived &Received) {
+void RouterCore::dispatchPeerPart(TimePoint Now,
+                                  const PeerPartReceived &Received) {
   std::visit(Overloaded{
                  [&](const MembershipMessage &M) {
                    this->toMembership(Now, MembershipMessageReceived{
@@ -78,36 +81,37 @@
              Received.Part);
 }
 
-void RouterCore::changeView(TimePoint Now, const ViewChanged &Changed) {
+void RouterCore::applyView(TimePoint Now, const ViewChanged &Changed) {
   this->toScheduler(Now, Changed);
   this->toConfiguration(Now, Changed);
   this->toRequests(Now, Changed);
   this->toServers(Now, Changed);
   this->Owners.update(Changed.Current);
-  this->watchServers();
+  this->updateWatchedServers();
 }
 
-void RouterCore::takeDeclarations(const DeclarationsChanged &Changed) {
-  this->InForce = Changed.Active;
-  // Servers that are declared no more would be remembered for ever.
-  if (this->Owners.size() > 2 * this->InForce->Servers.size())
+void RouterCore::updateDeclarations(const DeclarationsChanged &Changed) {
+  this->ActiveDeclarations = Changed.Active;
+  // Drops servers that are no longer declared, which would otherwise stay
+  // cached forever.
+  if (this->Owners.size() > 2 * this->ActiveDeclarations->Servers.size())
     this->Owners.clear();
-  this->watchServers();
+  this->updateWatchedServers();
 }
 
-void RouterCore::watchServers() {
+void RouterCore::updateWatchedServers() {
   std::vector<ServerId> Owned;
-  for (const auto &[Server, Declared] : this->InForce->Servers)
+  for (const auto &[Server, Declared] : this->ActiveDeclarations->Servers)
     if (this->Owners.ownerOf(Server.Value) == this->Membership.view().Self)
       Owned.push_back(Server);
-  if (Owned == this->Watched)
+  if (Owned == this->WatchedServers)
     return;
-  this->Watched = Owned;
-  this->Pending.emplace_back(WatchServers{std::move(Owned)});
+  this->WatchedServers = Owned;
+  this->PendingActions.emplace_back(WatchServers{std::move(Owned)});
 }
 
 void RouterCore::toRequests(TimePoint Now, const RequestEvent &Event) {
-  for (const RequestAction &Wanted : this->Requests.handle(Now, Event))
+  for (const RequestAction &Emitted : this->Requests.handle(Now, Event))
     std::visit(
         Overloaded{
             [&](const QueueRequest &A) {
@@ -128,68 +132,68 @@
             [&](HandOverRequest A) {
               const RouterRecord *To = this->Membership.recordOf(A.Router);
               A.Address = To != nullptr ? To->CallerAddress : "";
-              this->Pending.emplace_back(std::move(A));
+              this->PendingActions.emplace_back(std::move(A));
             },
-            [&](const auto &A) { this->Pending.emplace_back(A); },
+            [&](const auto &A) { this->PendingActions.emplace_back(A); },
         },
-        Wanted);
+        Emitted);
 }
 
 void RouterCore::toScheduler(TimePoint Now, const FairnessEvent &Event) {
-  for (const FairnessAction &Wanted : this->Scheduler.handle(Now, Event))
+  for (const FairnessAction &Emitted : this->Scheduler.handle(Now, Event))
     std::visit(
         Overloaded{
             [&](const AdmitRequest &A) {
               PARSLEYWING_INVARIANT(this->Servers.mayAdmit(Now, A.Server),
-                                    "a leaving server gets no new work");
+                                    "a leaving server gets no new requests");
               this->toRequests(Now, RequestAdmitted{A.Request, A.Server});
             },
             [&](const SendFairMessage &A) {
-              this->Pending.emplace_back(
+              this->PendingActions.emplace_back(
                   SendToPeer{A.To, A.Message, A.Urgent, false});
             },
         },
-        Wanted);
+        Emitted);
 }
 
 void RouterCore::toServers(TimePoint Now, const ServersEvent &Event) {
-  for (const ServersAction &Wanted : this->Servers.handle(Now, Event))
+  for (const ServersAction &Emitted : this->Servers.handle(Now, Event))
     std::visit(
         Overloaded{
             [&](const ServerConditionChanged &A) { this->toScheduler(Now, A); },
             [&](const SendServerNotices &A) {
-              this->Pending.emplace_back(
+              this->PendingActions.emplace_back(
                   SendToPeer{A.To, A.Message, true, false});
             },
         },
-        Wanted);
+        Emitted);
 }
 
 void RouterCore::toMembership(TimePoint Now, const MembershipEvent &Event) {
-  for (const MembershipAction &Wanted : this->Membership.handle(Now, Event))
+  for (const MembershipAction &Emitted : this->Membership.handle(Now, Event))
     std::visit(Overloaded{
                    [&](const SendMembershipMessage &A) {
-                     this->Pending.emplace_back(
+                     this->PendingActions.emplace_back(
                          SendToPeer{A.To, A.Message, A.Urgent, A.Bulk});
                    },
-                   [&](const ViewChanged &A) { this->changeView(Now, A); },
-                   [&](const auto &A) { this->Pending.emplace_back(A); },
+                   [&](const ViewChanged &A) { this->applyView(Now, A); },
+                   [&](const auto &A) { this->PendingActions.emplace_back(A); },
                },
-               Wanted);
+               Emitted);
 }
 
 void RouterCore::toConfiguration(TimePoint Now,
                                  const ConfigurationEvent &Event) {
-  for (const ConfigurationAction &Wanted :
+  for (const ConfigurationAction &Emitted :
        this->Configuration.handle(Now, Event))
     std::visit(Overloaded{
                    [&](const SendConfigurationMessage &A) {
-                     this->Pending.emplace_back(
+                     this->PendingActions.emplace_back(
                          SendToPeer{A.To, A.Message, A.Urgent, A.Bulk});
                    },
-                   [&](const auto &A) { this->Pending.emplace_back(A); },
+                   [&](const auto &A) { this->PendingActions.emplace_back(A); },
                },
-               Wanted);
+               Emitted);
 }
 
 } // namespace parsleywing
--- a/src/Decision/RouterCore.h
+++ b/src/Decision/RouterCore.h
@@ -14,7 +14,7 @@
 
 namespace parsleywing {
 
-/// The settings of every decision of one router.
+/// The settings of all decision modules of one router.
 struct RouterCoreSettings {
   RequestSettings Requests;
   FairnessSettings Fairness;
@@ -23,16 +23,16 @@
   ServerConditionsSettings Servers;
 };
 
-/// Every decision of one router: typed events in, typed actions out. It passes
-/// events to the modules concerned and carries their actions between them until
-/// none is left. One thread calls it.
+/// Makes every decision of one router, from typed events to typed actions.
+/// Dispatches each event to the modules concerned and their actions to other
+/// modules, until none is pending. Called from one thread only.
 class RouterCore {
 public:
   explicit RouterCore(const RouterCoreSettings &S = {});
 
-  std::vector<Action> handle(TimePoint Now, const Event &Happened);
+  std::vector<Action> handle(TimePoint Now, const Event &NewEvent);
 
-  /// Requests that have no final answer yet.
+  /// The number of requests without a final response.
   std::size_t openRequests() const { return this->Requests.openRequests(); }
 
   const RequestTable &requests() const { return this->Requests; }
@@ -49,20 +49,20 @@
   void toMembership(TimePoint Now, const MembershipEvent &Event);
   void toConfiguration(TimePoint Now, const ConfigurationEvent &Event);
   void toServers(TimePoint Now, const ServersEvent &Event);
-  void fromPeer(TimePoint Now, const PeerPartReceived &Received);
-  void changeView(TimePoint Now, const ViewChanged &Changed);
-  void takeDeclarations(const DeclarationsChanged &Changed);
-  void watchServers();
+  void dispatchPeerPart(TimePoint Now, const PeerPartReceived &Received);
+  void applyView(TimePoint Now, const ViewChanged &Changed);
+  void updateDeclarations(const DeclarationsChanged &Changed);
+  void updateWatchedServers();
 
   RequestTable Requests;
   FairScheduler Scheduler;
   MembershipTable Membership;
   ConfigurationKeeper Configuration;
   ServerConditions Servers;
-  DeclarationsPtr InForce = std::make_shared<Declarations>();
+  DeclarationsPtr ActiveDeclarations = std::make_shared<Declarations>();
   OwnerCache Owners;
-  std::vector<ServerId> Watched;
-  std::vector<Action> Pending;
+  std::vector<ServerId> WatchedServers;
+  std::vector<Action> PendingActions;
   bool Started = false;
 };
 
--- a/src/Decision/Servers/ServerConditions.cpp
+++ b/src/Decision/Servers/ServerConditions.cpp
@@ -7,17 +7,17 @@
 
 ServerConditions::ServerConditions(const ServerConditionsSettings &S,
                                    Incarnation L)
-    : Settings(S), Life(L), Random(S.Seed) {}
+    : Settings(S), IncarnationNumber(L), Random(S.Seed) {}
 
 std::vector<ServersAction> ServerConditions::handle(TimePoint At,
                                                     const ServersEvent &Event) {
   this->Now = At;
   std::visit([this](const auto &E) { this->on(E); }, Event);
-  if (At >= this->NextRound)
-    this->tellNew();
+  if (At >= this->NextGossip)
+    this->sendPending();
   if (At >= this->NextDigest)
-    this->repeatHeld();
-  return std::exchange(this->Pending, {});
+    this->sendDigest();
+  return std::exchange(this->PendingActions, {});
 }
 
 ServerCondition ServerConditions::conditionOf(ServerId Server) const {
@@ -38,15 +38,16 @@
   const Key Unreachable{Probed.Server, ServerFact::Unreachable};
   switch (Probed.Condition) {
   case ServerCondition::Failed:
-    this->saw(Unreachable); // It says nothing on whether the server leaves.
+    this->observeHolds(
+        Unreachable); // It says nothing on whether the server leaves.
     return;
   case ServerCondition::Leaving:
-    this->sawNot(Unreachable, this->Settings.ProbeMargin);
-    this->saw(SaysLeaving);
+    this->observeNotHolds(Unreachable, this->Settings.ProbeMargin);
+    this->observeHolds(SaysLeaving);
     return;
   case ServerCondition::Usable:
-    this->sawNot(Unreachable, this->Settings.ProbeMargin);
-    this->sawNot(SaysLeaving, this->Settings.ProbeMargin);
+    this->observeNotHolds(Unreachable, this->Settings.ProbeMargin);
+    this->observeNotHolds(SaysLeaving, this->Settings.ProbeMargin);
     return;
   }
 }
@@ -58,10 +59,10 @@
 
 void ServerConditions::on(const ServersListed &Listed) {
   for (const ServerId Server : Listed.Leaving)
-    this->saw({Server, ServerFact::ListedLeaving});
+    this->observeHolds({Server, ServerFact::ListedLeaving});
   for (const ServerId Server : Listed.Live)
-    this->sawNot({Server, ServerFact::ListedLeaving},
-                 this->Settings.ListMargin);
+    this->observeNotHolds({Server, ServerFact::ListedLeaving},
+                          this->Settings.ListMargin);
 }
 
 void ServerConditions::on(const ServerNoticesReceived &Received) {
@@ -71,41 +72,41 @@
     // would let a stranger's notices take memory without bound; where they are
     // declared later, the repeated notices tell of them again.
     if (Notice.Fact >= ServerFactCount ||
-        !this->InForce->Servers.contains(Server))
+        !this->ActiveDeclarations->Servers.contains(Server))
       continue;
     const Key Fact{Server, static_cast<ServerFact>(Notice.Fact)};
     const auto Found = this->Facts.find(Fact);
     if (Found == this->Facts.end() || Notice.isNewerThan(Found->second.Newest))
-      this->learn(Fact, Notice);
+      this->applyNotice(Fact, Notice);
   }
 }
 
 void ServerConditions::on(const ViewChanged &Changed) {
-  this->Current = Changed.Current;
+  this->CurrentView = Changed.Current;
   // Whose word counts on a failure follows from who owns the server.
   std::vector<ServerId> Failed;
-  for (const Key &Fact : this->Held)
+  for (const Key &Fact : this->ActiveFacts)
     if (Fact.second == ServerFact::Unreachable)
       Failed.push_back(Fact.first);
   for (const ServerId Server : Failed)
-    this->merge(Server);
+    this->updateCondition(Server);
 }
 
 void ServerConditions::on(const DeclarationsChanged &Changed) {
-  this->InForce = Changed.Active;
+  this->ActiveDeclarations = Changed.Active;
   std::set<ServerId> Gone;
   for (const auto &[Fact, Stands] : this->Facts)
-    if (!this->InForce->Servers.contains(Fact.first))
+    if (!this->ActiveDeclarations->Servers.contains(Fact.first))
       Gone.insert(Fact.first);
   for (const ServerId Server : Gone) {
     const auto IsGone = [Server](const Key &Fact) {
       return Fact.first == Server;
     };
     std::erase_if(this->Facts, [&](const auto &E) { return IsGone(E.first); });
-    std::erase_if(this->ToTell,
+    std::erase_if(this->PendingNotices,
                   [&](const auto &E) { return IsGone(E.second); });
-    std::erase_if(this->Held, IsGone);
-    this->merge(Server);
+    std::erase_if(this->ActiveFacts, IsGone);
+    this->updateCondition(Server);
   }
 }
 
@@ -117,49 +118,53 @@
 }
 
 /// This router's own source says that the fact holds.
-void ServerConditions::saw(const Key &Fact) {
-  if (!this->InForce->Servers.contains(Fact.first))
+void ServerConditions::observeHolds(const Key &Fact) {
+  if (!this->ActiveDeclarations->Servers.contains(Fact.first))
     return;
   const auto Found = this->Facts.find(Fact);
   const bool Stands = Found != this->Facts.end() && Found->second.Newest.Holds;
   // A failure ends unless it is said again.
-  const bool IsRenewed =
-      Stands && Fact.second == ServerFact::Unreachable &&
-      this->Now >= Found->second.LearntAt + this->Settings.FailureLifetime / 3;
+  const bool IsRenewed = Stands && Fact.second == ServerFact::Unreachable &&
+                         this->Now >= Found->second.ReceivedAt +
+                                          this->Settings.FailureLifetime / 3;
   if (!Stands || IsRenewed)
-    this->claim(Fact, true);
+    this->publish(Fact, true);
   this->Facts.at(Fact).Confirmed = true;
 }
 
 /// This router's own source says that the fact does not hold. It may have
 /// looked before the router that said otherwise: then believing it would give
 /// a leaving server new work until the next look.
-void ServerConditions::sawNot(const Key &Fact, Duration Margin) {
+void ServerConditions::observeNotHolds(const Key &Fact, Duration Margin) {
   const auto Found = this->Facts.find(Fact);
   if (Found == this->Facts.end() || !Found->second.Newest.Holds)
     return;
-  if (Found->second.Confirmed || this->Now >= Found->second.LearntAt + Margin)
-    this->claim(Fact, false);
+  if (Found->second.Confirmed || this->Now >= Found->second.ReceivedAt + Margin)
+    this->publish(Fact, false);
 }
 
-void ServerConditions::claim(const Key &Fact, bool Holds) {
+void ServerConditions::publish(const Key &Fact, bool Holds) {
   const auto Found = this->Facts.find(Fact);
   const std::uint32_t Counter =
       Found == this->Facts.end() ? 0 : Found->second.Newest.Counter;
-  this->learn(Fact, {Fact.first.Value, static_cast<std::uint8_t>(Fact.second),
-                     Holds, Counter + 1, this->Current.Self.Value, this->Life});
+  this->applyNotice(Fact,
+                    {Fact.first.Value, static_cast<std::uint8_t>(Fact.second),
+                     Holds, Counter + 1, this->CurrentView.Self.Value,
+                     this->IncarnationNumber});
 }
 
-void ServerConditions::learn(const Key &Fact, const ServerNotice &Notice) {
-  Known &Stands = this->Facts[Fact];
-  this->ToTell.erase({this->Settings.Transmissions - Stands.TellsLeft, Fact});
+void ServerConditions::applyNotice(const Key &Fact,
+                                   const ServerNotice &Notice) {
+  FactState &Stands = this->Facts[Fact];
+  this->PendingNotices.erase(
+      {this->Settings.Transmissions - Stands.RemainingTransmissions, Fact});
   Stands = {Notice, this->Now, false, this->Settings.Transmissions};
-  this->ToTell.emplace(0, Fact);
+  this->PendingNotices.emplace(0, Fact);
   if (Notice.Holds)
-    this->Held.insert(Fact);
+    this->ActiveFacts.insert(Fact);
   else
-    this->Held.erase(Fact);
-  this->merge(Fact.first);
+    this->ActiveFacts.erase(Fact);
+  this->updateCondition(Fact.first);
 }
 
 bool ServerConditions::holds(const Key &Fact) const {
@@ -169,12 +174,13 @@
   if (Fact.second != ServerFact::Unreachable)
     return true;
   const RouterId Origin{Found->second.Newest.Origin};
-  return this->Now < Found->second.LearntAt + this->Settings.FailureLifetime &&
-         (Origin == this->Current.Self ||
-          Origin == ownerOf(this->Current, Fact.first.Value));
+  return this->Now <
+             Found->second.ReceivedAt + this->Settings.FailureLifetime &&
+         (Origin == this->CurrentView.Self ||
+          Origin == ownerOf(this->CurrentView, Fact.first.Value));
 }
 
-void ServerConditions::merge(ServerId Server) {
+void ServerConditions::updateCondition(ServerId Server) {
   ServerCondition Next = ServerCondition::Usable;
   if (this->holds({Server, ServerFact::ListedLeaving}) ||
       this->holds({Server, ServerFact::ReportsLeaving}))
@@ -187,76 +193,78 @@
     this->Conditions.erase(Server);
   else
     this->Conditions[Server] = {Next, this->Now};
-  this->Pending.emplace_back(ServerConditionChanged{Server, Next});
+  this->PendingActions.emplace_back(ServerConditionChanged{Server, Next});
 }
 
 void ServerConditions::expireFailures() {
   std::vector<Key> Ended;
-  for (const Key &Fact : this->Held)
+  for (const Key &Fact : this->ActiveFacts)
     if (Fact.second == ServerFact::Unreachable &&
         this->Now >=
-            this->Facts.at(Fact).LearntAt + this->Settings.FailureLifetime)
+            this->Facts.at(Fact).ReceivedAt + this->Settings.FailureLifetime)
       Ended.push_back(Fact);
   for (const Key &Fact : Ended) {
-    this->Held.erase(Fact);
-    this->merge(Fact.first);
+    this->ActiveFacts.erase(Fact);
+    this->updateCondition(Fact.first);
   }
 }
 
-std::optional<RouterId> ServerConditions::anyOther() {
-  const std::vector<Member> &Members = this->Current.Members;
+std::optional<RouterId> ServerConditions::randomPeer() {
+  const std::vector<Member> &Members = this->CurrentView.Members;
   if (Members.size() < 2)
     return std::nullopt;
   const std::size_t Start = this->Random() % Members.size();
   const Member &Chosen = Members[Start];
-  if (Chosen.Router != this->Current.Self)
+  if (Chosen.Router != this->CurrentView.Self)
     return Chosen.Router;
   return Members[(Start + 1) % Members.size()].Router;
 }
 
 /// What is new goes to a few others at once, and again in later rounds, so that
 /// lost messages and others' equal choices leave nobody out.
-void ServerConditions::tellNew() {
-  if (this->ToTell.empty() || this->Current.Members.size() < 2)
+void ServerConditions::sendPending() {
+  if (this->PendingNotices.empty() || this->CurrentView.Members.size() < 2)
     return;
-  this->NextRound = this->Now + this->Settings.GossipInterval;
+  this->NextGossip = this->Now + this->Settings.GossipInterval;
   std::vector<Key> Chosen;
-  for (const auto &[Times, Fact] : this->ToTell)
+  for (const auto &[Times, Fact] : this->PendingNotices)
     if (Chosen.size() < this->Settings.MaxNotices)
       Chosen.push_back(Fact);
     else
       break;
   ServerNotices Message;
   for (const Key &Fact : Chosen) {
-    Known &Stands = this->Facts.at(Fact);
+    FactState &Stands = this->Facts.at(Fact);
     Message.Notices.push_back(Stands.Newest);
-    this->ToTell.erase({this->Settings.Transmissions - Stands.TellsLeft, Fact});
-    if (--Stands.TellsLeft > 0)
-      this->ToTell.emplace(this->Settings.Transmissions - Stands.TellsLeft,
-                           Fact);
+    this->PendingNotices.erase(
+        {this->Settings.Transmissions - Stands.RemainingTransmissions, Fact});
+    if (--Stands.RemainingTransmissions > 0)
+      this->PendingNotices.emplace(
+          this->Settings.Transmissions - Stands.RemainingTransmissions, Fact);
   }
   for (std::size_t Told = 0; Told < this->Settings.FanOut; ++Told)
-    this->Pending.emplace_back(SendServerNotices{*this->anyOther(), Message});
+    this->PendingActions.emplace_back(
+        SendServerNotices{*this->randomPeer(), Message});
 }
 
 /// A router that started or came back after the rounds of a notice learns it
 /// from these: each is told by one other in each interval, on average.
-void ServerConditions::repeatHeld() {
+void ServerConditions::sendDigest() {
   this->NextDigest = this->Now + this->Settings.DigestInterval;
-  const std::optional<RouterId> To = this->anyOther();
-  if (!To || this->Held.empty())
+  const std::optional<RouterId> To = this->randomPeer();
+  if (!To || this->ActiveFacts.empty())
     return;
   const std::size_t Count =
-      std::min(this->Held.size(), this->Settings.MaxNotices);
+      std::min(this->ActiveFacts.size(), this->Settings.MaxNotices);
   ServerNotices Message;
-  auto Next = this->Held.upper_bound(this->LastRepeated);
+  auto Next = this->ActiveFacts.upper_bound(this->LastDigestFact);
   while (Message.Notices.size() < Count) {
-    if (Next == this->Held.end())
-      Next = this->Held.begin();
-    this->LastRepeated = *Next;
+    if (Next == this->ActiveFacts.end())
+      Next = this->ActiveFacts.begin();
+    this->LastDigestFact = *Next;
     Message.Notices.push_back(this->Facts.at(*Next++).Newest);
   }
-  this->Pending.emplace_back(SendServerNotices{*To, std::move(Message)});
+  this->PendingActions.emplace_back(SendServerNotices{*To, std::move(Message)});
 }
 
 Poco::JSON::Object::Ptr ServerConditions::dump() const {
@@ -270,7 +278,8 @@
   }
   Poco::JSON::Object::Ptr Whole = new Poco::JSON::Object;
   Whole->set("not_usable", List);
-  Whole->set("notices_to_tell", static_cast<Poco::UInt64>(this->ToTell.size()));
+  Whole->set("notices_to_tell",
+             static_cast<Poco::UInt64>(this->PendingNotices.size()));
   return Whole;
 }
 
--- a/src/Decision/Servers/ServerConditions.h
+++ b/src/Decision/Servers/ServerConditions.h
@@ -16,39 +16,40 @@
 
 namespace parsleywing {
 
-/// The defaults keep what a router sends for this, without the headers of
-/// datagrams, under 3,100 bytes a second
-/// while much changes, and under 200 while servers leave and nothing changes.
+/// With the defaults, a router sends less than 3,100 bytes per second for this,
+/// not counting datagram headers, while many facts change, and less than 200
+/// while servers are leaving and nothing changes.
 struct ServerConditionsSettings {
   std::uint64_t Seed = 1;
-  /// Least time between two rounds of telling others what is new.
+  /// Minimum interval between two gossip rounds that send new notices.
   Duration GossipInterval = std::chrono::milliseconds(250);
-  /// Other routers told in a round.
+  /// Routers that receive the notices of a round.
   std::size_t FanOut = 2;
-  /// Rounds in which each notice is told.
+  /// Rounds in which each notice is sent.
   unsigned Transmissions = 6;
-  /// Notices in one message.
+  /// Maximum of notices per message.
   std::size_t MaxNotices = 12;
-  /// Time between two messages that repeat what holds to one other router, for
-  /// those that started or came back later.
+  /// Interval between two messages that repeat the current facts to one other
+  /// router, for routers that started or reconnected later.
   Duration DigestInterval = std::chrono::seconds(2);
-  /// After this, a server whose failure nobody confirmed is tried again.
+  /// A server becomes usable again this long after the last report of its
+  /// failure.
   Duration FailureLifetime = std::chrono::seconds(15);
-  /// A probe that ended so long after another router's notice came cannot have
-  /// been made before it.
+  /// A probe that ended this long after another router's notice arrived cannot
+  /// have been made before it.
   Duration ProbeMargin = std::chrono::seconds(2);
   /// The same for the platform's list, which lags.
   Duration ListMargin = std::chrono::seconds(60);
-  /// After this, an admission to a leaving server is a broken invariant.
+  /// After this time, an admission to a leaving server violates an invariant.
   Duration AdmissionBound = std::chrono::seconds(3);
 };
 
-/// Another router's notices arrived.
+/// Notices of another router arrived.
 struct ServerNoticesReceived {
   ServerNotices Message;
 };
 
-/// Tell another router; the message may be lost.
+/// Sends notices to another router. The message may be lost.
 struct SendServerNotices {
   RouterId To;
   ServerNotices Message;
@@ -60,18 +61,21 @@
 
 using ServersAction = std::variant<SendServerNotices, ServerConditionChanged>;
 
-/// Merges what is said of each backend server by the platform's list, by this
-/// router's own probes and by other routers, and tells others what it learnt
-/// first-hand, so that all know within seconds whichever source speaks first.
+/// Merges the reports on each backend server from the platform's list, from
+/// this router's own probes and from other routers, and gossips what this
+/// router observes itself. All routers thus learn of a change within seconds,
+/// whichever source reports it first.
 ///
-/// A server leaves while its list entry or its own word says so. That is taken
-/// back by the same source only: the list, by showing the server live after it
-/// showed it leaving, or `ListMargin` after the notice came; its own word, by a
-/// probe that finds it serving after one that did not, or `ProbeMargin` after
-/// the notice came. A failure counts where this router or the server's owner
-/// learnt it, and ends by itself. No clock is shared: see `ServerNotice`.
+/// A server is leaving while the list or the server itself reports it. Only the
+/// same source can clear this: the list, if this router has read it as leaving
+/// before and now reads it as live; the server, if a probe of this router has
+/// found it leaving before and now finds it serving. A router that has not seen
+/// the source report it may clear it `ListMargin` or `ProbeMargin` after the
+/// notice arrived. A failure counts if this router or the server's owner
+/// observed it, and expires. No synchronized clock is needed: see
+/// `ServerNotice`.
 ///
-/// Costs memory only for servers that something was ever said about.
+/// Uses memory only for servers with at least one reported fact.
 class ServerConditions {
 public:
   explicit ServerConditions(const ServerConditionsSettings &S = {},
@@ -81,23 +85,22 @@
 
   ServerCondition conditionOf(ServerId Server) const;
 
-  /// Whether the server may be given a request at this moment: also a short
-  /// while after it was learnt that it leaves, as decisions made on the way
-  /// are still carried out.
+  /// Whether the server may be given a request now. True also for a short time
+  /// after it was reported as leaving, while earlier decisions are executed.
   bool mayAdmit(TimePoint Now, ServerId Server) const;
 
   Poco::JSON::Object::Ptr dump() const;
 
 private:
   using Key = std::pair<ServerId, ServerFact>;
-  struct Known {
+  struct FactState {
     ServerNotice Newest;
-    TimePoint LearntAt;
-    /// This router's own source said the same since.
+    TimePoint ReceivedAt;
+    /// This router's own source has reported the same since.
     bool Confirmed = false;
-    unsigned TellsLeft = 0;
+    unsigned RemainingTransmissions = 0;
   };
-  struct Merged {
+  struct MergedCondition {
     ServerCondition Condition = ServerCondition::Usable;
     TimePoint Since;
   };
@@ -110,33 +113,35 @@
   void on(const DeclarationsChanged &Changed);
   void on(const Tick &);
 
-  void saw(const Key &Fact);
-  void sawNot(const Key &Fact, Duration Margin);
-  void claim(const Key &Fact, bool Holds);
-  void learn(const Key &Fact, const ServerNotice &Notice);
+  void observeHolds(const Key &Fact);
+  void observeNotHolds(const Key &Fact, Duration Margin);
+  void publish(const Key &Fact, bool Holds);
+  void applyNotice(const Key &Fact, const ServerNotice &Notice);
   bool holds(const Key &Fact) const;
-  void merge(ServerId Server);
+  void updateCondition(ServerId Server);
   void expireFailures();
-  void tellNew();
-  void repeatHeld();
-  std::optional<RouterId> anyOther();
+  void sendPending();
+  void sendDigest();
+  std::optional<RouterId> randomPeer();
 
   ServerConditionsSettings Settings;
-  Incarnation Life;
+  Incarnation IncarnationNumber;
   std::mt19937_64 Random;
   TimePoint Now;
-  View Current;
-  DeclarationsPtr InForce = std::make_shared<Declarations>();
-  std::map<Key, Known> Facts;
-  /// What is still to be told, by how often it was, the least often first.
-  std::set<std::pair<unsigned, Key>> ToTell;
-  std::set<Key> Held; ///< Facts whose newest notice says that they hold.
-  std::map<ServerId, Merged> Conditions; ///< Those that are not usable.
-  std::vector<ServersAction> Pending;
-  TimePoint NextRound;
+  View CurrentView;
+  DeclarationsPtr ActiveDeclarations = std::make_shared<Declarations>();
+  std::map<Key, FactState> Facts;
+  /// Facts still to be sent, with the number of transmissions so far, the
+  /// fewest first.
+  std::set<std::pair<unsigned, Key>> PendingNotices;
+  std::set<Key> ActiveFacts; ///< Facts that hold by their newest notice.
+  /// The servers that are not usable.
+  std::map<ServerId, MergedCondition> Conditions;
+  std::vector<ServersAction> PendingActions;
+  TimePoint NextGossip;
   TimePoint NextDigest;
   TimePoint NextExpiry;
-  Key LastRepeated{};
+  Key LastDigestFact{};
 };
 
 } // namespace parsleywing
--- a/src/Decision/Servers/ServerNotice.h
+++ b/src/Decision/Servers/ServerNotice.h
@@ -7,27 +7,28 @@
 
 namespace parsleywing {
 
-/// What may be said of a backend server. Each is known, told and taken back by
-/// itself, since the source of one knows nothing of the others: an engine
-/// answers well until its VM goes, and a list may lag behind the engine.
+/// A fact about a backend server. Each one is set, gossiped and cleared
+/// independently because its source does not know the others: an engine
+/// responds normally until its VM is removed, and the platform's list may lag
+/// behind the engine.
 enum class ServerFact : std::uint8_t {
-  ListedLeaving,  ///< The platform's list says that its VM leaves.
-  ReportsLeaving, ///< It says itself that it leaves.
-  Unreachable,    ///< It does not answer its owner's probes.
+  ListedLeaving,  ///< The platform's list shows its VM as leaving.
+  ReportsLeaving, ///< It reports that it is leaving.
+  Unreachable,    ///< It does not respond to its owner's probes.
 };
 
 inline constexpr std::uint8_t ServerFactCount = 3;
 
-/// One fact about one server, as some router learnt it first-hand. Of two
-/// notices of one fact the one with the higher counter is the newer: a router
-/// counts on from the highest that it knows. Where two routers spoke without
-/// knowing of each other, the one that says that the fact holds goes first.
+/// One fact about one server, as observed by a router itself. Of two notices
+/// on the same fact, the one with the higher counter is newer: a router
+/// increments the highest counter that it knows. If two routers used the same
+/// counter, the notice that the fact holds wins.
 struct ServerNotice {
   std::uint64_t Server = 0;
   std::uint8_t Fact = 0; ///< A `ServerFact`.
   bool Holds = false;
   std::uint32_t Counter = 0;
-  std::uint64_t Origin = 0;            ///< The router that learnt it.
+  std::uint64_t Origin = 0;            ///< The router that observed it.
   std::uint64_t IncarnationNumber = 0; ///< The incarnation of that router.
 
   bool isNewerThan(const ServerNotice &Other) const {
@@ -43,7 +44,7 @@
   }
 };
 
-/// Several notices to one router, 30 bytes each on the wire.
+/// Several notices to one router; each takes 30 bytes on the wire.
 struct ServerNotices {
   std::vector<ServerNotice> Notices;
 
