--- a/src/Decision/Request/AdmissionRate.h
+++ b/src/Decision/Request/AdmissionRate.h
@@ -8,13 +8,13 @@
 
 namespace parsleywing {
 
-/// Measures the rate at which queued requests are admitted to servers, and
+/// Measures the rate at which waiting requests are admitted to servers, and
 /// derives the retry delay for refused callers from it.
 class AdmissionRate {
 public:
   explicit AdmissionRate(const RetryAfterSettings &S) : Settings(S) {}
 
-  /// A queued request was admitted to a server.
+  /// A waiting request was admitted to a server.
   void countAdmitted() { ++this->Admitted; }
 
   /// Updates the moving average, once per second.
--- a/src/Decision/Request/LoadShedder.cpp
+++ b/src/Decision/Request/LoadShedder.cpp
@@ -27,10 +27,10 @@
     return {Reason, {}};
   const auto &[HighestLoad, Heaviest] = *this->Ranked.rbegin();
   const auto Found = this->Accounts.find(Arriving);
-  const std::size_t QueuedCount =
+  const std::size_t WaitingCount =
       Found == this->Accounts.end() ? 0 : Found->second.WaitingRequests.size();
   if (Heaviest == Arriving ||
-      this->loadOf(Arriving, QueuedCount + 1) >= HighestLoad)
+      this->loadOf(Arriving, WaitingCount + 1) >= HighestLoad)
     return {Reason, {}};
   return {{}, this->Accounts.at(Heaviest).WaitingRequests.rbegin()->second};
 }
@@ -76,12 +76,12 @@
     this->rank(Account, 0, State.WaitingRequests.size());
 }
 
-double LoadShedder::loadOf(AccountId Account, std::size_t QueuedCount) const {
+double LoadShedder::loadOf(AccountId Account, std::size_t WaitingCount) const {
   const auto Found = this->ActiveDeclarations->Accounts.find(Account);
   const double Share = Found == this->ActiveDeclarations->Accounts.end()
                            ? 1
                            : Found->second.Share;
-  return static_cast<double>(QueuedCount) / Share;
+  return static_cast<double>(WaitingCount) / Share;
 }
 
 void LoadShedder::rank(AccountId Account, std::size_t Before,
--- a/src/Decision/Request/LoadShedder.h
+++ b/src/Decision/Request/LoadShedder.h
@@ -16,14 +16,14 @@
 struct LimitDecision {
   /// Why it is refused; empty if it is accepted.
   std::optional<ResponseReason> Refusal;
-  /// The queued request to refuse in its place.
+  /// The waiting request to refuse in its place.
   std::optional<RequestId> Shed;
 };
 
 /// Enforces the limits on requests, per account and per router. At the router's
-/// limit, sheds a request of the account with the most queued requests relative
-/// to its share: the newest one, which would have waited longest. An account
-/// that floods the router thus loses only its own requests.
+/// limit, sheds a request of the account with the most waiting requests
+/// relative to its share: the newest one, which would have waited longest. An
+/// account that floods the router thus loses only its own requests.
 ///
 /// Every call takes logarithmic time in the number of accounts and requests.
 class LoadShedder {
@@ -33,10 +33,10 @@
   /// Decides on a request of this account that arrives now.
   LimitDecision decide(AccountId Account) const;
 
-  /// Adds an open request that is queued for its first attempt.
+  /// Adds an open request that waits for its first attempt.
   void add(AccountId Account, RequestId Request);
 
-  /// The request is no longer queued for its first attempt. May be called
+  /// The request no longer waits for its first attempt. May be called
   /// repeatedly.
   void stopWaiting(AccountId Account, RequestId Request);
 
@@ -57,8 +57,8 @@
   };
   using Load = std::pair<double, AccountId>;
 
-  /// The number of queued requests relative to the account's share.
-  double loadOf(AccountId Account, std::size_t QueuedCount) const;
+  /// The number of waiting requests relative to the account's share.
+  double loadOf(AccountId Account, std::size_t WaitingCount) const;
   void rank(AccountId Account, std::size_t Before, std::size_t After);
   LimitDecision chooseShed(AccountId Account, ResponseReason Reason) const;
 
--- a/src/Decision/Request/RequestCounters.h
+++ b/src/Decision/Request/RequestCounters.h
@@ -18,7 +18,7 @@
   std::uint64_t Retries = 0;
   std::uint64_t Resumes = 0;
   std::uint64_t HandOvers = 0;
-  /// Queued requests refused in favour of another account's.
+  /// Waiting requests refused in favour of another account's.
   std::uint64_t Shed = 0;
   /// Attempts cancelled for lack of progress.
   std::uint64_t StalledAttempts = 0;
--- a/src/Decision/Request/RequestSettings.h
+++ b/src/Decision/Request/RequestSettings.h
@@ -14,8 +14,8 @@
   std::size_t MaxOpen = 10000;
   /// The same per account.
   std::size_t MaxOpenPerAccount = 2500;
-  /// Requests queued for their first attempt, of all accounts. The limit of an
-  /// account is in its declaration.
+  /// Requests that wait for their first attempt, of all accounts. The limit of
+  /// an account is in its declaration.
   std::size_t MaxWaiting = 8000;
 };
 
--- a/src/Decision/Request/RequestTable.cpp
+++ b/src/Decision/Request/RequestTable.cpp
@@ -95,16 +95,16 @@
 void RequestTable::on(const RequestAdmitted &Event) {
   RequestEntry *Request = this->findOpen(Event.Request);
   if (Request == nullptr || Request->State != RequestState::Queued) {
-    // The scheduler let it go while its withdrawal was on the way.
+    // The scheduler admitted it before it processed the withdrawal.
     PARSLEYWING_INVARIANT(Request == nullptr || !Request->HasSlot,
-                          "a waiting request is admitted once");
+                          "a queued request is admitted once");
     ++this->Counters.DroppedEvents;
     this->emit(ReleaseSlot{Event.Request, 0});
     return;
   }
   const RequestDescription &D = Request->Description;
   PARSLEYWING_INVARIANT(D.Repeatable || !Request->MayHaveRun,
-                        "what may not be repeated starts once");
+                        "a non-repeatable request runs at most once");
   if (Request->Starts == 0) {
     this->Shedder.stopWaiting(D.Account, D.Request);
     this->Budget.countFirstAttempt(D.Account);
@@ -162,15 +162,15 @@
 
 void RequestTable::on(const Tick &) {
   this->Rate.tick(this->Now);
-  while (const auto Late = this->Deadlines.takeDue(this->Now))
-    this->giveUp(*this->findOpen(*Late), ResponseReason::DeadlinePassed);
-  while (const auto Stuck = this->Stalls.takeStalled(this->Now))
-    this->onStalled(*this->findOpen(*Stuck));
+  while (const auto Expired = this->Deadlines.takeDue(this->Now))
+    this->giveUp(*this->findOpen(*Expired), ResponseReason::DeadlinePassed);
+  while (const auto Stalled = this->Stalls.takeStalled(this->Now))
+    this->onStalled(*this->findOpen(*Stalled));
   this->runDueTimers();
-  while (const auto Silent = this->OrphanTimers.takeDue(this->Now)) {
+  while (const auto Orphan = this->OrphanTimers.takeDue(this->Now)) {
     ++this->Counters.CancelTimeouts;
-    this->emit(ReleaseSlot{*Silent, this->OrphanedAttempts.at(*Silent).Tokens});
-    this->OrphanedAttempts.erase(*Silent);
+    this->emit(ReleaseSlot{*Orphan, this->OrphanedAttempts.at(*Orphan).Tokens});
+    this->OrphanedAttempts.erase(*Orphan);
   }
   if (this->Drain.checkHardLimit(this->Now))
     this->truncateOpen();
@@ -194,8 +194,8 @@
     this->resume(Request);
     return;
   case RequestState::Cancelling:
-    // The thread that carries the attempt hangs, so a second attempt could be
-    // mixed with the first in the caller's answer.
+    // The thread that executes the attempt hangs. Output of a second attempt
+    // could be mixed with that of the first in the caller's response.
     ++this->Counters.CancelTimeouts;
     this->endAttempt(Request, Request.Offset);
     Request.MayHaveRun = true;
@@ -209,7 +209,7 @@
   case RequestState::Streaming:
   case RequestState::HandedOver:
   case RequestState::Finished:
-    PARSLEYWING_INVARIANT(false, "only a waiting state has a timer");
+    PARSLEYWING_INVARIANT(false, "only waiting states have a timer");
   }
 }
 
@@ -226,9 +226,10 @@
 void RequestTable::giveUp(RequestEntry &Request, ResponseReason Reason) {
   if (Request.InFlight)
     this->emit(CancelAttempt{Request.Description.Request, Request.Attempt});
-  const bool Certain = !Request.MayHaveRun && !Request.InFlight;
+  const bool CertainlyNotRun = !Request.MayHaveRun && !Request.InFlight;
   this->finish(Request,
-               Certain ? RequestOutcome::NotRun : RequestOutcome::Unknown,
+               CertainlyNotRun ? RequestOutcome::NotRun
+                               : RequestOutcome::Unknown,
                Reason);
 }
 
@@ -237,7 +238,7 @@
   const RequestId Id = Request.Description.Request;
   PARSLEYWING_INVARIANT(Outcome != RequestOutcome::NotRun ||
                             (!Request.MayHaveRun && !Request.InFlight),
-                        "not-run is said only when it is certain");
+                        "the outcome is not-run only if this is certain");
   if (Request.State == RequestState::Queued)
     this->emit(WithdrawRequest{Id});
   this->moveTo(Request, RequestState::Finished);
@@ -254,15 +255,15 @@
   this->StateTimers.clear(Id);
   this->Deadlines.clear(Id);
   this->Shedder.remove(Request.Description.Account, Id);
-  const bool ComeBack =
+  const bool MayRetry =
       Outcome == RequestOutcome::NotRun ||
       (Outcome == RequestOutcome::Unknown && Request.Description.Repeatable);
   const Duration RetryAfter =
-      ComeBack && Reason != ResponseReason::CallerDisconnected
+      MayRetry && Reason != ResponseReason::CallerDisconnected
           ? this->Rate.retryAfter(this->Shedder.waitingCount(), this->Random)
           : Duration::zero();
   const std::size_t Erased = this->OpenRequests.erase(Id);
-  PARSLEYWING_INVARIANT(Erased == 1, "a request gets one final answer");
+  PARSLEYWING_INVARIANT(Erased == 1, "a request gets one final response");
   this->Counters.countFinished(Outcome, Reason);
   this->emit(FinishRequest{Id, Outcome, Reason, RetryAfter});
 }
@@ -272,24 +273,24 @@
   if (Request.Record == RecordOwnership::None)
     return;
   const RequestDescription &D = Request.Description;
-  const bool Ours = Request.Record != RecordOwnership::HeldElsewhere;
+  const bool OwnsRecord = Request.Record != RecordOwnership::HeldElsewhere;
   if (Outcome == RequestOutcome::NotRun) {
     this->Keys.remove(D.Account, D.IdempotencyKey);
-    if (Ours)
+    if (OwnsRecord)
       this->emit(
           ReleaseRunRecord{D.Request, D.Account, D.IdempotencyKey, D.Identity});
     return;
   }
   this->Keys.markEnded(D.Account, D.IdempotencyKey, Outcome);
-  // A claimed record already says "unknown".
-  if (Ours && Outcome == RequestOutcome::Completed)
+  // A claimed record already states "unknown".
+  if (OwnsRecord && Outcome == RequestOutcome::Completed)
     this->emit(CompleteRunRecord{D.Request, D.Account, D.IdempotencyKey,
                                  D.Identity, Outcome});
 }
 
 void RequestTable::moveTo(RequestEntry &Request, RequestState Next) {
   PARSLEYWING_INVARIANT(isValidTransition(Request.State, Next),
-                        "a request takes only the steps of its state machine");
+                        "the state machine permits the transition");
   Request.State = Next;
 }
 
@@ -315,12 +316,11 @@
 Poco::JSON::Object::Ptr RequestTable::dump() const {
   Poco::JSON::Object::Ptr ByState = new Poco::JSON::Object;
   for (const auto &[State, Name] : RequestStateNames) {
-    const RequestState Wanted = State;
-    ByState->set(
-        std::string(Name),
-        std::ranges::count_if(this->OpenRequests, [&](const auto &Held) {
-          return Held.second.State == Wanted;
-        }));
+    const RequestState CountedState = State;
+    ByState->set(std::string(Name),
+                 std::ranges::count_if(this->OpenRequests, [&](const auto &E) {
+                   return E.second.State == CountedState;
+                 }));
   }
   Poco::JSON::Object::Ptr Dump = new Poco::JSON::Object;
   Dump->set("open", this->OpenRequests.size());
--- a/src/Decision/Request/RequestTableAttempts.cpp
+++ b/src/Decision/Request/RequestTableAttempts.cpp
@@ -9,11 +9,12 @@
 
 namespace {
 
-/// A server that died has its slots free and draws what waits, and it takes
-/// some seconds until it counts as failed. A request that is turned away there
-/// would use up its attempts within half a second while other servers are only
-/// busy. With the backoff these further starts last 6 to 13 s in all.
-constexpr std::uint32_t MoreStartsWhereUnsent = 8;
+/// Additional attempts after attempts that were not sent. A server that has
+/// crashed has free slots and attracts queued requests until it is marked as
+/// failed, some seconds later. A request that fails to connect there would
+/// spend its attempts within half a second while the other servers are merely
+/// busy. With the backoff, the additional attempts cover 6 to 13 s in total.
+constexpr std::uint32_t ExtraUnsentAttempts = 8;
 
 } // namespace
 
@@ -96,23 +97,22 @@
 
 void RequestTable::onAttemptFailed(RequestEntry &Request,
                                    AttemptOutcome Outcome) {
-  // Two reports that contradict each other are taken at the worse one.
-  const bool NeverLeft =
+  // If two reports contradict each other, the worse one counts.
+  const bool NeverSent =
       Outcome == AttemptOutcome::NotSent && !Request.SentReported;
   const bool NeverRan = Outcome == AttemptOutcome::Rejected &&
                         !Request.Progressed && Request.Offset == 0;
-  const bool Certain = !Request.isResume() && (NeverLeft || NeverRan);
-  if (!Certain)
+  const bool CertainlyNotRun = !Request.isResume() && (NeverSent || NeverRan);
+  if (!CertainlyNotRun)
     Request.MayHaveRun = true;
-  if (!Certain && Outcome != AttemptOutcome::Rejected &&
+  if (!CertainlyNotRun && Outcome != AttemptOutcome::Rejected &&
       this->mayResume(Request)) {
     this->scheduleResume(Request);
     return;
   }
   this->releaseSlot(Request);
-  const bool FromTheStart =
-      Request.Description.Repeatable && Request.Offset == 0;
-  if (FromTheStart || (Certain && !Request.MayHaveRun))
+  const bool MayRestart = Request.Description.Repeatable && Request.Offset == 0;
+  if (MayRestart || (CertainlyNotRun && !Request.MayHaveRun))
     this->scheduleRetry(Request, Outcome);
   else
     this->finish(Request, RequestOutcome::Unknown,
@@ -124,10 +124,10 @@
   ++this->Counters.StalledAttempts;
   const bool MayRestart = Request.Description.Repeatable &&
                           Request.Starts < this->Settings.Retry.MaxAttempts;
-  const bool MayContinue = Request.HasSlot &&
-                           Request.Description.Kind == ServiceKind::Engine &&
-                           Request.Resumes < this->Settings.Retry.MaxResumes;
-  if (!MayRestart && !MayContinue) {
+  const bool MayResume = Request.HasSlot &&
+                         Request.Description.Kind == ServiceKind::Engine &&
+                         Request.Resumes < this->Settings.Retry.MaxResumes;
+  if (!MayRestart && !MayResume) {
     this->giveUp(Request, ResponseReason::ServerFailed);
     return;
   }
@@ -185,23 +185,24 @@
 void RequestTable::scheduleRetry(RequestEntry &Request,
                                  AttemptOutcome Outcome) {
   const RequestDescription &D = Request.Description;
-  const Duration Wait = this->backoff(std::max(1U, Request.Starts));
-  // What never left burdens no server, and must not use up the budget when a
-  // server is gone.
-  const bool Burdens = Outcome != AttemptOutcome::NotSent;
-  const std::uint32_t Most = this->Settings.Retry.MaxAttempts;
-  if (Request.Starts >= (Burdens ? Most : Most + MoreStartsWhereUnsent) ||
-      this->Now + Wait >= D.Deadline) {
+  const Duration Delay = this->backoff(std::max(1U, Request.Starts));
+  // An unsent request puts no load on a server, and must not consume the budget
+  // while a server is down.
+  const bool LoadsServer = Outcome != AttemptOutcome::NotSent;
+  const std::uint32_t MaxStarts = this->Settings.Retry.MaxAttempts;
+  if (Request.Starts >=
+          (LoadsServer ? MaxStarts : MaxStarts + ExtraUnsentAttempts) ||
+      this->Now + Delay >= D.Deadline) {
     this->giveUp(Request, ResponseReason::ServerFailed);
     return;
   }
-  if (Burdens && !this->Budget.tryAcquire(this->Now, D.Account)) {
+  if (LoadsServer && !this->Budget.tryAcquire(this->Now, D.Account)) {
     this->giveUp(Request, ResponseReason::RetryBudgetSpent);
     return;
   }
   ++this->Counters.Retries;
   this->moveTo(Request, RequestState::BackingOff);
-  this->StateTimers.set(D.Request, this->Now + Wait);
+  this->StateTimers.set(D.Request, this->Now + Delay);
 }
 
 void RequestTable::releaseSlot(RequestEntry &Request) {
@@ -211,14 +212,14 @@
   this->emit(ReleaseSlot{Request.Description.Request, Request.Tokens});
 }
 
-Duration RequestTable::backoff(std::uint32_t Tries) {
-  const double Doubled =
+Duration RequestTable::backoff(std::uint32_t FailedAttempts) {
+  const double Exponential =
       static_cast<double>(this->Settings.Retry.Backoff.count()) *
-      std::exp2(Tries - 1);
-  const double Most =
+      std::exp2(FailedAttempts - 1);
+  const double Max =
       static_cast<double>(this->Settings.Retry.MaxBackoff.count());
-  const Duration Longest(static_cast<Duration::rep>(std::min(Doubled, Most)));
-  return this->Random.spread(Longest, 0.5, 1);
+  const Duration Delay(static_cast<Duration::rep>(std::min(Exponential, Max)));
+  return this->Random.spread(Delay, 0.5, 1);
 }
 
 } // namespace parsleywing
--- a/src/Decision/Request/RequestTableDrain.cpp
+++ b/src/Decision/Request/RequestTableDrain.cpp
@@ -25,10 +25,11 @@
     this->handOverOrRefuse(*this->findOpen(Id));
 }
 
-/// What waits at a router that drains goes to another one or is refused. Left
-/// in the queue it would hold up the end of the process for as long as others
-/// take the slots, while its caller could be served elsewhere. False for what
-/// can only be ended here: an earlier attempt may have run.
+/// Hands a queued request of a draining router over to another one, or refuses
+/// it. In the queue, it would delay the end of the process for as long as other
+/// requests occupy the slots, while another router could serve its caller.
+/// Returns false if the request has to stay here because an earlier attempt
+/// may have run.
 bool RequestTable::handOverOrRefuse(RequestEntry &Request) {
   const bool Queued = Request.State == RequestState::Queued;
   if (this->handOver(Request)) {
@@ -67,14 +68,14 @@
     return;
   }
   this->endAttempt(*Request, Event.Offset);
-  const bool Certain = (Event.Outcome == AttemptOutcome::NotSent ||
-                        Event.Outcome == AttemptOutcome::Rejected) &&
-                       !Request->Progressed && Request->Offset == 0;
-  if (Certain && Request->State == RequestState::HandedOver) {
+  const bool CertainlyNotRun = (Event.Outcome == AttemptOutcome::NotSent ||
+                                Event.Outcome == AttemptOutcome::Rejected) &&
+                               !Request->Progressed && Request->Offset == 0;
+  if (CertainlyNotRun && Request->State == RequestState::HandedOver) {
     this->enqueue(*Request);
     return;
   }
-  if (!Certain)
+  if (!CertainlyNotRun)
     Request->MayHaveRun = true;
   if (Event.Outcome == AttemptOutcome::Completed)
     this->finish(*Request, RequestOutcome::Completed, ResponseReason::Served);
@@ -88,11 +89,11 @@
 }
 
 void RequestTable::truncateOpen() {
-  std::vector<RequestId> Left;
+  std::vector<RequestId> Remaining;
   for (const auto &[Id, Request] : this->OpenRequests)
-    Left.push_back(Id);
-  std::sort(Left.begin(), Left.end());
-  for (RequestId Id : Left) {
+    Remaining.push_back(Id);
+  std::sort(Remaining.begin(), Remaining.end());
+  for (RequestId Id : Remaining) {
     this->Drain.countUnfinished();
     this->giveUp(*this->findOpen(Id), ResponseReason::Draining);
   }
