--- a/src/Decision/Servers/ServerConditions.cpp
+++ b/src/Decision/Servers/ServerConditions.cpp
@@ -38,8 +38,8 @@
   const Key Unreachable{Probed.Server, ServerFact::Unreachable};
   switch (Probed.Condition) {
   case ServerCondition::Failed:
-    this->observeHolds(
-        Unreachable); // It says nothing on whether the server leaves.
+    // An unreachable server does not report whether it is leaving.
+    this->observeHolds(Unreachable);
     return;
   case ServerCondition::Leaving:
     this->observeNotHolds(Unreachable, this->Settings.ProbeMargin);
@@ -53,7 +53,7 @@
 }
 
 void ServerConditions::on(const LoadReported &Reported) {
-  // A server that leaves reports no load.
+  // A leaving server reports no load.
   this->on(ServerConditionChanged{Reported.Server, ServerCondition::Usable});
 }
 
@@ -68,9 +68,9 @@
 void ServerConditions::on(const ServerNoticesReceived &Received) {
   for (const ServerNotice &Notice : Received.Message.Notices) {
     const ServerId Server{Notice.Server};
-    // A later version may know more facts. Servers that are not declared here
-    // would let a stranger's notices take memory without bound; where they are
-    // declared later, the repeated notices tell of them again.
+    // A later version may define more facts. Notices on servers that are not
+    // declared here could use unbounded memory and are dropped; if such a
+    // server is declared later, the repeated notices mention it again.
     if (Notice.Fact >= ServerFactCount ||
         !this->ActiveDeclarations->Servers.contains(Server))
       continue;
@@ -83,7 +83,8 @@
 
 void ServerConditions::on(const ViewChanged &Changed) {
   this->CurrentView = Changed.Current;
-  // Whose word counts on a failure follows from who owns the server.
+  // A failure reported by another router counts only if that router owns the
+  // server, which depends on the view.
   std::vector<ServerId> Failed;
   for (const Key &Fact : this->ActiveFacts)
     if (Fact.second == ServerFact::Unreachable)
@@ -94,18 +95,19 @@
 
 void ServerConditions::on(const DeclarationsChanged &Changed) {
   this->ActiveDeclarations = Changed.Active;
-  std::set<ServerId> Gone;
-  for (const auto &[Fact, Stands] : this->Facts)
+  std::set<ServerId> Undeclared;
+  for (const auto &[Fact, State] : this->Facts)
     if (!this->ActiveDeclarations->Servers.contains(Fact.first))
-      Gone.insert(Fact.first);
-  for (const ServerId Server : Gone) {
-    const auto IsGone = [Server](const Key &Fact) {
+      Undeclared.insert(Fact.first);
+  for (const ServerId Server : Undeclared) {
+    const auto IsOfServer = [Server](const Key &Fact) {
       return Fact.first == Server;
     };
-    std::erase_if(this->Facts, [&](const auto &E) { return IsGone(E.first); });
+    std::erase_if(this->Facts,
+                  [&](const auto &E) { return IsOfServer(E.first); });
     std::erase_if(this->PendingNotices,
-                  [&](const auto &E) { return IsGone(E.second); });
-    std::erase_if(this->ActiveFacts, IsGone);
+                  [&](const auto &E) { return IsOfServer(E.second); });
+    std::erase_if(this->ActiveFacts, IsOfServer);
     this->updateCondition(Server);
   }
 }
@@ -117,24 +119,26 @@
   this->expireFailures();
 }
 
-/// This router's own source says that the fact holds.
+/// This router's own source reports that the fact holds.
 void ServerConditions::observeHolds(const Key &Fact) {
   if (!this->ActiveDeclarations->Servers.contains(Fact.first))
     return;
   const auto Found = this->Facts.find(Fact);
-  const bool Stands = Found != this->Facts.end() && Found->second.Newest.Holds;
-  // A failure ends unless it is said again.
-  const bool IsRenewed = Stands && Fact.second == ServerFact::Unreachable &&
+  const bool IsActive =
+      Found != this->Facts.end() && Found->second.Newest.Holds;
+  // A failure expires unless it is renewed.
+  const bool IsRenewed = IsActive && Fact.second == ServerFact::Unreachable &&
                          this->Now >= Found->second.ReceivedAt +
                                           this->Settings.FailureLifetime / 3;
-  if (!Stands || IsRenewed)
+  if (!IsActive || IsRenewed)
     this->publish(Fact, true);
   this->Facts.at(Fact).Confirmed = true;
 }
 
-/// This router's own source says that the fact does not hold. It may have
-/// looked before the router that said otherwise: then believing it would give
-/// a leaving server new work until the next look.
+/// This router's own source reports that the fact does not hold. Its
+/// observation may be older than that of the router that reported the fact: if
+/// this one won, a leaving server would receive new requests until the next
+/// observation.
 void ServerConditions::observeNotHolds(const Key &Fact, Duration Margin) {
   const auto Found = this->Facts.find(Fact);
   if (Found == this->Facts.end() || !Found->second.Newest.Holds)
@@ -155,10 +159,10 @@
 
 void ServerConditions::applyNotice(const Key &Fact,
                                    const ServerNotice &Notice) {
-  FactState &Stands = this->Facts[Fact];
+  FactState &State = this->Facts[Fact];
   this->PendingNotices.erase(
-      {this->Settings.Transmissions - Stands.RemainingTransmissions, Fact});
-  Stands = {Notice, this->Now, false, this->Settings.Transmissions};
+      {this->Settings.Transmissions - State.RemainingTransmissions, Fact});
+  State = {Notice, this->Now, false, this->Settings.Transmissions};
   this->PendingNotices.emplace(0, Fact);
   if (Notice.Holds)
     this->ActiveFacts.insert(Fact);
@@ -197,13 +201,13 @@
 }
 
 void ServerConditions::expireFailures() {
-  std::vector<Key> Ended;
+  std::vector<Key> Expired;
   for (const Key &Fact : this->ActiveFacts)
     if (Fact.second == ServerFact::Unreachable &&
         this->Now >=
             this->Facts.at(Fact).ReceivedAt + this->Settings.FailureLifetime)
-      Ended.push_back(Fact);
-  for (const Key &Fact : Ended) {
+      Expired.push_back(Fact);
+  for (const Key &Fact : Expired) {
     this->ActiveFacts.erase(Fact);
     this->updateCondition(Fact.first);
   }
@@ -214,41 +218,43 @@
   if (Members.size() < 2)
     return std::nullopt;
   const std::size_t Start = this->Random() % Members.size();
-  const Member &Chosen = Members[Start];
-  if (Chosen.Router != this->CurrentView.Self)
-    return Chosen.Router;
+  const Member &Candidate = Members[Start];
+  if (Candidate.Router != this->CurrentView.Self)
+    return Candidate.Router;
   return Members[(Start + 1) % Members.size()].Router;
 }
 
-/// What is new goes to a few others at once, and again in later rounds, so that
-/// lost messages and others' equal choices leave nobody out.
+/// Sends new notices to a few other routers at once and again in later rounds,
+/// so that every router receives them in spite of lost messages and of senders
+/// that choose the same receivers.
 void ServerConditions::sendPending() {
   if (this->PendingNotices.empty() || this->CurrentView.Members.size() < 2)
     return;
   this->NextGossip = this->Now + this->Settings.GossipInterval;
-  std::vector<Key> Chosen;
-  for (const auto &[Times, Fact] : this->PendingNotices)
-    if (Chosen.size() < this->Settings.MaxNotices)
-      Chosen.push_back(Fact);
+  std::vector<Key> Selected;
+  for (const auto &[SendCount, Fact] : this->PendingNotices)
+    if (Selected.size() < this->Settings.MaxNotices)
+      Selected.push_back(Fact);
     else
       break;
   ServerNotices Message;
-  for (const Key &Fact : Chosen) {
-    FactState &Stands = this->Facts.at(Fact);
-    Message.Notices.push_back(Stands.Newest);
+  for (const Key &Fact : Selected) {
+    FactState &State = this->Facts.at(Fact);
+    Message.Notices.push_back(State.Newest);
     this->PendingNotices.erase(
-        {this->Settings.Transmissions - Stands.RemainingTransmissions, Fact});
-    if (--Stands.RemainingTransmissions > 0)
+        {this->Settings.Transmissions - State.RemainingTransmissions, Fact});
+    if (--State.RemainingTransmissions > 0)
       this->PendingNotices.emplace(
-          this->Settings.Transmissions - Stands.RemainingTransmissions, Fact);
+          this->Settings.Transmissions - State.RemainingTransmissions, Fact);
   }
-  for (std::size_t Told = 0; Told < this->Settings.FanOut; ++Told)
+  for (std::size_t Sent = 0; Sent < this->Settings.FanOut; ++Sent)
     this->PendingActions.emplace_back(
         SendServerNotices{*this->randomPeer(), Message});
 }
 
-/// A router that started or came back after the rounds of a notice learns it
-/// from these: each is told by one other in each interval, on average.
+/// Sends the current facts to one router, for routers that started or
+/// reconnected after the gossip rounds of a notice. On average, each router
+/// receives one such message per interval.
 void ServerConditions::sendDigest() {
   this->NextDigest = this->Now + this->Settings.DigestInterval;
   const std::optional<RouterId> To = this->randomPeer();
@@ -269,18 +275,18 @@
 
 Poco::JSON::Object::Ptr ServerConditions::dump() const {
   Poco::JSON::Array::Ptr List = new Poco::JSON::Array;
-  for (const auto &[Server, Stands] : this->Conditions) {
+  for (const auto &[Server, State] : this->Conditions) {
     Poco::JSON::Object::Ptr Row = new Poco::JSON::Object;
     Row->set("server", Server.Value);
     Row->set("condition",
-             std::string(nameOf(ServerConditionNames, Stands.Condition)));
+             std::string(nameOf(ServerConditionNames, State.Condition)));
     List->add(Row);
   }
-  Poco::JSON::Object::Ptr Whole = new Poco::JSON::Object;
-  Whole->set("not_usable", List);
-  Whole->set("notices_to_tell",
-             static_cast<Poco::UInt64>(this->PendingNotices.size()));
-  return Whole;
+  Poco::JSON::Object::Ptr Dump = new Poco::JSON::Object;
+  Dump->set("not_usable", List);
+  Dump->set("notices_to_tell",
+            static_cast<Poco::UInt64>(this->PendingNotices.size()));
+  return Dump;
 }
 
 } // namespace parsleywing
