--- a/test/Decision/RequestHarness.h
+++ b/test/Decision/RequestHarness.h
@@ -7,8 +7,8 @@
 
 namespace parsleywing::test {
 
-/// Drives one table of requests by hand, with a paused time, and keeps what it
-/// asked for last.
+/// Drives a request table with simulated time, and keeps the actions of the
+/// last event.
 class RequestHarness {
 public:
   explicit RequestHarness(const RequestSettings &S = {}) : Table(S) {}
@@ -23,34 +23,35 @@
     return this->send(Tick{});
   }
 
-  /// The first action of this type that the last event caused.
+  /// The first action of this type from the last event.
   template <typename ActionType> std::optional<ActionType> action() const {
-    for (const RequestAction &Action : this->Actions)
-      if (const auto *Found = std::get_if<ActionType>(&Action))
+    for (const RequestAction &Emitted : this->Actions)
+      if (const auto *Found = std::get_if<ActionType>(&Emitted))
         return *Found;
     return std::nullopt;
   }
 
   template <typename ActionType> std::size_t countActions() const {
     std::size_t Count = 0;
-    for (const RequestAction &Action : this->Actions)
-      Count += std::holds_alternative<ActionType>(Action) ? 1 : 0;
+    for (const RequestAction &Emitted : this->Actions)
+      Count += std::holds_alternative<ActionType>(Emitted) ? 1 : 0;
     return Count;
   }
 
-  /// True where the last event gave a caller this final answer.
+  /// Whether the last event sent this final response to a caller.
   bool finishedWith(RequestOutcome Outcome, ResponseReason Reason) const {
-    const auto Answer = this->action<FinishRequest>();
-    return Answer && Answer->Outcome == Outcome && Answer->Reason == Reason;
+    const auto Response = this->action<FinishRequest>();
+    return Response && Response->Outcome == Outcome &&
+           Response->Reason == Reason;
   }
 
   RequestDescription makeRequest(std::uint64_t Number, bool Repeatable = true,
                                  const std::string &Key = "") const;
 
-  /// Brings a request to its first attempt at server 1.
+  /// Moves a request to its first attempt, at server 1.
   void admit(const RequestDescription &Description);
 
-  /// The same, sent and with so many tokens reported.
+  /// Same as `admit`, but the attempt is sent and reports so many tokens.
   void stream(const RequestDescription &Description, std::uint64_t Tokens);
 
   RequestTable Table;
@@ -65,7 +66,7 @@
 inline constexpr AccountId Account1{1};
 inline constexpr AccountId Account2{2};
 
-/// A view of this router (1) and others after it.
+/// A view of this router (1) followed by others.
 View viewOf(std::initializer_list<std::uint64_t> Others);
 
 } // namespace parsleywing::test
--- a/test/Decision/RequestPartsTest.cpp
+++ b/test/Decision/RequestPartsTest.cpp
@@ -9,13 +9,13 @@
 
 #include <criterion/criterion.h>
 
-// The small parts of the request decisions, each alone.
+// The components of the request table, each by itself.
 
 using namespace parsleywing;
 using namespace parsleywing::test;
 using std::chrono::seconds;
 
-Test(RequestState, NothingFollowsTheFinalAnswer) {
+Test(RequestState, FinishedHasNoTransition) {
   for (const auto &[State, Name] : RequestStateNames)
     cr_assert(!isValidTransition(RequestState::Finished, State));
 }
@@ -42,7 +42,7 @@
   cr_assert(!Budget.tryAcquire(Now, Account1));
 }
 
-Test(KeyMemory, ForgetsTheOldestEndedKeyButNoOpenOne) {
+Test(IdempotencyKeyCache, EvictsTheOldestEndedKeyButNoOpenOne) {
   IdempotencyKeyCache Keys(1);
   Keys.addOpen(Account1, "open");
   Keys.addOpen(Account1, "a");
@@ -87,7 +87,7 @@
   cr_assert(!Shedder.decide(Account1).Refusal);
 }
 
-Test(DrainRate, SaysWhenTheQueueWillHaveDrained) {
+Test(AdmissionRate, EstimatesTheTimeToAdmitTheWaitingRequests) {
   AdmissionRate Rate{RetryAfterSettings{}};
   Jitter Random(7);
   TimePoint Now;
@@ -97,27 +97,27 @@
       Rate.countAdmitted();
     Rate.tick(Now);
   }
-  const Duration Wait = Rate.retryAfter(100, Random);
-  cr_assert(Wait >= seconds(10) && Wait <= seconds(16));
+  const Duration Delay = Rate.retryAfter(100, Random);
+  cr_assert(Delay >= seconds(10) && Delay <= seconds(16));
   cr_assert(Rate.retryAfter(100000, Random) <= seconds(60));
   cr_assert(Rate.retryAfter(0, Random) >= seconds(1));
 }
 
-Test(ProgressWatch, MovesItsTimerOnlyWhenItRunsOut) {
-  StallDetector Watch{ProgressSettings{}};
+Test(StallDetector, ReschedulesItsTimerOnlyWhenItExpires) {
+  StallDetector Detector{ProgressSettings{}};
   TimePoint Now;
-  Watch.start(Now, RequestId{1}, ServiceKind::Engine);
+  Detector.start(Now, RequestId{1}, ServiceKind::Engine);
   for (int N = 0; N < 10; ++N) {
     Now += seconds(9);
-    Watch.progressed(Now, RequestId{1});
-    cr_assert(!Watch.takeStalled(Now));
+    Detector.progressed(Now, RequestId{1});
+    cr_assert(!Detector.takeStalled(Now));
   }
   Now += seconds(10);
-  cr_assert(Watch.takeStalled(Now) == RequestId{1});
-  cr_assert_eq(Watch.size(), 0U);
+  cr_assert(Detector.takeStalled(Now) == RequestId{1});
+  cr_assert_eq(Detector.size(), 0U);
 }
 
-Test(DrainPlan, TakesTurnsOverRoutersThatDoNotDrain) {
+Test(DrainPlan, SelectsRoutersThatDoNotDrainRoundRobin) {
   DrainPlan Plan{DrainSettings{}};
   View V = viewOf({2, 3, 4});
   V.Members[2].Draining = true;
--- a/test/Decision/RequestRecordTest.cpp
+++ b/test/Decision/RequestRecordTest.cpp
@@ -2,7 +2,8 @@
 
 #include <criterion/criterion.h>
 
-// At most once for requests with an idempotency key, and the graceful shutdown.
+// At-most-once execution of requests with an idempotency key, and graceful
+// shutdown.
 
 using namespace parsleywing;
 using namespace parsleywing::test;
@@ -15,9 +16,9 @@
 
 } // namespace
 
-// Symptom: a record is made twice. Sequence: the same key at two routers.
-// Cause: an attempt before the claim of the run record was answered.
-Test(RequestRecord, NothingIsQueuedBeforeItsRecordIsClaimed) {
+// Guards against running a request twice: two routers receive the same key, and
+// one starts an attempt before it has the reply to its claim of the run record.
+Test(RequestRecord, ARequestIsQueuedOnlyAfterItsRecordIsClaimed) {
   RequestHarness H;
   H.send(RequestArrived{H.makeRequest(1, false, "k")});
   cr_assert_eq(H.action<ClaimRunRecord>().value().Identity, "r1-1-1");
@@ -27,21 +28,21 @@
       H.finishedWith(RequestOutcome::Unknown, ResponseReason::AlreadyRun));
 }
 
-Test(RequestRecord, AStoreThatIsAwayRefusesBeforeThePromise) {
+Test(RequestRecord, ARequestIsRefusedIfTheStoreIsUnreachable) {
   RequestHarness H;
   H.send(RequestArrived{H.makeRequest(1, false, "k")});
   H.tickAfter(seconds(1));
   cr_assert(H.finishedWith(RequestOutcome::NotRun,
                            ResponseReason::RecordUnavailable));
   cr_assert(H.action<FinishRequest>().value().RetryAfter >= seconds(1));
-  // The claim may still take effect: it is taken back.
+  // The claim may still take effect, so the record is released.
   cr_assert(H.action<ReleaseRunRecord>().has_value());
   H.send(RunRecordVerdictReceived{First, RunRecordVerdict::Claimed});
   cr_assert(!H.action<QueueRequest>());
   cr_assert_eq(H.Table.counters().DroppedEvents, 1U);
 }
 
-Test(RequestRecord, ARepeatHereIsRecognisedWithoutTheStore) {
+Test(RequestRecord, ADuplicateAtThisRouterIsRecognisedWithoutTheStore) {
   RequestHarness H;
   H.admit(H.makeRequest(1, false, "k"));
   H.send(RequestArrived{H.makeRequest(2, false, "k")});
@@ -55,7 +56,7 @@
   cr_assert(!H.action<ClaimRunRecord>());
 }
 
-Test(RequestRecord, WhatDidNotRunMayBeRepeated) {
+Test(RequestRecord, AKeyMayBeUsedAgainIfItsRequestDidNotRun) {
   RequestHarness H;
   H.send(RequestArrived{H.makeRequest(1, false, "k")});
   H.send(RunRecordVerdictReceived{First, RunRecordVerdict::Claimed});
@@ -75,9 +76,9 @@
   cr_assert(!H.action<CompleteRunRecord>());
 }
 
-// Symptom: callers fail whenever a router is replaced. Sequence: a drain with
-// one request streaming and one waiting. Cause: neither finished nor passed on.
-Test(RequestDrain, FinishesWhatRunsAndHandsOverWhatWaits) {
+// Guards against failed requests whenever a router is replaced: during a drain,
+// a running request must be finished and a queued one handed over.
+Test(RequestDrain, FinishesRunningRequestsAndHandsOverQueuedOnes) {
   RequestHarness H;
   H.send(ViewChanged{viewOf({2})});
   H.stream(H.makeRequest(1), 1);
@@ -113,7 +114,7 @@
   cr_assert(!H.action<ReleaseRunRecord>());
 }
 
-Test(RequestDrain, AReceivedHandOverLeavesTheRecordToItsHolder) {
+Test(RequestDrain, AHandedOverRequestLeavesTheRecordToItsOwner) {
   RequestHarness H;
   RequestDescription D = H.makeRequest(1, false, "k");
   D.RecordHeldElsewhere = true;
@@ -125,10 +126,10 @@
   cr_assert(!H.action<ReleaseRunRecord>());
 }
 
-// Symptom: a router that is to be replaced holds requests that it can neither
-// serve nor pass on. Sequence: a drain with one keyed request waiting, without
-// another router, or with one that takes nothing. Cause: it stays in the queue.
-Test(RequestDrain, WhatNobodyTakesIsRefusedAtOnceWithItsRecordReleased) {
+// Guards against a draining router that keeps a queued request which it can
+// neither serve nor hand over, because there is no other router or none accepts
+// it.
+Test(RequestDrain, ARequestThatNoRouterAcceptsIsRefusedAndItsRecordReleased) {
   for (const bool Alone : {true, false}) {
     RequestHarness H;
     if (!Alone)
@@ -147,12 +148,12 @@
   }
 }
 
-// Symptom: a request goes to and fro between two routers that drain.
-// Sequence: it was handed over; its new router is told to drain too.
-// Cause: a request handed over was handed on. Fails without the look at
-// `HandedOver` in RequestTable::handOver. Its first router is told at once that
-// it did not run here, and offers it elsewhere.
-Test(RequestDrain, WhatWasHandedOverIsNotHandedOn) {
+// Guards against a request that is handed back and forth between two draining
+// routers: after the hand-over, its new router is ordered to drain as well.
+// Fails without the check of `HandedOver` in RequestTable::handOver. The first
+// router gets the response that the request did not run, and offers it to
+// another one.
+Test(RequestDrain, AHandedOverRequestIsNotHandedOverAgain) {
   RequestHarness H;
   H.send(ViewChanged{viewOf({2})});
   RequestDescription D = H.makeRequest(1);
@@ -163,7 +164,7 @@
   cr_assert(H.finishedWith(RequestOutcome::NotRun, ResponseReason::Draining));
 }
 
-Test(RequestDrain, ARetryThatMayHaveRunIsEndedHere) {
+Test(RequestDrain, ARequestThatMayHaveRunIsRetriedAtThisRouter) {
   RequestHarness H;
   H.admit(H.makeRequest(1));
   H.send(AttemptSent{First, 1});
@@ -175,7 +176,7 @@
   cr_assert(H.action<StartAttempt>().has_value());
 }
 
-Test(RequestDrain, TheHardLimitCutsOffAndCounts) {
+Test(RequestDrain, TheHardLimitAbortsAndCountsOpenRequests) {
   RequestHarness H;
   RequestDescription D = H.makeRequest(1);
   D.Deadline = H.Now + std::chrono::hours(1);
--- a/test/Decision/RequestSimulation.cpp
+++ b/test/Decision/RequestSimulation.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-constexpr std::size_t PiecesOfAnswer = 4;
+constexpr std::size_t ChunksPerResponse = 4;
 constexpr std::size_t RouterCount = 2;
 
 View viewFor(std::size_t Self, bool OtherDrains) {
@@ -34,64 +34,68 @@
   return this->Random() % Limit;
 }
 
-template <typename Map> auto RequestSimulation::anyOf(Map &Of) {
-  return std::next(Of.begin(), static_cast<long>(this->below(Of.size())));
+template <typename Container>
+auto RequestSimulation::randomElement(Container &Elements) {
+  return std::next(Elements.begin(),
+                   static_cast<long>(this->below(Elements.size())));
 }
 
-void RequestSimulation::fail(const std::string &What) {
+void RequestSimulation::reportViolation(const std::string &Text) {
   if (this->Violation.empty())
-    this->Violation = What;
+    this->Violation = Text;
 }
 
 void RequestSimulation::step() {
-  const std::size_t Which = this->below(200);
-  if (Which < 8)
-    this->callerCalls();
-  else if (Which < 26)
-    this->admitOne();
-  else if (Which < 80)
-    this->deliverMail();
-  else if (Which < 134)
-    this->moveTraffic();
-  else if (Which < 174)
-    this->moveServer();
-  else if (Which < 186)
-    this->moveStore();
-  else if (Which < 196)
-    this->passTime(std::chrono::milliseconds(this->chance(10) ? 2000 : 50));
-  else if (Which == 196)
-    this->callerLeaves();
-  else if (Which == 197 && this->chance(40))
+  const std::size_t Choice = this->below(200);
+  if (Choice < 8)
+    this->startCall();
+  else if (Choice < 26)
+    this->admitRequest();
+  else if (Choice < 80)
+    this->deliverEvent();
+  else if (Choice < 134)
+    this->advanceTransfer();
+  else if (Choice < 174)
+    this->advanceServer();
+  else if (Choice < 186)
+    this->advanceStore();
+  else if (Choice < 196)
+    this->advanceTime(std::chrono::milliseconds(this->chance(10) ? 2000 : 50));
+  else if (Choice == 196)
+    this->disconnectCaller();
+  else if (Choice == 197 && this->chance(40))
     this->drain(this->below(RouterCount));
-  else if (Which == 198 && this->chance(30))
+  else if (Choice == 198 && this->chance(30))
     this->restart(this->below(RouterCount));
-  else if (Which == 199 && (this->StoreDown || this->chance(20)))
+  else if (Choice == 199 && (this->StoreDown || this->chance(20)))
     this->StoreDown = !this->StoreDown;
 }
 
 void RequestSimulation::settle() {
   for (int Second = 0; Second < 200; ++Second) {
-    while (std::ranges::any_of(
-        this->Requests, [](const auto &R) { return !R.second.Mail.empty(); }))
-      this->deliverMail();
-    this->passTime(std::chrono::seconds(1));
+    while (std::ranges::any_of(this->Requests, [](const auto &R) {
+      return !R.second.PendingEvents.empty();
+    }))
+      this->deliverEvent();
+    this->advanceTime(std::chrono::seconds(1));
   }
   for (const Call &C : this->Calls)
-    if (!C.Answered && !C.Lost)
-      this->fail("a caller got no final answer");
+    if (!C.Finished && !C.RouterKilled)
+      this->reportViolation("a caller got no final response");
   for (const Router &R : this->Routers)
     if (!R.Slots.empty())
-      this->fail("a slot was never given back");
+      this->reportViolation("a slot was not released");
 }
 
-void RequestSimulation::tell(std::size_t Router, const RequestEvent &Event) {
-  const RequestActions Wanted =
+void RequestSimulation::handleEvent(std::size_t Router,
+                                    const RequestEvent &Event) {
+  const RequestActions Actions =
       this->Routers[Router].Table->handle(this->Now, Event);
-  for (const RequestAction &Action : Wanted)
-    this->carryOut(Router, Action);
+  for (const RequestAction &Emitted : Actions)
+    this->execute(Router, Emitted);
 }
 
-void RequestSimulation::carryOut(std::size_t At, const RequestAction &Wanted) {
+void RequestSimulation::execute(std::size_t At, const RequestAction &Emitted) {
   Router &R = this->Routers[At];
   std::visit(
       Overloaded{
@@ -101,83 +105,91 @@
           [&](const WithdrawRequest &A) { std::erase(R.Queue, A.Request); },
           [&](const ChargeRequest &A) {
             if (!R.Slots.contains(A.Request))
-              this->fail("a charge without a slot");
+              this->reportViolation("a request without a slot was charged");
           },
           [&](const ReleaseSlot &A) {
             if (R.Slots.erase(A.Request) != 1)
-              this->fail("a slot was given back twice");
+              this->reportViolation("a slot was released twice");
           },
           [&](const StartAttempt &A) {
-            Held &H = this->Requests.at(A.Request);
-            this->Streams.push_back(Stream{H.Of, A.Server});
-            H.Streams[A.Attempt] = this->Streams.size() - 1;
-            H.Doing = Traffic{A.Attempt, Traffic::Kind::Start,
-                              this->Streams.size() - 1};
+            RouterRequest &Request = this->Requests.at(A.Request);
+            this->Streams.push_back(Stream{Request.OfCall, A.Server});
+            Request.Streams[A.Attempt] = this->Streams.size() - 1;
+            Request.ActiveTransfer = Transfer{A.Attempt, Transfer::Kind::Start,
+                                              this->Streams.size() - 1};
           },
           [&](const ResumeAttempt &A) {
-            Held &H = this->Requests.at(A.Request);
-            const StreamIndex From = H.Streams.at(A.OriginalAttempt);
-            if (A.Offset != this->Calls[H.Of].Passed.size() ||
-                this->Streams[From].Server != A.Server)
-              this->fail("a stream was resumed elsewhere");
-            H.Doing = Traffic{A.Attempt, Traffic::Kind::Resume, From};
+            RouterRequest &Request = this->Requests.at(A.Request);
+            const StreamIndex Source = Request.Streams.at(A.OriginalAttempt);
+            if (A.Offset !=
+                    this->Calls[Request.OfCall].ForwardedChunks.size() ||
+                this->Streams[Source].Server != A.Server)
+              this->reportViolation(
+                  "a stream was resumed at another offset or server");
+            Request.ActiveTransfer =
+                Transfer{A.Attempt, Transfer::Kind::Resume, Source};
           },
           [&](const HandOverRequest &A) {
-            this->Requests.at(A.Request).Doing =
-                Traffic{A.Attempt, Traffic::Kind::HandOver};
+            this->Requests.at(A.Request).ActiveTransfer =
+                Transfer{A.Attempt, Transfer::Kind::HandOver};
           },
           [&](const CancelAttempt &A) {
-            Held &H = this->Requests.at(A.Request);
-            if (H.Doing && H.Doing->Attempt == A.Attempt)
-              H.Doing->Cancelled = true;
+            RouterRequest &Request = this->Requests.at(A.Request);
+            if (Request.ActiveTransfer &&
+                Request.ActiveTransfer->Attempt == A.Attempt)
+              Request.ActiveTransfer->Cancelled = true;
           },
-          [&](const FinishRequest &A) { this->answer(A); },
+          [&](const FinishRequest &A) { this->onFinished(A); },
           [&](const DrainFinished &) { this->replace(At); },
-          [&](const auto &A) { this->StoreOrders[A.Request].push_back(A); },
+          [&](const auto &A) {
+            this->RecordOperations[A.Request].push_back(A);
+          },
       },
-      Wanted);
+      Emitted);
 }
 
-void RequestSimulation::answer(const FinishRequest &Answer) {
-  Held &H = this->Requests.at(Answer.Request);
-  Call &C = this->Calls[H.Of];
-  if (H.Answered)
-    this->fail("a request got two final answers");
-  H.Answered = true;
-  const bool Served = Answer.Reason == ResponseReason::Served;
-  if (Served && C.Passed.size() != PiecesOfAnswer)
-    this->fail("an answer that is not whole was told as whole");
-  if (Answer.Outcome == RequestOutcome::NotRun && !H.Parent) {
-    C.ToldNotRun = true;
+void RequestSimulation::onFinished(const FinishRequest &Response) {
+  RouterRequest &Request = this->Requests.at(Response.Request);
+  Call &C = this->Calls[Request.OfCall];
+  if (Request.Finished)
+    this->reportViolation("a request got two final responses");
+  Request.Finished = true;
+  const bool Served = Response.Reason == ResponseReason::Served;
+  if (Served && C.ForwardedChunks.size() != ChunksPerResponse)
+    this->reportViolation("an incomplete response was reported as complete");
+  if (Response.Outcome == RequestOutcome::NotRun && !Request.Parent) {
+    C.ReportedNotRun = true;
     if (C.Runs > 0)
-      this->fail("a request that ran was told as not run");
+      this->reportViolation("a request that ran was reported as not run");
   }
-  if (Answer.Outcome == RequestOutcome::Completed && !Served &&
-      this->KeyRuns[{C.Asked.Account, C.Asked.IdempotencyKey}] != 1)
-    this->fail("a request that did not run was told as run before");
-  if (H.Parent)
-    this->answerParent(Answer.Request, H, Answer.Outcome);
+  if (Response.Outcome == RequestOutcome::Completed && !Served &&
+      this->RunsByKey[{C.Description.Account, C.Description.IdempotencyKey}] !=
+          1)
+    this->reportViolation("a request that did not run was reported as run");
+  if (Request.Parent)
+    this->endParentTransfer(Response.Request, Request, Response.Outcome);
   else
-    C.Answered = true;
+    C.Finished = true;
 }
 
-void RequestSimulation::answerParent(RequestId ChildId, const Held &Child,
-                                     RequestOutcome Outcome) {
+void RequestSimulation::endParentTransfer(RequestId ChildId,
+                                          const RouterRequest &Child,
+                                          RequestOutcome Outcome) {
   auto Found = this->Requests.find(*Child.Parent);
-  if (Found == this->Requests.end() || !Found->second.Doing ||
-      Found->second.Doing->Child != ChildId)
+  if (Found == this->Requests.end() || !Found->second.ActiveTransfer ||
+      Found->second.ActiveTransfer->Child != ChildId)
     return;
-  AttemptOutcome Ended = AttemptOutcome::Interrupted;
+  AttemptOutcome ParentOutcome = AttemptOutcome::Interrupted;
   if (Outcome == RequestOutcome::Completed)
-    Ended = AttemptOutcome::Completed;
+    ParentOutcome = AttemptOutcome::Completed;
   if (Outcome == RequestOutcome::NotRun)
-    Ended = AttemptOutcome::Rejected;
-  this->end(Found->first, Found->second, Ended);
+    ParentOutcome = AttemptOutcome::Rejected;
+  this->endTransfer(Found->first, Found->second, ParentOutcome);
 }
 
-void RequestSimulation::callerCalls() {
+void RequestSimulation::startCall() {
   Call C;
-  RequestDescription &D = C.Asked;
+  RequestDescription &D = C.Description;
   D.Account = AccountId{this->below(2)};
   D.Service = ServiceId{1};
   D.Repeatable = this->chance(40);
@@ -187,108 +199,111 @@
   D.Kind = this->chance(80) ? ServiceKind::Engine : ServiceKind::Plain;
   D.Deadline = this->Now + std::chrono::seconds(5 + this->below(60));
   this->Calls.push_back(C);
-  this->arrive(this->below(RouterCount), this->Calls.size() - 1, {}, false);
+  this->addRequest(this->below(RouterCount), this->Calls.size() - 1, {}, false);
 }
 
-void RequestSimulation::arrive(std::size_t At, CallIndex Of,
-                               std::optional<RequestId> Parent,
-                               bool RecordHeld) {
-  RequestDescription &D = this->Calls[Of].Asked;
+void RequestSimulation::addRequest(std::size_t At, CallIndex OfCall,
+                                   std::optional<RequestId> Parent,
+                                   bool RecordHeld) {
+  RequestDescription &D = this->Calls[OfCall].Description;
   D.Request = RequestId{this->NextRequest++};
   D.RecordHeldElsewhere = RecordHeld;
   if (!Parent)
-    D.Identity =
-        std::to_string(this->Life) + "-" + std::to_string(D.Request.Value);
-  this->Requests[D.Request] = Held{Of, At, Parent, {}, {}, {}};
-  this->tell(At, RequestArrived{D});
+    D.Identity = std::to_string(this->LastIncarnation) + "-" +
+                 std::to_string(D.Request.Value);
+  this->Requests[D.Request] = RouterRequest{OfCall, At, Parent, {}, {}, {}};
+  this->handleEvent(At, RequestArrived{D});
 }
 
-void RequestSimulation::callerLeaves() {
+void RequestSimulation::disconnectCaller() {
   if (this->Requests.empty())
     return;
-  const auto Chosen = this->anyOf(this->Requests);
+  const auto Chosen = this->randomElement(this->Requests);
   if (!Chosen->second.Parent)
-    Chosen->second.Mail.emplace_back(CallerDisconnected{Chosen->first});
+    Chosen->second.PendingEvents.emplace_back(
+        CallerDisconnected{Chosen->first});
 }
 
-void RequestSimulation::admitOne() {
+void RequestSimulation::admitRequest() {
   const std::size_t At = this->below(RouterCount);
   Router &R = this->Routers[At];
   if (R.Queue.empty())
     return;
-  const auto Chosen = this->anyOf(R.Queue);
+  const auto Chosen = this->randomElement(R.Queue);
   const RequestId Request = *Chosen;
   R.Queue.erase(Chosen);
   R.Slots.insert(Request);
-  this->tell(At, RequestAdmitted{Request, ServerId{1 + this->below(3)}});
+  this->handleEvent(At, RequestAdmitted{Request, ServerId{1 + this->below(3)}});
 }
 
-void RequestSimulation::deliverMail() {
-  if (!this->Doubled.empty() && this->chance(30)) {
-    const auto Chosen = this->anyOf(this->Doubled);
+void RequestSimulation::deliverEvent() {
+  if (!this->DuplicatedEvents.empty() && this->chance(30)) {
+    const auto Chosen = this->randomElement(this->DuplicatedEvents);
     const auto [At, Event] = *Chosen;
-    this->Doubled.erase(Chosen);
-    this->tell(At, Event);
+    this->DuplicatedEvents.erase(Chosen);
+    this->handleEvent(At, Event);
     return;
   }
   std::vector<RequestId> Waiting;
-  for (const auto &[Id, H] : this->Requests)
-    if (!H.Mail.empty())
+  for (const auto &[Id, Request] : this->Requests)
+    if (!Request.PendingEvents.empty())
       Waiting.push_back(Id);
   if (Waiting.empty())
     return;
-  Held &H = this->Requests.at(Waiting[this->below(Waiting.size())]);
-  const RequestEvent Event = H.Mail.front();
-  H.Mail.pop_front();
+  RouterRequest &Request =
+      this->Requests.at(Waiting[this->below(Waiting.size())]);
+  const RequestEvent Event = Request.PendingEvents.front();
+  Request.PendingEvents.pop_front();
   if (this->chance(10))
-    this->Doubled.emplace_back(H.Router, Event);
-  this->tell(H.Router, Event);
+    this->DuplicatedEvents.emplace_back(Request.Router, Event);
+  this->handleEvent(Request.Router, Event);
 }
 
-void RequestSimulation::moveTraffic() {
+void RequestSimulation::advanceTransfer() {
   std::vector<RequestId> Busy;
-  for (const auto &[Id, H] : this->Requests)
-    if (H.Doing)
+  for (const auto &[Id, Request] : this->Requests)
+    if (Request.ActiveTransfer)
       Busy.push_back(Id);
   if (Busy.empty())
     return;
   const RequestId Id = Busy[this->below(Busy.size())];
-  Held &H = this->Requests.at(Id);
-  if (!H.Doing->Connected)
-    this->connect(Id, H);
+  RouterRequest &Request = this->Requests.at(Id);
+  if (!Request.ActiveTransfer->Connected)
+    this->connect(Id, Request);
   else
-    this->flow(Id, H);
+    this->transferData(Id, Request);
 }
 
-void RequestSimulation::connect(RequestId Id, Held &H) {
-  Traffic &T = *H.Doing;
+void RequestSimulation::connect(RequestId Id, RouterRequest &Request) {
+  Transfer &T = *Request.ActiveTransfer;
   if (T.Cancelled || this->chance(15)) {
-    this->end(Id, H, AttemptOutcome::NotSent);
+    this->endTransfer(Id, Request, AttemptOutcome::NotSent);
     return;
   }
   T.Connected = true;
-  T.Silent = this->chance(6);
-  if (T.Does == Traffic::Kind::HandOver) {
-    this->connectHandOver(Id, H);
+  T.Stalled = this->chance(6);
+  if (T.Type == Transfer::Kind::HandOver) {
+    this->connectHandOver(Id, Request);
     return;
   }
-  Stream &S = this->Streams[T.From];
-  if (T.Does == Traffic::Kind::Resume && !S.Running) {
-    this->end(Id, H, AttemptOutcome::Rejected);
+  Stream &S = this->Streams[T.Source];
+  if (T.Type == Transfer::Kind::Resume && !S.Running) {
+    this->endTransfer(Id, Request, AttemptOutcome::Rejected);
     return;
   }
-  S.Left = true;
-  H.Mail.emplace_back(AttemptSent{Id, T.Attempt});
+  S.RequestSent = true;
+  Request.PendingEvents.emplace_back(AttemptSent{Id, T.Attempt});
 }
 
-void RequestSimulation::connectHandOver(RequestId Id, Held &H) {
-  H.Doing->Child = RequestId{this->NextRequest};
-  const bool Keyed = !this->Calls[H.Of].Asked.IdempotencyKey.empty();
-  this->arrive(1 - H.Router, H.Of, Id, Keyed);
+void RequestSimulation::connectHandOver(RequestId Id, RouterRequest &Request) {
+  Request.ActiveTransfer->Child = RequestId{this->NextRequest};
+  const bool Keyed =
+      !this->Calls[Request.OfCall].Description.IdempotencyKey.empty();
+  this->addRequest(1 - Request.Router, Request.OfCall, Id, Keyed);
 }
 
-void RequestSimulation::flow(RequestId Id, Held &H) {
-  Traffic &T = *H.Doing;
+void RequestSimulation::transferData(RequestId Id, RouterRequest &Request) {
+  Transfer &T = *Request.ActiveTransfer;
   if (T.Cancelled || this->chance(5)) {
     const bool Hangs = T.Cancelled && this->chance(10);
     const auto Outcome =
@@ -296,64 +311,72 @@
     if (T.Child) {
       const auto Child = this->Requests.find(*T.Child);
       if (Child != this->Requests.end())
-        Child->second.Mail.emplace_back(CallerDisconnected{Child->first});
+        Child->second.PendingEvents.emplace_back(
+            CallerDisconnected{Child->first});
     }
     if (Hangs)
-      H.Doing.reset();
+      Request.ActiveTransfer.reset();
     else
-      this->end(Id, H, Outcome);
+      this->endTransfer(Id, Request, Outcome);
     return;
   }
-  if (T.Silent || T.Does == Traffic::Kind::HandOver)
+  if (T.Stalled || T.Type == Transfer::Kind::HandOver)
     return;
-  const Stream &S = this->Streams[T.From];
+  const Stream &S = this->Streams[T.Source];
   if (S.Refused)
-    this->end(Id, H, AttemptOutcome::Rejected);
-  else if (this->Calls[H.Of].Passed.size() < S.Generated)
-    this->passOn(Id, H);
-  else if (S.Generated == PiecesOfAnswer)
-    this->end(Id, H, AttemptOutcome::Completed);
+    this->endTransfer(Id, Request, AttemptOutcome::Rejected);
+  else if (this->Calls[Request.OfCall].ForwardedChunks.size() < S.Generated)
+    this->forwardChunk(Id, Request);
+  else if (S.Generated == ChunksPerResponse)
+    this->endTransfer(Id, Request, AttemptOutcome::Completed);
 }
 
-void RequestSimulation::passOn(RequestId Id, Held &H) {
-  const auto Parent =
-      H.Parent ? this->Requests.find(*H.Parent) : this->Requests.end();
-  const bool Linked = Parent != this->Requests.end() && Parent->second.Doing &&
-                      Parent->second.Doing->Child == Id;
-  if (H.Parent && !Linked) {
-    this->end(Id, H, AttemptOutcome::CallerDisconnected);
+void RequestSimulation::forwardChunk(RequestId Id, RouterRequest &Request) {
+  const auto Parent = Request.Parent ? this->Requests.find(*Request.Parent)
+                                     : this->Requests.end();
+  const bool Linked = Parent != this->Requests.end() &&
+                      Parent->second.ActiveTransfer &&
+                      Parent->second.ActiveTransfer->Child == Id;
+  if (Request.Parent && !Linked) {
+    this->endTransfer(Id, Request, AttemptOutcome::CallerDisconnected);
     return;
   }
-  std::vector<StreamIndex> &Passed = this->Calls[H.Of].Passed;
-  if (!Passed.empty() && Passed.back() != H.Doing->From)
-    this->fail("an answer was put together from two runs");
-  Passed.push_back(H.Doing->From);
-  H.Mail.emplace_back(AttemptProgressed{Id, H.Doing->Attempt, Passed.size()});
+  std::vector<StreamIndex> &Chunks =
+      this->Calls[Request.OfCall].ForwardedChunks;
+  if (!Chunks.empty() && Chunks.back() != Request.ActiveTransfer->Source)
+    this->reportViolation("a response was combined from two runs");
+  Chunks.push_back(Request.ActiveTransfer->Source);
+  Request.PendingEvents.emplace_back(
+      AttemptProgressed{Id, Request.ActiveTransfer->Attempt, Chunks.size()});
   if (Linked)
-    Parent->second.Mail.emplace_back(AttemptProgressed{
-        *H.Parent, Parent->second.Doing->Attempt, Passed.size()});
+    Parent->second.PendingEvents.emplace_back(AttemptProgressed{
+        *Request.Parent, Parent->second.ActiveTransfer->Attempt,
+        Chunks.size()});
 }
 
-void RequestSimulation::end(RequestId Id, Held &H, AttemptOutcome Outcome) {
-  const std::size_t Offset = this->Calls[H.Of].Passed.size();
-  const AttemptNumber Attempt = H.Doing->Attempt;
-  if (H.Doing->Does == Traffic::Kind::HandOver)
-    H.Mail.emplace_back(HandOverEnded{Id, Attempt, Outcome, Offset});
+void RequestSimulation::endTransfer(RequestId Id, RouterRequest &Request,
+                                    AttemptOutcome Outcome) {
+  const std::size_t Offset = this->Calls[Request.OfCall].ForwardedChunks.size();
+  const AttemptNumber Attempt = Request.ActiveTransfer->Attempt;
+  if (Request.ActiveTransfer->Type == Transfer::Kind::HandOver)
+    Request.PendingEvents.emplace_back(
+        HandOverEnded{Id, Attempt, Outcome, Offset});
   else
-    H.Mail.emplace_back(AttemptEnded{Id, Attempt, Outcome, Offset, Offset});
-  H.Doing.reset();
+    Request.PendingEvents.emplace_back(
+        AttemptEnded{Id, Attempt, Outcome, Offset, Offset});
+  Request.ActiveTransfer.reset();
 }
 
-void RequestSimulation::moveServer() {
-  std::vector<StreamIndex> Moving;
+void RequestSimulation::advanceServer() {
+  std::vector<StreamIndex> Unfinished;
   for (StreamIndex N = 0; N < this->Streams.size(); ++N) {
     const Stream &S = this->Streams[N];
-    if (S.Left && !S.Refused && S.Generated < PiecesOfAnswer)
-      Moving.push_back(N);
+    if (S.RequestSent && !S.Refused && S.Generated < ChunksPerResponse)
+      Unfinished.push_back(N);
   }
-  if (Moving.empty())
+  if (Unfinished.empty())
     return;
-  Stream &S = this->Streams[Moving[this->below(Moving.size())]];
+  Stream &S = this->Streams[Unfinished[this->below(Unfinished.size())]];
   if (S.Running) {
     ++S.Generated;
     return;
@@ -363,32 +386,33 @@
     return;
   }
   S.Running = true;
-  Call &C = this->Calls[S.Of];
+  Call &C = this->Calls[S.OfCall];
   ++C.Runs;
-  if (C.ToldNotRun)
-    this->fail("a request ran after it was told as not run");
-  if (C.Asked.Repeatable)
+  if (C.ReportedNotRun)
+    this->reportViolation("a request ran after it was reported as not run");
+  if (C.Description.Repeatable)
     return;
   if (C.Runs > 1)
-    this->fail("a request that may not be repeated ran twice");
-  if (!C.Asked.IdempotencyKey.empty() &&
-      ++this->KeyRuns[{C.Asked.Account, C.Asked.IdempotencyKey}] > 1)
-    this->fail("two calls with one idempotency key ran");
+    this->reportViolation("a non-repeatable request ran twice");
+  if (!C.Description.IdempotencyKey.empty() &&
+      ++this->RunsByKey[{C.Description.Account, C.Description.IdempotencyKey}] >
+          1)
+    this->reportViolation("two calls with the same idempotency key ran");
 }
 
-void RequestSimulation::moveStore() {
-  if (this->StoreOrders.empty())
+void RequestSimulation::advanceStore() {
+  if (this->RecordOperations.empty())
     return;
-  const auto Chosen = this->anyOf(this->StoreOrders);
-  const StoreOrder Order = Chosen->second.front();
+  const auto Chosen = this->randomElement(this->RecordOperations);
+  const RecordOperation Operation = Chosen->second.front();
   Chosen->second.pop_front();
   if (Chosen->second.empty())
-    this->StoreOrders.erase(Chosen);
+    this->RecordOperations.erase(Chosen);
   const bool Lost = this->chance(this->StoreDown ? 90 : 5);
   std::visit(Overloaded{
                  [&](const ClaimRunRecord &O) {
                    if (!Lost)
-                     this->claim(O);
+                     this->claimRecord(O);
                  },
                  [&](const CompleteRunRecord &O) {
                    const auto Found = this->Records.find({O.Account, O.Key});
@@ -403,41 +427,42 @@
                      this->Records.erase(Found);
                  },
              },
-             Order);
+             Operation);
 }
 
-void RequestSimulation::claim(const ClaimRunRecord &O) {
+void RequestSimulation::claimRecord(const ClaimRunRecord &Claim) {
   const Record &R =
-      this->Records.try_emplace({O.Account, O.Key}, Record{O.Identity})
+      this->Records
+          .try_emplace({Claim.Account, Claim.Key}, Record{Claim.Identity})
           .first->second;
   RunRecordVerdict Verdict = RunRecordVerdict::TakenByOther;
-  if (R.Identity == O.Identity)
+  if (R.Identity == Claim.Identity)
     Verdict = RunRecordVerdict::Claimed;
   else if (R.Completed)
     Verdict = RunRecordVerdict::CompletedBefore;
   if (this->chance(5))
     Verdict = RunRecordVerdict::Unavailable; // The reply was lost.
-  const auto Asking = this->Requests.find(O.Request);
-  if (Asking != this->Requests.end())
-    Asking->second.Mail.emplace_back(
-        RunRecordVerdictReceived{O.Request, Verdict});
+  const auto Found = this->Requests.find(Claim.Request);
+  if (Found != this->Requests.end())
+    Found->second.PendingEvents.emplace_back(
+        RunRecordVerdictReceived{Claim.Request, Verdict});
 }
 
 void RequestSimulation::restart(std::size_t At) {
-  std::vector<RequestId> Gone;
-  for (auto &[Id, H] : this->Requests) {
-    if (H.Router != At)
+  std::vector<RequestId> Lost;
+  for (auto &[Id, Request] : this->Requests) {
+    if (Request.Router != At)
       continue;
-    Gone.push_back(Id);
-    if (!H.Parent)
-      this->Calls[H.Of].Lost = true;
-    else if (!H.Answered)
-      this->answerParent(Id, H, RequestOutcome::Unknown);
+    Lost.push_back(Id);
+    if (!Request.Parent)
+      this->Calls[Request.OfCall].RouterKilled = true;
+    else if (!Request.Finished)
+      this->endParentTransfer(Id, Request, RequestOutcome::Unknown);
   }
-  for (RequestId Id : Gone) {
+  for (RequestId Id : Lost) {
     this->Requests.erase(Id);
     if (this->chance(50))
-      this->StoreOrders.erase(Id);
+      this->RecordOperations.erase(Id);
   }
   this->replace(At);
 }
@@ -446,8 +471,8 @@
   if (this->Routers[1 - At].Draining)
     return;
   this->Routers[At].Draining = true;
-  this->tell(1 - At, ViewChanged{viewFor(1 - At, true)});
-  this->tell(At, DrainRequested{});
+  this->handleEvent(1 - At, ViewChanged{viewFor(1 - At, true)});
+  this->handleEvent(At, DrainRequested{});
 }
 
 void RequestSimulation::replace(std::size_t At) {
@@ -455,25 +480,27 @@
   S.Seed = this->Random();
   S.Limits.MaxWaiting = 3;
   S.Records.MaxEndedKeys = 2;
-  ++this->Life;
-  std::erase_if(this->Doubled, [&](const auto &D) { return D.first == At; });
+  ++this->LastIncarnation;
+  std::erase_if(this->DuplicatedEvents,
+                [&](const auto &D) { return D.first == At; });
   std::erase_if(this->Requests, [&](const auto &R) {
-    return R.second.Router == At && R.second.Answered;
+    return R.second.Router == At && R.second.Finished;
   });
   Router &R = this->Routers[At];
   R.Table = std::make_unique<RequestTable>(S);
   R.Queue.clear();
   R.Slots.clear();
   R.Draining = false;
-  this->tell(At, ViewChanged{viewFor(At, this->Routers[1 - At].Draining)});
+  this->handleEvent(At,
+                    ViewChanged{viewFor(At, this->Routers[1 - At].Draining)});
   if (this->Routers[1 - At].Table)
-    this->tell(1 - At, ViewChanged{viewFor(1 - At, false)});
+    this->handleEvent(1 - At, ViewChanged{viewFor(1 - At, false)});
 }
 
-void RequestSimulation::passTime(Duration Step) {
+void RequestSimulation::advanceTime(Duration Step) {
   this->Now += Step;
   for (std::size_t N = 0; N < RouterCount; ++N)
-    this->tell(N, Tick{});
+    this->handleEvent(N, Tick{});
 }
 
 } // namespace parsleywing::test
--- a/test/Decision/RequestSimulation.h
+++ b/test/Decision/RequestSimulation.h
@@ -11,21 +11,21 @@
 
 namespace parsleywing::test {
 
-/// A model of callers, two routers with their tables, one store of run records
-/// and the backend servers, in which everything that may go wrong does so at
-/// random. It counts executions at the servers and notes the first promise
-/// that was broken. The same seed gives the same run.
+/// Simulates callers, two routers with their request tables, one store of run
+/// records and the backend servers, with random failures of every kind. Counts
+/// executions at the servers and records the first violated guarantee. The same
+/// seed gives the same run.
 class RequestSimulation {
 public:
   explicit RequestSimulation(std::uint64_t Seed);
 
-  /// One thing happens.
+  /// Executes one random step.
   void step();
 
-  /// Lets time pass until every caller must have its answer, and checks it.
+  /// Advances time until every caller must have its response, and checks that.
   void settle();
 
-  /// The first broken promise; empty while there is none.
+  /// The first violated guarantee; empty if there is none.
   const std::string &violation() const { return this->Violation; }
 
 private:
@@ -34,50 +34,50 @@
 
   /// One call of a caller.
   struct Call {
-    RequestDescription Asked;
-    /// Pieces that the caller has got, each by the run that made it.
-    std::vector<StreamIndex> Passed;
+    RequestDescription Description;
+    /// For each chunk that the caller has received, the stream it comes from.
+    std::vector<StreamIndex> ForwardedChunks;
     int Runs = 0;
-    bool Answered = false;
-    bool ToldNotRun = false;
+    bool Finished = false;
+    bool ReportedNotRun = false;
     /// Its router was killed.
-    bool Lost = false;
+    bool RouterKilled = false;
   };
 
-  /// What a server knows of one start of a request.
+  /// A server's state of one start of a request.
   struct Stream {
-    CallIndex Of;
+    CallIndex OfCall;
     ServerId Server;
-    bool Left = false;
+    bool RequestSent = false;
     bool Running = false;
     bool Refused = false;
     std::size_t Generated = 0;
   };
 
-  /// What the thread of a request does at the moment.
-  struct Traffic {
+  /// What the thread of a request is executing.
+  struct Transfer {
     enum class Kind { Start, Resume, HandOver };
-    Traffic(AttemptNumber A, Kind K, StreamIndex S = 0)
-        : Attempt(A), Does(K), From(S) {}
+    Transfer(AttemptNumber A, Kind K, StreamIndex S = 0)
+        : Attempt(A), Type(K), Source(S) {}
 
     AttemptNumber Attempt;
-    Kind Does;
-    StreamIndex From;
+    Kind Type;
+    StreamIndex Source;
     bool Connected = false;
     bool Cancelled = false;
-    bool Silent = false;
+    bool Stalled = false;
     std::optional<RequestId> Child;
   };
 
   /// A request at one router.
-  struct Held {
-    CallIndex Of;
+  struct RouterRequest {
+    CallIndex OfCall;
     std::size_t Router;
     std::optional<RequestId> Parent;
     std::map<AttemptNumber, StreamIndex> Streams;
-    std::optional<Traffic> Doing;
-    std::deque<RequestEvent> Mail;
-    bool Answered = false;
+    std::optional<Transfer> ActiveTransfer;
+    std::deque<RequestEvent> PendingEvents;
+    bool Finished = false;
   };
 
   struct Record {
@@ -85,7 +85,7 @@
     bool Completed = false;
   };
   using FullKey = std::pair<AccountId, std::string>;
-  using StoreOrder =
+  using RecordOperation =
       std::variant<ClaimRunRecord, CompleteRunRecord, ReleaseRunRecord>;
 
   struct Router {
@@ -97,48 +97,49 @@
 
   bool chance(int Percent);
   std::size_t below(std::size_t Limit);
-  template <typename Map> auto anyOf(Map &Of);
-  void fail(const std::string &What);
-
-  void tell(std::size_t Router, const RequestEvent &Event);
-  void carryOut(std::size_t Router, const RequestAction &Wanted);
-  void arrive(std::size_t Router, CallIndex Of, std::optional<RequestId> Parent,
-              bool RecordHeld);
-  void answer(const FinishRequest &Answer);
-  void answerParent(RequestId ChildId, const Held &Child,
-                    RequestOutcome Outcome);
-
-  void callerCalls();
-  void callerLeaves();
-  void admitOne();
-  void deliverMail();
-  void moveTraffic();
-  void moveServer();
-  void moveStore();
+  template <typename Container> auto randomElement(Container &Elements);
+  void reportViolation(const std::string &Text);
+
+  void handleEvent(std::size_t Router, const RequestEvent &Event);
+  void execute(std::size_t Router, const RequestAction &Emitted);
+  void addRequest(std::size_t Router, CallIndex OfCall,
+                  std::optional<RequestId> Parent, bool RecordHeld);
+  void onFinished(const FinishRequest &Response);
+  void endParentTransfer(RequestId ChildId, const RouterRequest &Child,
+                         RequestOutcome Outcome);
+
+  void startCall();
+  void disconnectCaller();
+  void admitRequest();
+  void deliverEvent();
+  void advanceTransfer();
+  void advanceServer();
+  void advanceStore();
   void restart(std::size_t Router);
   void drain(std::size_t Router);
   void replace(std::size_t Router);
-  void passTime(Duration Step);
+  void advanceTime(Duration Step);
 
-  void connect(RequestId Id, Held &Of);
-  void connectHandOver(RequestId Id, Held &Of);
-  void flow(RequestId Id, Held &Of);
-  void end(RequestId Id, Held &Of, AttemptOutcome Outcome);
-  void passOn(RequestId Id, Held &Of);
-  void claim(const ClaimRunRecord &Order);
+  void connect(RequestId Id, RouterRequest &Request);
+  void connectHandOver(RequestId Id, RouterRequest &Request);
+  void transferData(RequestId Id, RouterRequest &Request);
+  void endTransfer(RequestId Id, RouterRequest &Request,
+                   AttemptOutcome Outcome);
+  void forwardChunk(RequestId Id, RouterRequest &Request);
+  void claimRecord(const ClaimRunRecord &Claim);
 
   std::mt19937_64 Random;
   TimePoint Now;
   std::vector<Call> Calls;
   std::vector<Stream> Streams;
-  std::map<RequestId, Held> Requests;
+  std::map<RequestId, RouterRequest> Requests;
   std::vector<Router> Routers;
   std::map<FullKey, Record> Records;
-  std::map<RequestId, std::deque<StoreOrder>> StoreOrders;
-  std::map<FullKey, int> KeyRuns;
-  std::vector<std::pair<std::size_t, RequestEvent>> Doubled;
+  std::map<RequestId, std::deque<RecordOperation>> RecordOperations;
+  std::map<FullKey, int> RunsByKey;
+  std::vector<std::pair<std::size_t, RequestEvent>> DuplicatedEvents;
   std::uint64_t NextRequest = 1;
-  std::uint64_t Life = 1;
+  std::uint64_t LastIncarnation = 1;
   bool StoreDown = false;
   std::string Violation;
 };
--- a/test/Decision/RequestTableTest.cpp
+++ b/test/Decision/RequestTableTest.cpp
@@ -2,13 +2,14 @@
 
 #include <criterion/criterion.h>
 
-// Each promise of the table of requests, by state and failure.
+// The guarantees of the request table, by state and failure.
 //
-// Taken out on a scratch copy and run: without the progress watch
-// ASilentStreamIsCutAndResumed and AHopelessSilentAttemptIsAnsweredAtOnce fail;
-// without the retry budget RetriesStopWhenTheBudgetIsSpent; without shedding by
-// share TheHeaviestAccountMakesRoomWhenTheRouterIsFull. For the record, the
-// offset and the certainty of "not run" see RequestRandomTest.
+// AStalledStreamIsCancelledAndResumed and
+// AStalledAttemptWithoutRetryIsAnsweredAtOnceAndKeepsItsSlot fail without the
+// stall detector, RetriesStopWhenTheBudgetIsSpent without the retry budget, and
+// TheHeaviestAccountIsShedWhenTheRouterIsFull without shedding by share.
+// RequestRandomTest covers the run record, the offset and the certainty of
+// "not run".
 
 using namespace parsleywing;
 using namespace parsleywing::test;
@@ -22,10 +23,10 @@
 
 } // namespace
 
-// Symptom: a caller is told "not run" of a request that ran.
-// Sequence: the attempt is ordered, the deadline passes, the event that it was
-// sent is still on its way. Cause: "admitted" taken for "not sent".
-Test(RequestTable, AnAdmittedRequestIsNeverToldAsNotRunBeforeItsEnd) {
+// Guards against reporting "not run" for a request that ran: the deadline
+// passes after the attempt was ordered and before the event that it was sent
+// arrives. Fails if "admitted" counts as "not sent".
+Test(RequestTable, AnAdmittedRequestIsNeverReportedAsNotRunBeforeItsEnd) {
   RequestHarness H;
   H.admit(H.makeRequest(1));
   H.tickAfter(std::chrono::minutes(6));
@@ -44,10 +45,9 @@
   cr_assert(H.action<FinishRequest>().value().RetryAfter >= seconds(1));
 }
 
-// Symptom: a contract is drafted twice.
-// Sequence: the connection breaks after the request was sent. Cause: a retry of
-// what may not be repeated.
-Test(RequestTable, WhatMayNotBeRepeatedIsResumedAndNeverStartedAgain) {
+// Guards against running a non-repeatable request twice, by a retry after its
+// connection broke.
+Test(RequestTable, ANonRepeatableRequestIsResumedAndNeverRestarted) {
   RequestHarness H;
   H.admit(H.makeRequest(1, false));
   H.send(AttemptSent{First, 1});
@@ -59,7 +59,7 @@
   cr_assert_eq(H.Table.openRequests(), 0U);
 }
 
-Test(RequestTable, WhatMayNotBeRepeatedIsTriedElsewhereIfItCertainlyDidNotRun) {
+Test(RequestTable, ANonRepeatableRequestIsRetriedIfItCertainlyDidNotRun) {
   RequestHarness H;
   H.admit(H.makeRequest(1, false));
   H.send(AttemptSent{First, 1});
@@ -68,10 +68,10 @@
   cr_assert_eq(H.action<QueueRequest>().value().AvoidServer, Server1);
 }
 
-// Symptom: "not run" after a whole run. Sequence: sent, then an end as "not
-// sent". Cause: two reports that contradict each other, the better one
-// believed.
-Test(RequestTable, ContradictingReportsAreTakenAtTheWorse) {
+// Guards against reporting "not run" after a complete run, if an attempt is
+// reported first as sent and then as ended without being sent. Fails if the
+// better of two contradictory reports counts.
+Test(RequestTable, TheWorseOfContradictoryReportsCounts) {
   RequestHarness H;
   RequestDescription D = H.makeRequest(1, false);
   D.Kind = ServiceKind::Plain;
@@ -82,7 +82,7 @@
       H.finishedWith(RequestOutcome::Unknown, ResponseReason::ServerFailed));
 }
 
-Test(RequestTable, ARepeatableRequestIsRetriedAwayFromTheFailedServer) {
+Test(RequestTable, ARepeatableRequestIsRetriedAtAnotherServer) {
   RequestHarness H;
   H.admit(H.makeRequest(1));
   H.send(AttemptSent{First, 1});
@@ -95,10 +95,10 @@
   cr_assert_eq(H.action<StartAttempt>().value().Attempt, 2U);
 }
 
-// Symptom: "not run" though the first attempt ran. Sequence: attempt 1 breaks,
-// attempt 2 is refused for certain, no attempts are left. Cause: only the last
-// attempt looked at.
-Test(RequestTable, AnEarlierAttemptThatMayHaveRunIsNotForgotten) {
+// Guards against reporting "not run" although the first attempt ran: attempt 1
+// breaks, attempt 2 is certainly not run, and no attempts remain. Fails if only
+// the last attempt is considered.
+Test(RequestTable, AnEarlierAttemptThatMayHaveRunStillCounts) {
   RequestSettings S;
   S.Retry.MaxAttempts = 2;
   RequestHarness H(S);
@@ -111,9 +111,10 @@
       H.finishedWith(RequestOutcome::Unknown, ResponseReason::ServerFailed));
 }
 
-// Symptom: an answer with its beginning twice. Sequence: the stream breaks
-// after 5 pieces were passed on. Cause: a start anew in place of a resumption.
-Test(RequestTable, ABrokenStreamGoesOnFromTheOffsetPassedOn) {
+// Guards against a response with its beginning repeated: the stream breaks
+// after 5 chunks were forwarded, and the request is restarted instead of
+// resumed.
+Test(RequestTable, ABrokenStreamIsResumedAtTheForwardedOffset) {
   RequestHarness H;
   H.stream(H.makeRequest(1), 7);
   H.send(AttemptEnded{First, 1, AttemptOutcome::Interrupted, 7, 5});
@@ -124,13 +125,13 @@
   cr_assert(H.finishedWith(RequestOutcome::Completed, ResponseReason::Served));
 }
 
-Test(RequestTable, AStreamThatCannotBeResumedIsToldAsIncomplete) {
+Test(RequestTable, AStreamThatCannotBeResumedIsReportedAsIncomplete) {
   RequestHarness H;
   H.stream(H.makeRequest(1), 7);
   H.send(AttemptEnded{First, 1, AttemptOutcome::Interrupted, 7, 5});
-  for (AttemptNumber Try = 2; H.Table.openRequests() > 0; ++Try) {
-    cr_assert_leq(Try, 5U);
-    H.send(AttemptEnded{First, Try, AttemptOutcome::NotSent, 7, 5});
+  for (AttemptNumber Attempt = 2; H.Table.openRequests() > 0; ++Attempt) {
+    cr_assert_leq(Attempt, 5U);
+    H.send(AttemptEnded{First, Attempt, AttemptOutcome::NotSent, 7, 5});
     if (!H.action<FinishRequest>())
       H.tickAfter(LongBackoff);
   }
@@ -138,9 +139,9 @@
       H.finishedWith(RequestOutcome::Unknown, ResponseReason::ServerFailed));
 }
 
-// Symptom: a caller waits for good. Sequence: the open connection goes silent.
-// Cause: only the connection watched, not the progress on it.
-Test(RequestTable, ASilentStreamIsCutAndResumed) {
+// Guards against a caller that waits forever because a connection stays open
+// without progress. Fails if only the connection is monitored.
+Test(RequestTable, AStalledStreamIsCancelledAndResumed) {
   RequestHarness H;
   H.stream(H.makeRequest(1), 3);
   H.tickAfter(seconds(9));
@@ -152,7 +153,7 @@
   cr_assert_eq(H.action<ResumeAttempt>().value().Offset, 3U);
 }
 
-Test(RequestTable, AHopelessSilentAttemptIsAnsweredAtOnceAndKeepsItsSlot) {
+Test(RequestTable, AStalledAttemptWithoutRetryIsAnsweredAtOnceAndKeepsItsSlot) {
   RequestHarness H;
   RequestDescription D = H.makeRequest(1, false);
   D.Kind = ServiceKind::Plain;
@@ -166,7 +167,7 @@
   cr_assert(!H.action<FinishRequest>());
 }
 
-Test(RequestTable, ASlotComesBackWhenTheEndOfItsAttemptIsNeverReported) {
+Test(RequestTable, ASlotIsReleasedIfTheEndOfItsAttemptIsNeverReported) {
   RequestHarness H;
   H.stream(H.makeRequest(1), 3);
   H.send(CallerDisconnected{First});
@@ -180,7 +181,7 @@
   cr_assert_eq(H.Table.counters().DroppedEvents, 1U);
 }
 
-Test(RequestTable, LateAndDoubledEventsAreDroppedAndCounted) {
+Test(RequestTable, LateAndDuplicateEventsAreDroppedAndCounted) {
   RequestHarness H;
   H.admit(H.makeRequest(1));
   H.send(AttemptSent{First, 1});
@@ -192,7 +193,7 @@
   cr_assert_eq(H.Table.counters().DroppedEvents, 3U);
 }
 
-Test(RequestTable, AnAdmissionThatCrossedAWithdrawalGivesItsSlotBack) {
+Test(RequestTable, AnAdmissionAfterAWithdrawalReleasesItsSlot) {
   RequestHarness H;
   H.send(RequestArrived{H.makeRequest(1)});
   H.send(CallerDisconnected{First});
@@ -206,22 +207,22 @@
 
 Test(RequestTable, RetriesStopWhenTheBudgetIsSpent) {
   RequestHarness H;
-  std::size_t Spent = 0;
+  std::size_t RefusedCount = 0;
   for (std::uint64_t N = 1; N <= 100; ++N) {
     H.admit(H.makeRequest(N));
     H.send(AttemptEnded{RequestId{N}, 1, AttemptOutcome::Interrupted, 0});
-    Spent += H.finishedWith(RequestOutcome::Unknown,
-                            ResponseReason::RetryBudgetSpent)
-                 ? 1
-                 : 0;
+    RefusedCount += H.finishedWith(RequestOutcome::Unknown,
+                                   ResponseReason::RetryBudgetSpent)
+                        ? 1
+                        : 0;
   }
   cr_assert_eq(H.Table.counters().Retries,
-               11U); // A tenth, and the floor's one.
-  cr_assert_eq(Spent, 89U);
+               11U); // One tenth of the first attempts, and one of the floor.
+  cr_assert_eq(RefusedCount, 89U);
 }
 
-// Symptom: a flood of one account takes the others' places.
-Test(RequestTable, TheHeaviestAccountMakesRoomWhenTheRouterIsFull) {
+// Guards against a flood of one account that displaces the others' requests.
+Test(RequestTable, TheHeaviestAccountIsShedWhenTheRouterIsFull) {
   RequestSettings S;
   S.Limits.MaxWaiting = 3;
   RequestHarness H(S);
--- a/test/Decision/ServerConditionsTest.cpp
+++ b/test/Decision/ServerConditionsTest.cpp
@@ -14,26 +14,27 @@
 
 constexpr std::size_t RouterCount = 8;
 constexpr unsigned LossPercent = 20;
-const auto Leaver = idOf<ServerId>("leaver");
-const auto Stayer = idOf<ServerId>("stayer");
-const auto Model = idOf<ServiceId>("advisory");
-const auto Kettle = idOf<AccountId>("kettle");
+const auto LeavingServer = idOf<ServerId>("leaver");
+const auto OtherServer = idOf<ServerId>("stayer");
+const auto Service = idOf<ServiceId>("advisory");
+const auto Account = idOf<AccountId>("kettle");
 
-DeclarationsPtr declared() {
+DeclarationsPtr makeDeclarations() {
   Declarations All;
-  All.Servers[Leaver] = {"leaver", "127.0.0.1:1", "z"};
-  All.Servers[Stayer] = {"stayer", "127.0.0.1:2", "z"};
-  All.Services[Model].Name = "advisory";
-  All.Services[Model].Servers = {Leaver, Stayer};
-  All.Accounts[Kettle].Services = {Model};
+  All.Servers[LeavingServer] = {"leaver", "127.0.0.1:1", "z"};
+  All.Servers[OtherServer] = {"stayer", "127.0.0.1:2", "z"};
+  All.Services[Service].Name = "advisory";
+  All.Services[Service].Servers = {LeavingServer, OtherServer};
+  All.Accounts[Account].Services = {Service};
   return std::make_shared<const Declarations>(All);
 }
 
-// Each test fails with its mechanism taken out; docs/PEERS.md lists the runs.
+// Each test fails without the mechanism that it covers; docs/PEERS.md lists the
+// runs.
 
-/// Whole decision cores that exchange parts under a paused clock. Each part
-/// takes 1 to 20 ms, or is lost. The routers serve each request in a second
-/// and have new ones all the time.
+/// Complete router cores that exchange parts in simulated time. Each part takes
+/// 1 to 20 ms, or is lost. The routers serve each request in one second and
+/// always have new ones.
 class Fleet {
 public:
   explicit Fleet(std::uint64_t Seed) : Random(Seed) {
@@ -41,26 +42,26 @@
       this->start(Number);
   }
 
-  /// Starts a router anew, without memory.
+  /// Starts a router, or restarts it without its state.
   void start(std::size_t Number) {
     RouterCoreSettings Settings;
     RouterRecord &Self = Settings.Membership.Self;
     Self.Name = "r" + std::to_string(Number);
     Self.Router = idOf<RouterId>(Self.Name);
-    Self.IncarnationNumber = ++this->LastLife;
+    Self.IncarnationNumber = ++this->LastIncarnation;
     Self.PeerAddress = "10.0.0." + std::to_string(Number) + ":7400";
     Settings.Membership.Seeds = {"10.0.0.0:7400", "10.0.0.1:7400"};
     Settings.Membership.RandomSeed = this->Random();
     Settings.Servers.Seed = this->Random();
     this->Routers[Number] = std::make_unique<RouterCore>(Settings);
-    this->Lives[Number] = Self.IncarnationNumber;
-    this->give(Number, DeclarationsChanged{declared()});
+    this->Incarnations[Number] = Self.IncarnationNumber;
+    this->send(Number, DeclarationsChanged{makeDeclarations()});
   }
 
-  void give(std::size_t Number, const Event &Happened) {
-    for (const Action &Wanted :
-         this->Routers[Number]->handle(this->Now, Happened))
-      std::visit([&](const auto &A) { this->on(Number, A); }, Wanted);
+  void send(std::size_t Number, const Event &NewEvent) {
+    for (const Action &Emitted :
+         this->Routers[Number]->handle(this->Now, NewEvent))
+      std::visit([&](const auto &A) { this->on(Number, A); }, Emitted);
   }
 
   void run(Duration Length) {
@@ -69,43 +70,44 @@
       this->Now += milliseconds(10);
       this->deliver();
       for (std::size_t Number = 0; Number < RouterCount; ++Number) {
-        this->give(Number, Tick{});
+        this->send(Number, Tick{});
         if (this->Routers[Number]->openRequests() < 3)
-          this->arrive(Number);
+          this->addRequest(Number);
       }
     }
   }
 
-  /// Runs until no router would admit to the leaving server.
-  Duration runUntilKnown(Duration Limit) {
+  /// Runs until every router knows that the server is leaving.
+  Duration runUntilLeaving(Duration Limit) {
     const TimePoint Start = this->Now;
-    while (this->Now - Start < Limit && !this->allKnow())
+    while (this->Now - Start < Limit && !this->isLeavingEverywhere())
       this->run(milliseconds(50));
     return this->Now - Start;
   }
 
-  bool allKnow() const {
+  bool isLeavingEverywhere() const {
     for (const auto &Router : this->Routers)
-      if (Router->servers().conditionOf(Leaver) != ServerCondition::Leaving)
+      if (Router->servers().conditionOf(LeavingServer) !=
+          ServerCondition::Leaving)
         return false;
     return true;
   }
 
   ServerCondition conditionAt(std::size_t Number) const {
-    return this->Routers[Number]->servers().conditionOf(Leaver);
+    return this->Routers[Number]->servers().conditionOf(LeavingServer);
   }
 
-  /// Router 0 alone reads the platform's list; the others are cut from it.
-  void list(bool Leaves) {
+  /// Sends the platform's list to router 0; the others cannot read it.
+  void sendServerList(bool IsLeaving) {
     ServersListed Listed;
-    (Leaves ? Listed.Leaving : Listed.Live).push_back(Leaver);
-    this->give(0, Listed);
+    (IsLeaving ? Listed.Leaving : Listed.Live).push_back(LeavingServer);
+    this->send(0, Listed);
   }
 
-  std::size_t starts(ServerId Server) { return this->Starts[Server]; }
-  std::size_t ownerOfLeaver() const {
+  std::size_t startCount(ServerId Server) { return this->Starts[Server]; }
+  std::size_t ownerOfLeavingServer() const {
     for (std::size_t Number = 0; Number < RouterCount; ++Number)
-      if (ownerOf(this->Routers[0]->membership().view(), Leaver.Value) ==
+      if (ownerOf(this->Routers[0]->membership().view(), LeavingServer.Value) ==
           idOf<RouterId>("r" + std::to_string(Number)))
         return Number;
     return RouterCount;
@@ -114,52 +116,54 @@
 private:
   struct Part {
     std::size_t From;
-    Incarnation Life;
+    Incarnation IncarnationNumber;
     std::size_t To;
     PeerPart Content;
   };
 
-  void arrive(std::size_t Number) {
+  void addRequest(std::size_t Number) {
     RequestDescription Request;
     Request.Request = RequestId{++this->LastRequest};
-    Request.Account = Kettle;
-    Request.Service = Model;
+    Request.Account = Account;
+    Request.Service = Service;
     Request.Deadline = this->Now + seconds(60);
-    this->give(Number, RequestArrived{Request});
+    this->send(Number, RequestArrived{Request});
   }
 
   void deliver() {
-    while (!this->Flying.empty() && this->Flying.begin()->first <= this->Now) {
-      const Part Arrived = std::move(this->Flying.begin()->second);
-      this->Flying.erase(this->Flying.begin());
+    while (!this->InTransit.empty() &&
+           this->InTransit.begin()->first <= this->Now) {
+      const Part Arrived = std::move(this->InTransit.begin()->second);
+      this->InTransit.erase(this->InTransit.begin());
       const std::string Name = std::to_string(Arrived.From);
-      this->give(Arrived.To,
-                 PeerPartReceived{idOf<RouterId>("r" + Name), Arrived.Life,
-                                  Arrived.Content, "10.0.0." + Name + ":7400"});
+      this->send(Arrived.To,
+                 PeerPartReceived{idOf<RouterId>("r" + Name),
+                                  Arrived.IncarnationNumber, Arrived.Content,
+                                  "10.0.0." + Name + ":7400"});
     }
     while (!this->Ends.empty() && this->Ends.begin()->first <= this->Now) {
       const auto [Number, Ended] = this->Ends.begin()->second;
       this->Ends.erase(this->Ends.begin());
-      this->give(Number, Ended);
+      this->send(Number, Ended);
     }
   }
 
-  void fly(std::size_t From, std::size_t To, const PeerPart &Content) {
+  void transmit(std::size_t From, std::size_t To, const PeerPart &Content) {
     if (this->Random() % 100 < LossPercent)
       return;
-    this->Flying.emplace(this->Now + milliseconds(1 + this->Random() % 20),
-                         Part{From, this->Lives[From], To, Content});
+    this->InTransit.emplace(this->Now + milliseconds(1 + this->Random() % 20),
+                            Part{From, this->Incarnations[From], To, Content});
   }
 
   void on(std::size_t Number, const SendToPeer &A) {
     for (std::size_t To = 0; To < RouterCount; ++To)
       if (idOf<RouterId>("r" + std::to_string(To)) == A.To)
-        this->fly(Number, To, A.Part);
+        this->transmit(Number, To, A.Part);
   }
   void on(std::size_t Number, const ContactAddress &A) {
     for (std::size_t To = 0; To < RouterCount; ++To)
       if ("10.0.0." + std::to_string(To) + ":7400" == A.Address)
-        this->fly(Number, To, A.Message);
+        this->transmit(Number, To, A.Message);
   }
   void on(std::size_t Number, const StartAttempt &A) {
     ++this->Starts[A.Server];
@@ -172,107 +176,107 @@
 
   std::mt19937_64 Random;
   TimePoint Now{seconds(1000)};
-  Incarnation LastLife = 0;
+  Incarnation LastIncarnation = 0;
   std::uint64_t LastRequest = 0;
   std::array<std::unique_ptr<RouterCore>, RouterCount> Routers;
-  std::array<Incarnation, RouterCount> Lives{};
-  std::multimap<TimePoint, Part> Flying;
+  std::array<Incarnation, RouterCount> Incarnations{};
+  std::multimap<TimePoint, Part> InTransit;
   std::multimap<TimePoint, std::pair<std::size_t, AttemptEnded>> Ends;
   std::map<ServerId, std::size_t> Starts;
 };
 
 } // namespace
 
-// Symptom: a backend server that leaves gets new work until its VM goes.
-// Sequence: one router of eight reads the platform's list, the others are cut
-// off from the store; a fifth of all messages is lost; then a router starts
-// anew; then the list says that the server is back.
-// Cause: each router knew only what it read itself.
+// Guards against a leaving backend server that gets new requests until its VM
+// is removed, because each router knows only what it has read itself. Only one
+// router of eight can read the platform's list, the others are disconnected
+// from the store, and a fifth of all messages is lost. Then a router restarts,
+// and then the list shows the server as live again.
 Test(ServerConditions, OneRouterThatReadsTheListIsEnough) {
   for (const std::uint64_t Seed : {1, 2, 3}) {
     Fleet Routers(Seed);
     Routers.run(seconds(10));
-    cr_assert_gt(Routers.starts(Leaver), 0);
-    Routers.list(true);
-    cr_assert_lt(Routers.runUntilKnown(seconds(10)), seconds(3));
-    const std::size_t Before = Routers.starts(Leaver);
-    const std::size_t Elsewhere = Routers.starts(Stayer);
+    cr_assert_gt(Routers.startCount(LeavingServer), 0);
+    Routers.sendServerList(true);
+    cr_assert_lt(Routers.runUntilLeaving(seconds(10)), seconds(3));
+    const std::size_t Before = Routers.startCount(LeavingServer);
+    const std::size_t Elsewhere = Routers.startCount(OtherServer);
     Routers.run(seconds(10));
-    cr_assert_eq(Routers.starts(Leaver), Before);
-    cr_assert_gt(Routers.starts(Stayer), Elsewhere);
+    cr_assert_eq(Routers.startCount(LeavingServer), Before);
+    cr_assert_gt(Routers.startCount(OtherServer), Elsewhere);
     Routers.start(5);
-    cr_assert_lt(Routers.runUntilKnown(seconds(60)), seconds(30));
-    Routers.list(false);
+    cr_assert_lt(Routers.runUntilLeaving(seconds(60)), seconds(30));
+    Routers.sendServerList(false);
     Routers.run(seconds(10));
-    cr_assert_gt(Routers.starts(Leaver), Before);
-    cr_assert(!Routers.allKnow());
+    cr_assert_gt(Routers.startCount(LeavingServer), Before);
+    cr_assert(!Routers.isLeavingEverywhere());
   }
 }
 
-// Symptom: a server that drains gets work again, or never again.
-// Sequence: it says that it leaves to one router; its load report, taken
-// before, arrives at its owner after the notice; the list shows it live all
-// the time; at last the owner finds it serving.
-// Cause: a look of earlier, or by a source that does not know, is believed.
-Test(ServerConditions, OnlyALaterLookOfTheSameSourceTakesLeavingBack) {
+// Guards against a draining server that gets requests again too early, or never
+// again. The server reports to one router that it is leaving; an older load
+// report arrives at its owner after the notice; the list shows it as live all
+// the time; finally the owner finds it serving. Fails if an older observation,
+// or one of a source that does not know, clears the fact.
+Test(ServerConditions, OnlyALaterObservationOfTheSameSourceClearsLeaving) {
   Fleet Routers(4);
   Routers.run(seconds(10));
-  const std::size_t Owner = Routers.ownerOfLeaver();
+  const std::size_t Owner = Routers.ownerOfLeavingServer();
   const std::size_t Other = (Owner + 1) % RouterCount;
-  Routers.give(Other, ServerConditionChanged{Leaver, ServerCondition::Leaving});
-  cr_assert_lt(Routers.runUntilKnown(seconds(10)), seconds(3));
-  Routers.give(Owner, LoadReported{Leaver, 0, 0});
-  Routers.list(false);
+  Routers.send(Other,
+               ServerConditionChanged{LeavingServer, ServerCondition::Leaving});
+  cr_assert_lt(Routers.runUntilLeaving(seconds(10)), seconds(3));
+  Routers.send(Owner, LoadReported{LeavingServer, 0, 0});
+  Routers.sendServerList(false);
   Routers.run(seconds(1));
-  cr_assert(Routers.allKnow());
+  cr_assert(Routers.isLeavingEverywhere());
   Routers.run(seconds(2));
-  Routers.give(Owner, LoadReported{Leaver, 0, 0});
+  Routers.send(Owner, LoadReported{LeavingServer, 0, 0});
   Routers.run(seconds(3));
   for (std::size_t Number = 0; Number < RouterCount; ++Number)
     cr_assert_eq(Routers.conditionAt(Number), ServerCondition::Usable);
 }
 
-// Symptom: a server that only one router cannot reach gets work from nobody,
-// or one that was repaired is never tried again.
-// Sequence: a router that does not own the server says that it failed; then
-// the owner does, and says nothing more.
-// Cause: anybody's word on a failure counts, and for ever.
-Test(ServerConditions, AFailureIsItsOwnersWordAndEnds) {
+// Guards against a server that no router uses because one router cannot reach
+// it, or that is never used again after its recovery. A router that does not
+// own the server reports a failure; then its owner does, once. Fails if the
+// failure report of any router counts, or never expires.
+Test(ServerConditions, OnlyTheOwnersFailureReportCountsAndExpires) {
   Fleet Routers(5);
   Routers.run(seconds(10));
-  const std::size_t Owner = Routers.ownerOfLeaver();
+  const std::size_t Owner = Routers.ownerOfLeavingServer();
   const std::size_t Other = (Owner + 1) % RouterCount;
   const std::size_t Third = (Owner + 2) % RouterCount;
-  const ServerConditionChanged Failed{Leaver, ServerCondition::Failed};
-  Routers.give(Other, Failed);
+  const ServerConditionChanged Failed{LeavingServer, ServerCondition::Failed};
+  Routers.send(Other, Failed);
   Routers.run(seconds(3));
   cr_assert_eq(Routers.conditionAt(Other), ServerCondition::Failed);
   cr_assert_eq(Routers.conditionAt(Third), ServerCondition::Usable);
   Routers.run(seconds(13));
   cr_assert_eq(Routers.conditionAt(Other), ServerCondition::Usable);
-  Routers.give(Owner, Failed);
+  Routers.send(Owner, Failed);
   Routers.run(seconds(3));
   cr_assert_eq(Routers.conditionAt(Third), ServerCondition::Failed);
   Routers.run(seconds(20));
   cr_assert_eq(Routers.conditionAt(Third), ServerCondition::Usable);
 }
 
-// Symptom: a retry goes to the server that just refused it, or waits although
-// that server alone is free.
-// Sequence: two servers are free, then one.
-// Cause: the scheduler is not told where the attempt before failed.
-Test(ServerConditions, ARetryPrefersAnotherServerButTakesAny) {
-  for (const ServerId Failed : {Leaver, Stayer}) {
+// Guards against a retry that goes to the server that just refused it although
+// another one is free, or that waits although only that server is free. Fails
+// if the scheduler does not know where the previous attempt failed.
+Test(ServerConditions, ARetryPrefersAnotherServerButAcceptsAny) {
+  for (const ServerId Failed : {LeavingServer, OtherServer}) {
     FairScheduler Scheduler;
-    Scheduler.handle(TimePoint(), DeclarationsChanged{declared()});
+    Scheduler.handle(TimePoint(), DeclarationsChanged{makeDeclarations()});
     const auto Admitted = Scheduler.handle(
-        TimePoint(), RequestQueued{RequestId{1}, Kettle, Model, 10, Failed});
+        TimePoint(), RequestQueued{RequestId{1}, Account, Service, 10, Failed});
     cr_assert(std::get<AdmitRequest>(Admitted.at(0)).Server != Failed);
-    const ServerId Rest = Failed == Leaver ? Stayer : Leaver;
-    Scheduler.handle(TimePoint(),
-                     ServerConditionChanged{Rest, ServerCondition::Leaving});
+    const ServerId Remaining =
+        Failed == LeavingServer ? OtherServer : LeavingServer;
+    Scheduler.handle(TimePoint(), ServerConditionChanged{
+                                      Remaining, ServerCondition::Leaving});
     const auto Alone = Scheduler.handle(
-        TimePoint(), RequestQueued{RequestId{2}, Kettle, Model, 10, Failed});
+        TimePoint(), RequestQueued{RequestId{2}, Account, Service, 10, Failed});
     cr_assert(std::get<AdmitRequest>(Alone.at(0)).Server == Failed);
   }
 }
