--- a/src/Decision/Declarations.h
+++ b/src/Decision/Declarations.h
@@ -39,7 +39,8 @@
   /// SHA-256 of the account's API key, in lower-case hexadecimal.
   std::string KeyDigest;
   std::vector<ServiceId> Services;
-  /// Requests that may be queued at one router; further ones are refused.
+  /// Requests that may wait for their first attempt at one router; further ones
+  /// are refused.
   std::uint32_t MaxQueued = 1000;
   /// Requests that may be admitted and not yet answered at one router.
   std::uint32_t MaxInFlight = 1000;
--- a/src/Decision/Request/RequestTypes.h
+++ b/src/Decision/Request/RequestTypes.h
@@ -48,7 +48,7 @@
   Rejected,           ///< The server stated that it did not run the request.
   Interrupted,        ///< It failed after the request may have been sent.
   Cancelled,          ///< This router cancelled it.
-  CallerDisconnected, ///< The caller closed its connection in the meantime.
+  CallerDisconnected, ///< The caller closed its connection during the attempt.
 };
 
 inline constexpr EnumNames<AttemptOutcome, 6> AttemptOutcomeNames{{
