--- a/src/Decision/Fairness/SlotTable.cpp
+++ b/src/Decision/Fairness/SlotTable.cpp
@@ -21,7 +21,7 @@
   // A grant without changes was sent again because the owner has no
   // acknowledgement. A grant with a lower count is from an owner that lost its
   // counters, because its view changed back and forth. Without a report from
-  // this router, it would count slots as granted forever that nobody holds, and
+  // this router, it would forever count slots as granted that nobody holds, and
   // the server would idle.
   if (Grant.Granted < Lease.Granted ||
       (Grant.Granted == Lease.Granted &&
--- a/test/Decision/MembershipNetwork.h
+++ b/test/Decision/MembershipNetwork.h
@@ -148,14 +148,14 @@
   }
 
   /// Whether the views of all other running routers contain this router (or, if
-  /// `Wanted` is false, none of them does).
-  bool knownByAll(std::size_t Index, bool Wanted) const {
+  /// `Expected` is false, none of them does).
+  bool knownByAll(std::size_t Index, bool Expected) const {
     for (std::size_t Viewer = 0; Viewer < this->Routers.size(); ++Viewer) {
       if (Viewer == Index || !this->Routers[Viewer]->runs())
         continue;
       const bool Has =
-          Wanted ? this->sees(Viewer, Index) : this->lists(Viewer, Index);
-      if (Has != Wanted)
+          Expected ? this->sees(Viewer, Index) : this->lists(Viewer, Index);
+      if (Has != Expected)
         return false;
     }
     return true;
