--- a/src/Backend/BackendConnection.cpp
+++ b/src/Backend/BackendConnection.cpp
@@ -12,37 +12,38 @@
 
 namespace {
 
-/// The longest single wait; the deadline is looked at again after it.
-constexpr Duration LongestWait = std::chrono::hours(1);
+/// Upper bound on a single poll; the deadline is checked again after it.
+constexpr Duration MaxWait = std::chrono::hours(1);
 
-/// How often a paused clock is looked at while nothing comes.
-constexpr Duration PausedLook = std::chrono::milliseconds(1);
+/// Interval at which a paused clock is checked while waiting.
+constexpr Duration PausedClockInterval = std::chrono::milliseconds(1);
 
 Poco::Timespan toTimespan(Duration D) { return Poco::Timespan(D.count()); }
 
-/// What is left until the deadline. Zero means no limit to the library, so
-/// that a deadline just passed is told apart.
+/// Returns the time left until the deadline. Throws if it has passed, since
+/// POCO treats a timeout of zero as no limit.
 Duration remaining(const Clock &Time, TimePoint Deadline) {
-  const Duration Left = Deadline - Time.now();
-  if (Left <= Duration::zero())
+  const Duration TimeLeft = Deadline - Time.now();
+  if (TimeLeft <= Duration::zero())
     throw Poco::TimeoutException("no progress");
-  return Left;
+  return TimeLeft;
 }
 
-/// Waits until the socket is ready for one of these events or the deadline has
-/// passed; what it is ready for. The library's own wait makes and closes an
-/// epoll descriptor each time.
+/// Waits until the socket is ready for one of `Events` and returns the ready
+/// events. Throws when the deadline passes. Used instead of POCO's `poll`,
+/// which creates and closes an epoll descriptor on each call.
 short waitFor(short Events, poco_socket_t Descriptor, const Clock &Time,
               TimePoint Deadline) {
-  ::pollfd Waiting{Descriptor, Events, 0};
+  ::pollfd Poll{Descriptor, Events, 0};
   int Ready = 0;
   do {
-    const Duration Wait = std::min(remaining(Time, Deadline),
-                                   Time.isPaused() ? PausedLook : LongestWait);
-    const auto Left = std::chrono::ceil<std::chrono::milliseconds>(Wait);
-    Ready = ::poll(&Waiting, 1, static_cast<int>(Left.count()));
+    const Duration Wait =
+        std::min(remaining(Time, Deadline),
+                 Time.isPaused() ? PausedClockInterval : MaxWait);
+    const auto TimeLeft = std::chrono::ceil<std::chrono::milliseconds>(Wait);
+    Ready = ::poll(&Poll, 1, static_cast<int>(TimeLeft.count()));
   } while (Ready == 0 || (Ready < 0 && errno == EINTR));
-  return Waiting.revents;
+  return Poll.revents;
 }
 
 } // namespace
@@ -51,15 +52,16 @@
   waitFor(POLLIN, this->sockfd(), this->Time, this->Deadline);
   const int Count = StreamSocketImpl::receiveBytes(Buffer, Length, Flags);
   if (Count <= 0)
-    this->Ended = true;
+    this->PeerClosed = true;
   else
     this->Received += static_cast<std::uint64_t>(Count);
   return Count;
 }
 
-/// A server that answers a request before it has read it whole may read no more
-/// of it. To go on would wait for it in vain, or have it reset the connection
-/// together with the answer.
+/// Stops sending when the server responds early: a server that responds before
+/// it has read the complete request may stop reading. Sending more could block
+/// until the deadline, or make the server reset the connection and lose the
+/// response.
 int internal::TimedSocket::sendBytes(const void *Buffer, int Length,
                                      int Flags) {
   const char *Bytes = static_cast<const char *>(Buffer);
@@ -68,7 +70,8 @@
     const short Ready =
         waitFor(POLLIN | POLLOUT, this->sockfd(), this->Time, this->Deadline);
     if ((Ready & POLLOUT) == 0)
-      throw Poco::Net::ConnectionAbortedException("answered before the end");
+      throw Poco::Net::ConnectionAbortedException(
+          "the server responded before the request was sent");
     const ::ssize_t Count = ::send(this->sockfd(), Bytes + Done,
                                    static_cast<std::size_t>(Length - Done),
                                    Flags | MSG_NOSIGNAL | MSG_DONTWAIT);
@@ -82,7 +85,7 @@
   return Length;
 }
 
-/// The library's session without its habit of connecting again.
+/// POCO's client session without its automatic reconnect.
 class BackendConnection::Session : public Poco::Net::HTTPClientSession {
 public:
   explicit Session(const Poco::Net::StreamSocket &Socket)
@@ -92,8 +95,8 @@
 
   using HTTPClientSession::buffered;
 
-  /// Sends what is left of the request; false where that failed, so that what
-  /// has come can be received nevertheless.
+  /// Sends the buffered rest of the request. Returns false on failure instead
+  /// of throwing, so that a response that has already arrived can be received.
   bool endRequest() {
     try {
       this->flushRequest();
@@ -106,36 +109,37 @@
 
 protected:
   void connect(const Poco::Net::SocketAddress &) override {
-    throw Poco::Net::ConnectionAbortedException("the connection is gone");
+    throw Poco::Net::ConnectionAbortedException("the connection is closed");
   }
   bool mustReconnect() const override { return false; }
 };
 
 BackendConnection::BackendConnection(const std::string &A,
-                                     Duration ConnectLimit,
-                                     ConnectionCanceller &B, const Clock &Time)
-    : Address(A), Breaker(nullptr), Socket(new internal::TimedSocket(Time)) {
+                                     Duration ConnectTimeout,
+                                     ConnectionCanceller &NewCanceller,
+                                     const Clock &Time)
+    : Address(A), Canceller(nullptr), Socket(new internal::TimedSocket(Time)) {
   Poco::Net::StreamSocket Connected(this->Socket);
-  Connected.connect(Poco::Net::SocketAddress(A), toTimespan(ConnectLimit));
+  Connected.connect(Poco::Net::SocketAddress(A), toTimespan(ConnectTimeout));
   Connected.setNoDelay(true);
   this->Http = std::make_unique<Session>(Connected);
-  if (!this->attach(B))
-    throw Poco::Net::ConnectionAbortedException("broken off while connecting");
+  if (!this->attach(NewCanceller))
+    throw Poco::Net::ConnectionAbortedException("cancelled while connecting");
 }
 
 BackendConnection::~BackendConnection() { this->detach(); }
 
-bool BackendConnection::attach(ConnectionCanceller &B) {
-  if (!B.attach(this->Http->socket()))
+bool BackendConnection::attach(ConnectionCanceller &NewCanceller) {
+  if (!NewCanceller.attach(this->Http->socket()))
     return false;
-  this->Breaker = &B;
+  this->Canceller = &NewCanceller;
   return true;
 }
 
 void BackendConnection::detach() {
-  if (this->Breaker)
-    this->Breaker->detach();
-  this->Breaker = nullptr;
+  if (this->Canceller)
+    this->Canceller->detach();
+  this->Canceller = nullptr;
 }
 
 void BackendConnection::send(Poco::Net::HTTPRequest &Request,
@@ -149,12 +153,13 @@
 }
 
 std::istream &BackendConnection::receive(Poco::Net::HTTPResponse &Response) {
-  this->SentWhole = this->Http->endRequest();
+  this->SentCompletely = this->Http->endRequest();
   return this->Http->receiveResponse(Response);
 }
 
 bool BackendConnection::reusable() const {
-  return this->SentWhole && !this->Socket->Ended && this->Http->buffered() == 0;
+  return this->SentCompletely && !this->Socket->PeerClosed &&
+         this->Http->buffered() == 0;
 }
 
 bool BackendConnection::hasUnsolicitedInput() const {
--- a/src/Backend/BackendConnection.h
+++ b/src/Backend/BackendConnection.h
@@ -16,8 +16,8 @@
 
 namespace internal {
 
-/// A socket that knows its deadline, counts its bytes and remembers that the
-/// other side ended the connection.
+/// A socket with a deadline for reads and writes. Counts its bytes and records
+/// whether the peer closed the connection.
 class TimedSocket : public Poco::Net::StreamSocketImpl {
 public:
   explicit TimedSocket(Clock T) : Time(std::move(T)) {}
@@ -29,54 +29,54 @@
   TimePoint Deadline;
   std::uint64_t Received = 0;
   std::uint64_t Sent = 0;
-  bool Ended = false;
+  bool PeerClosed = false;
 };
 
 } // namespace internal
 
-/// One HTTP connection to a backend server. Never connects a second time on
-/// its own: the library's session would send a request again after a write
-/// that failed, which must not happen to a request that may not be repeated.
-/// Its functions throw Poco::Exception; only this package calls them.
+/// One HTTP connection to a backend server. Never reconnects: POCO's session
+/// would send a request again after a failed write, which must not happen to a
+/// request that may not be repeated. The functions throw Poco::Exception and
+/// are used only within this package.
 class BackendConnection {
 public:
-  /// Connects to a numeric address; later deadlines are moments of the clock.
-  /// Throws where that fails in time, or where
-  /// the breaker was used; nothing of a request has left then.
-  BackendConnection(const std::string &Address, Duration ConnectLimit,
-                    ConnectionCanceller &B, const Clock &Time);
+  /// Connects to a numeric address. Throws if this fails or times out, or if
+  /// the canceller was used; no byte of a request has been sent then. `Time` is
+  /// the clock of the later deadlines.
+  BackendConnection(const std::string &Address, Duration ConnectTimeout,
+                    ConnectionCanceller &NewCanceller, const Clock &Time);
   ~BackendConnection();
   BackendConnection(const BackendConnection &) = delete;
   BackendConnection &operator=(const BackendConnection &) = delete;
 
-  /// Moves the connection from a finished call to the next one's breaker.
-  bool attach(ConnectionCanceller &B);
+  /// Attaches the canceller of the next call; false if it was already used.
+  bool attach(ConnectionCanceller &NewCanceller);
   void detach();
 
-  /// Bytes that do not come or go before this moment raise a timeout.
+  /// Reads and writes that do not finish before this time throw a timeout.
   void setDeadline(TimePoint Deadline) { this->Socket->Deadline = Deadline; }
 
-  /// Sends a request, or as much of it as the other side takes: one that has
-  /// answered meanwhile may read no more. Whether it went out whole shows as
-  /// the answer is received.
+  /// Sends a request, or as much of it as the peer accepts: a server that has
+  /// already responded may stop reading. `receive` determines whether the
+  /// request was sent completely.
   void send(Poco::Net::HTTPRequest &Request, const std::string &Body);
 
-  /// Blocks for the head of the answer; the body is read from the stream. Also
-  /// behind a request that could not be sent whole, since its answer may have
-  /// come before.
+  /// Blocks until the response head arrives and returns the stream of the body.
+  /// Also works if the request could not be sent completely, since the response
+  /// may have arrived before.
   std::istream &receive(Poco::Net::HTTPResponse &Response);
 
-  /// Whether the other side ended the connection: an answer of unstated or
-  /// chunked length that ends so may have been cut off.
-  bool peerClosed() const { return this->Socket->Ended; }
+  /// Whether the peer closed the connection. A response without a
+  /// Content-Length may then be truncated.
+  bool peerClosed() const { return this->Socket->PeerClosed; }
 
-  /// Whether the next call may go over the connection: the request went out
-  /// whole, the other side has not ended it, and nothing came behind the answer
+  /// Whether another call may use the connection: the request was sent
+  /// completely, the peer has not closed it, and no bytes followed the response
   /// that would be taken for the next one.
   bool reusable() const;
 
-  /// Whether the other side has sent or ended something while nothing was
-  /// expected: such a connection is of no more use.
+  /// Whether the idle connection has received bytes or was closed by the peer,
+  /// so that it must not be reused.
   bool hasUnsolicitedInput() const;
 
   std::uint64_t receivedBytes() const { return this->Socket->Received; }
@@ -86,10 +86,10 @@
   class Session;
 
   std::string Address;
-  ConnectionCanceller *Breaker;
+  ConnectionCanceller *Canceller;
   internal::TimedSocket *Socket;
   std::unique_ptr<Session> Http;
-  bool SentWhole = true;
+  bool SentCompletely = true;
 };
 
 } // namespace parsleywing
--- a/src/Backend/BackendSettings.h
+++ b/src/Backend/BackendSettings.h
@@ -7,29 +7,30 @@
 
 namespace parsleywing {
 
-/// Limits of calls to backend servers.
+/// Timeouts and limits of calls to backend servers.
 struct BackendSettings {
   Duration ConnectTimeout = std::chrono::seconds(1);
-  /// From the request to the first piece of output: covers the wait in the
-  /// engine's own queue.
+  /// From sending the request to the first output, including the wait in the
+  /// engine's queue.
   Duration FirstEventTimeout = std::chrono::seconds(10);
-  /// Between two events of a stream that has begun its output.
+  /// Between two events of a stream whose output has started.
   Duration EventGapTimeout = std::chrono::seconds(10);
-  /// For the probe that tells a silent server from a silent connection.
+  /// For the probe that distinguishes an unresponsive server from a dead
+  /// connection.
   Duration ProbeTimeout = std::chrono::milliseconds(500);
-  /// For the order that frees the slot of an abandoned response.
+  /// For the call that cancels an abandoned response to free its slot.
   Duration CancelTimeout = std::chrono::seconds(1);
-  /// Largest single event, in bytes.
+  /// Maximum size of a single event in bytes.
   std::size_t MaxEventBytes = 1 << 20;
-  /// Largest answer that is read whole, in bytes.
+  /// Maximum size in bytes of a response body that is read into memory.
   std::size_t MaxResponseBytes = 4 << 20;
-  /// Idle connections kept for one server.
+  /// Maximum number of pooled idle connections per server.
   std::size_t MaxIdleConnections = 8;
-  /// An idle connection older than this is closed: what lies between the two
-  /// ends may have lost track of it.
+  /// Connections idle for longer are closed: a middlebox may have dropped its
+  /// state for them.
   Duration MaxIdleTime = std::chrono::seconds(5);
-  /// What the limits above are measured by, but for `ConnectLimit`, which the
-  /// system measures.
+  /// Clock for the timeouts above, except `ConnectTimeout`, which the kernel
+  /// measures.
   Clock Time = Clock::steady();
 };
 
--- a/src/Backend/ConnectionCanceller.cpp
+++ b/src/Backend/ConnectionCanceller.cpp
@@ -6,19 +6,19 @@
 
 void ConnectionCanceller::cancel() {
   std::lock_guard<std::mutex> Lock(this->Mutex);
-  this->Broken = true;
+  this->Cancelled = true;
   if (!this->Attached)
     return;
   try {
     this->Attached->shutdown();
   } catch (const Poco::Exception &) {
-    // The other side was first.
+    // The peer has already closed the connection.
   }
 }
 
 bool ConnectionCanceller::attach(const Poco::Net::StreamSocket &Socket) {
   std::lock_guard<std::mutex> Lock(this->Mutex);
-  if (this->Broken)
+  if (this->Cancelled)
     return false;
   this->Attached = Socket;
   return true;
--- a/src/Backend/ConnectionCanceller.h
+++ b/src/Backend/ConnectionCanceller.h
@@ -8,29 +8,29 @@
 
 namespace parsleywing {
 
-/// Ends the connection of a call from another thread. Once broken it stays so:
-/// a connection attached later is refused, which covers a break that comes
-/// while the call still connects.
+/// Cancels a call from another thread by shutting down its connection. A used
+/// canceller stays cancelled: it refuses connections attached later, which
+/// covers a cancellation while the call is still connecting. Thread-safe.
 class ConnectionCanceller {
 public:
-  /// Shuts the attached connection down, which wakes a blocked read at once.
-  /// Never blocks on the network.
+  /// Shuts the attached connection down, which unblocks a pending read
+  /// immediately. Never blocks on the network.
   void cancel();
 
-  bool isCancelled() const { return this->Broken; }
+  bool isCancelled() const { return this->Cancelled; }
 
-  /// False where the breaker was used already.
+  /// Attaches a connection; false if the call was already cancelled.
   bool attach(const Poco::Net::StreamSocket &Socket);
 
-  /// Called before the socket is closed or kept for another call. Without it a
-  /// late break would end whatever the connection, or its descriptor, carries
-  /// by then.
+  /// Must be called before the socket is closed or returned to the pool.
+  /// Otherwise a late `cancel` would shut down whatever call uses the
+  /// connection or its descriptor by then.
   void detach();
 
 private:
   std::mutex Mutex;
   std::optional<Poco::Net::StreamSocket> Attached;
-  std::atomic<bool> Broken{false};
+  std::atomic<bool> Cancelled{false};
 };
 
 } // namespace parsleywing
--- a/src/Backend/ConnectionPool.h
+++ b/src/Backend/ConnectionPool.h
@@ -12,35 +12,37 @@
 
 namespace parsleywing {
 
-/// Idle connections to backend servers. Only for requests that may be sent
-/// again: an idle connection may have gone silent, and nothing short of a
-/// request shows it. Safe from every thread; a call costs one lock.
+/// Pool of idle connections to backend servers. Only for requests that may be
+/// repeated: an idle connection may be dead, which only a request can show.
+/// Thread-safe; each call takes one lock.
 class ConnectionPool {
 public:
   explicit ConnectionPool(BackendSettings S) : Settings(std::move(S)) {}
 
-  /// An idle connection that looks alive, the youngest first; nothing where
+  /// Takes the most recently used connection that is still usable; null if
   /// there is none.
   std::unique_ptr<BackendConnection> acquire(const std::string &Address);
 
-  /// Keeps a connection whose last answer was read to its end.
+  /// Returns a connection to the pool. Its last response must have been read
+  /// completely.
   void release(const std::string &Address,
-               std::unique_ptr<BackendConnection> C);
+               std::unique_ptr<BackendConnection> Connection);
 
-  /// Closes every idle connection to a server, after one of them was silent.
+  /// Closes all idle connections to a server. Called when one of them turned
+  /// out to be dead.
   void closeIdle(const std::string &Address);
 
   std::size_t idleCount(const std::string &Address) const;
 
 private:
-  struct Idle {
+  struct IdleConnection {
     TimePoint Since;
     std::unique_ptr<BackendConnection> Connection;
   };
 
   BackendSettings Settings;
   mutable std::mutex Mutex;
-  std::map<std::string, std::vector<Idle>> Servers;
+  std::map<std::string, std::vector<IdleConnection>> IdleByServer;
 };
 
 } // namespace parsleywing
--- a/src/Backend/EngineAttempt.cpp
+++ b/src/Backend/EngineAttempt.cpp
@@ -43,7 +43,7 @@
   return Text;
 }
 
-std::string readSome(std::istream &In, std::size_t Limit) {
+std::string readPrefix(std::istream &In, std::size_t Limit) {
   std::string Text;
   for (int Next = In.rdbuf()->sbumpc(); Next != EOF && Text.size() < Limit;
        Next = In.rdbuf()->sbumpc())
@@ -63,19 +63,19 @@
   if (this->Call.ResumeFrom)
     ++this->Counters.Resumes;
   if (this->Listener.SetCanceller)
-    this->Listener.SetCanceller([B = this->Breaker] { B->cancel(); });
+    this->Listener.SetCanceller([C = this->Canceller] { C->cancel(); });
   EngineResult Result = this->attempt();
   if (this->Listener.SetCanceller)
     this->Listener.SetCanceller({});
   if (this->Connection) {
     this->Counters.EventBytes +=
-        this->Connection->receivedBytes() - this->ReceivedBefore;
+        this->Connection->receivedBytes() - this->ReceivedAtStart;
     this->Connection.reset();
   }
-  if (this->MayHaveLeft &&
+  if (this->MayHaveSent &&
       (Result.Outcome == AttemptOutcome::Cancelled ||
        Result.Outcome == AttemptOutcome::CallerDisconnected))
-    this->freeSlot();
+    this->cancelAtEngine();
   this->Counters.countOutcome(Result.Outcome);
   return Result;
 }
@@ -85,59 +85,62 @@
     this->connect();
     this->sendRequest();
     return this->readHead();
-  } catch (const Poco::TimeoutException &Late) {
-    return this->failed(Late.displayText(), true);
-  } catch (const Poco::Exception &Broken) {
-    return this->failed(Broken.displayText(), false);
-  } catch (const std::exception &Broken) {
-    return this->failed(Broken.what(), false);
+  } catch (const Poco::TimeoutException &Timeout) {
+    return this->handleFailure(Timeout.displayText(), true);
+  } catch (const Poco::Exception &Failure) {
+    return this->handleFailure(Failure.displayText(), false);
+  } catch (const std::exception &Failure) {
+    return this->handleFailure(Failure.what(), false);
   }
 }
 
-Duration EngineAttempt::limitOf(Duration Setting) const {
-  const Duration Own = this->Call.ProgressTimeout;
-  return Own > Duration::zero() ? std::min(Own, Setting) : Setting;
+Duration EngineAttempt::effectiveTimeout(Duration Timeout) const {
+  const Duration CallTimeout = this->Call.ProgressTimeout;
+  return CallTimeout > Duration::zero() ? std::min(CallTimeout, Timeout)
+                                        : Timeout;
 }
 
-void EngineAttempt::allow(Duration Setting) {
+void EngineAttempt::restartDeadline(Duration Timeout) {
   this->Connection->setDeadline(this->Settings.Time.now() +
-                                this->limitOf(Setting));
+                                this->effectiveTimeout(Timeout));
 }
 
-/// Only an event that carries the response on gives it more time. An engine, or
-/// what lies between, that repeats old events or sends comments for good would
-/// otherwise look alive.
-void EngineAttempt::allowIfProgressed() {
-  const std::uint64_t Now = this->Check.point().Sequence;
-  if (Now == this->SeenSequence || !this->Check.outputStarted())
+/// Extends the deadline only when an event advances the response. Otherwise an
+/// engine or proxy that keeps repeating old events or sending comments would
+/// look alive.
+void EngineAttempt::restartDeadlineOnProgress() {
+  const std::uint64_t Sequence = this->StreamCheck.point().Sequence;
+  if (Sequence == this->LastSequence || !this->StreamCheck.outputStarted())
     return;
-  this->SeenSequence = Now;
-  this->allow(this->Settings.EventGapTimeout);
+  this->LastSequence = Sequence;
+  this->restartDeadline(this->Settings.EventGapTimeout);
 }
 
-/// An idle connection may be dead without a sign: what is sent over it is then
-/// lost or, worse, arrives and only the answer is lost. A request that may not
-/// be repeated would be stuck with an unknown outcome, so it always gets a new
-/// connection, which the handshake has just proved.
+/// A pooled connection may be dead unnoticed: the request is then lost or,
+/// worse, arrives and only the response is lost. A request that may not be
+/// repeated would end with an unknown outcome. It therefore always gets a new
+/// connection, which the TCP handshake has just verified.
 void EngineAttempt::connect() {
   if (this->Call.Repeatable && !this->Call.ResumeFrom)
     this->Connection = this->Pool.acquire(this->Call.Address);
   this->FromPool = this->Connection != nullptr;
   if (!this->Connection)
     this->Connection = std::make_unique<BackendConnection>(
-        this->Call.Address, this->Settings.ConnectTimeout, *this->Breaker,
+        this->Call.Address, this->Settings.ConnectTimeout, *this->Canceller,
         this->Settings.Time);
-  else if (!this->Connection->attach(*this->Breaker))
-    throw Poco::Net::ConnectionAbortedException("broken off before the send");
-  this->ReceivedBefore = this->Connection->receivedBytes();
+  else if (!this->Connection->attach(*this->Canceller))
+    throw Poco::Net::ConnectionAbortedException("cancelled before sending");
+  this->ReceivedAtStart = this->Connection->receivedBytes();
 }
 
 void EngineAttempt::sendRequest() {
-  // A stream taken up again has left the engine's queue behind it. With the
-  // long limit a frozen engine would hold its caller that long for each try.
-  this->allow(this->Call.ResumeFrom ? this->Settings.EventGapTimeout
-                                    : this->Settings.FirstEventTimeout);
-  this->MayHaveLeft = true;
+  // A resumed response does not wait in the engine's queue again. With the
+  // longer timeout, a frozen engine would block the caller that long on each
+  // attempt.
+  this->restartDeadline(this->Call.ResumeFrom
+                            ? this->Settings.EventGapTimeout
+                            : this->Settings.FirstEventTimeout);
+  this->MayHaveSent = true;
   if (this->Listener.SendStarted)
     this->Listener.SendStarted();
   Poco::Net::HTTPRequest Request("POST", ResponsesPath, "HTTP/1.1");
@@ -148,11 +151,11 @@
     this->Connection->send(Request, bodyOf(this->Call));
     return;
   }
-  const ResumePoint &From = *this->Call.ResumeFrom;
+  const ResumePoint &ResumeFrom = *this->Call.ResumeFrom;
   Request.setMethod("GET");
   Request.setURI(
-      std::string(ResponsesPath) + "/" + From.ResponseId +
-      "?stream=true&starting_after=" + std::to_string(From.Sequence));
+      std::string(ResponsesPath) + "/" + ResumeFrom.ResponseId +
+      "?stream=true&starting_after=" + std::to_string(ResumeFrom.Sequence));
   this->Connection->send(Request, "");
 }
 
@@ -160,28 +163,27 @@
   Poco::Net::HTTPResponse Response;
   std::istream &In = this->Connection->receive(Response);
   if (Response.getStatus() != Ok)
-    return this->refused(Response.getStatus(), Response, In);
+    return this->handleErrorStatus(Response.getStatus(), Response, In);
   if (!Response.getContentType().starts_with(StreamType)) {
     ++this->Counters.MalformedEvents;
-    return this->interrupted(this->Call.ResumeFrom.has_value());
+    return this->interruptedResult(this->Call.ResumeFrom.has_value());
   }
   return this->readEvents(In);
 }
 
-/// Only the published error object of an engine is trusted to mean that the
-/// request did not run. A bare 503 or a 502 may come from something between
-/// the two ends that lost the engine's answer.
-EngineResult EngineAttempt::refused(int Status,
-                                    const Poco::Net::HTTPResponse &Response,
-                                    std::istream &In) {
-  const std::string Body = readSome(In, MaxErrorBytes);
-  const bool SaysNotRun =
+/// Only the documented error object of an engine proves that the request did
+/// not run. A bare 503 or a 502 may come from a proxy that lost the engine's
+/// response.
+EngineResult EngineAttempt::handleErrorStatus(
+    int Status, const Poco::Net::HTTPResponse &Response, std::istream &In) {
+  const std::string Body = readPrefix(In, MaxErrorBytes);
+  const bool StatusSaysNotRun =
       (Status >= FirstClientError && Status < FirstServerError) ||
       Status == ServiceUnavailable;
   const bool MayResume = this->Call.ResumeFrom && (Status == TooManyRequests ||
                                                    Status >= FirstServerError);
-  EngineResult Result = this->interrupted(MayResume);
-  if (!this->Call.ResumeFrom && SaysNotRun && isPublishedError(Body))
+  EngineResult Result = this->interruptedResult(MayResume);
+  if (!this->Call.ResumeFrom && StatusSaysNotRun && isPublishedError(Body))
     Result.Outcome = AttemptOutcome::Rejected;
   Result.ServerLeaving =
       reportsLeaving(Status, Response.get(DrainHeader, ""), Body);
@@ -191,99 +193,101 @@
 
 EngineResult EngineAttempt::readEvents(std::istream &In) {
   EventStreamReader Reader(In, this->Settings.MaxEventBytes);
-  StreamEvent Event;
+  ServerSentEvent Event;
   while (true) {
     switch (Reader.next(Event)) {
     case ReadStatus::End:
-      if (this->Breaker->isCancelled())
-        return this->failed("broken off", false);
+      if (this->Canceller->isCancelled())
+        return this->handleFailure("cancelled", false);
       ++this->Counters.TruncatedStreams;
-      return this->interrupted(true);
+      return this->interruptedResult(true);
     case ReadStatus::TooLarge:
       ++this->Counters.OversizedEvents;
-      return this->interrupted(true);
+      return this->interruptedResult(true);
     case ReadStatus::Event:
       break;
     }
-    const auto Ended = this->actOn(this->Check.processEvent(Event), In);
-    if (Ended)
-      return *Ended;
+    const auto Result =
+        this->handleVerdict(this->StreamCheck.processEvent(Event), In);
+    if (Result)
+      return *Result;
   }
 }
 
-std::optional<EngineResult> EngineAttempt::actOn(StreamVerdict Verdict,
-                                                 std::istream &In) {
+std::optional<EngineResult> EngineAttempt::handleVerdict(StreamVerdict Verdict,
+                                                         std::istream &In) {
   switch (Verdict) {
   case StreamVerdict::Skip:
-    this->allowIfProgressed();
+    this->restartDeadlineOnProgress();
     return std::nullopt;
   case StreamVerdict::Forward:
     if (this->Listener.DeltaReceived &&
-        !this->Listener.DeltaReceived(this->Check.text(),
-                                      this->Check.point().Tokens))
+        !this->Listener.DeltaReceived(this->StreamCheck.text(),
+                                      this->StreamCheck.point().Tokens))
       return EngineResult{AttemptOutcome::CallerDisconnected,
-                          this->Check.tokens()};
-    this->allowIfProgressed();
+                          this->StreamCheck.tokens()};
+    this->restartDeadlineOnProgress();
     return std::nullopt;
   case StreamVerdict::Finished:
-    return this->finished(In);
+    return this->completedResult(In);
   case StreamVerdict::Broken:
-    return this->interrupted(true);
+    return this->interruptedResult(true);
   case StreamVerdict::Abandoned:
   case StreamVerdict::Foreign:
     break;
   }
-  return this->interrupted(false);
+  return this->interruptedResult(false);
 }
 
-EngineResult EngineAttempt::finished(std::istream &In) {
-  EngineResult Result{AttemptOutcome::Completed, this->Check.tokens()};
+EngineResult EngineAttempt::completedResult(std::istream &In) {
+  EngineResult Result{AttemptOutcome::Completed, this->StreamCheck.tokens()};
   if (!this->Call.Repeatable)
     return Result;
-  // What follows the last event is the end of the body; a connection whose
-  // body has not ended cannot carry another request.
-  constexpr Duration EndLimit = std::chrono::milliseconds(20);
-  this->allow(EndLimit);
+  // Read the end of the body after the last event: a connection can be reused
+  // only after its response has ended.
+  constexpr Duration BodyEndTimeout = std::chrono::milliseconds(20);
+  this->restartDeadline(BodyEndTimeout);
   try {
     if (In.rdbuf()->sbumpc() == EOF && this->Connection->reusable() &&
-        !this->Breaker->isCancelled()) {
+        !this->Canceller->isCancelled()) {
       this->Counters.EventBytes +=
-          this->Connection->receivedBytes() - this->ReceivedBefore;
+          this->Connection->receivedBytes() - this->ReceivedAtStart;
       this->Pool.release(this->Call.Address, std::move(this->Connection));
     }
   } catch (const std::exception &) {
-    // It is closed instead of kept.
+    // The connection is closed instead of returned to the pool.
   }
   return Result;
 }
 
-EngineResult EngineAttempt::interrupted(bool Resumable) const {
-  EngineResult Result{AttemptOutcome::Interrupted, this->Check.tokens()};
-  if (Resumable && this->Check.point().isResumable())
-    Result.Resume = this->Check.point();
+EngineResult EngineAttempt::interruptedResult(bool Resumable) const {
+  EngineResult Result{AttemptOutcome::Interrupted, this->StreamCheck.tokens()};
+  if (Resumable && this->StreamCheck.point().isResumable())
+    Result.Resume = this->StreamCheck.point();
   return Result;
 }
 
-EngineResult EngineAttempt::failed(const std::string &Why, bool Silent) {
-  if (this->Breaker->isCancelled())
-    return {AttemptOutcome::Cancelled, this->Check.tokens()};
+EngineResult EngineAttempt::handleFailure(const std::string &Cause,
+                                          bool TimedOut) {
+  if (this->Canceller->isCancelled())
+    return {AttemptOutcome::Cancelled, this->StreamCheck.tokens()};
   log(LogPart::Backend, LogLevel::Info,
-      "Attempt at " + this->Call.Address + " broke: " + Why + ".");
-  if (!this->MayHaveLeft) {
-    EngineResult Result{AttemptOutcome::NotSent, this->Check.tokens()};
+      "Attempt at " + this->Call.Address + " failed: " + Cause + ".");
+  if (!this->MayHaveSent) {
+    EngineResult Result{AttemptOutcome::NotSent, this->StreamCheck.tokens()};
     Result.Resume = this->Call.ResumeFrom;
     Result.ServerSuspect = true;
     return Result;
   }
-  EngineResult Result = this->interrupted(true);
+  EngineResult Result = this->interruptedResult(true);
   Result.PooledConnectionBroke =
       this->FromPool &&
-      this->Connection->receivedBytes() == this->ReceivedBefore;
+      this->Connection->receivedBytes() == this->ReceivedAtStart;
   if (Result.PooledConnectionBroke) {
     ++this->Counters.PooledConnectionsBroken;
     this->Pool.closeIdle(this->Call.Address);
   }
-  if (!Silent)
+  if (!TimedOut)
     return Result;
   ++this->Counters.ProgressTimeouts;
   this->Connection.reset();
@@ -293,10 +297,11 @@
   return Result;
 }
 
-/// The engine goes on with a background response when its stream is closed.
-/// Without this order the slot stays taken by an answer that nobody reads.
-void EngineAttempt::freeSlot() {
-  const std::string &Id = this->Check.point().ResponseId;
+/// The engine continues a background response when its stream is closed.
+/// Without this call, a response that nobody reads would keep occupying the
+/// slot.
+void EngineAttempt::cancelAtEngine() {
+  const std::string &Id = this->StreamCheck.point().ResponseId;
   if (!Id.empty() && cancelResponse(this->Call.Address, Id, this->Settings))
     ++this->Counters.CancelOrders;
   else
--- a/src/Backend/EngineAttempt.h
+++ b/src/Backend/EngineAttempt.h
@@ -5,13 +5,13 @@
 
 namespace parsleywing::internal {
 
-/// One run of an `EngineCall`, from the connection to the outcome.
+/// Runs one `EngineCall`, from connecting to the result.
 class EngineAttempt {
 public:
   EngineAttempt(const EngineCall &C, const EngineListener &L,
                 const BackendSettings &S, BackendCounters &N, ConnectionPool &P)
       : Call(C), Listener(L), Settings(S), Counters(N), Pool(P),
-        Check(C.Identity, C.ResumeFrom.value_or(ResumePoint{}), N) {}
+        StreamCheck(C.Identity, C.ResumeFrom.value_or(ResumePoint{}), N) {}
 
   EngineResult run();
 
@@ -21,30 +21,32 @@
   void sendRequest();
   EngineResult readHead();
   EngineResult readEvents(std::istream &In);
-  std::optional<EngineResult> actOn(StreamVerdict Verdict, std::istream &In);
-  EngineResult refused(int Status, const Poco::Net::HTTPResponse &Response,
-                       std::istream &In);
-  EngineResult finished(std::istream &In);
-  EngineResult interrupted(bool Resumable) const;
-  EngineResult failed(const std::string &Why, bool Silent);
-  void freeSlot();
-  Duration limitOf(Duration Setting) const;
-  void allow(Duration Setting);
-  void allowIfProgressed();
+  std::optional<EngineResult> handleVerdict(StreamVerdict Verdict,
+                                            std::istream &In);
+  EngineResult handleErrorStatus(int Status,
+                                 const Poco::Net::HTTPResponse &Response,
+                                 std::istream &In);
+  EngineResult completedResult(std::istream &In);
+  EngineResult interruptedResult(bool Resumable) const;
+  EngineResult handleFailure(const std::string &Cause, bool TimedOut);
+  void cancelAtEngine();
+  Duration effectiveTimeout(Duration Timeout) const;
+  void restartDeadline(Duration Timeout);
+  void restartDeadlineOnProgress();
 
   const EngineCall &Call;
   const EngineListener &Listener;
   const BackendSettings &Settings;
   BackendCounters &Counters;
   ConnectionPool &Pool;
-  ResponseStreamCheck Check;
-  std::shared_ptr<ConnectionCanceller> Breaker =
+  ResponseStreamCheck StreamCheck;
+  std::shared_ptr<ConnectionCanceller> Canceller =
       std::make_shared<ConnectionCanceller>();
   std::unique_ptr<BackendConnection> Connection;
-  bool MayHaveLeft = false;
+  bool MayHaveSent = false;
   bool FromPool = false;
-  std::uint64_t ReceivedBefore = 0;
-  std::uint64_t SeenSequence = 0;
+  std::uint64_t ReceivedAtStart = 0;
+  std::uint64_t LastSequence = 0;
 };
 
 } // namespace parsleywing::internal
--- a/src/Backend/EngineClient.h
+++ b/src/Backend/EngineClient.h
@@ -13,64 +13,66 @@
 
 namespace parsleywing {
 
-/// One attempt to have a model engine answer a request.
+/// Parameters of one attempt to run a request on a model engine.
 struct EngineCall {
   /// Numeric host and port of the engine.
   std::string Address;
   std::string Model;
   std::string Input;
-  /// The input as JSON, where it is not a text; empty where it is.
+  /// The input as JSON if it is not a string; otherwise empty.
   std::string InputJson = {};
   std::uint64_t MaxOutputTokens = 0;
-  /// Names the request and the attempt; the engine repeats it in its answer.
-  /// A resumed attempt keeps the identity of the one that broke.
+  /// Identifies the request and the attempt; the engine repeats it in its
+  /// response. A resumed attempt keeps the identity of the interrupted one.
   std::string Identity;
-  /// Tightens the limits of silence in the settings; zero leaves them.
+  /// Upper bound on the first-event and event-gap timeouts of the settings;
+  /// zero for none.
   Duration ProgressTimeout{0};
-  /// Whether the request may be sent again after it may have run. Only then an
-  /// idle connection may carry it.
+  /// Whether the request may be sent again after it may have run. Only such
+  /// requests use pooled connections.
   bool Repeatable = false;
-  /// Passed to the engine beside the identity; empty where there is none.
+  /// Sent to the engine along with the identity; empty if there is none.
   std::string IdempotencyKey = {};
-  /// Takes a broken stream up again in place of a new request.
+  /// If set, resumes an interrupted stream instead of sending a new request.
   std::optional<ResumePoint> ResumeFrom = std::nullopt;
 };
 
-/// What the attempt tells the thread that serves the caller. All functions are
-/// called from the thread that runs the call; any may be empty.
+/// Callbacks of an attempt. All are called from the thread that runs the call;
+/// any may be empty.
 struct EngineListener {
-  /// The first byte of the request may leave from here on.
+  /// Called before the first byte of the request is sent.
   std::function<void()> SendStarted;
-  /// A piece of the answer, and the tokens generated so far. False ends the
-  /// attempt, since the caller is gone.
+  /// Called with each chunk of output text and the tokens generated so far.
+  /// Returns false if the caller has disconnected, which ends the attempt.
   std::function<bool(const std::string &Text, std::uint64_t Tokens)>
       DeltaReceived;
-  /// Receives what ends a blocked read from another thread; an empty function
-  /// when the attempt is over. What it receives never blocks, and may be
-  /// called any number of times, also after the attempt.
+  /// Receives a function that cancels the attempt from another thread, and an
+  /// empty function when the attempt is over. The function never blocks and may
+  /// be called any number of times, even after the attempt.
   std::function<void(std::function<void()>)> SetCanceller;
 };
 
-/// How the attempt ended, and its whole cost.
+/// Outcome and cost of an attempt.
 struct EngineResult {
   AttemptOutcome Outcome;
   std::uint64_t Tokens = 0;
-  /// Where an interrupted stream can be taken up again, on the same engine.
+  /// Where an interrupted stream can be resumed on the same engine, if it can.
   std::optional<ResumePoint> Resume = std::nullopt;
-  /// The engine was silent and did not answer a probe on a new connection
-  /// either. Where false after a silence, only the connection was at fault.
+  /// The attempt could not connect, or timed out and the engine did not answer
+  /// a probe on a new connection either. False if the probe succeeded: then
+  /// only the connection failed.
   bool ServerSuspect = false;
-  /// The engine refused because it takes no new work.
+  /// The engine refused the request because it is draining.
   bool ServerLeaving = false;
-  /// The attempt went over an idle connection that broke before the first byte
-  /// of the answer.
+  /// The attempt used a pooled connection that failed before the first byte of
+  /// the response.
   bool PooledConnectionBroke = false;
-  /// Seconds after which the engine asked to come back; zero if it did not.
+  /// Value of the engine's `Retry-After`; zero if it sent none.
   std::uint32_t RetryAfterSeconds = 0;
 };
 
-/// Runs attempts through the engines' streamed responses API. Safe from every
-/// thread; each call blocks its thread until the attempt ends. Costs a new
+/// Runs attempts through the streaming responses API of the engines.
+/// Thread-safe; each call blocks its thread until the attempt ends. Opens a new
 /// connection for each request that may not be repeated.
 class EngineClient {
 public:
@@ -80,9 +82,8 @@
   /// Never throws.
   EngineResult run(const EngineCall &Call, const EngineListener &Listener);
 
-  /// Orders the engine to cancel a response whose stream broke and is not taken
-  /// up again: it would run on and hold a slot. Blocks for `CancelLimit` at
-  /// most.
+  /// Cancels an interrupted response that will not be resumed; otherwise it
+  /// would keep running and hold a slot. Blocks for at most `CancelTimeout`.
   void cancel(const std::string &Address, const std::string &ResponseId);
 
   const BackendSettings &settings() const { return this->Settings; }
@@ -93,7 +94,7 @@
   ConnectionPool Pool;
 };
 
-/// The counters of the process.
+/// Returns the counters of this process.
 BackendCounters &processCounters();
 
 } // namespace parsleywing
--- a/src/Backend/EventStreamReader.cpp
+++ b/src/Backend/EventStreamReader.cpp
@@ -7,8 +7,8 @@
 
 namespace {
 
-/// The value after the field's name and one optional space, if this line is of
-/// that field.
+/// Returns the value of a field without the optional space after the colon, or
+/// nullopt if the line does not contain this field.
 std::optional<std::string_view> fieldValue(std::string_view Line,
                                            std::string_view Field) {
   if (!Line.starts_with(Field) || Line.size() <= Field.size() ||
@@ -22,7 +22,7 @@
 
 } // namespace
 
-ReadStatus EventStreamReader::next(StreamEvent &Event) {
+ReadStatus EventStreamReader::next(ServerSentEvent &Event) {
   Event.Name.clear();
   Event.Data.clear();
   std::size_t Size = 0;
@@ -34,7 +34,7 @@
     if (Size > this->MaxEventBytes)
       return ReadStatus::TooLarge;
     if (!this->Line.empty()) {
-      this->takeField(Event);
+      this->parseField(Event);
       continue;
     }
     if (!Event.Data.empty())
@@ -62,7 +62,7 @@
   return ReadStatus::Event;
 }
 
-void EventStreamReader::takeField(StreamEvent &Event) const {
+void EventStreamReader::parseField(ServerSentEvent &Event) const {
   if (const auto Name = fieldValue(this->Line, "event")) {
     Event.Name = *Name;
     return;
--- a/src/Backend/LoadPoller.cpp
+++ b/src/Backend/LoadPoller.cpp
@@ -16,8 +16,8 @@
 } // namespace
 
 LoadPoller::LoadPoller(PollSettings S, BackendCounters &C,
-                       std::function<void(Event)> To)
-    : Settings(S), Counters(C), Sink(std::move(To)), Random(S.Seed) {
+                       std::function<void(Event)> ReportTo)
+    : Settings(S), Counters(C), Sink(std::move(ReportTo)), Random(S.Seed) {
   for (unsigned Number = 0; Number < S.Threads; ++Number)
     this->Threads.emplace_back([this] { this->runThread(); });
 }
@@ -32,114 +32,119 @@
     Thread.join();
 }
 
-void LoadPoller::watch(const std::vector<Watched> &Wanted) {
+void LoadPoller::watch(const std::vector<Watched> &Targets) {
   std::lock_guard<std::mutex> Lock(this->Mutex);
-  std::map<ServerId, Known> Next;
-  for (const Watched &Target : Wanted) {
+  std::map<ServerId, PolledServer> Next;
+  for (const Watched &Target : Targets) {
     const auto Old = this->Servers.find(Target.Server);
-    Known &New = Next[Target.Server];
+    PolledServer &New = Next[Target.Server];
     if (Old != this->Servers.end() &&
         Old->second.Target.Address == Target.Address)
       New = Old->second;
     else
-      New.Told = Clock::steady().now();
+      New.LastReportedAt = Clock::steady().now();
     New.Target = Target;
   }
   this->Servers = std::move(Next);
   this->Changed.notify_all();
 }
 
-Duration LoadPoller::nextWait() {
-  std::uniform_real_distribution<double> Part(-1, 1);
-  const double Factor = 1 + this->Settings.Jitter * Part(this->Random);
+Duration LoadPoller::nextInterval() {
+  std::uniform_real_distribution<double> Distribution(-1, 1);
+  const double Factor = 1 + this->Settings.Jitter * Distribution(this->Random);
   return Duration(static_cast<Duration::rep>(
       static_cast<double>(this->Settings.Interval.count()) * Factor));
 }
 
-std::map<ServerId, LoadPoller::Known>::iterator LoadPoller::mostDue() {
+std::map<ServerId, LoadPoller::PolledServer>::iterator LoadPoller::nextDue() {
   auto Best = this->Servers.end();
-  for (auto At = this->Servers.begin(); At != this->Servers.end(); ++At)
-    if (!At->second.Asking &&
-        (Best == this->Servers.end() || At->second.Due < Best->second.Due))
-      Best = At;
+  for (auto It = this->Servers.begin(); It != this->Servers.end(); ++It)
+    if (!It->second.InProgress &&
+        (Best == this->Servers.end() || It->second.DueAt < Best->second.DueAt))
+      Best = It;
   return Best;
 }
 
 void LoadPoller::runThread() {
   std::unique_lock<std::mutex> Lock(this->Mutex);
   while (!this->Stopping) {
-    const auto Next = this->mostDue();
+    const auto Next = this->nextDue();
     if (Next == this->Servers.end()) {
       this->Changed.wait_for(Lock, this->Settings.Interval);
       continue;
     }
     const TimePoint Now = Clock::steady().now();
-    if (Next->second.Due > Now) {
-      this->Changed.wait_for(Lock, Next->second.Due - Now);
+    if (Next->second.DueAt > Now) {
+      this->Changed.wait_for(Lock, Next->second.DueAt - Now);
       continue;
     }
-    Next->second.Asking = true;
-    Next->second.Due = Now + this->nextWait();
+    Next->second.InProgress = true;
+    Next->second.DueAt = Now + this->nextInterval();
     const Watched Target = Next->second.Target;
     Lock.unlock();
-    const Observation Seen = this->ask(Target);
-    this->conclude(Target, Seen);
+    const Observation PollResult = this->poll(Target);
+    this->applyObservation(Target, PollResult);
     Lock.lock();
   }
 }
 
-LoadPoller::Observation LoadPoller::ask(const Watched &Target) {
+LoadPoller::Observation LoadPoller::poll(const Watched &Target) {
   ShortCall Call;
   Call.Address = Target.Address;
   Call.Path = Target.ReportsLoad ? MetricsPath : HealthPath;
   Call.Timeout = this->Settings.Timeout;
   ++this->Counters.PollCalls;
-  const auto Answer = runShortCall(Call);
-  Observation Seen;
-  if (Answer) {
-    this->Counters.PollBytes += Answer->Bytes;
-    Seen.Leaving = Answer->Leaving;
-    Seen.Answered = Answer->Leaving || Answer->Status == Ok;
+  const auto Response = runShortCall(Call);
+  Observation PollResult;
+  if (Response) {
+    this->Counters.PollBytes += Response->Bytes;
+    PollResult.Leaving = Response->Leaving;
+    PollResult.Answered = Response->Leaving || Response->Status == Ok;
   }
-  if (!Seen.Answered)
+  if (!PollResult.Answered)
     ++this->Counters.PollFailures;
-  else if (Target.ReportsLoad && !Seen.Leaving)
-    Seen.Load = parseLoadReport(Answer->Body);
-  return Seen;
+  else if (Target.ReportsLoad && !PollResult.Leaving)
+    PollResult.Load = parseLoadReport(Response->Body);
+  return PollResult;
 }
 
-/// One report missed says little: a connection may have been lost. The server
-/// counts as failed after several new connections in a row have failed, and as
-/// usable again after the first that works.
-void LoadPoller::conclude(const Watched &Target, const Observation &Seen) {
+/// A single failed poll is no evidence, since a connection may have been lost.
+/// The server counts as failed after `FailureThreshold` consecutive failures,
+/// each on a new connection, and as usable again after the first success.
+void LoadPoller::applyObservation(const Watched &Target,
+                                  const Observation &PollResult) {
   std::unique_lock<std::mutex> Lock(this->Mutex);
   const auto Found = this->Servers.find(Target.Server);
   if (Found == this->Servers.end() ||
       Found->second.Target.Address != Target.Address)
-    return; // It was taken off the list while it was asked.
-  Known &Server = Found->second;
-  Server.Asking = false;
-  Server.Failures = Seen.Answered ? 0 : Server.Failures + 1;
-  ServerCondition Now = Server.Condition;
-  if (Seen.Answered)
-    Now = Seen.Leaving ? ServerCondition::Leaving : ServerCondition::Usable;
-  else if (Server.Failures >= this->Settings.FailureThreshold)
-    Now = ServerCondition::Failed;
-  const TimePoint At = Clock::steady().now();
-  // After one missed report the last condition is no longer what was seen.
-  const bool IsSure = Seen.Answered || Now == ServerCondition::Failed;
-  const bool Repeats =
-      IsSure && At >= Server.Told + this->Settings.RepeatInterval;
-  const bool Tells = Now != Server.Condition || Repeats;
-  Server.Condition = Now;
-  if (Tells)
-    Server.Told = At;
+    return; // The server was removed while it was polled.
+  PolledServer &Server = Found->second;
+  Server.InProgress = false;
+  Server.ConsecutiveFailures =
+      PollResult.Answered ? 0 : Server.ConsecutiveFailures + 1;
+  ServerCondition NewCondition = Server.Condition;
+  if (PollResult.Answered)
+    NewCondition =
+        PollResult.Leaving ? ServerCondition::Leaving : ServerCondition::Usable;
+  else if (Server.ConsecutiveFailures >= this->Settings.FailureThreshold)
+    NewCondition = ServerCondition::Failed;
+  const TimePoint Now = Clock::steady().now();
+  // After a failed poll the last condition is no longer confirmed.
+  const bool IsConfirmed =
+      PollResult.Answered || NewCondition == ServerCondition::Failed;
+  const bool IsRepeatDue =
+      IsConfirmed &&
+      Now >= Server.LastReportedAt + this->Settings.RepeatInterval;
+  const bool ShouldReport = NewCondition != Server.Condition || IsRepeatDue;
+  Server.Condition = NewCondition;
+  if (ShouldReport)
+    Server.LastReportedAt = Now;
   Lock.unlock();
-  if (Tells)
-    this->Sink(ServerConditionChanged{Target.Server, Now});
-  if (Seen.Load)
-    this->Sink(
-        LoadReported{Target.Server, Seen.Load->Running, Seen.Load->Waiting});
+  if (ShouldReport)
+    this->Sink(ServerConditionChanged{Target.Server, NewCondition});
+  if (PollResult.Load)
+    this->Sink(LoadReported{Target.Server, PollResult.Load->Running,
+                            PollResult.Load->Waiting});
 }
 
 Poco::JSON::Object::Ptr LoadPoller::dump() const {
@@ -151,12 +156,12 @@
     Row->set("address", Server.Target.Address);
     Row->set("condition",
              std::string(nameOf(ServerConditionNames, Server.Condition)));
-    Row->set("failures_in_a_row", Server.Failures);
+    Row->set("failures_in_a_row", Server.ConsecutiveFailures);
     List->add(Row);
   }
-  Poco::JSON::Object::Ptr Whole = new Poco::JSON::Object;
-  Whole->set("watched", List);
-  return Whole;
+  Poco::JSON::Object::Ptr Dump = new Poco::JSON::Object;
+  Dump->set("watched", List);
+  return Dump;
 }
 
 } // namespace parsleywing
--- a/src/Backend/LoadPoller.h
+++ b/src/Backend/LoadPoller.h
@@ -20,32 +20,34 @@
 
 struct PollSettings {
   Duration Interval = std::chrono::seconds(1);
-  /// For one report, connection included.
+  /// For one poll, including connecting.
   Duration Timeout = std::chrono::milliseconds(500);
-  /// Part of the interval by which each wait varies, so that many routers do
-  /// not ask at the same moment; 0 to 1.
+  /// Fraction of the interval by which each wait varies, so that the polls of
+  /// many routers do not coincide; 0 to 1.
   double Jitter = 0.2;
-  /// Reports missed in a row before a server counts as failed.
+  /// Consecutive failed polls after which a server counts as failed.
   unsigned FailureThreshold = 3;
-  /// Threads that ask. Each can be held up by one dead server for `Limit`.
+  /// Number of polling threads. A dead server blocks one of them for `Timeout`.
   unsigned Threads = 4;
-  /// A condition that stays is told again after so long: who took over a
-  /// server, or heard otherwise from another router, must hear it too.
+  /// Interval for reporting an unchanged condition again: the receiver may have
+  /// taken the server over, or learned otherwise from another router, since the
+  /// last report.
   Duration RepeatInterval = std::chrono::seconds(5);
   std::uint64_t Seed = 1;
 };
 
-/// Asks backend servers for their load and tells their condition: when it
-/// changes, a new server counting as usable, and again from time to time. Every
-/// call uses a new connection: it is a probe at the same time, which a
-/// connection that went silent cannot spoil. Costs one connection and about
-/// 1 KB for each server and interval.
+/// Polls backend servers for their load and reports their condition whenever it
+/// changes, and again every `RepeatInterval`. A new server counts as usable
+/// until polled. Each poll also acts as a health probe and therefore opens a
+/// new connection, so that a dead connection cannot distort it. Costs one
+/// connection and about 1 KB per server and interval.
 class LoadPoller {
 public:
   struct Watched {
     ServerId Server;
     std::string Address;
-    /// Plain services report no load; they are asked for `/health` only.
+    /// False for plain services, which report no load: only their `/health` is
+    /// polled.
     bool ReportsLoad = true;
   };
 
@@ -56,22 +58,22 @@
   LoadPoller(const LoadPoller &) = delete;
   LoadPoller &operator=(const LoadPoller &) = delete;
 
-  /// Replaces the set of servers. Those that stay keep what is known of them.
+  /// Replaces the set of polled servers. Servers that remain keep their state.
   void watch(const std::vector<Watched> &Servers);
 
   Poco::JSON::Object::Ptr dump() const;
 
 private:
-  struct Known {
+  struct PolledServer {
     Watched Target;
-    TimePoint Due;
-    bool Asking = false;
-    unsigned Failures = 0;
+    TimePoint DueAt;
+    bool InProgress = false;
+    unsigned ConsecutiveFailures = 0;
     ServerCondition Condition = ServerCondition::Usable;
-    TimePoint Told; ///< Or, before that, when it was put on the list.
+    TimePoint LastReportedAt; ///< Initially the time the server was added.
   };
 
-  /// What one call showed.
+  /// Result of one poll.
   struct Observation {
     bool Answered = false;
     bool Leaving = false;
@@ -79,10 +81,10 @@
   };
 
   void runThread();
-  std::map<ServerId, Known>::iterator mostDue();
-  Observation ask(const Watched &Target);
-  void conclude(const Watched &Target, const Observation &Seen);
-  Duration nextWait();
+  std::map<ServerId, PolledServer>::iterator nextDue();
+  Observation poll(const Watched &Target);
+  void applyObservation(const Watched &Target, const Observation &PollResult);
+  Duration nextInterval();
 
   PollSettings Settings;
   BackendCounters &Counters;
@@ -91,7 +93,7 @@
   std::condition_variable Changed;
   bool Stopping = false;
   std::mt19937_64 Random;
-  std::map<ServerId, Known> Servers;
+  std::map<ServerId, PolledServer> Servers;
   std::vector<std::thread> Threads;
 };
 
--- a/src/Backend/LoadReport.cpp
+++ b/src/Backend/LoadReport.cpp
@@ -14,7 +14,8 @@
 constexpr std::string_view CacheName = "vllm:kv_cache_usage_perc";
 constexpr std::string_view OldCacheName = "vllm:gpu_cache_usage_perc";
 
-/// The value of a sample line, without its name, labels and time stamp.
+/// Parses the value in the part of a sample line after the metric name; ignores
+/// labels and timestamp.
 std::optional<double> valueOf(std::string_view Rest) {
   if (Rest.starts_with('{')) {
     const std::size_t End = Rest.rfind('}');
@@ -25,14 +26,15 @@
   while (Rest.starts_with(' ') || Rest.starts_with('\t'))
     Rest.remove_prefix(1);
   double Value = 0;
-  const auto Read =
+  const auto Parsed =
       std::from_chars(Rest.data(), Rest.data() + Rest.size(), Value);
-  if (Read.ec != std::errc() || !std::isfinite(Value) || Value < 0)
+  if (Parsed.ec != std::errc() || !std::isfinite(Value) || Value < 0)
     return std::nullopt;
   return Value;
 }
 
-/// What follows the name, if the line is a sample of it.
+/// Returns the rest of the line after the metric name, or nullopt if the line
+/// is not a sample of this metric.
 std::optional<std::string_view> sampleOf(std::string_view Line,
                                          std::string_view Name) {
   if (!Line.starts_with(Name))
--- a/src/Backend/LoadReport.h
+++ b/src/Backend/LoadReport.h
@@ -7,17 +7,17 @@
 
 namespace parsleywing {
 
-/// What an engine publishes of its load.
+/// Load of an engine as published by its metrics.
 struct LoadReport {
   std::uint32_t Running = 0;
   std::uint32_t Waiting = 0;
-  /// Part of the cache in use, 0 to 1.
+  /// Fraction of the KV cache in use, 0 to 1.
   double CacheUsage = 0;
 };
 
-/// Reads the Prometheus text form with the names that vLLM publishes. Values
-/// of several models of one engine are added up. Nothing where the requests
-/// running or waiting are missing, or a value is not a number of at least 0.
+/// Parses the Prometheus text format with the metric names of vLLM. Sums the
+/// counts of all models of an engine. Returns nullopt if the number of running
+/// or waiting requests is missing, or is not a number of at least 0.
 std::optional<LoadReport> parseLoadReport(std::string_view Text);
 
 } // namespace parsleywing
--- a/src/Backend/OrderClient.cpp
+++ b/src/Backend/OrderClient.cpp
@@ -29,15 +29,15 @@
   return Out.str();
 }
 
-std::set<std::string> namesIn(const std::string &Text) {
+std::set<std::string> parseModelList(const std::string &Text) {
   Poco::JSON::Parser Parser;
-  const auto Whole = Parser.parse(Text).extract<Poco::JSON::Object::Ptr>();
-  const auto List = Whole->getArray("data");
+  const auto Document = Parser.parse(Text).extract<Poco::JSON::Object::Ptr>();
+  const auto List = Document->getArray("data");
   if (!List)
     throw Poco::DataFormatException("no list of models");
   std::set<std::string> Names;
-  for (std::size_t Place = 0; Place < List->size(); ++Place)
-    Names.insert(List->getObject(static_cast<unsigned>(Place))
+  for (std::size_t Index = 0; Index < List->size(); ++Index)
+    Names.insert(List->getObject(static_cast<unsigned>(Index))
                      ->getValue<std::string>("id"));
   return Names;
 }
@@ -56,91 +56,95 @@
 } // namespace
 
 Result<std::set<std::string>>
-OrderClient::fetchLoadedModels(const std::string &Address, Duration Limit) {
+OrderClient::fetchLoadedModels(const std::string &Address, Duration Timeout) {
   ShortCall Call;
   Call.Address = Address;
   Call.Path = ModelsPath;
-  Call.Timeout = Limit;
+  Call.Timeout = Timeout;
   ++this->Counters.OrderCalls;
-  const auto Answer = runShortCall(Call);
-  if (!Answer)
-    return tl::unexpected<Error>(Answer.error());
-  if (Answer->Status != Ok)
-    return failure(ErrorCode::Refused,
-                   "the engine answered " + std::to_string(Answer->Status));
+  const auto Response = runShortCall(Call);
+  if (!Response)
+    return tl::unexpected<Error>(Response.error());
+  if (Response->Status != Ok)
+    return failure(ErrorCode::Refused, "the engine responded with status " +
+                                           std::to_string(Response->Status));
   try {
-    return namesIn(Answer->Body);
-  } catch (const std::exception &Wrong) { // Poco's exceptions included.
-    return failure(ErrorCode::Malformed, Wrong.what());
+    return parseModelList(Response->Body);
+  } catch (const std::exception &Failure) { // Includes Poco's exceptions.
+    return failure(ErrorCode::Malformed, Failure.what());
   }
 }
 
-OrderClient::Effect OrderClient::effectOf(const EngineOrder &Order) {
-  const auto Report = this->fetchLoadedModels(Order.Address, Order.CallTimeout);
-  if (!Report)
-    return Effect::Unseen;
-  return isInEffect(Order, *Report) ? Effect::InPlace : Effect::Missing;
+OrderClient::Effect OrderClient::checkEffect(const EngineOrder &Order) {
+  const auto LoadedModels =
+      this->fetchLoadedModels(Order.Address, Order.CallTimeout);
+  if (!LoadedModels)
+    return Effect::Unknown;
+  return isInEffect(Order, *LoadedModels) ? Effect::InPlace : Effect::Missing;
 }
 
 bool OrderClient::isInEffect(const EngineOrder &Order,
-                             const std::set<std::string> &Report) {
-  const bool Wanted = Order.Kind == OrderKind::LoadAdapter;
-  return Report.contains(Order.Name) == Wanted;
+                             const std::set<std::string> &LoadedModels) {
+  const bool ShouldBeLoaded = Order.Kind == OrderKind::LoadAdapter;
+  return LoadedModels.contains(Order.Name) == ShouldBeLoaded;
 }
 
-/// An engine that ignores the number obeys whoever speaks last. A holder that
-/// was paused past its lease must not speak then, so its lease is asked for
-/// after the check of the report and the making of the connection, which may
-/// themselves take long, and right before the first byte. The report afterwards
-/// shows whether somebody else's order came between. An engine that checks the
-/// number is always sent the order, also where its effect is in place: it then
-/// knows the number and refuses an older order that is still on its way. It may
-/// refuse to load what it has loaded, which its report settles.
+/// An engine that ignores fencing numbers obeys the last order it receives. A
+/// holder that was paused beyond the end of its lease must not send an order.
+/// Therefore the permit is requested immediately before the first byte, after
+/// reading the model list and connecting, both of which may take long. Reading
+/// the list again afterwards shows whether another order came in between.
+///
+/// An engine that checks fencing numbers is always sent the order, even if its
+/// effect is already in place: it then knows the number and refuses an older
+/// order that is still in transit. It may refuse to load an adapter that is
+/// already loaded; its model list resolves this.
 OrderOutcome OrderClient::sendOrder(const EngineOrder &Order,
-                                    const PermitProvider &Lease) {
+                                    const PermitProvider &GetPermit) {
   const bool Checked = Order.Fencing == FencingCheck::Checked;
-  if (!Checked && this->effectOf(Order) == Effect::InPlace)
+  if (!Checked && this->checkEffect(Order) == Effect::InPlace)
     return OrderOutcome::AlreadyInEffect;
-  const OrderOutcome Sent = this->send(Order, Lease);
-  const bool Unsettled = Sent == OrderOutcome::Unknown ||
-                         Sent == OrderOutcome::Refused ||
-                         (Sent == OrderOutcome::Done && !Checked);
-  if (!Unsettled)
+  const OrderOutcome Sent = this->postOrder(Order, GetPermit);
+  const bool NeedsCheck = Sent == OrderOutcome::Unknown ||
+                          Sent == OrderOutcome::Refused ||
+                          (Sent == OrderOutcome::Done && !Checked);
+  if (!NeedsCheck)
     return Sent;
-  if (this->effectOf(Order) == Effect::InPlace)
+  if (this->checkEffect(Order) == Effect::InPlace)
     return OrderOutcome::Done;
   return Sent == OrderOutcome::Refused ? Sent : OrderOutcome::Unknown;
 }
 
-OrderOutcome OrderClient::send(const EngineOrder &Order,
-                               const PermitProvider &Lease) {
+OrderOutcome OrderClient::postOrder(const EngineOrder &Order,
+                                    const PermitProvider &GetPermit) {
   ShortCall Call;
   Call.Address = Order.Address;
   Call.Method = "POST";
   Call.Path = Order.Kind == OrderKind::LoadAdapter ? LoadPath : UnloadPath;
   Call.Body = bodyOf(Order);
   Call.Timeout = Order.CallTimeout;
-  // The number is part of the leave, so that it cannot be another lease's.
+  // The fencing number comes with the permit, so that it cannot belong to
+  // another lease.
   Call.SendPermission = [&]() -> std::optional<TimePoint> {
-    const auto Use = Lease();
-    if (!Use)
+    const auto Permit = GetPermit();
+    if (!Permit)
       return std::nullopt;
-    Call.Headers = {{FencingHeader, std::to_string(Use->Number)}};
-    return Use->ValidUntil;
+    Call.Headers = {{FencingHeader, std::to_string(Permit->Number)}};
+    return Permit->ValidUntil;
   };
   ++this->Counters.OrderCalls;
-  const auto Answer = runShortCall(Call);
-  if (!Answer)
-    return outcomeOf(Answer.error());
-  if (Answer->Status == Ok)
+  const auto Response = runShortCall(Call);
+  if (!Response)
+    return outcomeOf(Response.error());
+  if (Response->Status == Ok)
     return OrderOutcome::Done;
-  if (Answer->Status == Conflict) {
+  if (Response->Status == Conflict) {
     ++this->Counters.StaleOrders;
     return OrderOutcome::Stale;
   }
-  const bool Refused = Answer->Status >= FirstClientError &&
-                       Answer->Status < FirstServerError &&
-                       isPublishedError(Answer->Body);
+  const bool Refused = Response->Status >= FirstClientError &&
+                       Response->Status < FirstServerError &&
+                       isPublishedError(Response->Body);
   return Refused ? OrderOutcome::Refused : OrderOutcome::Unknown;
 }
 
--- a/src/Backend/OrderClient.h
+++ b/src/Backend/OrderClient.h
@@ -14,7 +14,7 @@
 
 namespace parsleywing {
 
-/// What an engine is told to do.
+/// Kinds of administrative orders to engines.
 enum class OrderKind {
   LoadAdapter,   ///< `POST /v1/load_lora_adapter`
   UnloadAdapter, ///< `POST /v1/unload_lora_adapter`
@@ -29,26 +29,26 @@
   /// Numeric host and port of the engine.
   std::string Address;
   OrderKind Kind = OrderKind::LoadAdapter;
-  /// The adapter as requests name it.
+  /// The adapter's name as used in requests.
   std::string Name;
-  /// Where the engine finds its weights; only for loads.
+  /// Where the engine finds the adapter's weights; only for loads.
   std::string Path;
-  /// Whether the engine refuses an old number by itself.
+  /// Whether the engine itself refuses an old fencing number.
   FencingCheck Fencing = FencingCheck::Ignored;
-  /// For each call to the engine; the order itself ends no later than the use
-  /// of its lease.
+  /// For each call to the engine. The call that carries the order also ends
+  /// when the lease permit expires.
   Duration CallTimeout = std::chrono::seconds(5);
 };
 
-/// How an order ended.
+/// Outcome of an order.
 enum class OrderOutcome {
-  Done,            ///< The engine obeyed, and its report shows it if asked.
-  AlreadyInEffect, ///< Its report showed the effect before; nothing was sent.
+  Done,            ///< In effect, confirmed by its model list if it was read.
+  AlreadyInEffect, ///< The model list showed the effect; nothing was sent.
   Stale,           ///< The engine knows a higher fencing number.
   LeaseLost,       ///< The holder could not prove its lease; nothing was sent.
-  NotSent,         ///< No byte of the order can have left.
-  Refused,         ///< The engine answered that it will not.
-  Unknown,         ///< It may have taken effect; the report did not tell.
+  NotSent,         ///< No byte of the order was sent.
+  Refused,         ///< The engine refused the order.
+  Unknown, ///< It may have taken effect; the model list did not confirm.
 };
 
 inline constexpr EnumNames<OrderOutcome, 7> OrderOutcomeNames{{
@@ -61,31 +61,34 @@
     {OrderOutcome::Unknown, "unknown"},
 }};
 
-/// Gives orders to engines. Blocks its thread for three calls at most; not
-/// meant for the control thread.
+/// Sends administrative orders to engines. Blocks its thread for up to three
+/// calls; must not be used on the control thread.
 class OrderClient {
 public:
   explicit OrderClient(BackendCounters &C) : Counters(C) {}
 
-  /// Asks the holder for leave to send, and under which number.
+  /// Returns the permit, including the fencing number, to send an order now, or
+  /// nullopt if the lease is not safely held.
   using PermitProvider = std::function<std::optional<LeasePermit>()>;
 
-  /// Gives an order. `Lease` is asked as the last thing before the first byte
-  /// leaves; it must give nothing well before the lease can have lapsed.
-  OrderOutcome sendOrder(const EngineOrder &Order, const PermitProvider &Lease);
+  /// Sends an order. Calls `GetPermit` immediately before the first byte is
+  /// sent; it must stop returning permits well before the lease can expire.
+  OrderOutcome sendOrder(const EngineOrder &Order,
+                         const PermitProvider &GetPermit);
 
-  /// Whether the report shows what the order wants.
+  /// Whether the list of loaded models shows the effect of the order.
   static bool isInEffect(const EngineOrder &Order,
-                         const std::set<std::string> &Report);
+                         const std::set<std::string> &LoadedModels);
 
-  /// The models and adapters that the engine reports as loaded.
+  /// Returns the models and adapters that the engine lists as loaded.
   Result<std::set<std::string>> fetchLoadedModels(const std::string &Address,
-                                                  Duration Limit);
+                                                  Duration Timeout);
 
 private:
-  enum class Effect { InPlace, Missing, Unseen };
-  Effect effectOf(const EngineOrder &Order);
-  OrderOutcome send(const EngineOrder &Order, const PermitProvider &Lease);
+  enum class Effect { InPlace, Missing, Unknown };
+  Effect checkEffect(const EngineOrder &Order);
+  OrderOutcome postOrder(const EngineOrder &Order,
+                         const PermitProvider &GetPermit);
 
   BackendCounters &Counters;
 };
--- a/src/Backend/PlainAttempt.cpp
+++ b/src/Backend/PlainAttempt.cpp
@@ -14,8 +14,8 @@
 constexpr int TooManyRequests = 429;
 constexpr int ServiceUnavailable = 503;
 constexpr const char *IdentityHeader = "X-Request-Id";
-constexpr const char *ProblemType = "application/problem+json";
-constexpr std::size_t PieceBytes = 16 << 10;
+constexpr const char *ProblemContentType = "application/problem+json";
+constexpr std::size_t ChunkBytes = 16 << 10;
 
 HeaderList headersOf(const Poco::Net::HTTPResponse &Response) {
   HeaderList Headers;
@@ -29,15 +29,15 @@
 PlainResult PlainAttempt::run() {
   ++this->Counters.Attempts;
   if (this->Listener.SetCanceller)
-    this->Listener.SetCanceller([B = this->Breaker] { B->cancel(); });
+    this->Listener.SetCanceller([C = this->Canceller] { C->cancel(); });
   try {
     this->attempt();
-  } catch (const Poco::TimeoutException &Late) {
-    this->failed(Late.displayText(), true);
-  } catch (const Poco::Exception &Broken) {
-    this->failed(Broken.displayText(), false);
-  } catch (const std::exception &Broken) {
-    this->failed(Broken.what(), false);
+  } catch (const Poco::TimeoutException &Timeout) {
+    this->handleFailure(Timeout.displayText(), true);
+  } catch (const Poco::Exception &Failure) {
+    this->handleFailure(Failure.displayText(), false);
+  } catch (const std::exception &Failure) {
+    this->handleFailure(Failure.what(), false);
   }
   if (this->Listener.SetCanceller)
     this->Listener.SetCanceller({});
@@ -49,29 +49,29 @@
 void PlainAttempt::attempt() {
   this->connect();
   this->sendRequest();
-  this->readAnswer();
+  this->readResponse();
 }
 
-void PlainAttempt::allow(Duration Setting) {
-  const Duration Own = this->Call.ProgressTimeout;
-  const Duration Limit =
-      Own > Duration::zero() ? std::min(Own, Setting) : Setting;
-  this->Connection->setDeadline(this->Settings.Time.now() + Limit);
+void PlainAttempt::restartDeadline(Duration Timeout) {
+  const Duration CallTimeout = this->Call.ProgressTimeout;
+  const Duration EffectiveTimeout =
+      CallTimeout > Duration::zero() ? std::min(CallTimeout, Timeout) : Timeout;
+  this->Connection->setDeadline(this->Settings.Time.now() + EffectiveTimeout);
 }
 
-/// See `EngineAttempt::connect` for why only repeatable requests go over an
-/// idle connection.
+/// See `EngineAttempt::connect` for why only repeatable requests use pooled
+/// connections.
 void PlainAttempt::connect() {
   if (this->Call.Repeatable)
     this->Connection = this->Pool.acquire(this->Call.Address);
   this->FromPool = this->Connection != nullptr;
   if (!this->Connection)
     this->Connection = std::make_unique<BackendConnection>(
-        this->Call.Address, this->Settings.ConnectTimeout, *this->Breaker,
+        this->Call.Address, this->Settings.ConnectTimeout, *this->Canceller,
         this->Settings.Time);
-  else if (!this->Connection->attach(*this->Breaker))
-    throw Poco::Net::ConnectionAbortedException("broken off before the send");
-  this->ReceivedBefore = this->Connection->receivedBytes();
+  else if (!this->Connection->attach(*this->Canceller))
+    throw Poco::Net::ConnectionAbortedException("cancelled before sending");
+  this->ReceivedAtStart = this->Connection->receivedBytes();
 }
 
 void PlainAttempt::sendRequest() {
@@ -82,20 +82,20 @@
   Request.erase("Content-Length");
   Request.set(IdentityHeader, this->Call.Identity);
   Request.setKeepAlive(this->Call.Repeatable);
-  this->allow(this->Settings.FirstEventTimeout);
-  this->MayHaveLeft = true;
+  this->restartDeadline(this->Settings.FirstEventTimeout);
+  this->MayHaveSent = true;
   if (this->Listener.SendStarted)
     this->Listener.SendStarted();
   this->Connection->send(Request, this->Call.Body);
 }
 
-void PlainAttempt::readAnswer() {
+void PlainAttempt::readResponse() {
   Poco::Net::HTTPResponse Response;
   std::istream &In = this->Connection->receive(Response);
   this->Result.Status = Response.getStatus();
   this->Result.RetryAfterSeconds = static_cast<std::uint32_t>(
       std::strtoul(Response.get("Retry-After", "0").c_str(), nullptr, 10));
-  if (this->refused(Response, In))
+  if (this->handleRefusal(Response, In))
     return;
   this->Result.ResponseStarted = true;
   this->Result.Outcome = AttemptOutcome::Completed;
@@ -104,14 +104,14 @@
     this->Result.Outcome = AttemptOutcome::CallerDisconnected;
     return;
   }
-  this->passBody(In);
+  this->forwardBody(In);
   if (this->Result.Outcome != AttemptOutcome::Completed)
     return;
-  if (this->wholeBody(Response)) {
-    this->keepConnection(Response);
+  if (this->isBodyComplete(Response)) {
+    this->returnToPool(Response);
     return;
   }
-  if (this->Breaker->isCancelled()) {
+  if (this->Canceller->isCancelled()) {
     this->Result.Outcome = AttemptOutcome::Cancelled;
     return;
   }
@@ -119,10 +119,11 @@
   this->Result.Outcome = AttemptOutcome::Interrupted;
 }
 
-/// A bare 503 may come from something between the two ends that lost the
-/// service's answer; it is passed on as the answer, which is no "not run".
-bool PlainAttempt::refused(const Poco::Net::HTTPResponse &Response,
-                           std::istream &In) {
+/// A 503 without an error object may come from a proxy that lost the service's
+/// response. It is forwarded as a normal response and does not count as proof
+/// that the request did not run.
+bool PlainAttempt::handleRefusal(const Poco::Net::HTTPResponse &Response,
+                                 std::istream &In) {
   const int Status = Response.getStatus();
   if (Status != TooManyRequests && Status != ServiceUnavailable)
     return false;
@@ -135,7 +136,7 @@
       reportsLeaving(Status, Response.get(DrainHeader, ""), Body);
   this->Result.Outcome = AttemptOutcome::Rejected;
   if (isPublishedError(Body) ||
-      Response.getContentType().starts_with(ProblemType))
+      Response.getContentType().starts_with(ProblemContentType))
     return true;
   this->Result.Outcome = AttemptOutcome::Completed;
   this->Result.ResponseStarted = true;
@@ -147,35 +148,38 @@
   return true;
 }
 
-/// Passes on what is there, without waiting for a full piece.
-void PlainAttempt::passBody(std::istream &In) {
-  std::array<char, PieceBytes> Piece{};
+/// Forwards the available bytes without waiting for a full buffer.
+void PlainAttempt::forwardBody(std::istream &In) {
+  std::array<char, ChunkBytes> Chunk{};
   while (true) {
-    this->allow(this->Settings.EventGapTimeout);
+    this->restartDeadline(this->Settings.EventGapTimeout);
     const int First = In.rdbuf()->sbumpc();
     if (First == EOF)
       return;
-    Piece[0] = static_cast<char>(First);
-    const std::streamsize There =
-        std::min<std::streamsize>(In.rdbuf()->in_avail(), PieceBytes - 1);
-    const std::streamsize More =
-        There > 0 ? In.rdbuf()->sgetn(Piece.data() + 1, There) : 0;
-    const auto Size = static_cast<std::size_t>(More) + 1;
+    Chunk[0] = static_cast<char>(First);
+    const std::streamsize Available =
+        std::min<std::streamsize>(In.rdbuf()->in_avail(), ChunkBytes - 1);
+    const std::streamsize Read =
+        Available > 0 ? In.rdbuf()->sgetn(Chunk.data() + 1, Available) : 0;
+    const auto Size = static_cast<std::size_t>(Read) + 1;
     this->Result.BodyBytes += Size;
     if (this->Listener.BodyReceived &&
-        !this->Listener.BodyReceived(std::string_view(Piece.data(), Size))) {
+        !this->Listener.BodyReceived(std::string_view(Chunk.data(), Size))) {
       this->Result.Outcome = AttemptOutcome::CallerDisconnected;
       return;
     }
   }
 }
 
-/// The library ends a body quietly when the connection ends, so a cut answer
-/// looks whole. A stated length is compared; a chunked body is whole only if
-/// its last chunk came before the connection ended. A body whose end is the
-/// connection's end cannot be checked.
-bool PlainAttempt::wholeBody(const Poco::Net::HTTPResponse &Response) const {
-  // These may state the length of a body that they never carry (RFC 9110, 8.6).
+/// POCO ends a body without an error when the connection ends, so a truncated
+/// response looks complete. A body with a Content-Length must have that length;
+/// a chunked body is complete only if its last chunk arrived before the peer
+/// closed the connection. A body delimited by the end of the connection cannot
+/// be checked.
+bool PlainAttempt::isBodyComplete(
+    const Poco::Net::HTTPResponse &Response) const {
+  // These responses may state a Content-Length without having a body (RFC 9110,
+  // section 8.6).
   const bool NeverHasBody =
       this->Call.Method == Poco::Net::HTTPRequest::HTTP_HEAD ||
       Response.getStatus() == Poco::Net::HTTPResponse::HTTP_NOT_MODIFIED;
@@ -186,25 +190,25 @@
            this->Result.BodyBytes;
   if (Response.getChunkedTransferEncoding())
     return !this->Connection->peerClosed();
-  return !this->Breaker->isCancelled();
+  return !this->Canceller->isCancelled();
 }
 
-void PlainAttempt::keepConnection(const Poco::Net::HTTPResponse &Response) {
-  const bool Framed =
+void PlainAttempt::returnToPool(const Poco::Net::HTTPResponse &Response) {
+  const bool HasFraming =
       Response.hasContentLength() || Response.getChunkedTransferEncoding();
-  if (this->Call.Repeatable && Framed && Response.getKeepAlive() &&
-      this->Connection->reusable() && !this->Breaker->isCancelled())
+  if (this->Call.Repeatable && HasFraming && Response.getKeepAlive() &&
+      this->Connection->reusable() && !this->Canceller->isCancelled())
     this->Pool.release(this->Call.Address, std::move(this->Connection));
 }
 
-void PlainAttempt::failed(const std::string &Why, bool Silent) {
-  if (this->Breaker->isCancelled()) {
+void PlainAttempt::handleFailure(const std::string &Cause, bool TimedOut) {
+  if (this->Canceller->isCancelled()) {
     this->Result.Outcome = AttemptOutcome::Cancelled;
     return;
   }
   log(LogPart::Backend, LogLevel::Info,
-      "Attempt at " + this->Call.Address + " broke: " + Why + ".");
-  if (!this->MayHaveLeft) {
+      "Attempt at " + this->Call.Address + " failed: " + Cause + ".");
+  if (!this->MayHaveSent) {
     this->Result.Outcome = AttemptOutcome::NotSent;
     this->Result.ServerSuspect = true;
     return;
@@ -212,12 +216,12 @@
   this->Result.Outcome = AttemptOutcome::Interrupted;
   this->Result.PooledConnectionBroke =
       this->FromPool &&
-      this->Connection->receivedBytes() == this->ReceivedBefore;
+      this->Connection->receivedBytes() == this->ReceivedAtStart;
   if (this->Result.PooledConnectionBroke) {
     ++this->Counters.PooledConnectionsBroken;
     this->Pool.closeIdle(this->Call.Address);
   }
-  if (!Silent)
+  if (!TimedOut)
     return;
   ++this->Counters.ProgressTimeouts;
   this->Connection.reset();
--- a/src/Backend/PlainAttempt.h
+++ b/src/Backend/PlainAttempt.h
@@ -7,7 +7,7 @@
 
 namespace parsleywing::internal {
 
-/// One run of a `PlainCall`, from the connection to the outcome.
+/// Runs one `PlainCall`, from connecting to the result.
 class PlainAttempt {
 public:
   PlainAttempt(const PlainCall &C, const PlainListener &L,
@@ -20,26 +20,26 @@
   void attempt();
   void connect();
   void sendRequest();
-  void readAnswer();
-  bool refused(const Poco::Net::HTTPResponse &Response, std::istream &In);
-  void passBody(std::istream &In);
-  bool wholeBody(const Poco::Net::HTTPResponse &Response) const;
-  void failed(const std::string &Why, bool Silent);
-  void keepConnection(const Poco::Net::HTTPResponse &Response);
-  void allow(Duration Setting);
+  void readResponse();
+  bool handleRefusal(const Poco::Net::HTTPResponse &Response, std::istream &In);
+  void forwardBody(std::istream &In);
+  bool isBodyComplete(const Poco::Net::HTTPResponse &Response) const;
+  void handleFailure(const std::string &Cause, bool TimedOut);
+  void returnToPool(const Poco::Net::HTTPResponse &Response);
+  void restartDeadline(Duration Timeout);
 
   const PlainCall &Call;
   const PlainListener &Listener;
   const BackendSettings &Settings;
   BackendCounters &Counters;
   ConnectionPool &Pool;
-  std::shared_ptr<ConnectionCanceller> Breaker =
+  std::shared_ptr<ConnectionCanceller> Canceller =
       std::make_shared<ConnectionCanceller>();
   std::unique_ptr<BackendConnection> Connection;
   PlainResult Result;
-  bool MayHaveLeft = false;
+  bool MayHaveSent = false;
   bool FromPool = false;
-  std::uint64_t ReceivedBefore = 0;
+  std::uint64_t ReceivedAtStart = 0;
 };
 
 } // namespace parsleywing::internal
--- a/src/Backend/PlainServiceClient.cpp
+++ b/src/Backend/PlainServiceClient.cpp
@@ -18,15 +18,15 @@
     "te",         "proxy-connection",  "proxy-authorization",
     "trailer",    "transfer-encoding", "upgrade"};
 
-/// The headers that the `Connection` headers name.
+/// Returns the header names listed in the `Connection` headers.
 std::vector<std::string> namedByConnection(const HeaderList &Headers) {
   std::vector<std::string> Named;
   for (const auto &[Name, Value] : Headers) {
     if (Poco::icompare(Name, ConnectionHeader) != 0)
       continue;
-    const Poco::StringTokenizer Words(Value, ",",
-                                      Poco::StringTokenizer::TOK_TRIM);
-    Named.insert(Named.end(), Words.begin(), Words.end());
+    const Poco::StringTokenizer Tokens(Value, ",",
+                                       Poco::StringTokenizer::TOK_TRIM);
+    Named.insert(Named.end(), Tokens.begin(), Tokens.end());
   }
   return Named;
 }
@@ -40,16 +40,16 @@
 
 HeaderList endToEndHeaders(const HeaderList &Headers) {
   const std::vector<std::string> Named = namedByConnection(Headers);
-  HeaderList Kept;
+  HeaderList EndToEnd;
   for (const auto &[Name, Value] : Headers) {
     const bool IsNamed =
         std::ranges::any_of(Named, [&Header = Name](const std::string &Other) {
           return Poco::icompare(Header, Other) == 0;
         });
     if (!IsNamed && !isHopByHop(Name))
-      Kept.emplace_back(Name, Value);
+      EndToEnd.emplace_back(Name, Value);
   }
-  return Kept;
+  return EndToEnd;
 }
 
 PlainResult PlainServiceClient::run(const PlainCall &Call,
--- a/src/Backend/PlainServiceClient.h
+++ b/src/Backend/PlainServiceClient.h
@@ -14,46 +14,48 @@
 
 namespace parsleywing {
 
-/// Names and values in the order in which they came.
+/// Header names and values in the order received.
 using HeaderList = std::vector<std::pair<std::string, std::string>>;
 
-/// One attempt to have a plain HTTP service serve a request.
+/// Parameters of one attempt to run a request on a plain HTTP service.
 struct PlainCall {
   /// Numeric host and port of the service.
   std::string Address;
   std::string Method = "POST";
-  /// Path and query, as the caller sent them.
+  /// Path and query as sent by the caller.
   std::string Path = "/";
-  /// Headers that concern one connection only are left out.
+  /// Hop-by-hop headers are not forwarded.
   HeaderList Headers;
   std::string Body;
-  /// Names the request and the attempt; sent as `X-Request-Id`.
+  /// Identifies the request and the attempt; sent as `X-Request-Id`.
   std::string Identity;
-  /// Tightens the limits of silence in the settings; zero leaves them.
+  /// Upper bound on the first-event and event-gap timeouts of the settings;
+  /// zero for none.
   Duration ProgressTimeout{0};
   /// Whether the request may be sent again after it may have run.
   bool Repeatable = false;
 };
 
-/// What the attempt tells the thread that serves the caller. All functions are
-/// called from the thread that runs the call; any may be empty.
+/// Callbacks of an attempt. All are called from the thread that runs the call;
+/// any may be empty.
 struct PlainListener {
-  /// The first byte of the request may leave from here on.
+  /// Called before the first byte of the request is sent.
   std::function<void()> SendStarted;
-  /// The head of the answer. False ends the attempt: the caller is gone.
+  /// Called with the response head. Returns false if the caller has
+  /// disconnected, which ends the attempt.
   std::function<bool(int Status, const HeaderList &Headers)> HeadReceived;
-  /// A piece of the body. False ends the attempt.
-  std::function<bool(std::string_view Piece)> BodyReceived;
-  /// As in `EngineListener`.
+  /// Called with each chunk of the body. Returns false to end the attempt.
+  std::function<bool(std::string_view Chunk)> BodyReceived;
+  /// See `EngineListener`.
   std::function<void(std::function<void()>)> SetCanceller;
 };
 
 struct PlainResult {
   AttemptOutcome Outcome = AttemptOutcome::NotSent;
-  /// Of the answer; zero where none came.
+  /// Status code of the response; zero if none arrived.
   int Status = 0;
   std::uint64_t BodyBytes = 0;
-  /// Part of the answer was passed on, so it cannot be replaced by another.
+  /// Part of the response was forwarded, so it cannot be replaced by another.
   bool ResponseStarted = false;
   bool ServerSuspect = false;
   bool ServerLeaving = false;
@@ -61,11 +63,11 @@
   std::uint32_t RetryAfterSeconds = 0;
 };
 
-/// Runs attempts at plain HTTP services. Any answer of the service is the
-/// answer, also one of failure, but for the refusals that say that the request
-/// did not run (429, or 503, with the error object of engines or problem
-/// details): those are not passed on, so that it can be sent elsewhere.
-/// Safe from every thread; blocks the calling one.
+/// Runs attempts on plain HTTP services. Forwards any response of the service,
+/// including errors. The exception are refusals that say that the request did
+/// not run (429 or 503 with the error object of engines or with problem
+/// details): they are not forwarded, so that another server can be tried.
+/// Thread-safe; each call blocks its thread until the attempt ends.
 class PlainServiceClient {
 public:
   PlainServiceClient(BackendSettings S, BackendCounters &C)
@@ -80,12 +82,12 @@
   ConnectionPool Pool;
 };
 
-/// Whether a header concerns one connection only (RFC 9110, section 7.6.1) and
-/// must not be passed on.
+/// Whether a header is hop-by-hop (RFC 9110, section 7.6.1) and must not be
+/// forwarded.
 bool isHopByHop(std::string_view Name);
 
-/// The headers that may be passed on: without those above and without those
-/// that the `Connection` header names.
+/// Returns the headers that may be forwarded: all except hop-by-hop headers and
+/// those listed in the `Connection` header.
 HeaderList endToEndHeaders(const HeaderList &Headers);
 
 } // namespace parsleywing
--- a/src/Backend/ResponseStreamCheck.cpp
+++ b/src/Backend/ResponseStreamCheck.cpp
@@ -26,113 +26,113 @@
   return this->UsageStated ? this->StatedTokens : this->Point.Tokens;
 }
 
-StreamVerdict ResponseStreamCheck::broken(BackendCounters::Count &Counter) {
+StreamVerdict ResponseStreamCheck::reject(BackendCounters::Count &Counter) {
   ++Counter;
   return this->WrongIdentity ? StreamVerdict::Foreign : StreamVerdict::Broken;
 }
 
-StreamVerdict ResponseStreamCheck::processEvent(const StreamEvent &Event) {
+StreamVerdict ResponseStreamCheck::processEvent(const ServerSentEvent &Event) {
   try {
-    return this->judge(Event);
+    return this->checkEvent(Event);
   } catch (const Poco::Exception &) {
-    return this->broken(this->Counters.MalformedEvents);
+    return this->reject(this->Counters.MalformedEvents);
   } catch (const std::exception &) {
-    return this->broken(this->Counters.MalformedEvents);
+    return this->reject(this->Counters.MalformedEvents);
   }
 }
 
-StreamVerdict ResponseStreamCheck::judge(const StreamEvent &Event) {
+StreamVerdict ResponseStreamCheck::checkEvent(const ServerSentEvent &Event) {
   this->Parser.reset();
   const auto Data =
       this->Parser.parse(Event.Data).extract<Poco::JSON::Object::Ptr>();
-  const std::string Kind = stringField(*Data, "type");
-  if (Kind.empty() || (!Event.Name.empty() && Event.Name != Kind))
-    return this->broken(this->Counters.MalformedEvents);
-  if (Kind == ErrorEvent)
+  const std::string Type = stringField(*Data, "type");
+  if (Type.empty() || (!Event.Name.empty() && Event.Name != Type))
+    return this->reject(this->Counters.MalformedEvents);
+  if (Type == ErrorEvent)
     return StreamVerdict::Abandoned;
   std::uint64_t Number = 0;
-  const StreamVerdict Place = this->judgeNumber(*Data, Number);
-  if (Place != StreamVerdict::Forward)
-    return Place;
-  const StreamVerdict Verdict = this->byKind(Kind, *Data, Number);
+  const StreamVerdict SequenceVerdict = this->checkSequence(*Data, Number);
+  if (SequenceVerdict != StreamVerdict::Forward)
+    return SequenceVerdict;
+  const StreamVerdict Verdict = this->checkByType(Type, *Data, Number);
   if (Verdict == StreamVerdict::Skip || Verdict == StreamVerdict::Forward ||
       Verdict == StreamVerdict::Finished)
     this->Point.Sequence = Number;
   return Verdict;
 }
 
-/// An event of another response is looked for before its number is, since its
-/// number may fit by chance and would then hide where it came from.
-StreamVerdict ResponseStreamCheck::judgeNumber(const Poco::JSON::Object &Data,
-                                               std::uint64_t &Number) {
+/// Checks whether the event belongs to this response before checking its
+/// sequence number, since the number of a foreign event may fit by chance.
+StreamVerdict ResponseStreamCheck::checkSequence(const Poco::JSON::Object &Data,
+                                                 std::uint64_t &Number) {
   Number = Data.getValue<Poco::UInt64>("sequence_number");
   if (!this->Started)
     return StreamVerdict::Forward;
-  if (!this->ofThisItem(Data, Number))
-    return this->foreignEvent();
+  if (!this->belongsToItem(Data, Number))
+    return this->rejectForeignEvent();
   if (Number <= this->Point.Sequence) {
     ++this->Counters.RepeatedEvents;
     return StreamVerdict::Skip;
   }
   if (Number != this->Point.Sequence + 1)
-    return this->broken(this->Counters.MissingEvents);
+    return this->reject(this->Counters.MissingEvents);
   return StreamVerdict::Forward;
 }
 
-StreamVerdict ResponseStreamCheck::byKind(const std::string &Kind,
-                                          const Poco::JSON::Object &Data,
-                                          std::uint64_t Number) {
+StreamVerdict ResponseStreamCheck::checkByType(const std::string &Type,
+                                               const Poco::JSON::Object &Data,
+                                               std::uint64_t Number) {
   if (!this->Started)
-    return Kind == CreatedEvent ? this->created(Data)
-                                : this->broken(this->Counters.MissingEvents);
-  if (Kind == DeltaEvent)
-    return this->delta(Data);
-  if (Kind == ItemAddedEvent)
-    return this->itemAdded(Data, Number);
-  if (Kind == TextDoneEvent)
-    return this->textDone(Data);
-  if (Kind == CompletedEvent || Kind == IncompleteEvent)
-    return this->ended(Data, true);
-  if (Kind == FailedEvent)
-    return this->ended(Data, false);
+    return Type == CreatedEvent ? this->onCreated(Data)
+                                : this->reject(this->Counters.MissingEvents);
+  if (Type == DeltaEvent)
+    return this->onDelta(Data);
+  if (Type == ItemAddedEvent)
+    return this->onItemAdded(Data, Number);
+  if (Type == TextDoneEvent)
+    return this->onTextDone(Data);
+  if (Type == CompletedEvent || Type == IncompleteEvent)
+    return this->onResponseEnd(Data, true);
+  if (Type == FailedEvent)
+    return this->onResponseEnd(Data, false);
   return StreamVerdict::Skip;
 }
 
-StreamVerdict ResponseStreamCheck::created(const Poco::JSON::Object &Data) {
+StreamVerdict ResponseStreamCheck::onCreated(const Poco::JSON::Object &Data) {
   const auto Response = Data.getObject("response");
   if (!Response || stringField(*Response, "id").empty())
-    return this->broken(this->Counters.MalformedEvents);
-  if (!this->ofThisResponse(*Response))
-    return this->broken(this->Counters.WrongIdentities);
+    return this->reject(this->Counters.MalformedEvents);
+  if (!this->belongsToResponse(*Response))
+    return this->reject(this->Counters.WrongIdentities);
   this->Point.ResponseId = stringField(*Response, "id");
   this->Started = true;
   return StreamVerdict::Skip;
 }
 
-StreamVerdict ResponseStreamCheck::itemAdded(const Poco::JSON::Object &Data,
-                                             std::uint64_t Number) {
+StreamVerdict ResponseStreamCheck::onItemAdded(const Poco::JSON::Object &Data,
+                                               std::uint64_t Number) {
   const auto Item = Data.getObject("item");
   if (!Item || stringField(*Item, "type") != MessageItem)
     return StreamVerdict::Skip;
   this->BeforeItem = this->Point;
-  this->ItemNumber = Number;
+  this->ItemSequence = Number;
   this->Point.ItemId = stringField(*Item, "id");
   this->Point.ItemTextOffset = 0;
   return StreamVerdict::Skip;
 }
 
-/// The event that opened the item may itself have been the foreign one, since
-/// nothing in it names the response. While no text of the item was passed on,
-/// the stream is taken up before it.
-StreamVerdict ResponseStreamCheck::foreignEvent() {
-  if (this->ItemNumber != 0 && this->Point.ItemTextOffset == 0)
+/// The event that added the item may itself be foreign, since it does not name
+/// the response. If no text of the item has been forwarded yet, the stream is
+/// resumed before that event.
+StreamVerdict ResponseStreamCheck::rejectForeignEvent() {
+  if (this->ItemSequence != 0 && this->Point.ItemTextOffset == 0)
     this->Point = this->BeforeItem;
-  return this->broken(this->Counters.ForeignEvents);
+  return this->reject(this->Counters.ForeignEvents);
 }
 
-StreamVerdict ResponseStreamCheck::delta(const Poco::JSON::Object &Data) {
+StreamVerdict ResponseStreamCheck::onDelta(const Poco::JSON::Object &Data) {
   if (!Data.has("item_id"))
-    return this->broken(this->Counters.MalformedEvents);
+    return this->reject(this->Counters.MalformedEvents);
   this->Text = Data.getValue<std::string>("delta");
   this->Point.TextOffset += this->Text.size();
   this->Point.ItemTextOffset += this->Text.size();
@@ -140,36 +140,37 @@
   return StreamVerdict::Forward;
 }
 
-/// The engine repeats the whole text of the item here. Another length than
-/// what was passed on means that a piece was cut or added on the way, although
-/// the numbering had no gap.
-StreamVerdict ResponseStreamCheck::textDone(const Poco::JSON::Object &Data) {
+/// The event repeats the complete text of the item. If its length differs from
+/// the forwarded text, some text was lost or added in transit although the
+/// sequence numbers had no gap.
+StreamVerdict ResponseStreamCheck::onTextDone(const Poco::JSON::Object &Data) {
   if (!Data.has("text"))
     return StreamVerdict::Skip;
   if (Data.getValue<std::string>("text").size() != this->Point.ItemTextOffset)
-    return this->broken(this->Counters.TruncatedStreams);
+    return this->reject(this->Counters.TruncatedStreams);
   return StreamVerdict::Skip;
 }
 
-StreamVerdict ResponseStreamCheck::ended(const Poco::JSON::Object &Data,
-                                         bool Whole) {
+StreamVerdict ResponseStreamCheck::onResponseEnd(const Poco::JSON::Object &Data,
+                                                 bool Complete) {
   const auto Response = Data.getObject("response");
   if (!Response)
-    return this->broken(this->Counters.MalformedEvents);
-  if (!this->ofThisResponse(*Response))
-    return this->broken(this->Counters.WrongIdentities);
+    return this->reject(this->Counters.MalformedEvents);
+  if (!this->belongsToResponse(*Response))
+    return this->reject(this->Counters.WrongIdentities);
   const auto Usage = Response->getObject("usage");
   this->UsageStated = Usage && Usage->has("output_tokens");
   if (this->UsageStated)
     this->StatedTokens = Usage->getValue<Poco::UInt64>("output_tokens");
-  if (!Whole)
+  if (!Complete)
     return StreamVerdict::Abandoned;
   if (!this->UsageStated)
     ++this->Counters.MissingUsages;
   return StreamVerdict::Finished;
 }
 
-bool ResponseStreamCheck::ofThisResponse(const Poco::JSON::Object &Response) {
+bool ResponseStreamCheck::belongsToResponse(
+    const Poco::JSON::Object &Response) {
   const auto Metadata = Response.getObject("metadata");
   this->WrongIdentity =
       !Metadata || stringField(*Metadata, "identity") != this->Identity;
@@ -179,15 +180,15 @@
          stringField(Response, "id") == this->Point.ResponseId;
 }
 
-/// Text before its item was opened is of another response too. A second event
-/// with the number of the one that opened the item, but with another item, says
+/// Text before its item was added is foreign too. A second event with the
+/// sequence number of the one that added the item, but with another item, shows
 /// that one of the two is foreign.
-bool ResponseStreamCheck::ofThisItem(const Poco::JSON::Object &Data,
-                                     std::uint64_t Number) const {
+bool ResponseStreamCheck::belongsToItem(const Poco::JSON::Object &Data,
+                                        std::uint64_t Number) const {
   if (Data.has("item_id"))
     return stringField(Data, "item_id") == this->Point.ItemId;
   const auto Item = Data.getObject("item");
-  if (this->ItemNumber == 0 || Number != this->ItemNumber || !Item)
+  if (this->ItemSequence == 0 || Number != this->ItemSequence || !Item)
     return true;
   return stringField(*Item, "id") == this->Point.ItemId;
 }
--- a/src/Backend/ShortCall.cpp
+++ b/src/Backend/ShortCall.cpp
@@ -17,13 +17,13 @@
 constexpr int ServiceUnavailable = 503;
 constexpr int Ok = 200;
 
-/// The error object of an answer, or nothing.
+/// Parses the error object of a response body; null if there is none.
 Poco::JSON::Object::Ptr errorOf(const std::string &Body) {
   try {
     Poco::JSON::Parser Parser;
-    const auto Whole = Parser.parse(Body).extract<Poco::JSON::Object::Ptr>();
-    return Whole ? Whole->getObject("error") : nullptr;
-  } catch (const std::exception &) { // Poco's exceptions included.
+    const auto Document = Parser.parse(Body).extract<Poco::JSON::Object::Ptr>();
+    return Document ? Document->getObject("error") : nullptr;
+  } catch (const std::exception &) { // Includes Poco's exceptions.
     return nullptr;
   }
 }
@@ -39,46 +39,47 @@
   Connection.send(Request, Call.Body);
   Poco::Net::HTTPResponse Response;
   std::istream &In = Connection.receive(Response);
-  ShortResponse Answer;
+  ShortResponse Result;
   for (int Next = In.rdbuf()->sbumpc(); Next != EOF;
        Next = In.rdbuf()->sbumpc()) {
-    if (Answer.Body.size() >= Call.MaxResponseBytes)
-      return failure(ErrorCode::Malformed, "the answer is too large");
-    Answer.Body.push_back(static_cast<char>(Next));
+    if (Result.Body.size() >= Call.MaxResponseBytes)
+      return failure(ErrorCode::Malformed, "the response is too large");
+    Result.Body.push_back(static_cast<char>(Next));
   }
-  Answer.Status = Response.getStatus();
-  Answer.Leaving =
-      reportsLeaving(Answer.Status, Response.get(DrainHeader, ""), Answer.Body);
-  Answer.Bytes = Connection.receivedBytes() + Connection.sentBytes();
-  return Answer;
+  Result.Status = Response.getStatus();
+  Result.Leaving =
+      reportsLeaving(Result.Status, Response.get(DrainHeader, ""), Result.Body);
+  Result.Bytes = Connection.receivedBytes() + Connection.sentBytes();
+  return Result;
 }
 
 } // namespace
 
 Result<ShortResponse> runShortCall(const ShortCall &Call) {
   const TimePoint Deadline = Call.Time.now() + Call.Timeout;
-  ConnectionCanceller Unused;
+  ConnectionCanceller Canceller;
   bool Connected = false;
   try {
-    BackendConnection Connection(Call.Address, Call.Timeout, Unused, Call.Time);
+    BackendConnection Connection(Call.Address, Call.Timeout, Canceller,
+                                 Call.Time);
     Connected = true;
     Connection.setDeadline(Deadline);
     if (Call.SendPermission) {
-      const auto Until = Call.SendPermission();
-      if (!Until)
+      const auto SendDeadline = Call.SendPermission();
+      if (!SendDeadline)
         return failure(ErrorCode::Denied, Call.Address + ": not sent");
-      Connection.setDeadline(std::min(Deadline, *Until));
+      Connection.setDeadline(std::min(Deadline, *SendDeadline));
     }
     return exchange(Connection, Call);
-  } catch (const Poco::TimeoutException &Late) {
+  } catch (const Poco::TimeoutException &Timeout) {
     return failure(Connected ? ErrorCode::TimedOut : ErrorCode::Unreachable,
-                   Call.Address + ": " + Late.displayText());
-  } catch (const Poco::Exception &Broken) {
+                   Call.Address + ": " + Timeout.displayText());
+  } catch (const Poco::Exception &Failure) {
     return failure(Connected ? ErrorCode::Interrupted : ErrorCode::Unreachable,
-                   Call.Address + ": " + Broken.displayText());
-  } catch (const std::exception &Broken) {
+                   Call.Address + ": " + Failure.displayText());
+  } catch (const std::exception &Failure) {
     return failure(Connected ? ErrorCode::Interrupted : ErrorCode::Unreachable,
-                   Call.Address + ": " + Broken.what());
+                   Call.Address + ": " + Failure.what());
   }
 }
 
@@ -88,8 +89,8 @@
   Call.Path = HealthPath;
   Call.Timeout = Settings.ProbeTimeout;
   Call.Time = Settings.Time;
-  const auto Answer = runShortCall(Call);
-  return Answer && Answer->Status == Ok;
+  const auto Response = runShortCall(Call);
+  return Response && Response->Status == Ok;
 }
 
 Result<void> cancelResponse(const std::string &Address,
@@ -101,12 +102,12 @@
   Call.Path = ResponsesPath + ResponseId + "/cancel";
   Call.Timeout = Settings.CancelTimeout;
   Call.Time = Settings.Time;
-  const auto Answer = runShortCall(Call);
-  if (!Answer)
-    return tl::unexpected<Error>(Answer.error());
-  if (Answer->Status != Ok)
-    return failure(ErrorCode::Refused,
-                   "the engine answered " + std::to_string(Answer->Status));
+  const auto Response = runShortCall(Call);
+  if (!Response)
+    return tl::unexpected<Error>(Response.error());
+  if (Response->Status != Ok)
+    return failure(ErrorCode::Refused, "the engine responded with status " +
+                                           std::to_string(Response->Status));
   return {};
 }
 
--- a/src/Backend/ShortCall.h
+++ b/src/Backend/ShortCall.h
@@ -12,8 +12,8 @@
 
 namespace parsleywing {
 
-/// One call whose answer is short and read whole, over a connection of its
-/// own, ended after `Limit` in all.
+/// Parameters of one HTTP call with a short response, which is read into
+/// memory. Uses a new connection; the whole call is limited to `Timeout`.
 struct ShortCall {
   std::string Address;
   std::string Method = "GET";
@@ -21,47 +21,48 @@
   std::string Body;
   std::vector<std::pair<std::string, std::string>> Headers;
   Duration Timeout = std::chrono::seconds(1);
-  /// What the limit is measured by once the connection stands.
+  /// Clock for the timeout once the connection is established.
   Clock Time = Clock::steady();
   std::size_t MaxResponseBytes = 1 << 20;
-  /// Asked once the connection stands, as the last thing before the first
-  /// byte: until when the call may last. Nothing: it is not sent, and the call
-  /// fails as `Denied`. Making the connection may take long, and what the
-  /// caller knew before it may no longer be so.
+  /// If set, called on the established connection, immediately before the first
+  /// byte is sent; returns the deadline of the call. On nullopt nothing is sent
+  /// and the call fails with `Denied`. A permission checked before connecting
+  /// could be outdated, since connecting may take long.
   std::function<std::optional<TimePoint>()> SendPermission;
 };
 
 struct ShortResponse {
   int Status = 0;
   std::string Body;
-  /// Whether the server says that it finishes its work and takes no more.
+  /// Whether the server states that it is draining.
   bool Leaving = false;
-  /// Bytes in both directions.
+  /// Bytes transferred in both directions.
   std::uint64_t Bytes = 0;
 };
 
-/// Runs the call. `Unreachable` and `Denied` say for certain that nothing was
-/// sent; `TimedOut`, `Interrupted` and `Malformed` leave open whether it took
-/// effect. A status of any kind is an answer, not an error.
+/// Runs the call. On `Unreachable` and `Denied` nothing was sent. On
+/// `TimedOut`, `Interrupted` and `Malformed` the call may have taken effect. A
+/// response with any status code is a result, not an error.
 Result<ShortResponse> runShortCall(const ShortCall &Call);
 
-/// Whether the server answers `GET /health` over a new connection.
+/// Whether the server answers `GET /health` with 200 on a new connection.
 bool probeServer(const std::string &Address, const BackendSettings &Settings);
 
-/// Orders the engine to cancel a response, so that its slot frees.
+/// Tells the engine to cancel a response, which frees its slot.
 Result<void> cancelResponse(const std::string &Address,
                             const std::string &ResponseId,
                             const BackendSettings &Settings);
 
-/// Whether a 503 with this header or error body says that the server drains.
+/// Whether a 503 with this header or error body states that the server is
+/// draining.
 bool reportsLeaving(int Status, const std::string &DrainHeader,
                     const std::string &Body);
 
-/// Whether the body is the published error object of engines:
+/// Whether the body is the documented error object of engines:
 /// `{"error":{"message":...}}`.
 bool isPublishedError(const std::string &Body);
 
-/// The header by which a server says that it drains.
+/// The header by which a server states that it is draining.
 inline constexpr const char *DrainHeader = "X-Draining";
 
 } // namespace parsleywing
--- a/test/Backend/ConnectionReuseTest.cpp
+++ b/test/Backend/ConnectionReuseTest.cpp
@@ -20,32 +20,33 @@
   To.sendBytes(Text.data(), static_cast<int>(Text.size()));
 }
 
-/// Reads the head of a request, and what comes with it; false at the end.
+/// Reads a request head, and any bytes received with it; false if the
+/// connection ended.
 bool readHead(Socket &From) {
-  std::string Got;
-  std::array<char, 4096> Piece{};
-  while (Got.find("\r\n\r\n") == std::string::npos) {
-    const int Count = From.receiveBytes(Piece.data(), Piece.size());
+  std::string Received;
+  std::array<char, 4096> Buffer{};
+  while (Received.find("\r\n\r\n") == std::string::npos) {
+    const int Count = From.receiveBytes(Buffer.data(), Buffer.size());
     if (Count <= 0)
       return false;
-    Got.append(Piece.data(), static_cast<std::size_t>(Count));
+    Received.append(Buffer.data(), static_cast<std::size_t>(Count));
   }
   return true;
 }
 
-/// A server that serves so many connections, one after the other, each by one
-/// call of the test's function.
+/// A server that accepts `Connections` connections one after another and calls
+/// `Serve` for each.
 class OneByOneServer {
 public:
   OneByOneServer(int Connections, std::function<void(Socket &)> Serve)
       : Listening(Poco::Net::SocketAddress("127.0.0.1:0")),
         Worker([this, Connections, Serve = std::move(Serve)] {
-          for (int Served = 0; Served < Connections; ++Served) {
+          for (int Count = 0; Count < Connections; ++Count) {
             Socket Accepted = this->Listening.acceptConnection();
             try {
               Serve(Accepted);
             } catch (const Poco::Exception &) {
-              // The client has left.
+              // The client has disconnected.
             }
           }
         }) {}
@@ -61,14 +62,14 @@
   std::thread Worker;
 };
 
-/// A client whose calls collect the bodies of their answers.
+/// A client that stores the body of the last response.
 class Client {
 public:
   PlainResult run(const PlainCall &Call) {
     this->Body.clear();
     PlainListener Listener;
-    Listener.BodyReceived = [this](std::string_view Piece) {
-      this->Body += Piece;
+    Listener.BodyReceived = [this](std::string_view Buffer) {
+      this->Body += Buffer;
       return true;
     };
     return this->Service.run(Call, Listener);
@@ -93,13 +94,13 @@
     "Content-Type: application/problem+json\r\n"
     "Content-Length: 2\r\nConnection: close\r\n\r\n{}";
 
-/// A server refuses a request of which it has read the head alone, and ends the
-/// connection after this time: the client takes it for not run.
-void checkRefusalIsReadWhileSending(std::chrono::milliseconds EndAfter) {
-  OneByOneServer Server(1, [EndAfter](Socket &S) {
+/// Checks that the client reads a refusal that the server sends after reading
+/// only the request head. The server closes the connection after `CloseAfter`.
+void checkRefusalIsReadWhileSending(std::chrono::milliseconds CloseAfter) {
+  OneByOneServer Server(1, [CloseAfter](Socket &S) {
     readHead(S);
     sendText(S, Refusal);
-    std::this_thread::sleep_for(EndAfter);
+    std::this_thread::sleep_for(CloseAfter);
   });
   Client Caller;
   PlainCall Call;
@@ -112,9 +113,9 @@
 
 } // namespace
 
-// Guards against an answer that is taken for the next request's: it came with
-// the end of the one before, and was read but not looked at.
-Test(ConnectionReuse, aConnectionWithBytesReadBehindItsAnswerIsNotKept) {
+// Guards against taking bytes that arrived together with the end of one
+// response for the response to the next request.
+Test(ConnectionReuse, doesNotReuseAConnectionWithBytesAfterTheResponse) {
   OneByOneServer Server(2, [First = true](Socket &S) mutable {
     if (std::exchange(First, false)) {
       readHead(S);
@@ -138,32 +139,34 @@
     cr_expect_eq(Second.Status, 200, "got %d", Second.Status);
     cr_expect_eq(Caller.Body, "second", "got %s", Caller.Body.c_str());
   }
-  // The server waits for two connections; with the fault there was one.
+  // The server waits for two connections, but a client with the fault opens
+  // only one.
   Socket Last;
   try {
     Last.connect(Poco::Net::SocketAddress(Server.address()), 100000);
   } catch (const Poco::Exception &) {
-    // Both were served.
+    // Both connections were served.
   }
 }
 
-// Guards against an answer that lies in the system while the rest of its
-// request cannot be sent any more: "not run" would become "unknown".
-Test(ConnectionReuse, anAnswerThatCameBeforeTheRequestWasSentIsRead,
+// Guards against ignoring a response that has already arrived when the rest of
+// the request can no longer be sent: "not run" would become "unknown".
+Test(ConnectionReuse, readsAResponseThatArrivedBeforeTheRequestWasSent,
      .timeout = 30) {
-  // Long enough for the answer to arrive before the reset that follows.
+  // Long enough for the response to arrive before the reset that follows it.
   checkRefusalIsReadWhileSending(200ms);
 }
 
-// Guards against a send that waits for a server that has answered and reads no
-// more of the request.
-Test(ConnectionReuse, anAnswerThatStopsTheSendIsReadAtOnce, .timeout = 30) {
+// Guards against a send that blocks because the server has responded and
+// stopped reading the request.
+Test(ConnectionReuse, readsAResponseThatStopsTheSendImmediately,
+     .timeout = 30) {
   checkRefusalIsReadWhileSending(4s);
 }
 
-// Guards against an answer that is taken for a cut one: a 304 states the length
-// of a body that it does not carry.
-Test(ConnectionReuse, anAnswerThatNeverHasABodyIsWhole) {
+// Guards against treating a 304 as truncated: it may state the length of a body
+// that it does not have.
+Test(ConnectionReuse, acceptsAResponseThatNeverHasABody) {
   OneByOneServer Server(1, [](Socket &S) {
     readHead(S);
     sendText(S, "HTTP/1.1 304 Not Modified\r\nContent-Length: 9\r\n\r\n");
--- a/test/Backend/EngineFixture.cpp
+++ b/test/Backend/EngineFixture.cpp
@@ -7,11 +7,11 @@
 
 using std::chrono::milliseconds;
 
-bool eventually(const std::function<bool()> &Holds, Duration Patience) {
+bool eventually(const std::function<bool()> &Condition, Duration Timeout) {
   const Clock Time = Clock::steady();
-  const TimePoint Until = Time.now() + Patience;
-  while (!Holds()) {
-    if (Time.now() >= Until)
+  const TimePoint Deadline = Time.now() + Timeout;
+  while (!Condition()) {
+    if (Time.now() >= Deadline)
       return false;
     std::this_thread::sleep_for(milliseconds(10));
   }
@@ -49,18 +49,18 @@
 EngineResult EngineFixture::run(const EngineCall &Call) {
   EngineListener Listener;
   Listener.SendStarted = [this] { ++this->SentCalls; };
-  Listener.DeltaReceived = [this](const std::string &Piece, std::uint64_t) {
-    this->Text += Piece;
+  Listener.DeltaReceived = [this](const std::string &Chunk, std::uint64_t) {
+    this->Text += Chunk;
     return true;
   };
   return this->Client.run(Call, Listener);
 }
 
-std::string EngineFixture::wholeText(std::uint64_t Tokens) {
-  std::string Whole;
+std::string EngineFixture::fullText(std::uint64_t Tokens) {
+  std::string Text;
   for (std::uint64_t Token = 0; Token < Tokens; ++Token)
-    Whole += "t" + std::to_string(Token) + " ";
-  return Whole;
+    Text += "t" + std::to_string(Token) + " ";
+  return Text;
 }
 
 } // namespace parsleywing::test
--- a/test/Backend/EngineFixture.h
+++ b/test/Backend/EngineFixture.h
@@ -9,27 +9,28 @@
 
 namespace parsleywing::test {
 
-/// Waits, up to ten seconds as a rule, for something to become true.
-bool eventually(const std::function<bool()> &Holds,
-                Duration Patience = std::chrono::seconds(10));
+/// Polls until the condition holds; false after `Timeout`.
+bool eventually(const std::function<bool()> &Condition,
+                Duration Timeout = std::chrono::seconds(10));
 
-/// An engine on loopback and a client for it, in one process.
+/// A stand-in engine on loopback and a client for it, in one process.
 struct EngineFixture {
   explicit EngineFixture(BackendSettings S = pausedSettings(),
                          standin::EngineOptions O = quickEngine());
 
-  /// No limit passes unless the test advances the clock: on a busy machine the
-  /// engine's threads may rest for longer than any limit.
+  /// Settings with a paused clock: no timeout expires unless the test advances
+  /// it. On a busy machine the engine's threads may be suspended for longer
+  /// than any timeout.
   static BackendSettings pausedSettings();
   static standin::EngineOptions quickEngine();
 
   EngineCall call(std::uint64_t Tokens);
 
-  /// Runs the call and collects what it passes on.
+  /// Runs the call and collects the text that it delivers.
   EngineResult run(const EngineCall &Call);
 
-  /// The text of an answer of this many tokens.
-  static std::string wholeText(std::uint64_t Tokens);
+  /// Returns the complete text of a response of `Tokens` tokens.
+  static std::string fullText(std::uint64_t Tokens);
 
   standin::EngineStandIn Engine;
   BackendCounters Counters;
--- a/test/Backend/EngineSilenceTest.cpp
+++ b/test/Backend/EngineSilenceTest.cpp
@@ -18,55 +18,55 @@
 constexpr std::uint64_t Tokens = 20;
 constexpr std::uint64_t ManyTokens = 100'000;
 
-/// Each limit of silence. Time passes only where a test says so: on a busy
-/// machine the stand-in's thread may rest for longer than any limit that a test
-/// could wait for.
-constexpr auto Silence = milliseconds(300);
+/// Value of each progress timeout. Time passes only when a test advances the
+/// clock: on a busy machine the stand-in's thread may be suspended for longer
+/// than any timeout that a test could wait for.
+constexpr auto Timeout = milliseconds(300);
 
-BackendSettings shortSilence() {
+BackendSettings shortTimeouts() {
   BackendSettings Settings;
-  Settings.FirstEventTimeout = Silence;
-  Settings.EventGapTimeout = Silence;
-  Settings.ProbeTimeout = Silence;
+  Settings.FirstEventTimeout = Timeout;
+  Settings.EventGapTimeout = Timeout;
+  Settings.ProbeTimeout = Timeout;
   Settings.Time = Clock::paused();
   return Settings;
 }
 
-/// Runs a call on its own thread and lets the test break it.
+/// Runs a call on its own thread and lets the test cancel it.
 class CallOnThread {
 public:
   CallOnThread(EngineFixture &F, EngineCall C)
       : Thread([this, &F, Call = std::move(C)] {
           EngineListener Listener;
-          Listener.SendStarted = [this] { this->WasSent = true; };
-          Listener.DeltaReceived = [this, &F](const std::string &Piece,
+          Listener.SendStarted = [this] { this->IsSent = true; };
+          Listener.DeltaReceived = [this, &F](const std::string &Chunk,
                                               std::uint64_t) {
-            F.Text += Piece;
-            ++this->Pieces;
+            F.Text += Chunk;
+            ++this->Chunks;
             return true;
           };
-          Listener.SetCanceller = [this](std::function<void()> B) {
+          Listener.SetCanceller = [this](std::function<void()> NewCanceller) {
             std::lock_guard<std::mutex> Lock(this->Mutex);
-            if (B)
-              this->Breaker = std::move(B);
+            if (NewCanceller)
+              this->Canceller = std::move(NewCanceller);
           };
           this->Result = F.Client.run(Call, Listener);
-          this->Over = true;
+          this->Done = true;
         }) {}
 
-  bool sent() const { return this->WasSent; }
-  bool started() const { return this->Pieces > 0; }
-  int pieces() const { return this->Pieces; }
-  bool over() const { return this->Over; }
+  bool sent() const { return this->IsSent; }
+  bool started() const { return this->Chunks > 0; }
+  int chunks() const { return this->Chunks; }
+  bool done() const { return this->Done; }
 
-  void breakOff() {
-    std::function<void()> Now;
+  void cancel() {
+    std::function<void()> Cancel;
     {
       std::lock_guard<std::mutex> Lock(this->Mutex);
-      Now = this->Breaker;
+      Cancel = this->Canceller;
     }
-    if (Now)
-      Now();
+    if (Cancel)
+      Cancel();
   }
 
   EngineResult join() {
@@ -76,10 +76,10 @@
 
 private:
   std::mutex Mutex;
-  std::function<void()> Breaker;
-  std::atomic<bool> WasSent{false};
-  std::atomic<bool> Over{false};
-  std::atomic<int> Pieces{0};
+  std::function<void()> Canceller;
+  std::atomic<bool> IsSent{false};
+  std::atomic<bool> Done{false};
+  std::atomic<int> Chunks{0};
   EngineResult Result{AttemptOutcome::NotSent};
   std::thread Thread;
 };
@@ -87,56 +87,54 @@
 /// Whether the server answers the probe on a new connection.
 enum class Probe { Answered, Silent };
 
-/// Lets limits of silence pass until the call has ended: that of the call, and
-/// that of a probe which is not answered. A step may come just before the call
-/// begins to count, so there may be several.
-EngineResult endBySilence(EngineFixture &Fixture, CallOnThread &Running,
+/// Advances the clock until the call has ended: past the timeout of the call,
+/// and past that of an unanswered probe. A step may come just before the call
+/// starts its timeout, so several steps may be needed.
+EngineResult endByTimeout(EngineFixture &Fixture, CallOnThread &Running,
                           Probe Expected) {
   Clock Time = Fixture.Client.settings().Time;
   do {
     const bool Probing = Fixture.Counters.ProgressTimeouts > 0;
     if (!Probing || Expected == Probe::Silent)
-      Time.advance(Silence);
-  } while (!eventually([&] { return Running.over(); }, milliseconds(20)));
+      Time.advance(Timeout);
+  } while (!eventually([&] { return Running.done(); }, milliseconds(20)));
   return Running.join();
 }
 
 } // namespace
 
-// Symptom: a stream stands still for good, although the engine is well.
-// Sequence: something between the ends forgets the connection after five
-// tokens; new connections work.
-// Cause: nothing limited the time between two events.
-// Fails without the deadline in TimedSocket::receiveBytes: the call hangs.
-Test(EngineSilence, ASilentConnectionIsNoticedAndReplaced, .timeout = 30) {
-  EngineFixture Fixture(shortSilence());
+// Guards against a stream that hangs forever although the engine is healthy. A
+// middlebox drops the connection's state after five tokens while new
+// connections work, and no timeout limits the time between two events. Fails
+// without the deadline in TimedSocket::receiveBytes: the call hangs.
+Test(EngineSilence, DetectsAndReplacesADeadConnection, .timeout = 30) {
+  EngineFixture Fixture(shortTimeouts());
   standin::EngineFaults Faults;
   Faults.SilentAfter = 5;
   Fixture.Engine.setFaults(Faults);
   EngineCall Call = Fixture.call(Tokens);
   CallOnThread Running(Fixture, Call);
-  cr_assert(eventually([&] { return Running.pieces() == 5; }));
-  EngineResult Result = endBySilence(Fixture, Running, Probe::Answered);
+  cr_assert(eventually([&] { return Running.chunks() == 5; }));
+  EngineResult Result = endByTimeout(Fixture, Running, Probe::Answered);
   cr_expect(Result.Outcome == AttemptOutcome::Interrupted);
   cr_expect(!Result.ServerSuspect);
   cr_assert(Result.Resume.has_value());
   Call.ResumeFrom = Result.Resume;
   Result = Fixture.run(Call);
   cr_expect(Result.Outcome == AttemptOutcome::Completed);
-  cr_expect(Fixture.Text == EngineFixture::wholeText(Tokens));
+  cr_expect(Fixture.Text == EngineFixture::fullText(Tokens));
   cr_expect_eq(Fixture.Engine.executions().at("request-7.1"), 1);
 }
 
-// Symptom: a stream stands still for good, although bytes keep coming.
-// Sequence: the engine is stuck; what lies between sends comments to keep the
-// connection open.
-// Cause: every byte that came gave the stream more time.
-// Fails if TimedSocket::receiveBytes moves its deadline with each read.
-Test(EngineSilence, CommentsAreNoProgress, .timeout = 30) {
-  EngineFixture Fixture(shortSilence());
+// Guards against a stream that hangs forever although bytes keep arriving. The
+// engine is stuck, a proxy sends comments to keep the connection open, and
+// every received byte extends the deadline. Fails if TimedSocket::receiveBytes
+// extends the deadline with each read.
+Test(EngineSilence, CommentsAreNotProgress, .timeout = 30) {
+  EngineFixture Fixture(shortTimeouts());
   Poco::Net::ServerSocket Listening{Poco::Net::SocketAddress("127.0.0.1", 0)};
   std::atomic<int> Comments{0};
-  std::thread Chatter([&] {
+  std::thread CommentSender([&] {
     Poco::Net::StreamSocket Socket = Listening.acceptConnection();
     const std::string Head = "HTTP/1.1 200 OK\r\n"
                              "Content-Type: text/event-stream\r\n\r\n";
@@ -149,55 +147,54 @@
         std::this_thread::sleep_for(milliseconds(10));
       }
     } catch (const Poco::Exception &) {
-      return; // The client has given the connection up.
+      return; // The client has closed the connection.
     }
   });
   EngineCall Call = Fixture.call(Tokens);
   Call.Address = Listening.address().toString();
   CallOnThread Running(Fixture, Call);
-  // Comments have come for longer than a look at the clock takes.
+  // Comments have arrived for longer than a check of the clock takes.
   cr_assert(eventually([&] { return Comments > 10; }));
-  const EngineResult Result = endBySilence(Fixture, Running, Probe::Silent);
-  Chatter.join();
+  const EngineResult Result = endByTimeout(Fixture, Running, Probe::Silent);
+  CommentSender.join();
   cr_expect(Result.Outcome == AttemptOutcome::Interrupted);
   cr_expect_eq(Fixture.Counters.ProgressTimeouts.load(), 1);
 }
 
-// Symptom: a dead server keeps getting work, or a well one is blamed.
-// Sequence: the server accepts connections and never answers any.
-// Cause: silence on one connection says nothing of the server.
-// Fails without the probe in EngineAttempt::failed.
-Test(EngineSilence, AServerThatAnswersNoProbeIsSuspect, .timeout = 30) {
-  EngineFixture Fixture(shortSilence());
+// Guards against a dead server that keeps receiving requests, and against
+// suspecting a healthy one: a timeout on one connection does not show whether
+// the server has failed. The server accepts connections and never responds.
+// Fails without the probe in EngineAttempt::handleFailure.
+Test(EngineSilence, AServerThatAnswersNoProbeIsSuspected, .timeout = 30) {
+  EngineFixture Fixture(shortTimeouts());
   standin::EngineFaults Faults;
   Faults.Silent = true;
   Fixture.Engine.setFaults(Faults);
   CallOnThread Running(Fixture, Fixture.call(Tokens));
   cr_assert(eventually([&] { return Running.sent(); }));
-  EngineResult Result = endBySilence(Fixture, Running, Probe::Silent);
+  EngineResult Result = endByTimeout(Fixture, Running, Probe::Silent);
   cr_expect(Result.Outcome == AttemptOutcome::Interrupted);
   cr_expect(Result.ServerSuspect);
   cr_expect_eq(Fixture.Counters.SuspectServers.load(), 1);
 }
 
-// Symptom: a cancelled request keeps its thread and the engine's slot until
-// its last token.
-// Sequence: the router cancels while the thread is blocked in a read.
-// Cause: closing a stream does not end a background response, and nothing
-// wakes a blocked read.
-// Fails without ConnectionBreaker::breakOff and without
-// EngineAttempt::freeSlot.
-Test(EngineSilence, ACancelEndsTheReadAtOnceAndFreesTheSlot, .timeout = 60) {
-  BackendSettings Patient;
-  Patient.EventGapTimeout = seconds(40);
-  EngineFixture Fixture(Patient);
+// Guards against a cancelled request that occupies its thread and the engine's
+// slot until its last token. The router cancels while the thread is blocked in
+// a read; nothing unblocks it, and closing a stream does not end a background
+// response. Fails without ConnectionCanceller::cancel and without
+// EngineAttempt::cancelAtEngine.
+Test(EngineSilence, ACancelEndsTheReadImmediatelyAndFreesTheSlot,
+     .timeout = 60) {
+  BackendSettings Settings;
+  Settings.EventGapTimeout = seconds(40);
+  EngineFixture Fixture(Settings);
   CallOnThread Running(Fixture, Fixture.call(ManyTokens));
   cr_assert(eventually([&] { return Running.started(); }));
   standin::EngineFaults Faults;
   Faults.Stall = true;
   Fixture.Engine.setFaults(Faults);
   const TimePoint Begin = Clock::steady().now();
-  Running.breakOff();
+  Running.cancel();
   const EngineResult Result = Running.join();
   cr_expect(Result.Outcome == AttemptOutcome::Cancelled);
   cr_expect(Clock::steady().now() - Begin < seconds(10));
@@ -205,7 +202,7 @@
   cr_expect_eq(Fixture.Counters.CancelOrders.load(), 1);
 }
 
-Test(EngineSilence, ACallerThatLeavesFreesTheSlot, .timeout = 30) {
+Test(EngineSilence, ADisconnectedCallerFreesTheSlot, .timeout = 30) {
   EngineFixture Fixture;
   EngineListener Listener;
   Listener.DeltaReceived = [](const std::string &, std::uint64_t Count) {
@@ -217,17 +214,17 @@
   cr_expect(eventually([&] { return Fixture.Engine.running() == 0; }));
 }
 
-// Symptom: a cancel hits the connection of another request.
-// Sequence: the breaker of a call that has ended is used late.
-// Cause: the connection went back to the pool and carries another request.
-// Fails without ConnectionBreaker::detach at the end of a call.
-Test(EngineSilence, ALateBreakTouchesNobodyElse, .timeout = 60) {
+// Guards against a cancellation that hits another request. The canceller of a
+// finished call is used late, when its connection has been returned to the pool
+// and is used by another request. Fails without ConnectionCanceller::detach at
+// the end of a call.
+Test(EngineSilence, ALateCancelDoesNotAffectAnotherCall, .timeout = 60) {
   EngineFixture Fixture;
-  std::function<void()> Kept;
+  std::function<void()> OldCanceller;
   EngineListener Listener;
-  Listener.SetCanceller = [&](std::function<void()> B) {
-    if (B)
-      Kept = std::move(B);
+  Listener.SetCanceller = [&](std::function<void()> NewCanceller) {
+    if (NewCanceller)
+      OldCanceller = std::move(NewCanceller);
   };
   EngineCall Call = Fixture.call(1);
   Call.Repeatable = true;
@@ -235,27 +232,27 @@
             AttemptOutcome::Completed);
   Call = Fixture.call(200);
   Call.Repeatable = true;
-  std::atomic<bool> Over{false};
-  std::thread Late([&] {
-    while (!Over) {
-      Kept();
+  std::atomic<bool> Done{false};
+  std::thread LateCanceller([&] {
+    while (!Done) {
+      OldCanceller();
       std::this_thread::sleep_for(milliseconds(1));
     }
   });
   const EngineResult Result = Fixture.run(Call);
-  Over = true;
-  Late.join();
+  Done = true;
+  LateCanceller.join();
   cr_expect(Result.Outcome == AttemptOutcome::Completed);
 }
 
-Test(EngineSilence, ABreakBeforeTheSendSendsNothing) {
+Test(EngineSilence, ACancelBeforeTheSendSendsNothing) {
   EngineFixture Fixture;
   EngineListener Listener;
   int Sent = 0;
   Listener.SendStarted = [&] { ++Sent; };
-  Listener.SetCanceller = [](const std::function<void()> &B) {
-    if (B)
-      B();
+  Listener.SetCanceller = [](const std::function<void()> &NewCanceller) {
+    if (NewCanceller)
+      NewCanceller();
   };
   const EngineResult Result =
       Fixture.Client.run(Fixture.call(Tokens), Listener);
@@ -264,14 +261,12 @@
   cr_expect(Fixture.Engine.executions().empty());
 }
 
-// Symptom: the outcome of a contract draft is unknown for no good reason.
-// Sequence: a connection goes silent while it is idle in the pool; the next
-// request is put on it.
-// Cause: idle connections were used for requests that may not be repeated.
-// Fails without the look at `Repeatable` in EngineAttempt::connect.
+// Guards against an unnecessary unknown outcome. A connection dies unnoticed
+// while it is idle in the pool, and a request that may not be repeated is sent
+// over it. Fails without the check of `Repeatable` in EngineAttempt::connect.
 Test(EngineSilence, NonRepeatableRequestsAlwaysGetANewConnection,
      .timeout = 30) {
-  EngineFixture Fixture(shortSilence());
+  EngineFixture Fixture(shortTimeouts());
   EngineCall Call = Fixture.call(Tokens);
   Call.Repeatable = true;
   cr_assert(Fixture.run(Call).Outcome == AttemptOutcome::Completed);
@@ -283,7 +278,7 @@
   Call.Repeatable = true;
   CallOnThread Running(Fixture, Call);
   cr_assert(eventually([&] { return Running.sent(); }));
-  const EngineResult Result = endBySilence(Fixture, Running, Probe::Answered);
+  const EngineResult Result = endByTimeout(Fixture, Running, Probe::Answered);
   cr_expect(Result.Outcome == AttemptOutcome::Interrupted);
   cr_expect(Result.PooledConnectionBroke);
   cr_expect(!Result.ServerSuspect);
--- a/test/Backend/EngineStreamTest.cpp
+++ b/test/Backend/EngineStreamTest.cpp
@@ -10,98 +10,92 @@
 
 constexpr std::uint64_t Tokens = 20;
 
-/// Resumes until the answer is whole or cannot be resumed.
-EngineResult runToTheEnd(EngineFixture &Fixture) {
+/// Runs a call and resumes it until it is complete or cannot be resumed, at
+/// most five times.
+EngineResult runToCompletion(EngineFixture &Fixture) {
   EngineCall Call = Fixture.call(Tokens);
   EngineResult Result = Fixture.run(Call);
-  for (int Try = 0; Try < 5 && Result.Resume; ++Try) {
+  for (int Attempt = 0; Attempt < 5 && Result.Resume; ++Attempt) {
     Call.ResumeFrom = Result.Resume;
     Result = Fixture.run(Call);
   }
   return Result;
 }
 
-void expectWhole(EngineFixture &Fixture, const EngineResult &Result) {
+void expectComplete(EngineFixture &Fixture, const EngineResult &Result) {
   cr_expect(Result.Outcome == AttemptOutcome::Completed);
   cr_expect_eq(Result.Tokens, Tokens);
-  cr_expect(Fixture.Text == EngineFixture::wholeText(Tokens), "%s",
+  cr_expect(Fixture.Text == EngineFixture::fullText(Tokens), "%s",
             Fixture.Text.c_str());
   cr_expect_eq(Fixture.Engine.executions().at("request-7.1"), 1);
 }
 
 } // namespace
 
-// An attempt that hangs ends here: no limit of silence passes by itself.
+// Ends an attempt that hangs, since the paused clock lets no timeout expire.
 TestSuite(EngineStream, .timeout = 60);
 
-Test(EngineStream, AWholeAnswerIsPassedOnOnce) {
+Test(EngineStream, ForwardsACompleteResponseOnce) {
   EngineFixture Fixture;
-  expectWhole(Fixture, Fixture.run(Fixture.call(Tokens)));
+  expectComplete(Fixture, Fixture.run(Fixture.call(Tokens)));
   cr_expect_eq(Fixture.SentCalls, 1);
 }
 
-// Symptom: a caller reads the same words twice.
-// Sequence: the engine, or what lies between, sends each event a second time.
-// Cause: events were passed on without a look at their number.
+// Guards against duplicate text: the engine or a proxy sends each event twice.
 // Fails without the check of `sequence_number` in ResponseStreamCheck.
-Test(EngineStream, DoubledEventsAreDroppedAndCounted) {
+Test(EngineStream, DropsAndCountsDuplicateEvents) {
   EngineFixture Fixture;
   standin::EngineFaults Faults;
   Faults.Doubled = true;
   Fixture.Engine.setFaults(Faults);
-  expectWhole(Fixture, Fixture.run(Fixture.call(Tokens)));
+  expectComplete(Fixture, Fixture.run(Fixture.call(Tokens)));
   cr_expect_geq(Fixture.Counters.RepeatedEvents.load(), Tokens);
 }
 
-// Symptom: a word of somebody else's answer stands in a caller's answer.
-// Sequence: after five tokens an event of another response comes through.
-// Cause: the item's id was not compared.
-// Fails without the check of `item_id` in ResponseStreamCheck.
-Test(EngineStream, ACrossedEventIsDroppedAndTheStreamTakenUpBeforeIt) {
+// Guards against text of another caller's response: after five tokens an event
+// of another response arrives. Fails without the check of `item_id` in
+// ResponseStreamCheck.
+Test(EngineStream, DropsAForeignEventAndResumesBeforeIt) {
   EngineFixture Fixture;
   standin::EngineFaults Faults;
   Faults.CrossedAfter = 5;
   Fixture.Engine.setFaults(Faults);
-  expectWhole(Fixture, runToTheEnd(Fixture));
+  expectComplete(Fixture, runToCompletion(Fixture));
   cr_expect_eq(Fixture.Counters.ForeignEvents.load(), 1);
   cr_expect_eq(Fixture.Counters.Resumes.load(), 1);
 }
 
-// Symptom: a word is missing in the middle of an answer that looks whole.
-// Sequence: one event gets lost on the way; the next ones arrive.
-// Cause: gaps in the numbering were not noticed.
-// Fails without the check of `sequence_number` in ResponseStreamCheck.
-Test(EngineStream, AGapEndsTheAttemptAndIsFilledByTakingTheStreamUp) {
+// Guards against missing text in a response that looks complete: one event is
+// lost and the following ones arrive. Fails without the check of
+// `sequence_number` in ResponseStreamCheck.
+Test(EngineStream, AGapEndsTheAttemptAndIsFilledByResuming) {
   EngineFixture Fixture;
   standin::EngineFaults Faults;
   Faults.SkipAfter = 5;
   Fixture.Engine.setFaults(Faults);
-  expectWhole(Fixture, runToTheEnd(Fixture));
+  expectComplete(Fixture, runToCompletion(Fixture));
   cr_expect_eq(Fixture.Counters.MissingEvents.load(), 1);
 }
 
-// Symptom: an answer stops in mid-sentence, or begins again from the start.
-// Sequence: the connection ends after five tokens, between or within events.
-// Cause: the end of the stream was taken for the end of the answer, or the
-// request was sent again although the engine still held its response.
-// Fails without `ResumeFrom`.
-Test(EngineStream, ABrokenStreamIsTakenUpFromItsOffset) {
+// Guards against a response that stops in mid-sentence or starts again. The
+// connection ends after five tokens, between or within events; the end of the
+// stream is taken for the end of the response, or the request is sent again
+// although the engine still has its response. Fails without `ResumeFrom`.
+Test(EngineStream, ResumesAnInterruptedStreamFromItsOffset) {
   for (const bool Truncate : {false, true}) {
     EngineFixture Fixture;
     standin::EngineFaults Faults;
     (Truncate ? Faults.TruncateAfter : Faults.CutAfter) = 5;
     Fixture.Engine.setFaults(Faults);
-    expectWhole(Fixture, runToTheEnd(Fixture));
+    expectComplete(Fixture, runToCompletion(Fixture));
     cr_expect_eq(Fixture.Counters.Resumes.load(), 1);
   }
 }
 
-// Symptom: a caller gets the answer to another request.
-// Sequence: the engine answers on this connection with another request's
-// response.
-// Cause: nobody compared the identity that the engine repeats.
-// Fails without the check of the metadata in ResponseStreamCheck.
-Test(EngineStream, AnAnswerToAnotherRequestIsNeverPassedOn) {
+// Guards against forwarding the response to another request, which the engine
+// sends on this connection. Fails without the check of the identity in the
+// response's metadata in ResponseStreamCheck.
+Test(EngineStream, NeverForwardsAResponseToAnotherRequest) {
   EngineFixture Fixture;
   standin::EngineFaults Faults;
   Faults.WrongMetadata = true;
@@ -113,12 +107,11 @@
   cr_expect_eq(Fixture.Counters.WrongIdentities.load(), 1);
 }
 
-// Symptom: the router stops, or holds a line of any length in memory.
-// Sequence: an engine sends an event that is not JSON, or a line without end.
-// Cause: the parser's exception left the package; lines had no limit.
-// Fails without the catch in ResponseStreamCheck::take and without the limit
-// in EventStreamReader.
-Test(EngineStream, MalformedAndOversizedEventsEndTheAttemptAsValues) {
+// Guards against a router that terminates, or that buffers a line of unlimited
+// length. An engine sends an event that is not JSON, whose parser exception
+// leaves the package, or a line without an end. Fails without the catch in
+// ResponseStreamCheck::processEvent and without the limit in EventStreamReader.
+Test(EngineStream, MalformedAndOversizedEventsEndTheAttempt) {
   for (const bool Oversized : {false, true}) {
     EngineFixture Fixture;
     standin::EngineFaults Faults;
@@ -126,9 +119,9 @@
     Fixture.Engine.setFaults(Faults);
     const EngineResult Result = Fixture.run(Fixture.call(Tokens));
     cr_expect(Result.Outcome == AttemptOutcome::Interrupted);
-    cr_expect(Fixture.Text == EngineFixture::wholeText(5));
+    cr_expect(Fixture.Text == EngineFixture::fullText(5));
     cr_expect(Result.Resume && Result.Resume->Tokens == 5);
-    // What was generated is charged, though the attempt broke.
+    // The generated tokens are charged although the attempt failed.
     cr_expect_eq(Result.Tokens, 5);
     cr_expect_eq((Oversized ? Fixture.Counters.OversizedEvents
                             : Fixture.Counters.MalformedEvents)
@@ -137,12 +130,12 @@
   }
 }
 
-Test(EngineStream, AMissingUsageLeavesTheCountedTokensAsTheCost) {
+Test(EngineStream, CountsTokensItselfWithoutUsage) {
   EngineFixture Fixture;
   standin::EngineFaults Faults;
   Faults.NoUsage = true;
   Fixture.Engine.setFaults(Faults);
-  expectWhole(Fixture, Fixture.run(Fixture.call(Tokens)));
+  expectComplete(Fixture, Fixture.run(Fixture.call(Tokens)));
   cr_expect_eq(Fixture.Counters.MissingUsages.load(), 1);
 }
 
@@ -150,9 +143,9 @@
   EngineFixture Fixture;
   EngineCall Call = Fixture.call(Tokens);
   {
-    const Poco::Net::ServerSocket Once{
+    const Poco::Net::ServerSocket ClosedSocket{
         Poco::Net::SocketAddress("127.0.0.1", 0)};
-    Call.Address = Once.address().toString();
+    Call.Address = ClosedSocket.address().toString();
   }
   cr_expect(Fixture.run(Call).Outcome == AttemptOutcome::NotSent);
   cr_expect_eq(Fixture.SentCalls, 0);
@@ -163,13 +156,12 @@
             AttemptOutcome::Interrupted);
 }
 
-// Symptom: a caller is told "not run", and yet its request ran.
-// Sequence: something between the two ends answers 503 after the engine has
-// taken the request; or the engine runs it and its answer is lost.
-// Cause: any 503 counted as the engine's own refusal.
-// Fails without the look for the published error object in
-// EngineAttempt::refused.
-Test(EngineStream, OnlyAnEnginesOwnRefusalCountsAsNotRun) {
+// Guards against reporting "not run" for a request that ran. A proxy sends a
+// 503 after the engine has accepted the request, or the engine runs it and its
+// response is lost; any 503 counts as a refusal of the engine. Fails without
+// the check for the documented error object in
+// EngineAttempt::handleErrorStatus.
+Test(EngineStream, OnlyARefusalOfTheEngineCountsAsNotRun) {
   EngineFixture Fixture;
   standin::EngineFaults Faults;
   Faults.BareRefuse = true;
--- a/test/Backend/LoadPollerTest.cpp
+++ b/test/Backend/LoadPollerTest.cpp
@@ -29,11 +29,11 @@
   }
 
   std::function<void(Event)> sink() {
-    return [this](const Event &Happened) {
+    return [this](const Event &Received) {
       std::lock_guard<std::mutex> Lock(this->Mutex);
-      if (const auto *Load = std::get_if<LoadReported>(&Happened))
+      if (const auto *Load = std::get_if<LoadReported>(&Received))
         this->Last = *Load;
-      if (const auto *Change = std::get_if<ServerConditionChanged>(&Happened))
+      if (const auto *Change = std::get_if<ServerConditionChanged>(&Received))
         this->Conditions.push_back(Change->Condition);
     };
   }
@@ -70,26 +70,24 @@
 
 } // namespace
 
-Test(LoadPoller, ReportsWhatTheEnginePublishes, .timeout = 60) {
+Test(LoadPoller, ReportsThePublishedLoad, .timeout = 60) {
   PollerFixture Fixture;
   Fixture.set(&standin::EngineFaults::Stall);
   cr_expect(eventually([&] { return Fixture.reported(0, 0); }));
-  auto Held = std::make_shared<standin::EngineResponse>();
-  Held->Metadata = "{}";
-  Held->TokensWanted = 1;
-  Fixture.Engines.Engine.submit(Held);
+  auto Response = std::make_shared<standin::EngineResponse>();
+  Response->Metadata = "{}";
+  Response->TokensWanted = 1;
+  Fixture.Engines.Engine.submit(Response);
   cr_expect(eventually([&] { return Fixture.reported(0, 1); }));
   cr_expect_gt(Fixture.Engines.Counters.PollBytes.load(), 0);
   cr_expect(Fixture.became({}));
 }
 
-// Symptom: new work goes to a server that is dead or leaving, or never again
-// to one that came back.
-// Sequence: the server closes every new connection, then is well again, then
-// refuses because it drains.
-// Cause: nobody looked at the servers but through requests.
-// Fails without LoadPoller::conclude.
-Test(LoadPoller, ConditionsAreNoticedBothWays, .timeout = 60) {
+// Guards against requests to a server that is dead or draining, and against a
+// recovered server that gets none. The server closes every new connection, then
+// is healthy again, then refuses because it drains; servers are checked only by
+// requests. Fails without LoadPoller::applyObservation.
+Test(LoadPoller, ReportsFailureRecoveryAndDrain, .timeout = 60) {
   PollerFixture Fixture;
   Fixture.set(&standin::EngineFaults::Close);
   cr_expect(
@@ -105,15 +103,15 @@
   }));
 }
 
-// Symptom: a server that is well again gets no work from anybody.
-// Sequence: its owner says that it leaves and crashes; the server stays.
-// Cause: the next owner finds it usable, which is no change for its poller.
-Test(LoadPoller, AConditionThatStaysIsToldAgain, .timeout = 60) {
+// Guards against a healthy server that gets no requests. The router that owns
+// it reports it as leaving and crashes; the next owner's poller finds it
+// usable, which is no change for this poller, so it reports nothing.
+Test(LoadPoller, RepeatsAnUnchangedCondition, .timeout = 60) {
   PollerFixture Fixture{milliseconds(50)};
   cr_expect(eventually([&] { return Fixture.timesUsable() >= 2; }));
 }
 
-Test(LoadPoller, ReadsThePublishedFormAndRefusesWhatIsNot) {
+Test(LoadPoller, ParsesThePublishedFormatAndRejectsOthers) {
   const auto Report = parseLoadReport("# TYPE vllm:num_requests_running gauge\n"
                                       "vllm:num_requests_running{m=\"a\"} 3.0\n"
                                       "vllm:num_requests_running{m=\"b\"} 2\n"
@@ -123,11 +121,11 @@
   cr_expect_eq(Report->Running, 5);
   cr_expect_eq(Report->Waiting, 10);
   cr_expect_eq(Report->CacheUsage, 0.5);
-  for (const char *Wrong :
+  for (const char *Invalid :
        {"", "vllm:num_requests_running 3\n",
         "vllm:num_requests_running NaN\nvllm:num_requests_waiting 1\n",
         "vllm:num_requests_running -1\nvllm:num_requests_waiting 1\n",
         "vllm:num_requests_running{\nvllm:num_requests_waiting 1\n",
         "vllm:num_requests_running 9e99\nvllm:num_requests_waiting 1\n"})
-    cr_expect(!parseLoadReport(Wrong), "%s", Wrong);
+    cr_expect(!parseLoadReport(Invalid), "%s", Invalid);
 }
--- a/test/Backend/OrderClientTest.cpp
+++ b/test/Backend/OrderClientTest.cpp
@@ -8,8 +8,9 @@
 
 namespace {
 
-/// A holder whose lease has this number and lasts.
-OrderClient::PermitProvider holds(FencingNumber Number) {
+/// Provides permits of a lease with this fencing number that does not expire
+/// during the test.
+OrderClient::PermitProvider permit(FencingNumber Number) {
   return [Number] {
     return LeasePermit{Number,
                        Clock::steady().now() + std::chrono::seconds(30)};
@@ -33,43 +34,42 @@
 
 } // namespace
 
-Test(OrderClient, AnAdapterIsLoadedAndUnloaded) {
+Test(OrderClient, LoadsAndUnloadsAnAdapter) {
   EngineFixture Fixture;
   OrderClient Client(Fixture.Counters);
   EngineOrder Order = orderFor(Fixture, FencingCheck::Ignored);
-  cr_expect(Client.sendOrder(Order, holds(1)) == OrderOutcome::Done);
+  cr_expect(Client.sendOrder(Order, permit(1)) == OrderOutcome::Done);
   cr_expect(Fixture.Engine.loadedModels().contains("swahili-v2"));
-  cr_expect(Client.sendOrder(Order, holds(1)) == OrderOutcome::AlreadyInEffect);
+  cr_expect(Client.sendOrder(Order, permit(1)) ==
+            OrderOutcome::AlreadyInEffect);
   Order.Kind = OrderKind::UnloadAdapter;
-  cr_expect(Client.sendOrder(Order, holds(1)) == OrderOutcome::Done);
+  cr_expect(Client.sendOrder(Order, permit(1)) == OrderOutcome::Done);
   cr_expect(!Fixture.Engine.loadedModels().contains("swahili-v2"));
 }
 
-// Symptom: an engine goes back to an old adapter.
-// Sequence: a holder is paused past its lease; its successor gives order 5;
-// the first wakes and sends order 4.
-// Cause: a lease alone cannot stop an order that is already on its way.
-// Fails without the fencing header in OrderClient::send.
-Test(OrderClient, AnEngineThatChecksRefusesAnOldNumber) {
+// Guards against an engine that returns to an old adapter. A holder is paused
+// beyond the end of its lease; its successor sends order 5, then the first
+// resumes and sends order 4. A lease alone cannot stop an order in transit.
+// Fails without the fencing header in OrderClient::postOrder.
+Test(OrderClient, AnEngineThatChecksFencingRefusesAnOldNumber) {
   EngineFixture Fixture(EngineFixture::pausedSettings(),
                         engineThat(FencingCheck::Checked));
   OrderClient Client(Fixture.Counters);
   EngineOrder Newer = orderFor(Fixture, FencingCheck::Checked);
   Newer.Kind = OrderKind::LoadAdapter;
-  cr_expect(Client.sendOrder(Newer, holds(5)) == OrderOutcome::Done);
+  cr_expect(Client.sendOrder(Newer, permit(5)) == OrderOutcome::Done);
   EngineOrder Older = orderFor(Fixture, FencingCheck::Checked);
   Older.Kind = OrderKind::UnloadAdapter;
-  cr_expect(Client.sendOrder(Older, holds(4)) == OrderOutcome::Stale);
+  cr_expect(Client.sendOrder(Older, permit(4)) == OrderOutcome::Stale);
   cr_expect(Fixture.Engine.loadedModels().contains("swahili-v2"));
   cr_expect_eq(Fixture.Counters.StaleOrders.load(), 1);
 }
 
-// Symptom: as above, at an engine that ignores the number.
-// Sequence: the holder is paused between the check of the report and the
-// send; its lease lapses meanwhile.
-// Cause: the lease was looked at too early.
-// Fails without the question to `Lease` in OrderClient::send.
-Test(OrderClient, ALostLeaseStopsAnOrderToAnEngineThatIgnoresTheNumber) {
+// Guards against the same failure at an engine that ignores fencing numbers.
+// The holder is paused between reading the model list and sending the order,
+// its lease expires meanwhile, and the lease was checked too early. Fails
+// without the call of `GetPermit` in OrderClient::postOrder.
+Test(OrderClient, ALostLeaseStopsAnOrderToAnEngineThatIgnoresFencing) {
   EngineFixture Fixture;
   OrderClient Client(Fixture.Counters);
   const EngineOrder Order = orderFor(Fixture, FencingCheck::Ignored);
@@ -78,11 +78,10 @@
   cr_expect(!Fixture.Engine.loadedModels().contains("swahili-v2"));
 }
 
-// Symptom: an order that took effect is reported as failed, or given twice.
-// Sequence: the engine obeys and its answer is lost.
-// Cause: a lost answer says nothing about the effect.
-// Fails without the check of the report after the send.
-Test(OrderClient, ALostAnswerIsSettledByTheReport) {
+// Guards against an order that took effect and is reported as failed or is sent
+// twice: the engine obeys and its response is lost, which does not show whether
+// the order took effect. Fails without reading the model list after the order.
+Test(OrderClient, AfterALostResponseTheModelListDecides) {
   for (const FencingCheck Check :
        {FencingCheck::Checked, FencingCheck::Ignored}) {
     EngineFixture Fixture(EngineFixture::pausedSettings(), engineThat(Check));
@@ -90,15 +89,15 @@
     Faults.LoseAnswer = true;
     Fixture.Engine.setFaults(Faults);
     OrderClient Client(Fixture.Counters);
-    cr_expect(Client.sendOrder(orderFor(Fixture, Check), holds(1)) ==
+    cr_expect(Client.sendOrder(orderFor(Fixture, Check), permit(1)) ==
               OrderOutcome::Done);
   }
 }
 
-Test(OrderClient, AnEngineThatCannotBeReachedGotNothing) {
+Test(OrderClient, AnUnreachableEngineCountsAsNotSent) {
   EngineFixture Fixture;
   OrderClient Client(Fixture.Counters);
   EngineOrder Order = orderFor(Fixture, FencingCheck::Checked);
   Order.Address = "127.0.0.1:1";
-  cr_expect(Client.sendOrder(Order, holds(1)) == OrderOutcome::NotSent);
+  cr_expect(Client.sendOrder(Order, permit(1)) == OrderOutcome::NotSent);
 }
--- a/test/Backend/PlainServiceTest.cpp
+++ b/test/Backend/PlainServiceTest.cpp
@@ -39,8 +39,8 @@
       this->Head = Headers;
       return true;
     };
-    Listener.BodyReceived = [this](std::string_view Piece) {
-      this->Body += Piece;
+    Listener.BodyReceived = [this](std::string_view Chunk) {
+      this->Body += Chunk;
       return true;
     };
     return this->Client.run(Call, Listener);
@@ -55,7 +55,7 @@
 
 } // namespace
 
-Test(PlainService, AnAnswerPassesUnchangedAndHeadersOfTheConnectionStay) {
+Test(PlainService, ForwardsAResponseWithoutHopByHopHeaders) {
   PlainFixture Fixture;
   const PlainResult Result = Fixture.run(Fixture.call());
   cr_expect(Result.Outcome == AttemptOutcome::Completed);
@@ -64,19 +64,18 @@
             Fixture.Body.c_str());
   cr_expect_eq(Fixture.Service.executions().at("request-7.1"), 1);
   cr_expect_eq(Fixture.Service.executionsByKey().at("batch-4"), 1);
-  const std::string Seen = Fixture.Service.lastHeaders();
-  cr_expect(Seen.find("X-Private") == std::string::npos, "%s", Seen.c_str());
+  const std::string ReceivedHeaders = Fixture.Service.lastHeaders();
+  cr_expect(ReceivedHeaders.find("X-Private") == std::string::npos, "%s",
+            ReceivedHeaders.c_str());
   for (const auto &[Name, Value] : Fixture.Head)
     cr_expect(!isHopByHop(Name), "%s", Name.c_str());
 }
 
-// Symptom: a caller is told "not run", and its record is written.
-// Sequence: the service writes the record and its answer is lost; or something
-// between the two ends answers 503.
-// Cause: a lost or foreign answer counted as a refusal.
-// Fails if `MayHaveLeft` is set after the send, or without the look at the
-// error object in PlainAttempt::refused.
-Test(PlainService, OnlyTheServicesOwnRefusalCountsAsNotRun) {
+// Guards against reporting "not run" although the record was written. The
+// service writes the record and its response is lost, or a proxy sends a 503,
+// and this counts as a refusal. Fails if `MayHaveSent` is set after the send,
+// or without the check of the error object in PlainAttempt::handleRefusal.
+Test(PlainService, OnlyARefusalOfTheServiceCountsAsNotRun) {
   PlainFixture Fixture;
   standin::EngineFaults Faults;
   Faults.LoseAnswer = true;
@@ -90,17 +89,17 @@
   Faults = {};
   Faults.Leaving = true;
   Fixture.Service.setFaults(Faults);
-  const PlainResult Refused = Fixture.run(Fixture.call());
-  cr_expect(Refused.Outcome == AttemptOutcome::Rejected);
-  cr_expect(Refused.ServerLeaving);
-  cr_expect(!Refused.ResponseStarted);
+  const PlainResult Refusal = Fixture.run(Fixture.call());
+  cr_expect(Refusal.Outcome == AttemptOutcome::Rejected);
+  cr_expect(Refusal.ServerLeaving);
+  cr_expect(!Refusal.ResponseStarted);
 }
 
-// Symptom: half a record is taken for the whole.
-// Sequence: the connection ends before the last chunk of the answer.
-// Cause: the library ends a cut body as quietly as a whole one.
-// Fails without the look at `ended` in PlainAttempt::wholeBody.
-Test(PlainService, ACutAnswerIsNotTakenForAWholeOne) {
+// Guards against taking a truncated record for a complete one. The connection
+// ends before the last chunk of the response, and POCO ends a truncated body
+// without an error. Fails without the check of `peerClosed` in
+// PlainAttempt::isBodyComplete.
+Test(PlainService, DetectsATruncatedResponse) {
   PlainFixture Fixture;
   standin::EngineFaults Faults;
   Faults.TruncateAfter = 5;
@@ -111,11 +110,10 @@
   cr_expect(Fixture.Body == R"({"rec)");
 }
 
-// Symptom: a request hangs for good on a service that accepted it.
-// Sequence: the service takes connections and never answers.
-// Cause: nothing limited the wait for the head of the answer.
+// Guards against a request that hangs forever: the service accepts connections
+// and never responds, and no timeout limits the wait for the response head.
 // Fails without the deadline in TimedSocket::receiveBytes: the call hangs.
-Test(PlainService, ASilentServiceIsNoticedAndSuspected, .timeout = 30) {
+Test(PlainService, DetectsAndSuspectsAnUnresponsiveService, .timeout = 30) {
   PlainFixture Fixture;
   standin::EngineFaults Faults;
   Faults.Silent = true;
--- a/test/Backend/ResponseStreamCheckTest.cpp
+++ b/test/Backend/ResponseStreamCheckTest.cpp
@@ -22,20 +22,20 @@
          R"("},"usage":{"output_tokens":12}})";
 }
 
-std::string piece(const std::string &Identity, std::uint64_t Token) {
+std::string chunk(const std::string &Identity, std::uint64_t Token) {
   return Identity + std::to_string(Token) + " ";
 }
 
-std::string wholeText() {
+std::string fullText() {
   std::string Text;
   for (std::uint64_t Token = 0; Token < Tokens; ++Token)
-    Text += piece("a", Token);
+    Text += chunk("a", Token);
   return Text;
 }
 
-/// Every event of one response; the place is the number.
-std::vector<StreamEvent> eventsOf(const std::string &Identity) {
-  std::vector<StreamEvent> Events;
+/// All events of one response; the index is the sequence number.
+std::vector<ServerSentEvent> eventsOf(const std::string &Identity) {
+  std::vector<ServerSentEvent> Events;
   Events.push_back(
       {"", event("response.created", 0, responseFields(Identity))});
   Events.push_back(
@@ -45,64 +45,64 @@
     Events.push_back(
         {"", event("response.output_text.delta", Token + 2,
                    R"("item_id":"msg_)" + Identity + R"(","delta":")" +
-                       piece(Identity, Token) + "\"")});
+                       chunk(Identity, Token) + "\"")});
   Events.push_back(
       {"", event("response.completed", Tokens + 2, responseFields(Identity))});
   return Events;
 }
 
-/// What arrives in place of the events of response "a": some of them doubled,
-/// left out, cut, or replaced by those of response "b".
-std::vector<StreamEvent> disturbed() {
+/// Returns the events of response "a" with random faults: some are lost, and
+/// some are preceded by a truncated copy, by an earlier event, or by an event
+/// of response "b".
+std::vector<ServerSentEvent> eventsWithFaults() {
   const auto Own = eventsOf("a");
   const auto Foreign = eventsOf("b");
-  std::vector<StreamEvent> Arriving;
-  for (std::size_t Place = 0; Place < Own.size(); ++Place) {
+  std::vector<ServerSentEvent> Arriving;
+  for (std::size_t Index = 0; Index < Own.size(); ++Index) {
     const int Kind = *rc::gen::inRange(0, 24);
     if (Kind == 0)
       continue;
     if (Kind == 1)
-      Arriving.push_back(Foreign[Place]);
+      Arriving.push_back(Foreign[Index]);
     if (Kind == 2)
-      Arriving.push_back({"", Own[Place].Data.substr(0, Place)});
+      Arriving.push_back({"", Own[Index].Data.substr(0, Index)});
     if (Kind == 3)
-      Arriving.push_back(Own[*rc::gen::inRange<std::size_t>(0, Place + 1)]);
-    Arriving.push_back(Own[Place]);
+      Arriving.push_back(Own[*rc::gen::inRange<std::size_t>(0, Index + 1)]);
+    Arriving.push_back(Own[Index]);
   }
   return Arriving;
 }
 
 } // namespace
 
-// Symptom: a caller's answer has a word too many, too few, or of another's.
-// Sequence: events are lost, doubled, cut and crossed in any mixture, over any
-// number of connections.
-// Cause: some check of the stream misses some mixture.
-// Fails without any one of the checks of identity, item and numbering.
-Test(ResponseStreamCheck, WhatIsPassedOnIsAlwaysTheBeginningOfTheRightAnswer) {
+// Guards against duplicate, missing or foreign text in a response, for random
+// combinations of lost, duplicated, truncated and foreign events over several
+// connections. Fails without any one of the checks of identity, item and
+// sequence number.
+Test(ResponseStreamCheck, ForwardedTextIsAlwaysAPrefixOfTheResponse) {
   ::setenv("RC_PARAMS", "seed=20261202 max_success=3000", 0);
   const bool Holds = rc::check([] {
     BackendCounters Counters;
-    ResumePoint From;
-    std::string Passed;
+    ResumePoint Start;
+    std::string Forwarded;
     for (int Connection = 0; Connection < 4; ++Connection) {
-      ResponseStreamCheck Check("a", From, Counters);
+      ResponseStreamCheck Check("a", Start, Counters);
       auto Verdict = StreamVerdict::Skip;
-      for (const StreamEvent &Next : disturbed()) {
+      for (const ServerSentEvent &Next : eventsWithFaults()) {
         Verdict = Check.processEvent(Next);
         if (Verdict == StreamVerdict::Forward)
-          Passed += Check.text();
+          Forwarded += Check.text();
         else if (Verdict != StreamVerdict::Skip)
           break;
       }
-      RC_ASSERT(wholeText().starts_with(Passed));
+      RC_ASSERT(fullText().starts_with(Forwarded));
       if (Verdict == StreamVerdict::Finished)
-        RC_ASSERT(Passed == wholeText());
-      RC_ASSERT(Check.point().TextOffset == Passed.size());
+        RC_ASSERT(Forwarded == fullText());
+      RC_ASSERT(Check.point().TextOffset == Forwarded.size());
       if (Verdict == StreamVerdict::Finished ||
           Verdict == StreamVerdict::Foreign)
         return;
-      From = Check.point();
+      Start = Check.point();
     }
   });
   cr_assert(Holds);
--- a/test/Backend/StandInCrashTest.cpp
+++ b/test/Backend/StandInCrashTest.cpp
@@ -14,7 +14,8 @@
 
 namespace {
 
-/// The status of a request's whole answer; 0 where none came.
+/// Sends a request and returns the status of the complete response; 0 if there
+/// is none.
 int post(const std::string &Address, const std::string &Path,
          const std::string &Body) {
   try {
@@ -23,8 +24,9 @@
     Request.setContentLength(static_cast<std::streamsize>(Body.size()));
     Session.sendRequest(Request) << Body;
     Poco::Net::HTTPResponse Response;
-    std::string Answer;
-    Poco::StreamCopier::copyToString(Session.receiveResponse(Response), Answer);
+    std::string ResponseBody;
+    Poco::StreamCopier::copyToString(Session.receiveResponse(Response),
+                                     ResponseBody);
     return Session.networkException() == nullptr ? Response.getStatus() : 0;
   } catch (const Poco::Exception &) {
     return 0;
@@ -54,27 +56,28 @@
 
 } // namespace
 
-Test(StandInCrash, anEngineEndsWithAllItHasInHandAndIsBack, .timeout = 30) {
+Test(StandInCrash, anEngineCrashesWithAllItsRequestsAndRestarts,
+     .timeout = 30) {
   standin::EngineOptions Options = EngineFixture::quickEngine();
   Options.Step = std::chrono::milliseconds(20);
   standin::EngineStandIn Engine(Options);
   Engine.start();
   Engine.setFaults(crashOn("poison"));
   const std::string Address = Engine.address();
-  auto Beside = std::async(std::launch::async, [&Address] {
+  auto Concurrent = std::async(std::launch::async, [&Address] {
     return post(Address, "/v1/responses", input("tokens=10000"));
   });
   cr_assert(eventually([&Engine] { return Engine.running() == 1; }));
   cr_assert_eq(post(Address, "/v1/responses", input("poison")), 0);
   cr_assert(eventually([&] { return refusesConnections(Address); }));
-  // Alone it would run for minutes.
+  // Without the crash the request would run for minutes.
   cr_assert(eventually([&Engine] { return Engine.running() == 0; }));
-  Beside.wait();
+  Concurrent.wait();
   cr_assert(eventually([&] { return !refusesConnections(Address); }));
   cr_assert_eq(post(Address, "/v1/responses", input("tokens=2")), 200);
 }
 
-Test(StandInCrash, aPlainServiceEndsAndIsBack, .timeout = 30) {
+Test(StandInCrash, aPlainServiceCrashesAndRestarts, .timeout = 30) {
   standin::PlainServiceStandIn Service("127.0.0.1:0");
   Service.start();
   Service.setFaults(crashOn("poison"));
