--- a/src/Caller/AccountKeys.h
+++ b/src/Caller/AccountKeys.h
@@ -9,14 +9,15 @@
 
 namespace parsleywing {
 
-/// Finds the client account of a key in constant time. Built anew for each
-/// generation of declarations, in time linear in the accounts, and never
-/// changed in place.
+/// Immutable index from API keys to client accounts, with constant-time lookup.
+/// A new index is built for each generation of the declarations, in time linear
+/// in the number of accounts.
 class AccountKeys {
 public:
   explicit AccountKeys(const Declarations &Declared);
 
-  /// The account whose declared digest is that of the key; costs one SHA-256.
+  /// Returns the account whose declared key digest matches the SHA-256 of
+  /// `Key`.
   std::optional<AccountId> find(const std::string &Key) const;
 
 private:
--- a/src/Caller/AccountLimiter.h
+++ b/src/Caller/AccountLimiter.h
@@ -9,15 +9,15 @@
 
 namespace parsleywing {
 
-/// Counts what each client account has in flight at this router, so that one
-/// flooding account cannot take all threads. Holds only accounts with
-/// something in flight. Safe from every thread; each call costs one lock.
+/// Limits the requests that each client account has in flight at this router,
+/// so that a single account cannot occupy all threads. Stores only accounts
+/// with requests in flight. Thread-safe; each call takes one lock.
 class AccountLimiter {
 public:
-  /// Takes a place; false where the account holds `Max` already.
+  /// Counts one more request; false if the account already has `Max` in flight.
   bool tryAcquire(AccountId Account, std::uint32_t Max);
 
-  /// Gives a place back.
+  /// Ends a request that `tryAcquire` counted.
   void release(AccountId Account);
 
 private:
@@ -25,24 +25,25 @@
   std::unordered_map<AccountId, std::uint32_t> InFlight;
 };
 
-/// Holds a place of an account until it goes out of scope.
+/// RAII guard that counts one request of an account as in flight. Check
+/// `isAcquired` after construction.
 class InFlightGuard {
 public:
   InFlightGuard(AccountLimiter &L, AccountId A, std::uint32_t Max)
-      : Limiter(L), Account(A), Taken(L.tryAcquire(A, Max)) {}
+      : Limiter(L), Account(A), Acquired(L.tryAcquire(A, Max)) {}
   ~InFlightGuard() {
-    if (this->Taken)
+    if (this->Acquired)
       this->Limiter.release(this->Account);
   }
   InFlightGuard(const InFlightGuard &) = delete;
   InFlightGuard &operator=(const InFlightGuard &) = delete;
 
-  bool isAcquired() const { return this->Taken; }
+  bool isAcquired() const { return this->Acquired; }
 
 private:
   AccountLimiter &Limiter;
   AccountId Account;
-  bool Taken;
+  bool Acquired;
 };
 
 } // namespace parsleywing
--- a/src/Caller/CallerApi.cpp
+++ b/src/Caller/CallerApi.cpp
@@ -24,13 +24,13 @@
   return Out.str();
 }
 
-/// Answers 405 unless the request has this method.
+/// Sends a 405 and returns false unless the request has this method.
 bool requireMethod(Exchange &E, const std::string &Method) {
   if (E.Request->getMethod() == Method)
     return true;
   E.Response.set("Allow", Method);
   E.sendProblem({ProblemType::MethodNotAllowed,
-                 "This path is served with " + Method + " only."});
+                 "This path accepts only " + Method + "."});
   return false;
 }
 
@@ -39,27 +39,27 @@
   return Uri.substr(0, Uri.find('?'));
 }
 
-/// The service's name in `/services/{service}/{path...}`.
+/// Extracts the service name from `/services/{service}/{path...}`.
 std::string serviceOf(const std::string &Path) {
   const std::string Rest = Path.substr(ServicesPrefix.size());
   return Rest.substr(0, Rest.find('/'));
 }
 
-/// Serves a request that the control thread decides on. `Parse` reads the rest
-/// of it, given the declarations and the account.
+/// Serves a request that is scheduled by the control thread. `Parse` reads and
+/// validates the rest of the request, given the declarations and the account.
 template <typename ParseFunction>
-void serveDecided(Exchange &E, const ParseFunction &Parse) {
+void serveScheduled(Exchange &E, const ParseFunction &Parse) {
   const CallerDeclarations Declared = E.Context.declarations();
   const auto Account = findAccount(E, Declared);
   if (!Account) {
     E.sendProblem(Account.error());
     return;
   }
-  // Taken before the body is read: slow senders hold threads as well.
+  // Acquired before the body is read, since slow senders occupy threads too.
   const CallerSettings &Settings = E.Context.Settings;
-  const InFlightGuard Place(E.Context.InFlight, *Account,
+  const InFlightGuard Guard(E.Context.InFlight, *Account,
                             Settings.MaxInFlightPerAccount);
-  if (!Place.isAcquired()) {
+  if (!Guard.isAcquired()) {
     E.sendProblem({ProblemType::AccountLimit,
                    "The account has " +
                        std::to_string(Settings.MaxInFlightPerAccount) +
@@ -69,16 +69,16 @@
   }
   if (E.Request->getExpectContinue())
     E.Response.sendContinue();
-  const Parsed<CallerRequest> Asked = Parse(Declared, *Account);
-  if (!Asked) {
-    E.sendProblem(Asked.error());
+  const Parsed<CallerRequest> Request = Parse(Declared, *Account);
+  if (!Request) {
+    E.sendProblem(Request.error());
     return;
   }
-  if (Asked->HandedOver) {
-    E.Identity = Asked->HandedOver->Identity;
+  if (Request->HandedOver) {
+    E.Identity = Request->HandedOver->Identity;
     E.Response.set("X-Request-Id", E.Identity);
   }
-  RequestHandler(E, *Asked).serve();
+  RequestHandler(E, *Request).serve();
 }
 
 } // namespace
@@ -86,7 +86,7 @@
 void serveResponses(Exchange &E) {
   if (!requireMethod(E, HTTPServerRequest::HTTP_POST))
     return;
-  serveDecided(E, [&](const CallerDeclarations &Declared, AccountId Account) {
+  serveScheduled(E, [&](const CallerDeclarations &Declared, AccountId Account) {
     return parseRequest(E, Declared, Account);
   });
 }
@@ -119,24 +119,25 @@
 void servePlainService(Exchange &E) {
   const std::string Name = serviceOf(pathOf(*E.Request));
   const auto Service = idOf<ServiceId>(Name);
-  serveDecided(E,
-               [&](const CallerDeclarations &Declared,
-                   AccountId Account) -> Parsed<CallerRequest> {
-                 if (!mayUse(*Declared.Active, Account, Service) ||
-                     Declared.Active->Services.at(Service).Kind !=
-                         ServiceKind::Plain)
-                   return tl::unexpected<Problem>(
-                       Problem{ProblemType::ServiceNotAllowed,
-                               "The account may not use this service."});
-                 return parsePlainRequest(E, Declared, Account, Service);
-               });
+  serveScheduled(E,
+                 [&](const CallerDeclarations &Declared,
+                     AccountId Account) -> Parsed<CallerRequest> {
+                   if (!mayUse(*Declared.Active, Account, Service) ||
+                       Declared.Active->Services.at(Service).Kind !=
+                           ServiceKind::Plain)
+                     return tl::unexpected<Problem>(
+                         Problem{ProblemType::ServiceNotAllowed,
+                                 "The account may not use this service."});
+                   return parsePlainRequest(E, Declared, Account, Service);
+                 });
 }
 
 void serveHealth(Exchange &E) {
   if (!requireMethod(E, HTTPServerRequest::HTTP_GET))
     return;
   if (E.Context.Draining) {
-    E.sendProblem({ProblemType::Draining, "This router takes no new work.",
+    E.sendProblem({ProblemType::Draining,
+                   "This router accepts no new requests.",
                    RequestOutcome::NotRun, E.Context.Settings.LimitRetryAfter});
     return;
   }
@@ -163,7 +164,8 @@
   else if (Path.starts_with(ServicesPrefix))
     servePlainService(E);
   else
-    E.sendProblem({ProblemType::NotFound, "Nothing is served at this path."});
+    E.sendProblem(
+        {ProblemType::NotFound, "There is no resource at this path."});
 }
 
 } // namespace parsleywing
--- a/src/Caller/CallerApi.h
+++ b/src/Caller/CallerApi.h
@@ -5,22 +5,22 @@
 
 namespace parsleywing {
 
-/// Serves `POST /v1/responses`: checks the caller's key, limits and service,
-/// and has the request served.
+/// Serves `POST /v1/responses`: authenticates the caller, enforces the limits,
+/// validates the request and runs it on a model engine.
 void serveResponses(Exchange &E);
 
-/// Serves `GET /v1/models`: the model services that the account may use.
+/// Serves `GET /v1/models`: lists the model services that the account may use.
 void serveModels(Exchange &E);
 
-/// Serves `/services/{service}/{path...}`: a call of a plain HTTP service,
-/// passed on unchanged.
+/// Serves `/services/{service}/{path...}`: forwards the request unchanged to a
+/// plain HTTP service.
 void servePlainService(Exchange &E);
 
-/// Serves `GET /health` for the platform's balancer: 200 while this router
-/// takes new work, 503 while it drains. Needs no key.
+/// Serves `GET /health` for the platform's load balancer: 200 while this router
+/// accepts new requests, 503 while it drains. Requires no key.
 void serveHealth(Exchange &E);
 
-/// Serves any request by its path.
+/// Validates the request head and dispatches the request by its path.
 void serveExchange(Exchange &E);
 
 } // namespace parsleywing
--- a/src/Caller/CallerConnection.cpp
+++ b/src/Caller/CallerConnection.cpp
@@ -15,7 +15,7 @@
 
 namespace {
 
-/// How often an idle connection looks whether the router drains.
+/// Interval at which an idle connection checks whether the router is draining.
 constexpr Duration IdleCheckInterval = std::chrono::milliseconds(250);
 
 Poco::Timespan toTimespan(Duration D) { return Poco::Timespan(D.count()); }
@@ -25,8 +25,8 @@
 CallerConnection::CallerConnection(const Poco::Net::StreamSocket &Accepted,
                                    CallerContext &C)
     : TCPServerConnection(Accepted), Context(C),
-      Limits(new CallerSocketImpl(Accepted, C.Counters)), Caller(Limits),
-      Params(new Poco::Net::HTTPServerParams) {
+      SocketImpl(new CallerSocketImpl(Accepted, C.Counters)),
+      Caller(SocketImpl), Params(new Poco::Net::HTTPServerParams) {
   this->Params->setTimeout(toTimespan(C.Settings.ReceiveTimeout));
 }
 
@@ -36,20 +36,21 @@
 
 void CallerConnection::run() {
   try {
-    CallerSession Session(this->Caller, this->Params);
+    CallerHttpSession Session(this->Caller, this->Params);
     this->Caller.setSendTimeout(toTimespan(this->Context.Settings.SendTimeout));
     while (this->waitForRequest(Session) && this->serveNext(Session)) {
     }
-    // Only here, since POCO sends the answer as its response is destroyed.
-    if (this->EndsBehindAnswer || CallerWatch::hasUnsent(this->socket()))
-      this->endInOrder();
+    // Only after the loop: POCO sends the end of a response when the response
+    // object is destroyed.
+    if (this->CloseAfterResponse || CallerWatch::hasUnsent(this->socket()))
+      this->closeGracefully();
   } catch (const Poco::Exception &Failure) {
     log(LogPart::Caller, LogLevel::Debug,
-        "A connection broke: " + Failure.displayText());
+        "Caller connection failed: " + Failure.displayText());
   }
 }
 
-bool CallerConnection::waitForRequest(const CallerSession &Session) {
+bool CallerConnection::waitForRequest(const CallerHttpSession &Session) {
   const int Slices =
       static_cast<int>(this->Context.Settings.IdleTimeout / IdleCheckInterval);
   for (int Slice = 0; Slice <= Slices; ++Slice) {
@@ -64,9 +65,9 @@
   return false;
 }
 
-bool CallerConnection::serveNext(CallerSession &Session) {
+bool CallerConnection::serveNext(CallerHttpSession &Session) {
   const CallerSettings &Settings = this->Context.Settings;
-  this->Limits->beginHead(Settings.ReceiveTimeout, Settings.MaxHeaderBytes);
+  this->SocketImpl->beginHead(Settings.ReceiveTimeout, Settings.MaxHeaderBytes);
   HTTPServerResponseImpl Response(Session);
   Response.setVersion(Poco::Net::HTTPMessage::HTTP_1_1);
   const std::uint64_t Number = this->Context.NextRequest++;
@@ -74,7 +75,7 @@
              nullptr,
              Response,
              this->Caller,
-             *this->Limits,
+             *this->SocketImpl,
              Number,
              Settings.RouterName + "-" + this->Context.IncarnationNumber + "-" +
                  std::to_string(Number)};
@@ -83,53 +84,53 @@
   try {
     Request.emplace(Response, Session, this->Params.get());
   } catch (const Poco::Net::NoMessageException &) {
-    if (!this->Limits->receiveTimedOut())
+    if (!this->SocketImpl->receiveTimedOut())
       return false; // The caller closed between two requests.
   } catch (const Poco::Exception &) {
-    // Answered below.
+    // Answered with a problem below.
   }
   if (!Request) {
-    E.sendProblem(this->unreadable());
-    this->EndsBehindAnswer = true;
-    this->HasUnread = true;
+    E.sendProblem(this->headProblem());
+    this->CloseAfterResponse = true;
+    this->HasUnreadInput = true;
     return false;
   }
-  this->Limits->endHead();
+  this->SocketImpl->endHead();
   E.Request = &*Request;
   Response.setVersion(Request->getVersion());
   Response.setKeepAlive(Request->getKeepAlive());
   serveExchange(E);
-  this->HasUnread = !E.BodyRead;
-  // Only what the head said counts: a drain that began behind it ends the
-  // connection with the next answer, or once the caller is idle.
-  const bool Kept = Response.sent() && Response.getKeepAlive() && E.BodyRead &&
-                    !this->Context.Stopping;
-  this->EndsBehindAnswer =
-      Response.sent() && !Kept && !this->Limits->willReset();
-  return Kept;
+  this->HasUnreadInput = !E.BodyRead;
+  // Only what the response head announced counts: a drain that started after
+  // the head closes the connection after the next response, or when the
+  // connection is idle.
+  const bool KeepAlive = Response.sent() && Response.getKeepAlive() &&
+                         E.BodyRead && !this->Context.Stopping;
+  this->CloseAfterResponse =
+      Response.sent() && !KeepAlive && !this->SocketImpl->willReset();
+  return KeepAlive;
 }
 
-Problem CallerConnection::unreadable() const {
-  if (this->Limits->receiveTimedOut())
+Problem CallerConnection::headProblem() const {
+  if (this->SocketImpl->receiveTimedOut())
     return {ProblemType::ReceiveTimeout,
-            "The head of the request did not come whole in time."};
-  if (this->Limits->headTooLarge())
+            "The request head was not received completely in time."};
+  if (this->SocketImpl->headTooLarge())
     return {ProblemType::HeadersTooLarge,
-            "The head of the request may hold " +
+            "The request head exceeds the limit of " +
                 std::to_string(this->Context.Settings.MaxHeaderBytes) +
                 " bytes."};
-  return {ProblemType::InvalidRequest,
-          "The head of the request is not valid HTTP."};
+  return {ProblemType::InvalidRequest, "The request head is not valid HTTP."};
 }
 
-/// A connection that is idle and whose answers have all left is closed at once:
-/// a request that crosses the close then gets a reset, by which its caller sees
-/// that it was not read.
-void CallerConnection::endInOrder() {
-  const bool Settled =
-      !this->HasUnread && CallerWatch::isSafeToClose(this->socket());
+/// If all responses are acknowledged and no bytes are unread, the connection is
+/// closed at once: a request that crosses the close then gets a reset, which
+/// shows its caller that the request was not read.
+void CallerConnection::closeGracefully() {
+  const bool SafeToClose =
+      !this->HasUnreadInput && CallerWatch::isSafeToClose(this->socket());
   this->Caller.shutdownSend();
-  if (!Settled)
+  if (!SafeToClose)
     this->Context.Watch.linger(this->socket(),
                                this->Context.Settings.SendTimeout);
 }
--- a/src/Caller/CallerConnection.h
+++ b/src/Caller/CallerConnection.h
@@ -10,18 +10,18 @@
 
 namespace parsleywing {
 
-/// POCO's session, which also tells whether it holds bytes of a pipelined
-/// request. The socket shows nothing of them.
-class CallerSession : public Poco::Net::HTTPServerSession {
+/// POCO's HTTP session with its `buffered` made public: bytes of a pipelined
+/// request that the session has already read are not visible on the socket.
+class CallerHttpSession : public Poco::Net::HTTPServerSession {
 public:
   using HTTPServerSession::buffered;
   using HTTPServerSession::HTTPServerSession;
 };
 
-/// One caller's connection: its requests, one after the other, on one thread.
-/// Stands in for POCO's HTTPServerConnection, which answers what it cannot
-/// read without a request id, limits no request as a whole and cannot be told
-/// to close after the answer at hand.
+/// One HTTP connection of a caller. Serves its requests one after another on
+/// one thread. Replaces POCO's HTTPServerConnection, which rejects malformed
+/// requests without a request id, does not limit a request as a whole, and
+/// cannot be told to close after the current response.
 class CallerConnection : public Poco::Net::TCPServerConnection {
 public:
   CallerConnection(const Poco::Net::StreamSocket &Accepted, CallerContext &C);
@@ -30,19 +30,19 @@
   void run() override;
 
 private:
-  bool waitForRequest(const CallerSession &Session);
-  bool serveNext(CallerSession &Session);
-  Problem unreadable() const;
-  void endInOrder();
+  bool waitForRequest(const CallerHttpSession &Session);
+  bool serveNext(CallerHttpSession &Session);
+  Problem headProblem() const;
+  void closeGracefully();
 
   CallerContext &Context;
-  CallerSocketImpl *Limits;
+  CallerSocketImpl *SocketImpl;
   CallerSocket Caller;
   Poco::AutoPtr<Poco::Net::HTTPServerParams> Params;
-  /// The last answer ends the connection.
-  bool EndsBehindAnswer = false;
-  /// The last request was answered without being read to its end.
-  bool HasUnread = false;
+  /// The last response was final: the connection closes after it.
+  bool CloseAfterResponse = false;
+  /// The last request was answered before it was read completely.
+  bool HasUnreadInput = false;
 };
 
 } // namespace parsleywing
--- a/src/Caller/CallerContext.cpp
+++ b/src/Caller/CallerContext.cpp
@@ -5,20 +5,20 @@
 namespace {
 
 BackendSettings settingsForRouters(const CallerSettings &Settings) {
-  BackendSettings Changed = Settings.Backend;
-  Changed.FirstEventTimeout = Settings.MaxTimeout;
-  Changed.EventGapTimeout = Settings.MaxTimeout;
-  return Changed;
+  BackendSettings Result = Settings.Backend;
+  Result.FirstEventTimeout = Settings.MaxTimeout;
+  Result.EventGapTimeout = Settings.MaxTimeout;
+  return Result;
 }
 
 } // namespace
 
-CallerContext::CallerContext(CallerSettings S, ControlLoop &C, std::string L)
+CallerContext::CallerContext(CallerSettings S, ControlLoop &C, std::string I)
     : Settings(std::move(S)), Control(C),
       Engines(Settings.Backend, processCounters()),
       Services(Settings.Backend, processCounters()),
       Routers(settingsForRouters(Settings), processCounters()),
-      IncarnationNumber(std::move(L)) {
+      IncarnationNumber(std::move(I)) {
   this->setDeclarations(std::make_shared<Declarations>());
 }
 
@@ -28,7 +28,7 @@
 }
 
 void CallerContext::setDeclarations(DeclarationsPtr Declared) {
-  // Built outside the lock: it takes milliseconds with all accounts.
+  // Built outside the lock, since it takes milliseconds with many accounts.
   auto Keys = std::make_shared<const AccountKeys>(*Declared);
   std::lock_guard<std::mutex> Lock(this->Mutex);
   this->Current = {std::move(Declared), std::move(Keys)};
--- a/src/Caller/CallerContext.h
+++ b/src/Caller/CallerContext.h
@@ -18,41 +18,43 @@
 
 namespace parsleywing {
 
-/// Declarations with the index of their keys, so that a request sees both of
-/// one generation.
+/// Declarations together with the key index built from them, so that a request
+/// sees both from the same generation.
 struct CallerDeclarations {
   DeclarationsPtr Active;
   std::shared_ptr<const AccountKeys> Keys;
 };
 
-/// What the threads of all connections share.
+/// State shared by the threads of all caller connections.
 struct CallerContext {
-  CallerContext(CallerSettings S, ControlLoop &C, std::string L);
+  CallerContext(CallerSettings S, ControlLoop &C, std::string I);
 
   const CallerSettings Settings;
   ControlLoop &Control;
   EngineClient Engines;
   PlainServiceClient Services;
-  /// For requests handed over. Their wait in the other router's queue shows no
-  /// progress, so that only their deadline ends it.
+  /// Client for requests handed over to other routers. A request that waits in
+  /// the other router's queue shows no progress, so only its deadline limits
+  /// it.
   PlainServiceClient Routers;
   std::atomic<std::uint64_t> NextRequest{1};
-  /// Marks this process in the identities of its requests.
+  /// Distinguishes this process from earlier ones of the same router in
+  /// request ids.
   const std::string IncarnationNumber;
   CallerCounters Counters;
   AccountLimiter InFlight;
   CallerWatch Watch;
-  /// Set before the server starts; may be empty.
+  /// Must be set before the server starts; may be empty.
   TimingObserver Timings;
-  /// No new work is wanted: `/health` says so, and connections are closed
-  /// after their answer.
+  /// The router is draining: `/health` answers 503, and connections close
+  /// after their current response.
   std::atomic<bool> Draining{false};
-  /// The process ends now: connections are given up.
+  /// The process is shutting down: open requests end and connections close.
   std::atomic<bool> Stopping{false};
 
   CallerDeclarations declarations() const;
 
-  /// Puts new declarations in force for requests that begin from here on.
+  /// Activates new declarations for all requests that start after this call.
   void setDeclarations(DeclarationsPtr Declared);
 
 private:
--- a/src/Caller/CallerCounters.h
+++ b/src/Caller/CallerCounters.h
@@ -9,24 +9,24 @@
 
 namespace parsleywing {
 
-/// What happened at the front to callers since the start of the process.
-/// Every member may be read and raised from any thread.
+/// Counters of the caller-facing server since the start of the process. All
+/// members are atomic and may be accessed from any thread.
 struct CallerCounters {
   using Count = std::atomic<std::uint64_t>;
 
-  /// Final answers by `RequestOutcome`, in the order of its values.
+  /// Final responses, indexed by `RequestOutcome`.
   std::array<Count, RequestOutcomeNames.size()> RequestsByOutcome{};
-  /// Error answers by `ProblemType`, in the order of its values. A limit that
-  /// is met is counted here under the problem that answers it.
+  /// Error responses, indexed by `ProblemType`. A request that exceeds a limit
+  /// is counted under the problem that it is answered with.
   std::array<Count, ProblemTypeNames.size()> ProblemsByType{};
 
   Count ConnectionsAccepted{0};
   Count ConnectionsOpen{0};
-  /// Connections answered with 503 for want of a thread.
+  /// Connections rejected with 503 because all threads were in use.
   Count ConnectionsRefused{0};
-  /// Connections closed after `IdleTimeout` without a request.
+  /// Connections closed because no request arrived within `IdleTimeout`.
   Count ConnectionsIdleClosed{0};
-  /// Callers noticed to be gone before their final answer.
+  /// Callers that disconnected before their final response.
   Count CallersDisconnected{0};
   Count BytesReceived{0};
   Count BytesSent{0};
--- a/src/Caller/CallerRequest.h
+++ b/src/Caller/CallerRequest.h
@@ -9,26 +9,26 @@
 
 namespace parsleywing {
 
-/// What a caller asked of a model engine or of a plain service, checked.
+/// A validated request of a caller for a model engine or a plain service.
 struct CallerRequest {
   AccountId Account;
   ServiceId Service;
   ServiceKind Kind = ServiceKind::Engine;
   std::string Model;
-  /// The text of the input.
+  /// The input if it is a string.
   std::string Input;
-  /// The input as JSON where it is a list; then there is no text.
+  /// The input as JSON if it is a list; `Input` is empty then.
   std::string InputJson;
   bool Stream = false;
   bool Repeatable = true;
-  /// The most tokens wanted, and the hint of the cost.
+  /// Limit on the output tokens, also used as the cost estimate.
   std::uint64_t MaxOutputTokens = 256;
   std::string IdempotencyKey;
-  /// From the moment the body is whole.
+  /// Counted from the time the body has been received completely.
   Duration Timeout = Duration::zero();
-  /// The request as it came.
+  /// The request as received.
   RawRequest Raw;
-  /// Set where a router that drains handed the request over, with its proof.
+  /// Set if a draining router handed the request over with a valid token.
   std::optional<HandOverToken> HandedOver;
 };
 
--- a/src/Caller/CallerServer.cpp
+++ b/src/Caller/CallerServer.cpp
@@ -16,7 +16,7 @@
 namespace {
 
 constexpr int IdleThreads = 2;
-/// Threads above the connections, for those that are just ending.
+/// Threads beyond `MaxConnections`, for connections that are just ending.
 constexpr int SpareThreads = 16;
 constexpr int ListenBacklog = 256;
 
@@ -33,8 +33,8 @@
   CallerContext &Context;
 };
 
-/// Refuses connections above the limit at once. POCO alone would queue them
-/// without an answer until a thread falls free.
+/// Rejects connections above the limit immediately. POCO would queue them
+/// without a response until a thread is free.
 class ConnectionLimit : public Poco::Net::TCPServerConnectionFilter {
 public:
   explicit ConnectionLimit(CallerContext &C) : Context(C) {}
@@ -54,13 +54,14 @@
   }
 
 private:
-  /// Runs on the accepting thread, so it must not block: the answer fits the
-  /// empty send buffer, and the watch closes the connection later.
+  /// Runs on the accepting thread and must not block: the response fits into
+  /// the empty send buffer, and `CallerWatch` closes the connection later.
   void refuse(Poco::Net::StreamSocket Accepted) {
     const CallerSettings &Settings = this->Context.Settings;
-    const Problem P{ProblemType::ConnectionLimit,
-                    "This router serves as many connections as it may.",
-                    RequestOutcome::NotRun, Settings.LimitRetryAfter};
+    const Problem P{
+        ProblemType::ConnectionLimit,
+        "This router has reached its maximum number of connections.",
+        RequestOutcome::NotRun, Settings.LimitRetryAfter};
     const std::string Identity = Settings.RouterName + "-" +
                                  this->Context.IncarnationNumber + "-" +
                                  std::to_string(this->Context.NextRequest++);
@@ -75,14 +76,14 @@
     Response.setContentLength(static_cast<std::streamsize>(Body.size()));
     std::ostringstream Out;
     Response.write(Out);
-    const std::string Whole = Out.str() + Body;
+    const std::string Message = Out.str() + Body;
     try {
       Accepted.setBlocking(false);
-      Accepted.sendBytes(Whole.data(), static_cast<int>(Whole.size()));
+      Accepted.sendBytes(Message.data(), static_cast<int>(Message.size()));
       Accepted.shutdownSend();
       this->Context.Watch.linger(Accepted, Settings.SendTimeout);
     } catch (const Poco::Exception &) {
-      // The caller has left already.
+      // The caller has already disconnected.
     }
   }
 
@@ -92,8 +93,8 @@
 } // namespace
 
 CallerServer::CallerServer(CallerSettings Settings, ControlLoop &Control,
-                           std::string Life)
-    : Context(std::move(Settings), Control, std::move(Life)),
+                           std::string IncarnationNumber)
+    : Context(std::move(Settings), Control, std::move(IncarnationNumber)),
       Threads(IdleThreads, Context.Settings.MaxConnections + SpareThreads) {}
 
 CallerServer::~CallerServer() {
@@ -105,8 +106,8 @@
 Result<void> CallerServer::start() {
   const CallerSettings &Settings = this->Context.Settings;
   try {
-    // Without the last argument two routers could listen on one address, and
-    // each would get some of the other's callers.
+    // `false` disables SO_REUSEPORT. Otherwise two routers could listen on the
+    // same address and each would get some of the other's callers.
     this->Listener.bind(Poco::Net::SocketAddress(Settings.Address), true,
                         false);
     this->Listener.listen(ListenBacklog);
@@ -132,16 +133,17 @@
   this->Context.Draining = true;
   if (!this->Server || std::exchange(this->Stopped, true))
     return;
-  // POCO's stop drops accepted connections that have no thread yet, and leaves
-  // the socket listening. So the socket stops listening first, and what was
-  // accepted gets its thread before the server stops.
+  // POCO's `stop` drops accepted connections that have no thread yet, and
+  // leaves the socket listening. Therefore shut down the listening socket
+  // first, and let each accepted connection get its thread before stopping the
+  // server.
   ::shutdown(this->Listener.impl()->sockfd(), SHUT_RD);
   constexpr auto Pause = std::chrono::milliseconds(1);
   while (this->Server->queuedConnections() > 0)
     std::this_thread::sleep_for(Pause);
   this->Server->stop();
   this->Listener.close();
-  // The server itself stays until the end, since its connections use it.
+  // The server object must stay alive, since its connections use it.
 }
 
 } // namespace parsleywing
--- a/src/Caller/CallerServer.h
+++ b/src/Caller/CallerServer.h
@@ -12,43 +12,44 @@
 
 namespace parsleywing {
 
-/// The HTTP front to callers: one thread a connection, which blocks while its
-/// request waits. A few hundred connections a router are meant; for tens of
-/// thousands another front would be needed.
+/// The HTTP server for callers. Uses one thread per connection, which blocks
+/// while its request waits. Designed for a few hundred connections per router;
+/// tens of thousands would need an event-driven server.
 class CallerServer {
 public:
-  CallerServer(CallerSettings Settings, ControlLoop &Control, std::string Life);
+  CallerServer(CallerSettings Settings, ControlLoop &Control,
+               std::string IncarnationNumber);
 
-  /// Gives up what is still open and waits for its threads. For a graceful end
-  /// drain first and wait for `openConnections()` to reach zero.
+  /// Ends all open requests and waits for the threads. For a graceful shutdown,
+  /// drain first and wait until `openConnections()` is zero.
   ~CallerServer();
   CallerServer(const CallerServer &) = delete;
   CallerServer &operator=(const CallerServer &) = delete;
 
-  /// Binds the address and starts to serve.
+  /// Binds the address and starts serving.
   Result<void> start();
 
-  /// The first step of a drain: `/health` answers 503, so that the balancer
-  /// goes elsewhere, and connections are closed after the answer at hand. New
-  /// connections are still taken.
+  /// First step of a drain: `/health` answers 503, so that the load balancer
+  /// stops sending requests here, and connections close after their current
+  /// response. New connections are still accepted.
   void announceDrain() { this->Context.Draining = true; }
 
-  /// The second step: closes the listener, so that new connections are
-  /// refused. Requests that are open go on to their end. A second call does
-  /// nothing. Called from one thread.
+  /// Second step of a drain: closes the listening socket, so that new
+  /// connections are refused. Open requests run to completion. Further calls
+  /// have no effect. Not thread-safe.
   void stopAccepting();
 
   std::uint64_t openConnections() const {
     return this->Context.Counters.ConnectionsOpen;
   }
-  /// Ended connections whose answers have not all left. The end of the process
-  /// may cut these off.
+  /// Closed connections whose responses have not been fully acknowledged by the
+  /// caller's host. Ending the process may truncate these responses.
   std::size_t unsentResponses() const {
     return this->Context.Watch.unsentResponses();
   }
   const CallerCounters &counters() const { return this->Context.Counters; }
 
-  /// Receives the times of every served request. Set before `start`.
+  /// Sets the observer of request timings. Must be called before `start`.
   void observeTimings(TimingObserver Observer) {
     this->Context.Timings = std::move(Observer);
   }
--- a/src/Caller/CallerSocket.cpp
+++ b/src/Caller/CallerSocket.cpp
@@ -8,44 +8,45 @@
 
 void CallerSocketImpl::beginHead(Duration Timeout, std::uint64_t MaxHeadBytes) {
   this->Deadline = SteadyClock::now() + Timeout;
-  this->HeadLeft = MaxHeadBytes;
+  this->RemainingHeadBytes = MaxHeadBytes;
   this->TimedOut = false;
-  this->TooLarge = false;
+  this->HeadTooLarge = false;
 }
 
 void CallerSocketImpl::enableResetOnClose() {
-  this->Resets = true;
+  this->ResetOnClose = true;
   try {
     this->setLinger(true, 0);
   } catch (const Poco::Exception &) {
-    // The caller has left already.
+    // The caller has already disconnected.
   }
 }
 
 void CallerSocketImpl::shutdownSend() {
-  if (!this->Resets)
+  if (!this->ResetOnClose)
     StreamSocketImpl::shutdownSend();
 }
 
 int CallerSocketImpl::receiveBytes(void *Buffer, int Length, int Flags) {
-  const auto Left =
+  const auto TimeLeft =
       std::chrono::duration_cast<Duration>(this->Deadline - SteadyClock::now());
-  if (Left <= Duration::zero() || !this->poll(Poco::Timespan(Left.count()),
-                                              Poco::Net::Socket::SELECT_READ)) {
+  if (TimeLeft <= Duration::zero() ||
+      !this->poll(Poco::Timespan(TimeLeft.count()),
+                  Poco::Net::Socket::SELECT_READ)) {
     this->TimedOut = true;
-    throw Poco::TimeoutException("the request did not come in time");
+    throw Poco::TimeoutException("the request was not received in time");
   }
-  if (this->HeadLeft == 0) {
-    this->TooLarge = true;
-    throw Poco::Net::MessageException("the head of the request is too large");
+  if (this->RemainingHeadBytes == 0) {
+    this->HeadTooLarge = true;
+    throw Poco::Net::MessageException("the request head is too large");
   }
   const int Received = StreamSocketImpl::receiveBytes(Buffer, Length, Flags);
   if (Received <= 0)
     return Received;
   const auto Count = static_cast<std::uint64_t>(Received);
   this->Counters.BytesReceived += Count;
-  if (this->HeadLeft != UINT64_MAX)
-    this->HeadLeft -= std::min(this->HeadLeft, Count);
+  if (this->RemainingHeadBytes != UINT64_MAX)
+    this->RemainingHeadBytes -= std::min(this->RemainingHeadBytes, Count);
   return Received;
 }
 
--- a/src/Caller/CallerSocket.h
+++ b/src/Caller/CallerSocket.h
@@ -10,44 +10,46 @@
 
 namespace parsleywing {
 
-/// The socket of one caller, with the limits that POCO's server lacks. POCO
-/// limits each single read and each header field: a caller that sends a byte
-/// every few seconds would hold a thread for hours, and a hundred long fields
-/// would take most of a megabyte. This bounds a request as a whole, beneath
-/// everything that POCO reads. Used by the thread of the connection only.
+/// The socket implementation of one caller connection. Enforces limits that
+/// POCO's server lacks: POCO limits each single read and each header field, so
+/// a caller that sends a byte every few seconds could hold a thread for hours,
+/// and a hundred long fields could take most of a megabyte. This class limits a
+/// request as a whole, below everything that POCO reads. Used only by the
+/// connection's thread.
 class CallerSocketImpl : public Poco::Net::StreamSocketImpl {
 public:
-  /// Borrows the descriptor of `Accepted`, which stays its owner and has to
-  /// outlive this object.
+  /// Borrows the file descriptor of `Accepted`, which remains its owner and
+  /// must outlive this object.
   CallerSocketImpl(const Poco::Net::StreamSocket &Accepted, CallerCounters &C)
       : StreamSocketImpl(Accepted.impl()->sockfd()), Counters(C) {}
 
-  /// A request begins: its bytes are to come within `Timeout`, its head within
-  /// `MaxHeadBytes`.
+  /// Starts a request: all its bytes must arrive within `Timeout`, and its head
+  /// must not exceed `MaxHeadBytes`.
   void beginHead(Duration Timeout, std::uint64_t MaxHeadBytes);
 
-  /// The head is whole; only the time is limited from here on.
-  void endHead() { this->HeadLeft = UINT64_MAX; }
+  /// The head is complete: only the time is limited from here on.
+  void endHead() { this->RemainingHeadBytes = UINT64_MAX; }
 
-  /// While set, bytes wait for those that follow (at most the system's 200 ms),
-  /// so that the pieces that POCO sends one by one travel in one segment and
-  /// wake the caller once.
+  /// While set, sends with MSG_MORE: the kernel holds data back for up to
+  /// 200 ms, so that consecutive writes of POCO share one segment and wake the
+  /// caller once.
   void setMoreFollows(bool Follows) { this->MoreFollows = Follows; }
 
-  /// The connection is to end with a reset.
+  /// Makes closing the connection send a reset (RST).
   void enableResetOnClose();
-  bool willReset() const { return this->Resets; }
+  bool willReset() const { return this->ResetOnClose; }
 
   bool receiveTimedOut() const { return this->TimedOut; }
-  bool headTooLarge() const { return this->TooLarge; }
+  bool headTooLarge() const { return this->HeadTooLarge; }
 
-  /// Leaves the descriptor to its owner. POCO's session closes its socket as it
-  /// ends; the owner would close the number a second time, and by then it may
-  /// be another connection's.
+  /// Detaches from the descriptor without closing it. POCO's session closes its
+  /// socket when it is destroyed; the owner would then close the same number a
+  /// second time, when it may already belong to another connection.
   void close() override { this->reset(); }
 
-  /// POCO ends the sending side of an answer without a stated end as the
-  /// response is destroyed; a connection that is to be reset must not end so.
+  /// Does nothing if the connection is to be reset. POCO calls it when a
+  /// response delimited by the end of the connection is destroyed, and a FIN
+  /// would make a truncated response look complete.
   void shutdownSend() override;
 
   int receiveBytes(void *Buffer, int Length, int Flags) override;
@@ -56,7 +58,7 @@
   using StreamSocketImpl::sendBytes;
 
 protected:
-  /// Gives the descriptor back unclosed.
+  /// Detaches from the descriptor without closing it.
   ~CallerSocketImpl() override { this->reset(); }
 
 private:
@@ -64,15 +66,15 @@
 
   CallerCounters &Counters;
   SteadyClock::time_point Deadline;
-  std::uint64_t HeadLeft = UINT64_MAX;
+  std::uint64_t RemainingHeadBytes = UINT64_MAX;
   bool TimedOut = false;
-  bool TooLarge = false;
+  bool HeadTooLarge = false;
   bool MoreFollows = false;
-  bool Resets = false;
+  bool ResetOnClose = false;
 };
 
-/// Makes a stream socket of an own implementation, which POCO allows only to
-/// derived classes.
+/// A stream socket with a custom implementation; POCO lets only derived classes
+/// set one.
 class CallerSocket : public Poco::Net::StreamSocket {
 public:
   explicit CallerSocket(CallerSocketImpl *Impl) : StreamSocket(Impl) {}
--- a/src/Caller/CallerWatch.cpp
+++ b/src/Caller/CallerWatch.cpp
@@ -14,26 +14,27 @@
 
 namespace {
 
-/// POCO's PollSet returns at once when it holds no socket.
+/// Pause while no socket is watched, since POCO's PollSet then returns
+/// immediately.
 constexpr auto EmptyPause = std::chrono::milliseconds(20);
-constexpr Duration PollTime = std::chrono::milliseconds(200);
+constexpr Duration PollTimeout = std::chrono::milliseconds(200);
 
-/// What a socket's receiving side holds.
-enum class Pending { Nothing, Bytes, Closed };
+/// State of a socket's receive buffer.
+enum class PendingInput { Nothing, Bytes, Closed };
 
-Pending pendingOf(const Poco::Net::Socket &Caller) {
+PendingInput pendingInput(const Poco::Net::Socket &Caller) {
   char Byte = 0;
   const ssize_t Count =
       ::recv(Caller.impl()->sockfd(), &Byte, 1, MSG_PEEK | MSG_DONTWAIT);
   if (Count > 0)
-    return Pending::Bytes;
+    return PendingInput::Bytes;
   if (Count < 0 && (errno == EAGAIN || errno == EWOULDBLOCK || errno == EINTR))
-    return Pending::Nothing;
-  return Pending::Closed;
+    return PendingInput::Nothing;
+  return PendingInput::Closed;
 }
 
-/// Whether the peer has closed, also where unread bytes hide it from a read
-/// and where this side has shut down sending.
+/// Whether the peer has closed the connection. Also works if unread bytes hide
+/// the close from a read, and if this side has shut down sending.
 bool isClosedByPeer(const Poco::Net::Socket &Caller) {
   tcp_info Info{};
   socklen_t Size = sizeof(Info);
@@ -44,7 +45,7 @@
          Info.tcpi_state != TCP_FIN_WAIT1 && Info.tcpi_state != TCP_FIN_WAIT2;
 }
 
-/// Bytes sent that the peer's system has not taken yet.
+/// Bytes sent that the peer's host has not acknowledged yet.
 int unsentBytes(const Poco::Net::Socket &Caller) {
   return unacknowledgedBytes(Caller.impl()->sockfd()).value_or(0);
 }
@@ -59,9 +60,10 @@
 }
 
 void CallerWatch::add(const Poco::Net::StreamSocket &Caller,
-                      std::function<void()> OnLeft) {
+                      std::function<void()> OnDisconnected) {
   std::lock_guard<std::mutex> Lock(this->Mutex);
-  this->Callers[Caller.impl()] = Watched{Caller, std::move(OnLeft), false};
+  this->Callers[Caller.impl()] =
+      Watched{Caller, std::move(OnDisconnected), false};
   this->Sockets.add(Caller, Poco::Net::PollSet::POLL_READ);
 }
 
@@ -71,15 +73,15 @@
     this->Sockets.remove(Caller);
 }
 
-void CallerWatch::linger(const Poco::Net::StreamSocket &Ended,
+void CallerWatch::linger(const Poco::Net::StreamSocket &Caller,
                          Duration SendTimeout) {
   std::lock_guard<std::mutex> Lock(this->Mutex);
-  if (this->Ending.size() >= MaxLingering)
+  if (this->LingeringConnections.size() >= MaxLingering)
     return;
-  this->Ending.push_back(
-      {Ended, SendTimeout, 0, SteadyClock::now() + LingerTime});
-  if (hasUnsent(Ended))
-    ++this->Unsent;
+  this->LingeringConnections.push_back(
+      {Caller, SendTimeout, 0, SteadyClock::now() + LingerTime});
+  if (hasUnsent(Caller))
+    ++this->UnsentResponses;
 }
 
 bool CallerWatch::hasUnsent(const Poco::Net::StreamSocket &Caller) {
@@ -87,73 +89,77 @@
 }
 
 bool CallerWatch::isSafeToClose(const Poco::Net::StreamSocket &Caller) {
-  return !hasUnsent(Caller) && pendingOf(Caller) != Pending::Bytes;
+  return !hasUnsent(Caller) && pendingInput(Caller) != PendingInput::Bytes;
 }
 
 void CallerWatch::run() {
-  auto NextBacklogs = SteadyClock::now();
+  auto NextCheckAt = SteadyClock::now();
   while (!this->Stopping) {
     if (this->Sockets.empty())
       std::this_thread::sleep_for(EmptyPause);
     else
       for (const auto &[Socket, Mode] :
-           this->Sockets.poll(Poco::Timespan(PollTime.count())))
-        this->look(Socket);
-    if (SteadyClock::now() < NextBacklogs)
+           this->Sockets.poll(Poco::Timespan(PollTimeout.count())))
+        this->checkSocket(Socket);
+    if (SteadyClock::now() < NextCheckAt)
       continue;
-    NextBacklogs = SteadyClock::now() + BacklogInterval;
-    this->lookAtBacklogs();
+    NextCheckAt = SteadyClock::now() + BacklogInterval;
+    this->checkBacklogs();
     this->closeLingering();
   }
 }
 
-void CallerWatch::look(const Poco::Net::Socket &Caller) {
+void CallerWatch::checkSocket(const Poco::Net::Socket &Caller) {
   std::lock_guard<std::mutex> Lock(this->Mutex);
   const auto Found = this->Callers.find(Caller.impl());
   if (Found == this->Callers.end())
     return;
-  const Pending Held = pendingOf(Caller);
-  if (Held == Pending::Nothing)
+  const PendingInput State = pendingInput(Caller);
+  if (State == PendingInput::Nothing)
     return;
-  // The set reports a readable socket again and again. One with unread bytes
-  // leaves it, or this thread would spin until they are read.
+  // The poll set is level-triggered: a socket with unread bytes is removed, or
+  // this thread would spin until they are read.
   this->Sockets.remove(Caller);
-  if (Held == Pending::Bytes) {
+  if (State == PendingInput::Bytes) {
     Found->second.HasBacklog = true;
     return;
   }
-  Found->second.OnLeft();
+  Found->second.OnDisconnected();
   this->Callers.erase(Found);
 }
 
-void CallerWatch::lookAtBacklogs() {
+void CallerWatch::checkBacklogs() {
   std::lock_guard<std::mutex> Lock(this->Mutex);
   for (auto &[Impl, Caller] : this->Callers) {
     if (!Caller.HasBacklog || !isClosedByPeer(Caller.Socket))
       continue;
     Caller.HasBacklog = false;
-    Caller.OnLeft();
+    Caller.OnDisconnected();
   }
 }
 
 void CallerWatch::closeLingering() {
   std::lock_guard<std::mutex> Lock(this->Mutex);
   const auto Now = SteadyClock::now();
-  std::erase_if(this->Ending,
-                [Now](Lingering &Held) { return isOver(Held, Now); });
-  this->Unsent = static_cast<std::size_t>(std::ranges::count_if(
-      this->Ending, [](const Lingering &Held) { return Held.Unsent > 0; }));
+  std::erase_if(this->LingeringConnections, [Now](Lingering &Connection) {
+    return shouldClose(Connection, Now);
+  });
+  this->UnsentResponses = static_cast<std::size_t>(std::ranges::count_if(
+      this->LingeringConnections,
+      [](const Lingering &Connection) { return Connection.UnsentBytes > 0; }));
 }
 
-bool CallerWatch::isOver(Lingering &Held, SteadyClock::time_point Now) {
-  if (isClosedByPeer(Held.Socket))
+bool CallerWatch::shouldClose(Lingering &Connection,
+                              SteadyClock::time_point Now) {
+  if (isClosedByPeer(Connection.Socket))
     return true;
-  const int Unsent = unsentBytes(Held.Socket);
-  if (Unsent != Held.Unsent) {
-    Held.Unsent = Unsent;
-    Held.Until = Now + (Unsent > 0 ? Held.SendTimeout : LingerTime);
+  const int Unsent = unsentBytes(Connection.Socket);
+  if (Unsent != Connection.UnsentBytes) {
+    Connection.UnsentBytes = Unsent;
+    Connection.ExpiresAt =
+        Now + (Unsent > 0 ? Connection.SendTimeout : LingerTime);
   }
-  return Held.Until <= Now;
+  return Connection.ExpiresAt <= Now;
 }
 
 } // namespace parsleywing
--- a/src/Caller/CallerWatch.h
+++ b/src/Caller/CallerWatch.h
@@ -15,18 +15,18 @@
 
 namespace parsleywing {
 
-/// Notices callers that close their connection while their request waits or
-/// runs. Without it a request whose caller is gone would keep its place in the
-/// queue and its slot at the engine until its end. One thread sleeps on all
-/// watched sockets (epoll beneath POCO's PollSet), so that its cost follows
-/// what happens and not the number of connections.
+/// Detects callers that close their connection while their request waits or
+/// runs. Otherwise such a request would keep its place in the queue and its
+/// slot at the engine until it ends. One thread waits on all watched sockets
+/// (epoll through POCO's PollSet), so the cost depends on the number of events
+/// and not on the number of connections.
 ///
-/// A caller that has shut down only its sending side counts as gone. Bytes of
-/// a next, pipelined request are no alarm; behind them a close is noticed
-/// within `BacklogInterval`.
+/// A caller that has shut down only its sending side counts as disconnected.
+/// Bytes of a pipelined request do not; a close after them is detected within
+/// `BacklogInterval`.
 class CallerWatch {
 public:
-  /// How often connections with unread bytes are looked at.
+  /// Interval between checks of connections with unread bytes.
   static constexpr Duration BacklogInterval = std::chrono::milliseconds(200);
 
   CallerWatch();
@@ -34,64 +34,69 @@
   CallerWatch(const CallerWatch &) = delete;
   CallerWatch &operator=(const CallerWatch &) = delete;
 
-  /// Calls `OnLeft` once, from the watching thread, when the caller is gone.
-  /// It must not block nor call back into this object.
-  void add(const Poco::Net::StreamSocket &Caller, std::function<void()> OnLeft);
+  /// Watches a connection. Calls `OnDisconnected` once, from the watching
+  /// thread, when the caller disconnects; it must neither block nor call back
+  /// into this object.
+  void add(const Poco::Net::StreamSocket &Caller,
+           std::function<void()> OnDisconnected);
 
-  /// Ends the watch. Afterwards `OnLeft` is neither running nor called.
+  /// Stops watching a connection. After this call, `OnDisconnected` is neither
+  /// running nor called.
   void remove(const Poco::Net::StreamSocket &Caller);
 
-  /// Holds a connection whose sending side has ended open until the caller
-  /// closes it. Closing with unread bytes would reset the connection, and what
-  /// has not left of its answer would be lost. So the answer may take as long
-  /// as its caller takes some of it within each `SendTimeout`; behind it the
-  /// caller has `LingerTime`.
-  void linger(const Poco::Net::StreamSocket &Ended, Duration SendTimeout);
+  /// Keeps a connection whose sending side is shut down open until the caller
+  /// closes it. Closing a socket with unread bytes would reset the connection
+  /// and lose the unsent rest of the response. The connection stays open while
+  /// the caller accepts some bytes within each `SendTimeout`, and `LingerTime`
+  /// longer after the last byte.
+  void linger(const Poco::Net::StreamSocket &Caller, Duration SendTimeout);
 
-  /// Connections held open so whose answers had not all left when they were
-  /// last looked at.
-  std::size_t unsentResponses() const { return this->Unsent; }
+  /// Lingering connections that had unacknowledged response bytes at the last
+  /// check.
+  std::size_t unsentResponses() const { return this->UnsentResponses; }
 
-  /// Whether something that was sent has not reached the caller's system. What
-  /// its caller sends behind a close would then cut it off.
+  /// Whether sent bytes are not yet acknowledged by the caller's host. If the
+  /// socket were closed now, a further request of the caller would cause a
+  /// reset and truncate the response.
   static bool hasUnsent(const Poco::Net::StreamSocket &Caller);
 
-  /// Whether nothing is unsent and nothing waits to be read, so that a close
-  /// loses nothing.
+  /// Whether no bytes are unsent and none are unread, so that closing the
+  /// socket loses no data.
   static bool isSafeToClose(const Poco::Net::StreamSocket &Caller);
 
-  /// The time for a caller that has its answer to close the connection, and
-  /// the most connections that are held open so.
+  /// How long a caller that has received its complete response may take to
+  /// close the connection.
   static constexpr Duration LingerTime = std::chrono::seconds(1);
+  /// Maximum number of lingering connections; further ones are closed at once.
   static constexpr std::size_t MaxLingering = 256;
 
 private:
   using SteadyClock = std::chrono::steady_clock;
   struct Watched {
     Poco::Net::StreamSocket Socket;
-    std::function<void()> OnLeft;
+    std::function<void()> OnDisconnected;
     bool HasBacklog = false;
   };
   struct Lingering {
     Poco::Net::StreamSocket Socket;
     Duration SendTimeout;
-    /// Bytes that the caller's system had not taken at the last look.
-    int Unsent;
-    SteadyClock::time_point Until;
+    /// Bytes that the caller's host had not acknowledged at the last check.
+    int UnsentBytes;
+    SteadyClock::time_point ExpiresAt;
   };
 
   void run();
-  void look(const Poco::Net::Socket &Caller);
-  void lookAtBacklogs();
+  void checkSocket(const Poco::Net::Socket &Caller);
+  void checkBacklogs();
   void closeLingering();
-  static bool isOver(Lingering &Held, SteadyClock::time_point Now);
+  static bool shouldClose(Lingering &Connection, SteadyClock::time_point Now);
 
   std::atomic<bool> Stopping{false};
   Poco::Net::PollSet Sockets;
   std::mutex Mutex;
   std::unordered_map<const Poco::Net::SocketImpl *, Watched> Callers;
-  std::vector<Lingering> Ending;
-  std::atomic<std::size_t> Unsent{0};
+  std::vector<Lingering> LingeringConnections;
+  std::atomic<std::size_t> UnsentResponses{0};
   std::thread Thread;
 };
 
--- a/src/Caller/Exchange.cpp
+++ b/src/Caller/Exchange.cpp
@@ -3,7 +3,8 @@
 namespace parsleywing {
 
 void Exchange::finishHeaders() {
-  // Behind a body that was not read, the next request cannot be told from it.
+  // After a body that was not read completely, the start of the next request
+  // cannot be determined.
   if (!this->BodyRead || this->Context.Draining)
     this->Response.setKeepAlive(false);
 }
--- a/src/Caller/Exchange.h
+++ b/src/Caller/Exchange.h
@@ -10,28 +10,31 @@
 
 namespace parsleywing {
 
-/// One HTTP request of a caller and its answer, on the thread of its
-/// connection.
+/// One HTTP request of a caller and its response. Used only by the connection's
+/// thread.
 class Exchange {
 public:
   CallerContext &Context;
-  /// Null where the head of the request could not be read.
+  /// Null if the request head could not be parsed.
   Poco::Net::HTTPServerRequest *Request;
   Poco::Net::HTTPServerResponse &Response;
   const CallerSocket &Caller;
   CallerSocketImpl &SocketImpl;
   std::uint64_t Number;
   std::string Identity;
-  /// Whether the whole body has been read, so that a next request can follow.
+  /// Whether the body has been read completely, so that another request can
+  /// follow on the connection.
   bool BodyRead = false;
 
-  /// Sends an error as the whole answer. Nothing may have been sent before.
+  /// Sends a problem document as the complete response. Nothing may have been
+  /// sent before.
   void sendProblem(const Problem &P);
 
-  /// Sends a JSON document as the whole answer.
+  /// Sends a JSON document as the complete response.
   void sendDocument(const std::string &Json);
 
-  /// Says in the headers whether the connection is kept; before they are sent.
+  /// Announces in the headers if the connection closes after this response.
+  /// Must be called before the headers are sent.
   void finishHeaders();
 };
 
--- a/src/Caller/HandOverClient.cpp
+++ b/src/Caller/HandOverClient.cpp
@@ -7,9 +7,9 @@
 namespace {
 
 constexpr const char *TimeoutHeader = "X-Request-Timeout-Seconds";
-constexpr std::size_t TailBytes = 4096;
+constexpr std::size_t MinTailBytes = 4096;
 constexpr std::string_view EventLine = "\nevent: response.";
-constexpr std::string_view WholeEvent = "\nevent: response.completed\n";
+constexpr std::string_view CompletedEvent = "\nevent: response.completed\n";
 constexpr std::string_view IncompleteEvent = "\nevent: response.incomplete\n";
 
 std::string valueOf(const HeaderList &Headers, const std::string &Name) {
@@ -18,97 +18,100 @@
 
 } // namespace
 
-AttemptOutcome
-HandOverClient::run(const HandOverRequest &Wanted, Duration Left,
-                    const std::function<void(std::function<void()>)> &Breaker,
-                    const std::function<bool()> &Progress) {
+AttemptOutcome HandOverClient::run(
+    const HandOverRequest &HandOver, Duration TimeLeft,
+    const std::function<void(std::function<void()>)> &SetCanceller,
+    const std::function<bool()> &Progress) {
   const std::string &Secret = this->E.Context.Settings.FleetSecret;
-  if (Wanted.Address.empty() || Secret.empty() || Left <= Duration::zero())
+  if (HandOver.Address.empty() || Secret.empty() ||
+      TimeLeft <= Duration::zero())
     return AttemptOutcome::NotSent;
-  const PlainCall Call = this->callFor(Wanted, Left);
+  const PlainCall Call = this->makeCall(HandOver, TimeLeft);
   this->Identity = Call.Identity;
   PlainListener Listener;
-  Listener.SetCanceller = Breaker;
+  Listener.SetCanceller = SetCanceller;
   Listener.HeadReceived = [&](int Status, const HeaderList &Headers) {
-    return this->takeHead(Status, Headers);
+    return this->onHead(Status, Headers);
   };
-  Listener.BodyReceived = [&](std::string_view Piece) {
-    return !this->PassOn || (Progress() && this->takeBody(Piece));
+  Listener.BodyReceived = [&](std::string_view Chunk) {
+    return !this->Forwarding || (Progress() && this->onBody(Chunk));
   };
-  const PlainResult Ended = this->E.Context.Routers.run(Call, Listener);
-  if (Ended.Outcome != AttemptOutcome::Completed)
-    return Ended.Outcome;
-  if (this->PassOn && this->IsEventStream)
-    return this->concludeStream();
-  return this->Said;
+  const PlainResult Result = this->E.Context.Routers.run(Call, Listener);
+  if (Result.Outcome != AttemptOutcome::Completed)
+    return Result.Outcome;
+  if (this->Forwarding && this->IsEventStream)
+    return this->streamOutcome();
+  return this->ReportedOutcome;
 }
 
-/// Each hand-over has an identity of its own, so that the answer to an earlier
-/// one is not taken for this one's.
-PlainCall HandOverClient::callFor(const HandOverRequest &Wanted,
-                                  Duration Left) const {
-  const RawRequest &Raw = this->Asked.Raw;
+/// Each hand-over has its own identity, so that the response to an earlier one
+/// cannot be mistaken for the response to this one.
+PlainCall HandOverClient::makeCall(const HandOverRequest &HandOver,
+                                   Duration TimeLeft) const {
+  const RawRequest &Raw = this->Request.Raw;
   PlainCall Call;
-  Call.Address = Wanted.Address;
+  Call.Address = HandOver.Address;
   Call.Method = Raw.Method;
   Call.Path = Raw.Target;
   Call.Body = Raw.Body;
-  Call.Identity = this->E.Identity + "." + std::to_string(Wanted.Attempt);
+  Call.Identity = this->E.Identity + "." + std::to_string(HandOver.Attempt);
   for (const auto &[Name, Value] : Raw.Headers)
     if (Poco::icompare(Name, HandOverHeader) != 0 &&
         Poco::icompare(Name, TimeoutHeader) != 0 &&
         Poco::icompare(Name, "Expect") != 0)
       Call.Headers.emplace_back(Name, Value);
-  const auto Seconds = std::chrono::ceil<std::chrono::seconds>(Left).count();
+  const auto Seconds =
+      std::chrono::ceil<std::chrono::seconds>(TimeLeft).count();
   Call.Headers.emplace_back(TimeoutHeader, std::to_string(Seconds));
   Call.Headers.emplace_back(
-      HandOverHeader, signHandOverToken({Call.Identity, Wanted.RecordHeld}, Raw,
-                                        this->E.Context.Settings.FleetSecret));
+      HandOverHeader,
+      signHandOverToken({Call.Identity, HandOver.RecordHeld}, Raw,
+                        this->E.Context.Settings.FleetSecret));
   return Call;
 }
 
-bool HandOverClient::takeHead(int Status, const HeaderList &Headers) {
+bool HandOverClient::onHead(int Status, const HeaderList &Headers) {
   if (valueOf(Headers, AnsweredIdHeader) != this->Identity)
-    return true; // Of another request: nothing of it is believed.
+    return true; // Response to another request: ignore it.
   const std::string Type = valueOf(Headers, "Content-Type");
   const std::string Outcome = valueOf(Headers, "X-Outcome");
   const bool IsProblem = Type.starts_with("application/problem+json");
   if (Outcome == nameOf(RequestOutcomeNames, RequestOutcome::NotRun)) {
-    this->Said = AttemptOutcome::Rejected;
+    this->ReportedOutcome = AttemptOutcome::Rejected;
     return true;
   }
-  // A service may answer with problem details of its own; a router's problem
-  // says "completed" only of an earlier request with the same key.
+  // A service may send problem details of its own. In a router's problem,
+  // "completed" refers to an earlier request with the same key.
   const bool Served =
       Outcome.empty() ||
       Outcome == nameOf(RequestOutcomeNames, RequestOutcome::Completed);
-  if (!Served || (IsProblem && this->Asked.Kind == ServiceKind::Engine))
+  if (!Served || (IsProblem && this->Request.Kind == ServiceKind::Engine))
     return true;
-  this->Said = AttemptOutcome::Completed;
-  this->PassOn = true;
-  this->IsEventStream = this->Asked.Kind == ServiceKind::Engine &&
+  this->ReportedOutcome = AttemptOutcome::Completed;
+  this->Forwarding = true;
+  this->IsEventStream = this->Request.Kind == ServiceKind::Engine &&
                         Type.starts_with("text/event-stream");
-  return this->Passed.forwardHead(Status, Headers);
+  return this->Forwarder.forwardHead(Status, Headers);
 }
 
-bool HandOverClient::takeBody(std::string_view Piece) {
+bool HandOverClient::onBody(std::string_view Chunk) {
   if (this->IsEventStream) {
-    this->Tail += Piece;
-    if (this->Tail.size() > 2 * TailBytes)
-      this->Tail.erase(0, this->Tail.size() - TailBytes);
+    this->StreamTail += Chunk;
+    if (this->StreamTail.size() > 2 * MinTailBytes)
+      this->StreamTail.erase(0, this->StreamTail.size() - MinTailBytes);
   }
-  return this->Passed.forwardBody(Piece);
+  return this->Forwarder.forwardBody(Chunk);
 }
 
-/// Text in an event is JSON without line ends of its own, so that a line that
-/// begins so can only be an event's name.
-AttemptOutcome HandOverClient::concludeStream() {
-  const auto Last = this->Tail.rfind(EventLine);
+/// The data of an event is JSON without line breaks, so a line that starts with
+/// `EventLine` can only be the name of an event.
+AttemptOutcome HandOverClient::streamOutcome() {
+  const auto Last = this->StreamTail.rfind(EventLine);
   const std::string Name =
-      Last == std::string::npos ? "" : this->Tail.substr(Last);
+      Last == std::string::npos ? "" : this->StreamTail.substr(Last);
   this->Incomplete = Name.starts_with(IncompleteEvent);
-  return Name.starts_with(WholeEvent) ? AttemptOutcome::Completed
-                                      : AttemptOutcome::Interrupted;
+  return Name.starts_with(CompletedEvent) ? AttemptOutcome::Completed
+                                          : AttemptOutcome::Interrupted;
 }
 
 } // namespace parsleywing
--- a/src/Caller/HandOverClient.h
+++ b/src/Caller/HandOverClient.h
@@ -9,41 +9,43 @@
 
 namespace parsleywing {
 
-/// Acts as a caller of another router and passes that router's answer on, piece
-/// by piece, to the own caller. Only an answer that carries the identity of
-/// this hand-over is passed on. One that says that the request did not run, or
-/// may have run, is not: the decision what follows stays with this router.
+/// Hands a request over to another router and streams that router's response to
+/// the caller. Forwards only a response that carries the identity of this
+/// hand-over. A response that says that the request did not run, or may have
+/// run, is not forwarded: this router decides how to continue.
 class HandOverClient {
 public:
-  HandOverClient(Exchange &X, const CallerRequest &A, ResponseForwarder &P)
-      : E(X), Asked(A), Passed(P) {}
-
-  /// Blocks until the other router's answer has ended. `Left` is the time until
-  /// the request's deadline. `Progress` is called with each piece passed on.
-  AttemptOutcome run(const HandOverRequest &Wanted, Duration Left,
-                     const std::function<void(std::function<void()>)> &Breaker,
-                     const std::function<bool()> &Progress);
-
-  /// Whether the answer passed on has told the caller itself that it is not
-  /// whole.
+  HandOverClient(Exchange &X, const CallerRequest &R, ResponseForwarder &F)
+      : E(X), Request(R), Forwarder(F) {}
+
+  /// Blocks until the other router's response has ended. `TimeLeft` is the time
+  /// until the request's deadline. `Progress` is called before each forwarded
+  /// chunk; it returns false to stop.
+  AttemptOutcome
+  run(const HandOverRequest &HandOver, Duration TimeLeft,
+      const std::function<void(std::function<void()>)> &SetCanceller,
+      const std::function<bool()> &Progress);
+
+  /// Whether the forwarded response itself told the caller that it is
+  /// incomplete.
   bool reportedIncomplete() const { return this->Incomplete; }
 
 private:
-  PlainCall callFor(const HandOverRequest &Wanted, Duration Left) const;
-  bool takeHead(int Status, const HeaderList &Headers);
-  bool takeBody(std::string_view Piece);
-  AttemptOutcome concludeStream();
+  PlainCall makeCall(const HandOverRequest &HandOver, Duration TimeLeft) const;
+  bool onHead(int Status, const HeaderList &Headers);
+  bool onBody(std::string_view Chunk);
+  AttemptOutcome streamOutcome();
 
   Exchange &E;
-  const CallerRequest &Asked;
-  ResponseForwarder &Passed;
+  const CallerRequest &Request;
+  ResponseForwarder &Forwarder;
   std::string Identity;
-  AttemptOutcome Said = AttemptOutcome::Interrupted;
-  bool PassOn = false;
+  AttemptOutcome ReportedOutcome = AttemptOutcome::Interrupted;
+  bool Forwarding = false;
   bool IsEventStream = false;
   bool Incomplete = false;
-  /// The last bytes of a stream, in which its last event stands.
-  std::string Tail;
+  /// The last bytes of a stream, which contain its last event.
+  std::string StreamTail;
 };
 
 } // namespace parsleywing
--- a/src/Caller/HandOverToken.h
+++ b/src/Caller/HandOverToken.h
@@ -8,45 +8,45 @@
 
 namespace parsleywing {
 
-/// A request of a caller as it came.
+/// A caller's request as received.
 struct RawRequest {
   std::string Method;
   /// Path and query.
   std::string Target;
-  /// In the order in which they came, the account's key included.
+  /// In the order received, including the account's key.
   HeaderList Headers;
   std::string Body;
 
-  /// The first value of a header; empty where there is none.
+  /// Returns the first value of a header; empty if there is none.
   std::string header(const std::string &Name) const;
 };
 
-/// What a router that drains tells the router to which it hands a request over.
+/// What a draining router tells the router that it hands a request over to.
 struct HandOverToken {
-  /// Takes the place of the identity that the other router would give.
+  /// Replaces the request id that the other router would assign.
   std::string Identity;
-  /// The router that drains holds the run record.
+  /// Whether the draining router holds the run record.
   bool RecordHeld = false;
 };
 
-/// The header that carries the note with its proof.
+/// The header that carries the signed token.
 inline constexpr const char *HandOverHeader = "X-Parsleywing-Hand-Over";
 
-/// The header that repeats, in every answer to a request with a note, the
-/// `X-Request-Id` of the request, also where the request is refused before its
-/// note is looked at.
+/// The header that repeats the `X-Request-Id` of the request in every response
+/// to a request with a token, even if the request is refused before the token
+/// is verified.
 inline constexpr const char *AnsweredIdHeader = "X-Parsleywing-Answers";
 
-/// The header's value: the note and an HMAC-SHA256 over the note and the whole
-/// request under the fleet's secret. The proof binds the note to this request:
-/// a caller that sees one cannot use it for another, and so cannot go past the
-/// run record. `Identity` may hold no spaces.
-std::string signHandOverToken(const HandOverToken &Note,
+/// Returns the header's value: the token and an HMAC-SHA256 of the token and
+/// the request, keyed with the fleet's secret. The signature binds the token to
+/// this request: a caller that obtains a token cannot use it for another
+/// request to bypass the run record. `Identity` must not contain spaces.
+std::string signHandOverToken(const HandOverToken &Token,
                               const RawRequest &Request,
                               const std::string &Secret);
 
-/// The note in a header's value; nothing where the proof does not hold, or
-/// where there is no secret.
+/// Returns the token in a header's value, or nullopt if its signature does not
+/// match or `Secret` is empty.
 std::optional<HandOverToken> verifyHandOverToken(const std::string &Value,
                                                  const RawRequest &Request,
                                                  const std::string &Secret);
--- a/src/Caller/Problem.cpp
+++ b/src/Caller/Problem.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// Whole seconds, rounded up, as `Retry-After` wants them.
+/// Rounds up to whole seconds, as required for `Retry-After`.
 std::int64_t wholeSeconds(Duration D) {
   return std::chrono::ceil<std::chrono::seconds>(D).count();
 }
@@ -17,7 +17,7 @@
 std::string_view sentenceFor(RequestOutcome Outcome) {
   switch (Outcome) {
   case RequestOutcome::Completed:
-    return "An earlier request with this Idempotency-Key ran to its end";
+    return "An earlier request with this Idempotency-Key was completed";
   case RequestOutcome::NotRun:
     return "The request did not run";
   case RequestOutcome::Unknown:
@@ -114,11 +114,11 @@
     Response.set("Retry-After", std::to_string(wholeSeconds(P.RetryAfter)));
 }
 
-Problem problemOf(const FinishRequest &Answer) {
-  const std::string Reason(nameOf(ResponseReasonNames, Answer.Reason));
-  return {typeOf(Answer.Reason),
-          std::string(sentenceFor(Answer.Outcome)) + ": " + Reason + ".",
-          Answer.Outcome, Answer.RetryAfter};
+Problem problemOf(const FinishRequest &Finish) {
+  const std::string Reason(nameOf(ResponseReasonNames, Finish.Reason));
+  return {typeOf(Finish.Reason),
+          std::string(sentenceFor(Finish.Outcome)) + ": " + Reason + ".",
+          Finish.Outcome, Finish.RetryAfter};
 }
 
 } // namespace parsleywing
--- a/src/Caller/Problem.h
+++ b/src/Caller/Problem.h
@@ -8,7 +8,7 @@
 
 namespace parsleywing {
 
-/// The kinds of error answers. Their names are part of the interface and never
+/// The types of error responses. Their names are part of the API and must not
 /// change: `urn:parsleywing:problem:NAME`.
 enum class ProblemType {
   InvalidRequest,
@@ -60,27 +60,28 @@
     {ProblemType::CallerDisconnected, "caller-left"},
 }};
 
-/// An error answer in the form of RFC 9457.
+/// An error response as defined by RFC 9457 (Problem Details for HTTP APIs).
 struct Problem {
   ProblemType Type;
-  /// One sentence for a person, on this occurrence.
+  /// One human-readable sentence that explains this occurrence.
   std::string Detail;
   RequestOutcome Outcome = RequestOutcome::NotRun;
-  /// When to come back; zero where coming back is of no use.
+  /// Value of `Retry-After`; zero if a retry would not help.
   Duration RetryAfter = Duration::zero();
 };
 
-/// The status code that goes with the problem.
+/// Returns the HTTP status code of a problem.
 Poco::Net::HTTPResponse::HTTPStatus statusOf(const Problem &P);
 
-/// The `application/problem+json` document.
+/// Returns the `application/problem+json` document.
 std::string documentOf(const Problem &P, const std::string &Identity);
 
-/// Sets the status and headers of the error answer, without its body.
+/// Sets the status and headers of an error response, without its body.
 void setProblemHeaders(Poco::Net::HTTPResponse &Response, const Problem &P);
 
-/// The problem that tells a caller of a final answer other than completion.
-Problem problemOf(const FinishRequest &Answer);
+/// Returns the problem that reports the end of a request that got no complete
+/// response.
+Problem problemOf(const FinishRequest &Finish);
 
 } // namespace parsleywing
 
--- a/src/Caller/ProgressReporter.h
+++ b/src/Caller/ProgressReporter.h
@@ -8,21 +8,22 @@
 
 namespace parsleywing {
 
-/// Tells the control thread of an attempt's tokens in batches: one event for
-/// each token would make the control thread's work grow with the tokens of the
-/// fleet. What the scheduler charges lags by at most one batch.
+/// Reports the tokens of an attempt to the control thread in batches. With one
+/// event per token, the load of the control thread would grow with all tokens
+/// that are generated. The scheduler's accounting lags by at most one batch.
 class ProgressReporter {
 public:
   static constexpr std::uint64_t MaxTokens = 16;
-  /// Above 16 tokens at 25 ms, so that it is the tokens that fill a batch at
-  /// the usual pace of engines; 100 ms made a batch of each fourth token.
+  /// Longer than an engine usually needs for 16 tokens (25 ms each), so that
+  /// `MaxTokens` normally ends a batch. With 100 ms, every fourth token caused
+  /// an event.
   static constexpr Duration MaxDelay = std::chrono::milliseconds(500);
 
-  /// `Post` receives the tokens of the attempt so far.
+  /// `Post` is called with the total number of tokens of the attempt so far.
   ProgressReporter(const Clock &C, std::function<void(std::uint64_t)> Post)
       : Time(C), Post(std::move(Post)), LastTime(C.now()) {}
 
-  /// Takes the tokens of the attempt so far.
+  /// Updates the total number of tokens of the attempt so far.
   void report(std::uint64_t Generated) {
     this->Tokens = Generated;
     if (Generated - this->Reported >= MaxTokens ||
@@ -30,7 +31,7 @@
       this->flush();
   }
 
-  /// Reports what is not yet reported; at the end of the attempt.
+  /// Posts the tokens not posted yet. Must be called at the end of the attempt.
   void flush() {
     if (this->Tokens == this->Reported)
       return;
--- a/src/Caller/RequestHandler.cpp
+++ b/src/Caller/RequestHandler.cpp
@@ -8,26 +8,28 @@
 
 namespace {
 
-/// How often a waiting request looks whether the process stops.
+/// Interval at which a waiting request checks whether the process is shutting
+/// down.
 constexpr Duration StopCheckInterval = std::chrono::milliseconds(500);
 
-/// `/path?query` of `/services/{service}/path?query`.
-std::string pathBehindService(const std::string &Target) {
+/// Returns `/path?query` of `/services/{service}/path?query`.
+std::string pathAfterService(const std::string &Target) {
   const auto Service = Target.find('/', 1);
-  const auto Behind = Target.find_first_of("/?", Service + 1);
-  if (Behind == std::string::npos)
+  const auto PathStart = Target.find_first_of("/?", Service + 1);
+  if (PathStart == std::string::npos)
     return "/";
-  return (Target[Behind] == '?' ? "/" : "") + Target.substr(Behind);
+  return (Target[PathStart] == '?' ? "/" : "") + Target.substr(PathStart);
 }
 
 } // namespace
 
-RequestHandler::RequestHandler(Exchange &X, const CallerRequest &A)
-    : E(X), Asked(A), Request{X.Number}, Writer(X, A.Stream), Passed(X),
-      Relay(X, A, Passed), Channel(X.Context.Control.openChannel(Request)),
-      Arrived(X.Context.Control.clock().now()) {
-  this->Timing.Account = A.Account;
-  this->Timing.Service = A.Service;
+RequestHandler::RequestHandler(Exchange &X, const CallerRequest &R)
+    : E(X), ParsedRequest(R), Request{X.Number}, Writer(X, R.Stream),
+      Forwarder(X), HandOver(X, R, Forwarder),
+      Channel(X.Context.Control.openChannel(Request)),
+      ArrivedAt(X.Context.Control.clock().now()) {
+  this->Timing.Account = R.Account;
+  this->Timing.Service = R.Service;
 }
 
 RequestHandler::~RequestHandler() {
@@ -37,20 +39,21 @@
 
 void RequestHandler::serve() {
   this->E.Context.Control.post(RequestArrived{this->describe()});
-  // After the arrival, since a `CallerLeft` before it would be lost.
+  // After posting the arrival, since a `CallerDisconnected` before it would be
+  // lost.
   this->watchCaller();
-  while (!this->Answered && !this->E.Context.Stopping) {
+  while (!this->Finished && !this->E.Context.Stopping) {
     const auto Decision = this->Channel->take(StopCheckInterval);
     if (Decision)
       std::visit([this](const auto &D) { this->execute(D); }, *Decision);
   }
-  if (!this->Answered)
-    this->execute(this->answerAtTheEnd());
+  if (!this->Finished)
+    this->execute(this->finishForShutdown());
 }
 
-/// Nobody decides any more.
-FinishRequest RequestHandler::answerAtTheEnd() const {
-  if (this->AnswerWhole)
+/// The control thread makes no further decisions.
+FinishRequest RequestHandler::finishForShutdown() const {
+  if (this->ResponseComplete)
     return {this->Request, RequestOutcome::Completed, ResponseReason::Served,
             Duration::zero()};
   if (this->MayHaveRun)
@@ -62,30 +65,30 @@
 
 void RequestHandler::watchCaller() {
   this->E.Context.Watch.add(this->E.Caller, [this] {
-    this->CallerGone = true;
+    this->Disconnected = true;
     ++this->E.Context.Counters.CallersDisconnected;
     this->E.Context.Control.post(CallerDisconnected{this->Request});
   });
 }
 
 Duration RequestHandler::elapsed() const {
-  return this->E.Context.Control.clock().now() - this->Arrived;
+  return this->E.Context.Control.clock().now() - this->ArrivedAt;
 }
 
 RequestDescription RequestHandler::describe() const {
   RequestDescription D;
   D.Request = this->Request;
-  D.Account = this->Asked.Account;
-  D.Service = this->Asked.Service;
-  D.Repeatable = this->Asked.Repeatable;
-  D.IdempotencyKey = this->Asked.IdempotencyKey;
-  D.EstimatedTokens = this->Asked.MaxOutputTokens;
-  D.Deadline = this->Arrived + this->Asked.Timeout;
+  D.Account = this->ParsedRequest.Account;
+  D.Service = this->ParsedRequest.Service;
+  D.Repeatable = this->ParsedRequest.Repeatable;
+  D.IdempotencyKey = this->ParsedRequest.IdempotencyKey;
+  D.EstimatedTokens = this->ParsedRequest.MaxOutputTokens;
+  D.Deadline = this->ArrivedAt + this->ParsedRequest.Timeout;
   D.Identity = this->E.Identity;
-  D.Kind = this->Asked.Kind;
-  if (this->Asked.HandedOver) {
+  D.Kind = this->ParsedRequest.Kind;
+  if (this->ParsedRequest.HandedOver) {
     D.HandedOver = true;
-    D.RecordHeldElsewhere = this->Asked.HandedOver->RecordHeld;
+    D.RecordHeldElsewhere = this->ParsedRequest.HandedOver->RecordHeld;
   }
   return D;
 }
@@ -96,67 +99,69 @@
   this->MayHaveRun = true;
   this->Timing.Attempts = Start.Attempt;
   this->abandonBroken();
-  if (this->Asked.Kind == ServiceKind::Plain)
-    this->startPlain(Start);
+  if (this->ParsedRequest.Kind == ServiceKind::Plain)
+    this->runPlain(Start);
   else
     this->runEngine(Start.Attempt, Start.Server,
                     this->engineCall(Start.Attempt));
 }
 
-void RequestHandler::execute(const ResumeAttempt &Wanted) {
+void RequestHandler::execute(const ResumeAttempt &Decision) {
   if (!this->Broken) {
-    this->endAttempt(Wanted.Attempt, AttemptOutcome::Rejected,
+    this->endAttempt(Decision.Attempt, AttemptOutcome::Rejected,
                      this->Timing.Tokens);
     return;
   }
-  EngineCall Call = this->engineCall(Wanted.OriginalAttempt);
+  EngineCall Call = this->engineCall(Decision.OriginalAttempt);
   Call.ResumeFrom = this->Broken->Point;
-  this->runEngine(Wanted.Attempt, Wanted.Server, std::move(Call));
+  this->runEngine(Decision.Attempt, Decision.Server, std::move(Call));
 }
 
-void RequestHandler::execute(const HandOverRequest &Wanted) {
+void RequestHandler::execute(const HandOverRequest &Decision) {
   this->MayHaveRun = true;
   this->abandonBroken();
   ControlLoop &Control = this->E.Context.Control;
-  std::uint64_t Pieces = 0;
+  std::uint64_t Chunks = 0;
   ProgressReporter Progress(Control.clock(), [&](std::uint64_t Count) {
-    Control.post(AttemptProgressed{this->Request, Wanted.Attempt, Count});
+    Control.post(AttemptProgressed{this->Request, Decision.Attempt, Count});
   });
-  AttemptOutcome Ended = AttemptOutcome::NotSent;
-  if (!this->isOver())
-    Ended = this->Relay.run(Wanted, this->Asked.Timeout - this->elapsed(),
-                            this->breakerOf(Wanted.Attempt), [&] {
-                              this->noteFirstPiece();
-                              Progress.report(++Pieces);
-                              return !this->isOver();
-                            });
+  AttemptOutcome Outcome = AttemptOutcome::NotSent;
+  if (!this->shouldStop())
+    Outcome = this->HandOver.run(Decision,
+                                 this->ParsedRequest.Timeout - this->elapsed(),
+                                 this->cancellerSetter(Decision.Attempt), [&] {
+                                   this->recordFirstChunk();
+                                   Progress.report(++Chunks);
+                                   return !this->shouldStop();
+                                 });
   Progress.flush();
-  this->AnswerWhole = Ended == AttemptOutcome::Completed;
+  this->ResponseComplete = Outcome == AttemptOutcome::Completed;
   Control.post(
-      HandOverEnded{this->Request, Wanted.Attempt, Ended, this->offset()});
+      HandOverEnded{this->Request, Decision.Attempt, Outcome, this->offset()});
 }
 
-EngineCall RequestHandler::engineCall(AttemptNumber StartedBy) const {
+EngineCall RequestHandler::engineCall(AttemptNumber OriginalAttempt) const {
   EngineCall Call;
-  Call.Model = this->Asked.Model;
-  Call.Input = this->Asked.Input;
-  Call.InputJson = this->Asked.InputJson;
-  Call.MaxOutputTokens = this->Asked.MaxOutputTokens;
-  Call.Identity = this->E.Identity + "." + std::to_string(StartedBy);
-  Call.Repeatable = this->Asked.Repeatable;
-  Call.IdempotencyKey = this->Asked.IdempotencyKey;
+  Call.Model = this->ParsedRequest.Model;
+  Call.Input = this->ParsedRequest.Input;
+  Call.InputJson = this->ParsedRequest.InputJson;
+  Call.MaxOutputTokens = this->ParsedRequest.MaxOutputTokens;
+  Call.Identity = this->E.Identity + "." + std::to_string(OriginalAttempt);
+  Call.Repeatable = this->ParsedRequest.Repeatable;
+  Call.IdempotencyKey = this->ParsedRequest.IdempotencyKey;
   return Call;
 }
 
-/// The account's key is for routers only, and so is a note between routers.
+/// Omits the account's key and the hand-over token, which are meant only for
+/// routers.
 PlainCall RequestHandler::plainCall(AttemptNumber Attempt) const {
-  const RawRequest &Raw = this->Asked.Raw;
+  const RawRequest &Raw = this->ParsedRequest.Raw;
   PlainCall Call;
   Call.Method = Raw.Method;
-  Call.Path = pathBehindService(Raw.Target);
+  Call.Path = pathAfterService(Raw.Target);
   Call.Body = Raw.Body;
   Call.Identity = this->E.Identity + "." + std::to_string(Attempt);
-  Call.Repeatable = this->Asked.Repeatable;
+  Call.Repeatable = this->ParsedRequest.Repeatable;
   for (const auto &[Name, Value] : Raw.Headers)
     if (Poco::icompare(Name, "Authorization") != 0 &&
         Poco::icompare(Name, "Expect") != 0 &&
@@ -168,30 +173,30 @@
 void RequestHandler::runEngine(AttemptNumber Attempt, ServerId Server,
                                EngineCall Call) {
   Call.Address = this->addressOf(Server);
-  EngineResult Ended{AttemptOutcome::NotSent};
-  Ended.Resume = Call.ResumeFrom;
-  if (!Call.Address.empty() && !this->isOver())
-    Ended = this->callEngine(Attempt, Call);
-  this->Timing.Tokens = Ended.Tokens;
+  EngineResult Result{AttemptOutcome::NotSent};
+  Result.Resume = Call.ResumeFrom;
+  if (!Call.Address.empty() && !this->shouldStop())
+    Result = this->callEngine(Attempt, Call);
+  this->Timing.Tokens = Result.Tokens;
   this->Broken.reset();
-  if (Ended.Resume)
+  if (Result.Resume)
     this->Broken =
-        BrokenResponse{Call.Address, *Ended.Resume, Ended.ServerSuspect};
-  this->reportServer(Server, Ended.ServerSuspect, Ended.ServerLeaving);
-  this->endAttempt(Attempt, Ended.Outcome, Ended.Tokens);
+        BrokenResponse{Call.Address, *Result.Resume, Result.ServerSuspect};
+  this->reportServer(Server, Result.ServerSuspect, Result.ServerLeaving);
+  this->endAttempt(Attempt, Result.Outcome, Result.Tokens);
 }
 
-void RequestHandler::startPlain(const StartAttempt &Start) {
+void RequestHandler::runPlain(const StartAttempt &Start) {
   PlainCall Call = this->plainCall(Start.Attempt);
   Call.Address = this->addressOf(Start.Server);
-  PlainResult Ended;
-  if (!Call.Address.empty() && !this->isOver())
-    Ended = this->callPlain(Start.Attempt, Call);
-  const bool Certain = Ended.Outcome == AttemptOutcome::NotSent ||
-                       Ended.Outcome == AttemptOutcome::Rejected;
+  PlainResult Result;
+  if (!Call.Address.empty() && !this->shouldStop())
+    Result = this->callPlain(Start.Attempt, Call);
+  const bool Certain = Result.Outcome == AttemptOutcome::NotSent ||
+                       Result.Outcome == AttemptOutcome::Rejected;
   this->Timing.Tokens = Certain ? 0 : 1;
-  this->reportServer(Start.Server, Ended.ServerSuspect, Ended.ServerLeaving);
-  this->endAttempt(Start.Attempt, Ended.Outcome, this->Timing.Tokens);
+  this->reportServer(Start.Server, Result.ServerSuspect, Result.ServerLeaving);
+  this->endAttempt(Start.Attempt, Result.Outcome, this->Timing.Tokens);
 }
 
 std::string RequestHandler::addressOf(ServerId Server) const {
@@ -200,9 +205,9 @@
   return Found == Declared->Servers.end() ? "" : Found->second.Address;
 }
 
-/// Told before the attempt's end is: the slot there would else be the first
-/// free one, and each retry would be refused by the same server within
-/// milliseconds.
+/// Must be called before the end of the attempt is reported. Otherwise the
+/// freed slot of this server would be the first free one, and each retry would
+/// be refused by the same server within milliseconds.
 void RequestHandler::reportServer(ServerId Server, bool Suspect, bool Leaving) {
   if (Leaving || Suspect)
     this->E.Context.Control.post(ServerConditionChanged{
@@ -211,31 +216,31 @@
 
 void RequestHandler::endAttempt(AttemptNumber Attempt, AttemptOutcome Outcome,
                                 std::uint64_t Tokens) {
-  this->AnswerWhole = Outcome == AttemptOutcome::Completed;
+  this->ResponseComplete = Outcome == AttemptOutcome::Completed;
   this->E.Context.Control.post(
       AttemptEnded{this->Request, Attempt, Outcome, Tokens, this->offset()});
 }
 
-/// Of a passed answer only counts that something of it has left: there is no
-/// place at which it could be taken up again.
+/// For a forwarded response, only whether any of it was sent matters, since it
+/// cannot be resumed.
 std::uint64_t RequestHandler::offset() const {
-  return this->Passed.hasStarted() ? 1 : this->PassedOn;
+  return this->Forwarder.hasStarted() ? 1 : this->ForwardedChunks;
 }
 
-bool RequestHandler::isOver() const {
-  return this->CallerGone || this->E.Context.Stopping;
+bool RequestHandler::shouldStop() const {
+  return this->Disconnected || this->E.Context.Stopping;
 }
 
-void RequestHandler::noteFirstPiece() {
+void RequestHandler::recordFirstChunk() {
   if (!this->Timing.FirstToken)
     this->Timing.FirstToken = this->elapsed();
 }
 
 std::function<void(std::function<void()>)>
-RequestHandler::breakerOf(AttemptNumber Attempt) {
+RequestHandler::cancellerSetter(AttemptNumber Attempt) {
   this->Channel->beginAttempt(Attempt);
-  return [this](std::function<void()> Breaker) {
-    this->Channel->setCanceller(std::move(Breaker));
+  return [this](std::function<void()> Canceller) {
+    this->Channel->setCanceller(std::move(Canceller));
   };
 }
 
@@ -252,13 +257,13 @@
   Listener.DeltaReceived = [&](const std::string &Text,
                                std::uint64_t Generated) {
     Progress.report(Generated);
-    ++this->PassedOn;
-    return this->passOn(Text);
+    ++this->ForwardedChunks;
+    return this->forwardText(Text);
   };
-  Listener.SetCanceller = this->breakerOf(Attempt);
-  EngineResult Ended = this->E.Context.Engines.run(Call, Listener);
+  Listener.SetCanceller = this->cancellerSetter(Attempt);
+  EngineResult Result = this->E.Context.Engines.run(Call, Listener);
   Progress.flush();
-  return Ended;
+  return Result;
 }
 
 PlainResult RequestHandler::callPlain(AttemptNumber Attempt,
@@ -268,44 +273,44 @@
     this->E.Context.Control.post(AttemptSent{this->Request, Attempt});
   };
   Listener.HeadReceived = [&](int Status, const HeaderList &Headers) {
-    this->noteFirstPiece();
-    return !this->isOver() && this->Passed.forwardHead(Status, Headers);
+    this->recordFirstChunk();
+    return !this->shouldStop() && this->Forwarder.forwardHead(Status, Headers);
   };
-  Listener.BodyReceived = [&](std::string_view Piece) {
-    return !this->isOver() && this->Passed.forwardBody(Piece);
+  Listener.BodyReceived = [&](std::string_view Chunk) {
+    return !this->shouldStop() && this->Forwarder.forwardBody(Chunk);
   };
-  Listener.SetCanceller = this->breakerOf(Attempt);
+  Listener.SetCanceller = this->cancellerSetter(Attempt);
   return this->E.Context.Services.run(Call, Listener);
 }
 
-bool RequestHandler::passOn(const std::string &Text) {
-  this->noteFirstPiece();
-  return !this->isOver() && this->Writer.writeDelta(Text);
+bool RequestHandler::forwardText(const std::string &Text) {
+  this->recordFirstChunk();
+  return !this->shouldStop() && this->Writer.writeDelta(Text);
 }
 
 void RequestHandler::abandonBroken() {
-  this->Passed.discardBuffered();
+  this->Forwarder.discardBuffered();
   if (!this->Broken)
     return;
   this->Abandoned.push_back(*this->Broken);
   this->Broken.reset();
-  // A server that answers nobody would only hold the next attempt up.
+  // Cancelling at an unresponsive server would only delay the next attempt.
   if (!this->Abandoned.back().ServerSuspect)
     this->cancelAbandoned();
 }
 
 void RequestHandler::cancelAbandoned() {
-  for (const BrokenResponse &Each : this->Abandoned)
-    this->E.Context.Engines.cancel(Each.Address, Each.Point.ResponseId);
+  for (const BrokenResponse &Response : this->Abandoned)
+    this->E.Context.Engines.cancel(Response.Address, Response.Point.ResponseId);
   this->Abandoned.clear();
 }
 
-void RequestHandler::execute(const FinishRequest &Answer) {
-  this->Answered = true;
-  // A later close of the connection concerns nobody any more.
+void RequestHandler::execute(const FinishRequest &Finish) {
+  this->Finished = true;
+  // A later close of the connection no longer matters.
   this->E.Context.Watch.remove(this->E.Caller);
-  this->finishAnswer(Answer);
-  this->Timing.Outcome = Answer.Outcome;
+  this->finishResponse(Finish);
+  this->Timing.Outcome = Finish.Outcome;
   this->Timing.Total = this->elapsed();
   if (this->E.Context.Timings)
     this->E.Context.Timings(this->Timing);
@@ -313,24 +318,24 @@
   this->cancelAbandoned();
 }
 
-void RequestHandler::finishAnswer(const FinishRequest &Answer) {
-  // "Completed" for any other reason speaks of an earlier request, and there is
-  // no answer to give.
-  const bool Served = Answer.Outcome == RequestOutcome::Completed &&
-                      Answer.Reason == ResponseReason::Served;
+void RequestHandler::finishResponse(const FinishRequest &Finish) {
+  // "Completed" for any other reason refers to an earlier request, whose
+  // response is not available.
+  const bool Served = Finish.Outcome == RequestOutcome::Completed &&
+                      Finish.Reason == ResponseReason::Served;
   const bool Counted =
-      Served || this->Writer.started() || this->Passed.hasStarted();
-  if (Served && this->Passed.hasResponse())
-    this->Passed.complete(this->Timing.Attempts);
+      Served || this->Writer.started() || this->Forwarder.hasStarted();
+  if (Served && this->Forwarder.hasResponse())
+    this->Forwarder.complete(this->Timing.Attempts);
   else if (Served)
     this->Writer.complete(this->Timing.Tokens, this->Timing.Attempts);
-  else if (!this->Passed.hasStarted())
-    this->Writer.fail(Answer, this->Timing.Tokens, this->Timing.Attempts);
-  else if (!this->Relay.reportedIncomplete())
-    this->Passed.abortResponse();
-  // A problem is counted as it is sent.
+  else if (!this->Forwarder.hasStarted())
+    this->Writer.fail(Finish, this->Timing.Tokens, this->Timing.Attempts);
+  else if (!this->HandOver.reportedIncomplete())
+    this->Forwarder.abortResponse();
+  // `Exchange::sendProblem` counts problems itself.
   if (Counted)
-    this->E.Context.Counters.countOutcome(Answer.Outcome);
+    this->E.Context.Counters.countOutcome(Finish.Outcome);
 }
 
 } // namespace parsleywing
--- a/src/Caller/RequestHandler.h
+++ b/src/Caller/RequestHandler.h
@@ -14,21 +14,22 @@
 
 namespace parsleywing {
 
-/// Has one request decided by the control thread and carries the decisions
-/// out. Lives on the stack of the connection's thread, from the request's
-/// arrival to its final answer.
+/// Handles one request: reports it to the control thread and executes the
+/// control thread's decisions. Lives on the stack of the connection's thread,
+/// from the arrival of the request to its final response.
 class RequestHandler {
 public:
-  RequestHandler(Exchange &X, const CallerRequest &A);
+  RequestHandler(Exchange &X, const CallerRequest &R);
   ~RequestHandler();
   RequestHandler(const RequestHandler &) = delete;
   RequestHandler &operator=(const RequestHandler &) = delete;
 
-  /// Blocks until the final answer is written; as the process stops, at once.
+  /// Blocks until the final response is written. When the process is shutting
+  /// down, ends the request with a final response at once.
   void serve();
 
 private:
-  /// A response whose stream broke; it may still run at its engine.
+  /// A response whose stream was interrupted; it may still run on its engine.
   struct BrokenResponse {
     std::string Address;
     ResumePoint Point;
@@ -37,65 +38,69 @@
 
   RequestDescription describe() const;
   void execute(const StartAttempt &Start);
-  void execute(const ResumeAttempt &Wanted);
-  void execute(const HandOverRequest &Wanted);
-  void execute(const CancelAttempt &) {} // The breaker has ended it.
-  void execute(const FinishRequest &Answer);
-  /// Actions for other parts of the process never come to a request's channel.
+  void execute(const ResumeAttempt &Decision);
+  void execute(const HandOverRequest &Decision);
+  void execute(const CancelAttempt &) {} // The canceller has ended the attempt.
+  void execute(const FinishRequest &Finish);
+  /// Actions for other parts of the process never arrive on a request's
+  /// channel.
   template <typename OtherAction> void execute(const OtherAction &) {}
 
-  void startPlain(const StartAttempt &Start);
+  void runPlain(const StartAttempt &Start);
 
-  /// Runs the call at the server and reports its end.
+  /// Runs the call on the server and reports its end to the control thread.
   void runEngine(AttemptNumber Attempt, ServerId Server, EngineCall Call);
   EngineResult callEngine(AttemptNumber Attempt, const EngineCall &Call);
   PlainResult callPlain(AttemptNumber Attempt, const PlainCall &Call);
-  EngineCall engineCall(AttemptNumber StartedBy) const;
+  EngineCall engineCall(AttemptNumber OriginalAttempt) const;
   PlainCall plainCall(AttemptNumber Attempt) const;
-  bool passOn(const std::string &Text);
-  bool isOver() const;
-  void noteFirstPiece();
+  bool forwardText(const std::string &Text);
+  bool shouldStop() const;
+  void recordFirstChunk();
 
-  /// Where the server can be reached; empty where it is not declared any more.
+  /// Returns the server's address; empty if it is no longer declared.
   std::string addressOf(ServerId Server) const;
   void reportServer(ServerId Server, bool Suspect, bool Leaving);
   void endAttempt(AttemptNumber Attempt, AttemptOutcome Outcome,
                   std::uint64_t Tokens);
   std::uint64_t offset() const;
-  std::function<void(std::function<void()>)> breakerOf(AttemptNumber Attempt);
+  /// Registers the attempt on the channel and returns the function that sets
+  /// its canceller.
+  std::function<void(std::function<void()>)>
+  cancellerSetter(AttemptNumber Attempt);
 
-  /// Gives what an earlier attempt left up for good: a held answer is dropped,
-  /// and a response that may still run is ordered cancelled.
+  /// Discards what an earlier attempt left: drops a buffered response, and
+  /// cancels an interrupted response that may still run on its engine.
   void abandonBroken();
   void cancelAbandoned();
 
-  void finishAnswer(const FinishRequest &Answer);
-  /// The final answer of a request that the end of the process cuts.
-  FinishRequest answerAtTheEnd() const;
+  void finishResponse(const FinishRequest &Finish);
+  /// Returns the end of a request that the shutdown of the process interrupts.
+  FinishRequest finishForShutdown() const;
   Duration elapsed() const;
   void watchCaller();
 
   Exchange &E;
-  const CallerRequest &Asked;
+  const CallerRequest &ParsedRequest;
   RequestId Request;
   ResponseWriter Writer;
-  ResponseForwarder Passed;
-  HandOverClient Relay;
+  ResponseForwarder Forwarder;
+  HandOverClient HandOver;
   std::shared_ptr<RequestChannel> Channel;
-  TimePoint Arrived;
+  TimePoint ArrivedAt;
   RequestTiming Timing;
-  bool Answered = false;
-  /// Part of the request may have left for a server or another router.
+  bool Finished = false;
+  /// Part of the request may have been sent to a server or another router.
   bool MayHaveRun = false;
-  /// The last attempt has brought the whole answer.
-  bool AnswerWhole = false;
-  /// Where the last attempt's stream can be taken up again.
+  /// The last attempt delivered a complete response.
+  bool ResponseComplete = false;
+  /// Where the last attempt's stream can be resumed, if it can.
   std::optional<BrokenResponse> Broken;
   std::vector<BrokenResponse> Abandoned;
-  /// Pieces of an engine's answer passed on or collected, by all attempts.
-  std::uint64_t PassedOn = 0;
-  /// Set by the watching thread.
-  std::atomic<bool> CallerGone{false};
+  /// Chunks of an engine's response sent or collected by all attempts.
+  std::uint64_t ForwardedChunks = 0;
+  /// Set by the thread of `CallerWatch`.
+  std::atomic<bool> Disconnected{false};
 };
 
 } // namespace parsleywing
--- a/src/Caller/RequestParser.cpp
+++ b/src/Caller/RequestParser.cpp
@@ -24,21 +24,21 @@
   return tl::unexpected<Problem>(Problem{Type, std::move(Detail)});
 }
 
-/// JSON text is UTF-8 (RFC 8259); POCO's parser lets other bytes pass.
+/// JSON text must be UTF-8 (RFC 8259), which POCO's parser does not check.
 bool isUtf8(const std::string &Text) {
   static const Poco::UTF8Encoding Encoding;
-  const auto *At = reinterpret_cast<const unsigned char *>(Text.data());
-  const unsigned char *End = At + Text.size();
-  while (At < End) {
-    if (*At < 0x80) {
-      ++At;
+  const auto *Position = reinterpret_cast<const unsigned char *>(Text.data());
+  const unsigned char *End = Position + Text.size();
+  while (Position < End) {
+    if (*Position < 0x80) {
+      ++Position;
       continue;
     }
-    const int Length = Encoding.sequenceLength(At, 1);
-    if (Length < 1 || Length > End - At ||
-        !Poco::UTF8Encoding::isLegal(At, Length))
+    const int Length = Encoding.sequenceLength(Position, 1);
+    if (Length < 1 || Length > End - Position ||
+        !Poco::UTF8Encoding::isLegal(Position, Length))
       return false;
-    At += Length;
+    Position += Length;
   }
   return true;
 }
@@ -54,7 +54,8 @@
   std::string Key = Request.get(IdempotencyKeyHeader);
   if (Key.empty() || Key.size() > MaxLength || !isPrintable(Key))
     return refuse(ProblemType::InvalidHeader,
-                  "Idempotency-Key takes 1 to " + std::to_string(MaxLength) +
+                  "Idempotency-Key must have 1 to " +
+                      std::to_string(MaxLength) +
                       " visible ASCII characters without spaces.");
   return Key;
 }
@@ -67,8 +68,9 @@
   if (!Poco::NumberParser::tryParseUnsigned(Request.get(TimeoutHeader),
                                             Seconds) ||
       Seconds == 0)
-    return refuse(ProblemType::InvalidHeader,
-                  "X-Request-Timeout-Seconds takes a whole number from 1.");
+    return refuse(
+        ProblemType::InvalidHeader,
+        "X-Request-Timeout-Seconds must be an integer of at least 1.");
   return std::min<Duration>(std::chrono::seconds(Seconds), Settings.MaxTimeout);
 }
 
@@ -80,7 +82,7 @@
   }
   if (!Body.isArray("input") || Body.getArray("input")->empty())
     return refuse(ProblemType::InvalidBody,
-                  "'input' takes a string or a list of messages.");
+                  "'input' must be a string or a non-empty list of messages.");
   std::ostringstream List;
   Body.getArray("input")->stringify(List);
   Out.InputJson = List.str();
@@ -93,20 +95,20 @@
   const Poco::Dynamic::Var Value = Body.get("max_output_tokens");
   if (Value.isEmpty())
     return Default;
-  const auto Wrong = refuse(ProblemType::InvalidBody,
-                            "'max_output_tokens' takes a whole number from 1 "
-                            "to " +
-                                std::to_string(Max) + ".");
+  const auto InvalidValue = refuse(
+      ProblemType::InvalidBody, "'max_output_tokens' must be an integer from 1 "
+                                "to " +
+                                    std::to_string(Max) + ".");
   if (!Value.isInteger() || Value.isBoolean())
-    return Wrong;
+    return InvalidValue;
   try {
     const auto Tokens = Value.convert<Poco::UInt64>();
     if (Tokens >= 1 && Tokens <= Max)
       return Tokens;
   } catch (const Poco::Exception &) {
-    // Negative, or beyond 64 bits.
+    // Negative or larger than 64 bits.
   }
-  return Wrong;
+  return InvalidValue;
 }
 
 Parsed<bool> parseStream(const Poco::JSON::Object &Body) {
@@ -114,16 +116,16 @@
   if (Value.isEmpty())
     return false;
   if (!Value.isBoolean())
-    return refuse(ProblemType::InvalidBody, "'stream' takes true or false.");
+    return refuse(ProblemType::InvalidBody, "'stream' must be true or false.");
   return Value.convert<bool>();
 }
 
-/// Fills in what the body says.
+/// Sets the fields of `Out` that the body contains.
 Parsed<void> parseBody(const Poco::JSON::Object &Body,
                        const CallerSettings &Settings, CallerRequest &Out) {
   const Poco::Dynamic::Var Model = Body.get("model");
   if (!Model.isString())
-    return refuse(ProblemType::InvalidBody, "'model' takes a string.");
+    return refuse(ProblemType::InvalidBody, "'model' must be a string.");
   Out.Model = Model.extract<std::string>();
   Out.Service = idOf<ServiceId>(Out.Model);
   if (const auto Input = parseInput(Body, Out); !Input)
@@ -145,7 +147,8 @@
   if (!isUtf8(Text))
     return refuse(ProblemType::InvalidBody, "The body is not valid UTF-8.");
   try {
-    // Members stay in their order: a list of messages goes on as it came.
+    // Preserves the order of members, so that a list of messages is forwarded
+    // as received.
     Poco::JSON::Parser Parser(new Poco::JSON::ParseHandler(true));
     Parser.setDepth(MaxDepth);
     return Parser.parse(Text).extract<Poco::JSON::Object::Ptr>();
@@ -162,22 +165,22 @@
   if (Request.has(HTTPMessage::TRANSFER_ENCODING) &&
       (!Chunked || Request.hasContentLength()))
     return refuse(ProblemType::InvalidRequest,
-                  "The body takes either Content-Length or the chunked "
-                  "transfer encoding, and no other.");
+                  "The body must be framed by either Content-Length or the "
+                  "chunked transfer encoding.");
   if (Chunked)
     return {};
   if (!Request.hasContentLength()) {
     if (Request.getMethod() == HTTPServerRequest::HTTP_POST ||
         Request.getMethod() == HTTPServerRequest::HTTP_PUT)
       return refuse(ProblemType::LengthRequired,
-                    "The request needs a Content-Length.");
+                    "The request must have a Content-Length.");
     return {};
   }
   const Poco::Int64 Length = Request.getContentLength64();
   if (Length < 0)
     return refuse(ProblemType::InvalidRequest, "Content-Length is negative.");
   if (static_cast<std::uint64_t>(Length) > MaxBodyBytes)
-    return refuse(ProblemType::BodyTooLarge, "The body may hold " +
+    return refuse(ProblemType::BodyTooLarge, "The body exceeds the limit of " +
                                                  std::to_string(MaxBodyBytes) +
                                                  " bytes.");
   return {};
@@ -189,11 +192,11 @@
   const CallerSettings &Settings = E.Context.Settings;
   if (E.Request->getURI().size() > Settings.MaxUriBytes)
     return refuse(ProblemType::UriTooLong,
-                  "The request target may hold " +
+                  "The request target exceeds the limit of " +
                       std::to_string(Settings.MaxUriBytes) + " bytes.");
   if (E.Request->size() > Settings.MaxHeaderFields)
     return refuse(ProblemType::HeadersTooLarge,
-                  "The request may have " +
+                  "The request exceeds the limit of " +
                       std::to_string(Settings.MaxHeaderFields) +
                       " header fields.");
   return checkFraming(*E.Request, Settings.MaxBodyBytes);
@@ -207,7 +210,7 @@
             Declared.Keys->find(Credentials.substr(BearerPrefix.size())))
       return *Account;
   return refuse(ProblemType::UnknownKey,
-                "The key in the Authorization header is not known.");
+                "The key in the Authorization header is unknown.");
 }
 
 bool mayUse(const Declarations &Declared, AccountId Account,
@@ -221,53 +224,58 @@
 
 Parsed<std::string> readBody(Exchange &E) {
   if (E.BodyRead)
-    return std::string(); // There is none.
-  constexpr std::size_t PieceBytes = 8192;
+    return std::string(); // The request has no body.
+  constexpr std::size_t ChunkBytes = 8192;
   const std::uint64_t Max = E.Context.Settings.MaxBodyBytes;
   std::istream &In = E.Request->stream();
   std::string Body;
-  std::array<char, PieceBytes> Piece{};
+  std::array<char, ChunkBytes> Chunk{};
   while (In.good()) {
-    // One byte past the limit shows that it is passed; to wait for more would
-    // hold the refusal back until the caller's next bytes.
-    const std::uint64_t Wanted =
-        std::min<std::uint64_t>(Piece.size(), Max + 1 - Body.size());
-    In.read(Piece.data(), static_cast<std::streamsize>(Wanted));
-    Body.append(Piece.data(), static_cast<std::size_t>(In.gcount()));
+    // Read at most one byte past the limit, which suffices to detect the
+    // excess. Reading more would delay the rejection until the caller's next
+    // bytes.
+    const std::uint64_t ReadSize =
+        std::min<std::uint64_t>(Chunk.size(), Max + 1 - Body.size());
+    In.read(Chunk.data(), static_cast<std::streamsize>(ReadSize));
+    Body.append(Chunk.data(), static_cast<std::size_t>(In.gcount()));
     if (Body.size() > Max)
       return refuse(ProblemType::BodyTooLarge,
-                    "The body may hold " + std::to_string(Max) + " bytes.");
+                    "The body exceeds the limit of " + std::to_string(Max) +
+                        " bytes.");
   }
   if (E.SocketImpl.receiveTimedOut())
     return refuse(ProblemType::ReceiveTimeout,
-                  "The body did not come whole in time.");
-  // POCO ends the stream alike at the end of the body and where it breaks.
+                  "The body was not received completely in time.");
+  // POCO ends the stream in the same way at the end of the body and on an
+  // error.
   const bool Chunked = E.Request->getChunkedTransferEncoding();
   if (In.bad() ||
       (!Chunked &&
        Body.size() != static_cast<std::uint64_t>(std::max<Poco::Int64>(
                           0, E.Request->getContentLength64()))))
-    return refuse(ProblemType::InvalidBody, "The body did not come whole.");
-  // A broken chunk looks like the last one, so nothing may follow.
+    return refuse(ProblemType::InvalidBody, "The body is incomplete.");
+  // A malformed chunk looks like the last one, so no request may follow a
+  // chunked body.
   E.BodyRead = !Chunked;
   return Body;
 }
 
-Parsed<void> readRaw(Exchange &E, RawRequest &Into) {
+Parsed<void> readRaw(Exchange &E, RawRequest &Out) {
   auto Body = readBody(E);
   if (!Body)
     return tl::unexpected(Body.error());
-  Into.Method = E.Request->getMethod();
-  Into.Target = E.Request->getURI();
+  Out.Method = E.Request->getMethod();
+  Out.Target = E.Request->getURI();
   for (const auto &[Name, Value] : *E.Request)
-    Into.Headers.emplace_back(Name, Value);
-  Into.Body = std::move(*Body);
+    Out.Headers.emplace_back(Name, Value);
+  Out.Body = std::move(*Body);
   return {};
 }
 
-/// What the headers say, and a note of the router that handed it over. A note
-/// without its proof is refused and not passed over: taken as a request of its
-/// own, one whose record is held elsewhere would seem to repeat itself.
+/// Parses the headers, including the token of a router that handed the request
+/// over. A token with an invalid signature is an error and is not ignored:
+/// without its token, a request whose run record is held by the other router
+/// would be treated as a duplicate.
 Parsed<void> parseHeaders(const Exchange &E, CallerRequest &Out) {
   const CallerSettings &Settings = E.Context.Settings;
   auto Key = parseIdempotencyKey(*E.Request, Settings.MaxIdempotencyKeyLength);
@@ -284,7 +292,8 @@
                                        Settings.FleetSecret);
   if (!Out.HandedOver)
     return refuse(ProblemType::InvalidHeader,
-                  std::string(HandOverHeader) + " is for routers only.");
+                  std::string(HandOverHeader) +
+                      " may be used only by routers.");
   return {};
 }
 
@@ -299,18 +308,18 @@
   const auto Body = parseJson(Out.Raw.Body, Settings.MaxJsonDepth);
   if (!Body)
     return tl::unexpected(Body.error());
-  if (const auto Filled = parseBody(**Body, Settings, Out); !Filled)
-    return tl::unexpected(Filled.error());
+  if (const auto Outcome = parseBody(**Body, Settings, Out); !Outcome)
+    return tl::unexpected(Outcome.error());
   if (!mayUse(*Declared.Active, Account, Out.Service))
     return refuse(ProblemType::ServiceNotAllowed,
                   "The account may not use this service.");
   const ServiceDeclaration &Service = Declared.Active->Services.at(Out.Service);
   if (Service.Kind != ServiceKind::Engine)
     return refuse(ProblemType::InvalidBody,
-                  "The service is no model; call it under /services.");
+                  "The service is not a model; call it under /services.");
   Out.Repeatable = Service.Repeatable;
-  if (const auto Filled = parseHeaders(E, Out); !Filled)
-    return tl::unexpected(Filled.error());
+  if (const auto Outcome = parseHeaders(E, Out); !Outcome)
+    return tl::unexpected(Outcome.error());
   return Out;
 }
 
@@ -322,12 +331,12 @@
   Out.Service = Service;
   Out.Kind = ServiceKind::Plain;
   Out.Repeatable = Declared.Active->Services.at(Service).Repeatable;
-  // A plain call counts as one token.
+  // The scheduler counts a plain call as one token.
   Out.MaxOutputTokens = 1;
   if (const auto Read = readRaw(E, Out.Raw); !Read)
     return tl::unexpected(Read.error());
-  if (const auto Filled = parseHeaders(E, Out); !Filled)
-    return tl::unexpected(Filled.error());
+  if (const auto Outcome = parseHeaders(E, Out); !Outcome)
+    return tl::unexpected(Outcome.error());
   return Out;
 }
 
--- a/src/Caller/RequestParser.h
+++ b/src/Caller/RequestParser.h
@@ -8,30 +8,29 @@
 
 namespace parsleywing {
 
-/// What was parsed, or the error answer that says why not.
+/// A parsed value, or the problem to answer the request with.
 template <typename Value> using Parsed = tl::expected<Value, Problem>;
 
-/// Checks the sizes and the framing in the head of a request, before anything
-/// of it is believed.
+/// Checks the sizes and the body framing stated in the request head. Must be
+/// called before the request is processed further.
 Parsed<void> checkHead(const Exchange &E);
 
-/// The account whose key the `Authorization` header carries.
+/// Returns the account whose key is in the `Authorization` header.
 Parsed<AccountId> findAccount(const Exchange &E,
                               const CallerDeclarations &Declared);
 
 /// Whether the account may use the service.
 bool mayUse(const Declarations &Declared, AccountId Account, ServiceId Service);
 
-/// Reads the body up to the limit and never past it, and checks that it came
-/// whole.
+/// Reads the body and checks that it is complete and within the size limit.
 Parsed<std::string> readBody(Exchange &E);
 
-/// Reads headers and body of a `POST /v1/responses` and checks them.
+/// Parses and validates the headers and body of a `POST /v1/responses`.
 Parsed<CallerRequest> parseRequest(Exchange &E,
                                    const CallerDeclarations &Declared,
                                    AccountId Account);
 
-/// The same for a call of a plain service that the account may use.
+/// Parses and validates a call of a plain service that the account may use.
 Parsed<CallerRequest> parsePlainRequest(Exchange &E,
                                         const CallerDeclarations &Declared,
                                         AccountId Account, ServiceId Service);
--- a/src/Caller/RequestTiming.h
+++ b/src/Caller/RequestTiming.h
@@ -8,23 +8,23 @@
 
 namespace parsleywing {
 
-/// The times of one request that got its final answer, each measured from the
-/// moment its body was whole.
+/// Timings of one finished request, measured from the time its body was
+/// received completely.
 struct RequestTiming {
   AccountId Account;
   ServiceId Service;
   RequestOutcome Outcome = RequestOutcome::NotRun;
   AttemptNumber Attempts = 0;
   std::uint64_t Tokens = 0;
-  /// Until the first attempt began; nothing where none did.
+  /// Until the first attempt started; unset if none did.
   std::optional<Duration> Queued;
-  /// Until the first piece of the answer came; nothing where none did.
+  /// Until the first chunk of the response arrived; unset if none did.
   std::optional<Duration> FirstToken;
   Duration Total = Duration::zero();
 };
 
-/// Called by the thread that served the request, after its final answer was
-/// written. It must be cheap and must not throw.
+/// Called by the thread that served the request, after its final response was
+/// written. Must be cheap and must not throw.
 using TimingObserver = std::function<void(const RequestTiming &)>;
 
 } // namespace parsleywing
--- a/src/Caller/ResponseForwarder.cpp
+++ b/src/Caller/ResponseForwarder.cpp
@@ -12,11 +12,11 @@
 
 namespace {
 
-bool isNamed(const std::string &Name, const std::string &Wanted) {
-  return Poco::icompare(Name, Wanted) == 0;
+bool isNamed(const std::string &Name, const std::string &Expected) {
+  return Poco::icompare(Name, Expected) == 0;
 }
 
-bool isShort(const HeaderList &Headers) {
+bool isBufferable(const HeaderList &Headers) {
   for (const auto &[Name, Value] : Headers) {
     Poco::UInt64 Length = 0;
     if (isNamed(Name, HTTPMessage::CONTENT_LENGTH))
@@ -32,30 +32,31 @@
                                     const HeaderList &NewHeaders) {
   this->Status = NewStatus;
   this->Headers = NewHeaders;
-  this->Held.clear();
-  if (!isShort(NewHeaders))
-    this->begin();
+  this->BufferedBody.clear();
+  if (!isBufferable(NewHeaders))
+    this->start();
   return !this->Out || this->Out->good();
 }
 
-bool ResponseForwarder::forwardBody(std::string_view Piece) {
+bool ResponseForwarder::forwardBody(std::string_view Chunk) {
   if (!this->Out) {
-    this->Held += Piece;
+    this->BufferedBody += Chunk;
     return true;
   }
-  this->Out->write(Piece.data(), static_cast<std::streamsize>(Piece.size()));
+  this->Out->write(Chunk.data(), static_cast<std::streamsize>(Chunk.size()));
   this->Out->flush();
   return this->Out->good();
 }
 
-/// The identity and the outcome are the router's to state, whoever answers.
-void ResponseForwarder::begin() {
+/// Forwards the headers except the identity and the outcome, which this router
+/// sets itself.
+void ResponseForwarder::start() {
   HTTPResponse &Response = this->E.Response;
   Response.setStatusAndReason(
       static_cast<HTTPResponse::HTTPStatus>(this->Status));
   for (const auto &[Name, Value] : this->Headers)
     if (isNamed(Name, "X-Attempts"))
-      Response.set(Name, Value); // Counted by the router that served it.
+      Response.set(Name, Value); // Counted by the other router.
     else if (!isNamed(Name, "X-Request-Id") && !isNamed(Name, "X-Outcome") &&
              !isNamed(Name, AnsweredIdHeader))
       Response.add(Name, Value);
@@ -72,26 +73,26 @@
     return;
   this->E.Response.set("X-Outcome", "completed");
   this->E.Response.set("X-Attempts", std::to_string(Attempts));
-  this->begin();
-  this->forwardBody(this->Held);
+  this->start();
+  this->forwardBody(this->BufferedBody);
 }
 
 void ResponseForwarder::abortResponse() {
   HTTPResponse &Response = this->E.Response;
   Response.setKeepAlive(false);
-  // A caller of an answer without a stated end takes the connection's end for
-  // it, unless that is a reset.
+  // The caller would take the end of the connection for the end of a response
+  // without a length, unless it is a reset.
   if (!Response.hasContentLength() && !Response.getChunkedTransferEncoding()) {
     this->E.SocketImpl.enableResetOnClose();
     return;
   }
   try {
-    // The response ends with its last chunk as it is destroyed; by then that
-    // must not reach the caller any more.
+    // POCO sends the last chunk when the response is destroyed. Shut the
+    // connection down before, so that the chunk does not reach the caller.
     Poco::Net::StreamSocket Connection(this->E.Caller);
     Connection.shutdown();
   } catch (const Poco::Exception &) {
-    // The caller has left already.
+    // The caller has already disconnected.
   }
 }
 
--- a/src/Caller/ResponseForwarder.h
+++ b/src/Caller/ResponseForwarder.h
@@ -9,51 +9,52 @@
 
 namespace parsleywing {
 
-/// Passes the answer of a plain service, or of another router, on unchanged.
-/// A short answer of stated length is held until it is whole: it can then carry
-/// its outcome in the head, and one that breaks can be replaced by another.
-/// Every other answer is passed on as it comes.
+/// Forwards the response of a plain service or of another router unchanged. A
+/// short response with a Content-Length is buffered until it is complete, so
+/// that its head can state the outcome and a truncated one can be replaced by
+/// that of another attempt. All other responses are forwarded as they arrive.
 class ResponseForwarder {
 public:
   explicit ResponseForwarder(Exchange &X) : E(X) {}
 
-  /// Longest answer that is held, in bytes.
+  /// Maximum size of a buffered response in bytes.
   static constexpr std::uint64_t MaxBufferedBytes = 64 << 10;
 
-  /// The head of an answer. What is held of an earlier one is thrown away.
-  /// False where the caller is gone.
+  /// Starts a response with its head and discards a buffered earlier one.
+  /// Returns false if the caller has disconnected.
   bool forwardHead(int Status, const HeaderList &Headers);
 
-  /// A piece of the body. False where the caller is gone.
-  bool forwardBody(std::string_view Piece);
+  /// Forwards or buffers a chunk of the body. Returns false if the caller has
+  /// disconnected.
+  bool forwardBody(std::string_view Chunk);
 
-  /// Throws away what is held, before another attempt.
+  /// Discards a buffered response before another attempt.
   void discardBuffered() {
     if (!this->Out)
       this->Status = 0;
   }
 
-  /// Whether there is an answer, held or passed on.
+  /// Whether there is a response, buffered or already being sent.
   bool hasResponse() const { return this->Status != 0; }
 
-  /// Whether part of it has left, so that nothing can replace it.
+  /// Whether part of the response has been sent, so that it can no longer be
+  /// replaced.
   bool hasStarted() const { return this->Out != nullptr; }
 
-  /// The answer is whole.
+  /// Finishes a complete response.
   void complete(AttemptNumber Attempts);
 
-  /// Ends the connection short of the end that the head has announced, or with
-  /// a reset where it has announced none, which is how a caller sees that the
-  /// answer is not whole.
+  /// Ends the connection so that the caller can detect the truncation: before
+  /// the end that the head announced, or with a reset if it announced none.
   void abortResponse();
 
 private:
-  void begin();
+  void start();
 
   Exchange &E;
   int Status = 0;
   HeaderList Headers;
-  std::string Held;
+  std::string BufferedBody;
   std::ostream *Out = nullptr;
 };
 
--- a/src/Caller/ResponseWriter.cpp
+++ b/src/Caller/ResponseWriter.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// A member of a JSON object, with a comma before it.
+/// Formats a member of a JSON object with a leading comma.
 std::string member(std::string_view Name, std::string_view Value) {
   return ",\"" + std::string(Name) + "\":" + Poco::toJSON(std::string(Value));
 }
@@ -18,49 +18,50 @@
 } // namespace
 
 bool ResponseWriter::writeDelta(const std::string &Text) {
-  if (!this->Stream) {
-    this->Whole += Text;
+  if (!this->Streaming) {
+    this->CollectedText += Text;
     return true;
   }
   if (!this->Out)
-    this->begin();
-  return this->event("response.output_text.delta", member("delta", Text));
+    this->start();
+  return this->writeEvent("response.output_text.delta", member("delta", Text));
 }
 
 void ResponseWriter::complete(std::uint64_t Tokens, AttemptNumber Attempts) {
-  std::string Final =
+  std::string Document =
       this->finalObject("completed", "completed", "served", Tokens, Attempts);
-  if (this->Stream) {
+  if (this->Streaming) {
     if (!this->Out)
-      this->begin();
-    this->finalEvent("response.completed", Final);
+      this->start();
+    this->writeFinalEvent("response.completed", Document);
     return;
   }
-  Final.pop_back();
-  Final += member("output_text", this->Whole) + "}";
+  Document.pop_back();
+  Document += member("output_text", this->CollectedText) + "}";
   this->E.Response.set("X-Attempts", std::to_string(Attempts));
-  this->E.sendDocument(Final);
+  this->E.sendDocument(Document);
 }
 
-void ResponseWriter::fail(const FinishRequest &Answer, std::uint64_t Tokens,
+void ResponseWriter::fail(const FinishRequest &Finish, std::uint64_t Tokens,
                           AttemptNumber Attempts) {
   if (!this->Out) {
     this->E.Response.set("X-Attempts", std::to_string(Attempts));
-    this->E.sendProblem(problemOf(Answer));
+    this->E.sendProblem(problemOf(Finish));
     return;
   }
-  this->finalEvent(
+  this->writeFinalEvent(
       "response.incomplete",
       this->finalObject(
-          "incomplete", nameOf(RequestOutcomeNames, Answer.Outcome),
-          nameOf(ResponseReasonNames, Answer.Reason), Tokens, Attempts));
+          "incomplete", nameOf(RequestOutcomeNames, Finish.Outcome),
+          nameOf(ResponseReasonNames, Finish.Reason), Tokens, Attempts));
 }
 
-void ResponseWriter::finalEvent(std::string_view Name,
-                                const std::string &Final) {
-  // The last chunk follows as the response is destroyed.
+void ResponseWriter::writeFinalEvent(std::string_view Name,
+                                     const std::string &Document) {
+  // Hold the event back for the last chunk, which POCO sends when the response
+  // is destroyed.
   this->E.SocketImpl.setMoreFollows(true);
-  this->event(Name, ",\"response\":" + Final);
+  this->writeEvent(Name, ",\"response\":" + Document);
   this->E.SocketImpl.setMoreFollows(false);
 }
 
@@ -75,21 +76,24 @@
          ",\"usage\":{\"output_tokens\":" + std::to_string(Tokens) + "}}";
 }
 
-void ResponseWriter::begin() {
+void ResponseWriter::start() {
   this->E.Response.setContentType("text/event-stream");
   this->E.Response.set("Cache-Control", "no-store");
   this->E.Response.setChunkedTransferEncoding(true);
   this->E.finishHeaders();
-  // The first piece of the answer follows at once.
+  // Hold the head and this event back for the first chunk of text, which
+  // follows immediately.
   this->E.SocketImpl.setMoreFollows(true);
   this->Out = &this->E.Response.send();
-  this->event("response.created", ",\"response\":{\"object\":\"response\"" +
-                                      member("id", this->E.Identity) +
-                                      member("status", "in_progress") + "}");
+  this->writeEvent("response.created",
+                   ",\"response\":{\"object\":\"response\"" +
+                       member("id", this->E.Identity) +
+                       member("status", "in_progress") + "}");
   this->E.SocketImpl.setMoreFollows(false);
 }
 
-bool ResponseWriter::event(std::string_view Name, std::string_view Fields) {
+bool ResponseWriter::writeEvent(std::string_view Name,
+                                std::string_view Fields) {
   *this->Out << "event: " << Name << "\ndata: {\"type\":\"" << Name
              << "\",\"sequence_number\":" << this->Sequence++ << Fields
              << "}\n\n";
--- a/src/Caller/ResponseWriter.h
+++ b/src/Caller/ResponseWriter.h
@@ -7,38 +7,39 @@
 
 namespace parsleywing {
 
-/// Writes the answer of one request: as server-sent events, or collected into
-/// one JSON document. Used by the thread of the connection only.
+/// Writes the response to one engine request, either as server-sent events or
+/// as a single JSON document. Used only by the connection's thread.
 class ResponseWriter {
 public:
-  ResponseWriter(Exchange &X, bool S) : E(X), Stream(S) {}
+  ResponseWriter(Exchange &X, bool S) : E(X), Streaming(S) {}
 
-  /// Whether events have been sent, so that the status can no longer change.
+  /// Whether the event stream has started, so that the status code can no
+  /// longer change.
   bool started() const { return this->Out != nullptr; }
 
-  /// Passes a piece of text on. False where the caller is gone or has taken no
-  /// byte for the time of `SendTimeout`.
+  /// Sends or collects a chunk of text. Returns false if the caller has
+  /// disconnected or has accepted no byte for `SendTimeout`.
   bool writeDelta(const std::string &Text);
 
-  /// The answer is whole.
+  /// Finishes a complete response.
   void complete(std::uint64_t Tokens, AttemptNumber Attempts);
 
-  /// The answer ends without being whole: as a problem where nothing has been
-  /// sent yet, else as the final event `response.incomplete`.
-  void fail(const FinishRequest &Answer, std::uint64_t Tokens,
+  /// Finishes an incomplete response: with a problem document if nothing has
+  /// been sent yet, otherwise with the final event `response.incomplete`.
+  void fail(const FinishRequest &Finish, std::uint64_t Tokens,
             AttemptNumber Attempts);
 
 private:
   std::string finalObject(std::string_view Status, std::string_view Outcome,
                           std::string_view Reason, std::uint64_t Tokens,
                           AttemptNumber Attempts) const;
-  void begin();
-  void finalEvent(std::string_view Name, const std::string &Final);
-  bool event(std::string_view Name, std::string_view Fields);
+  void start();
+  void writeFinalEvent(std::string_view Name, const std::string &Document);
+  bool writeEvent(std::string_view Name, std::string_view Fields);
 
   Exchange &E;
-  bool Stream;
-  std::string Whole;
+  bool Streaming;
+  std::string CollectedText;
   std::ostream *Out = nullptr;
   std::uint64_t Sequence = 0;
 };
--- a/test/Caller/CallerFixture.cpp
+++ b/test/Caller/CallerFixture.cpp
@@ -41,7 +41,7 @@
   return Declared;
 }
 
-constexpr Incarnation FixtureLife = 7;
+constexpr Incarnation FixtureIncarnation = 7;
 
 CallerSettings withAddress(CallerSettings Settings,
                            const FixtureRouter &Router) {
@@ -50,7 +50,7 @@
   return Settings;
 }
 
-/// Routers that share a wire decide on slots each for itself.
+/// Routers that share a wire each decide on slots locally.
 RouterCoreSettings coreFor(const CallerSettings &Settings,
                            const FixtureRouter &Router) {
   RouterCoreSettings Core;
@@ -58,7 +58,7 @@
     return Core;
   Core.Fairness.Policy = LocalOnlyPolicy{};
   Core.Membership.Self = {idOf<RouterId>(Router.Name),
-                          FixtureLife,
+                          FixtureIncarnation,
                           0,
                           Router.Name,
                           Settings.Address,
@@ -72,9 +72,9 @@
 std::string freeAddress() { return parsleywing::test::freeLoopbackAddress(); }
 
 bool eventually(const std::function<bool()> &Condition) {
-  constexpr int Tries = 1000;
+  constexpr int MaxAttempts = 1000;
   constexpr auto Pause = std::chrono::milliseconds(10);
-  for (int Try = 0; Try < Tries; ++Try) {
+  for (int Attempt = 0; Attempt < MaxAttempts; ++Attempt) {
     if (Condition())
       return true;
     std::this_thread::sleep_for(Pause);
@@ -95,19 +95,19 @@
 std::string RawCaller::readToEnd() { return this->readUntil({}); }
 
 std::string RawCaller::readUntil(const std::string &Text) {
-  std::string Answer;
-  std::array<char, 4096> Piece{};
+  std::string Response;
+  std::array<char, 4096> Buffer{};
   try {
-    while (Text.empty() || Answer.find(Text) == std::string::npos) {
-      const int Count = this->Socket.receiveBytes(Piece.data(), Piece.size());
+    while (Text.empty() || Response.find(Text) == std::string::npos) {
+      const int Count = this->Socket.receiveBytes(Buffer.data(), Buffer.size());
       if (Count <= 0)
         break;
-      Answer.append(Piece.data(), static_cast<std::size_t>(Count));
+      Response.append(Buffer.data(), static_cast<std::size_t>(Count));
     }
   } catch (const Poco::Exception &) {
-    // Reset or silent: what came is the answer.
+    // Reset or timeout: return what has been received.
   }
-  return Answer;
+  return Response;
 }
 
 void PeerWire::add(RouterId Router, ControlLoop &Control) {
@@ -124,12 +124,12 @@
   std::lock_guard<std::mutex> Lock(this->Mutex);
   for (const auto &[Router, Control] : this->Routers)
     if (Router != From)
-      Control->post(PeerPartReceived{From, FixtureLife, Part, ""});
+      Control->post(PeerPartReceived{From, FixtureIncarnation, Part, ""});
 }
 
-CallerFixture::CallerFixture(CallerSettings Changed, std::uint32_t Slots,
+CallerFixture::CallerFixture(CallerSettings NewSettings, std::uint32_t Slots,
                              Duration Step, const FixtureRouter &Router)
-    : Self(Router), Settings(withAddress(std::move(Changed), Router)),
+    : Self(Router), Settings(withAddress(std::move(NewSettings), Router)),
       Control(Clock::steady(), coreFor(this->Settings, Router)) {
   standin::EngineOptions Options;
   Options.Address = freeAddress();
@@ -138,7 +138,7 @@
   this->Engine->start();
   this->Service = std::make_unique<standin::PlainServiceStandIn>("127.0.0.1:0");
   this->Service->start();
-  this->Control.setSink([this](const Action &A) { this->carryOut(A); });
+  this->Control.setSink([this](const Action &A) { this->execute(A); });
   this->Server =
       std::make_unique<CallerServer>(this->Settings, this->Control, "7");
   const DeclarationsPtr Declared =
@@ -157,17 +157,17 @@
     this->Self.Wire->remove(idOf<RouterId>(this->Self.Name));
 }
 
-void CallerFixture::carryOut(const Action &Asked) {
-  if (const auto *Claim = std::get_if<ClaimRunRecord>(&Asked)) {
+void CallerFixture::execute(const Action &NewAction) {
+  if (const auto *Claim = std::get_if<ClaimRunRecord>(&NewAction)) {
     ++this->Claims;
     this->Control.post(
         RunRecordVerdictReceived{Claim->Request, RunRecordVerdict::Claimed});
   }
   const auto Name = idOf<RouterId>(this->Self.Name);
-  const auto *Send = std::get_if<SendToPeer>(&Asked);
+  const auto *Send = std::get_if<SendToPeer>(&NewAction);
   if (Send && this->Self.Wire)
     this->Self.Wire->deliver(Name, Send->Part);
-  const auto *Contact = std::get_if<ContactAddress>(&Asked);
+  const auto *Contact = std::get_if<ContactAddress>(&NewAction);
   if (Contact && this->Self.Wire)
     this->Self.Wire->deliver(Name, Contact->Message);
 }
@@ -195,21 +195,23 @@
          MoreHeaders + "\r\n" + Body;
 }
 
-int statusOfAnswer(const std::string &Answer) {
+int statusOfResponse(const std::string &Response) {
   constexpr std::string_view Version = "HTTP/1.1 ";
-  if (!Answer.starts_with(Version))
+  if (!Response.starts_with(Version))
     return 0;
-  return std::stoi(Answer.substr(Version.size(), 3));
+  return std::stoi(Response.substr(Version.size(), 3));
 }
 
-bool isProblem(const std::string &Answer, int Status, const std::string &Type) {
-  const auto Has = [&](const std::string &Part) {
-    return Answer.find(Part) != std::string::npos;
+bool isProblem(const std::string &Response, int Status,
+               const std::string &Type) {
+  const auto Contains = [&](const std::string &Part) {
+    return Response.find(Part) != std::string::npos;
   };
-  return statusOfAnswer(Answer) == Status && Has("application/problem+json") &&
-         Has("\"urn:parsleywing:problem:" + Type + "\"") &&
-         Has("X-Request-Id: r1-7-") && Has("X-Outcome: ") &&
-         Has("\"request_id\":\"r1-7-") && Answer.ends_with("}");
+  return statusOfResponse(Response) == Status &&
+         Contains("application/problem+json") &&
+         Contains("\"urn:parsleywing:problem:" + Type + "\"") &&
+         Contains("X-Request-Id: r1-7-") && Contains("X-Outcome: ") &&
+         Contains("\"request_id\":\"r1-7-") && Response.ends_with("}");
 }
 
 } // namespace parsleywing::test
--- a/test/Caller/CallerFixture.h
+++ b/test/Caller/CallerFixture.h
@@ -14,23 +14,25 @@
 
 namespace parsleywing::test {
 
-/// An address on loopback that nobody listened on a moment ago.
+/// Returns a loopback address on which no socket is listening.
 std::string freeAddress();
 
 /// Polls until the condition holds; false after 10 s.
 bool eventually(const std::function<bool()> &Condition);
 
-/// A raw connection of a caller, for bytes that no HTTP client would send.
+/// A raw connection of a caller, which can send bytes that no HTTP client would
+/// send.
 class RawCaller {
 public:
   explicit RawCaller(const std::string &Address);
 
   void send(const std::string &Bytes);
 
-  /// All bytes until the other side closes; at most 10 s.
+  /// Returns all bytes until the peer closes the connection; waits up to 10 s.
   std::string readToEnd();
 
-  /// Bytes until this text has come, or the end; at most 10 s.
+  /// Returns the bytes received until they contain `Text` or the connection
+  /// ends; waits up to 10 s.
   std::string readUntil(const std::string &Text);
 
   /// Closes the connection.
@@ -42,13 +44,13 @@
   Poco::Net::StreamSocket Socket;
 };
 
-/// Carries parts between the routers of one test, all in this process.
+/// Delivers message parts between the routers of one test within the process.
 class PeerWire {
 public:
   void add(RouterId Router, ControlLoop &Control);
-  /// Afterwards the router gets nothing more.
+  /// After this call the router receives nothing more.
   void remove(RouterId Router);
-  /// Gives a part to every router but its sender.
+  /// Delivers a part to all routers except its sender.
   void deliver(RouterId From, const PeerPart &Part);
 
 private:
@@ -56,20 +58,23 @@
   std::map<RouterId, ControlLoop *> Routers;
 };
 
-/// A router of a test with several. Without a wire it is alone.
+/// Name of a router, and the wire that connects it to the other routers of the
+/// test, if any.
 struct FixtureRouter {
   std::string Name = "r1";
   PeerWire *Wire = nullptr;
 };
 
-/// A router's front with its control thread, one stand-in engine and one plain
-/// service, all in this process. The account "kettle" has the key "kettle-key"
-/// and may use the model "advisory" and the plain service "records", whose
-/// calls may not be repeated; "ledger" with "ledger-key" may use the model too.
-/// Every claim of a run record succeeds.
+/// A router's caller-facing server with its control thread, one stand-in engine
+/// and one stand-in plain service, all in this process. The account "kettle"
+/// has the key "kettle-key" and may use the model "advisory" and the plain
+/// service "records", whose calls may not be repeated. The account "ledger" has
+/// the key "ledger-key" and may use the model. Every claim of a run record
+/// succeeds.
 class CallerFixture {
 public:
-  explicit CallerFixture(CallerSettings Changed = {}, std::uint32_t Slots = 8,
+  explicit CallerFixture(CallerSettings NewSettings = {},
+                         std::uint32_t Slots = 8,
                          Duration Step = std::chrono::milliseconds(1),
                          const FixtureRouter &Router = {});
   ~CallerFixture();
@@ -79,26 +84,27 @@
   std::string address() const { return this->Settings.Address; }
   standin::EngineStandIn &engine() { return *this->Engine; }
   standin::PlainServiceStandIn &service() { return *this->Service; }
-  /// Claims of run records so far.
+  /// Number of run records claimed so far.
   int claims() const { return this->Claims; }
   CallerServer &server() { return *this->Server; }
   ControlLoop &control() { return this->Control; }
 
-  /// Sends raw bytes on a connection of its own; the answer to its end.
+  /// Sends raw bytes on a new connection and returns everything received until
+  /// it closes.
   std::string exchange(const std::string &Bytes) const;
 
-  /// A `POST` of this path as raw bytes, for one connection.
+  /// Returns a `POST` request to a path as raw bytes, with `Connection: close`.
   static std::string postTo(const std::string &Path, const std::string &Body,
                             const std::string &MoreHeaders = "",
                             const std::string &Key = "kettle-key");
 
-  /// A `POST /v1/responses` as raw bytes, for one connection.
+  /// Returns a `POST /v1/responses` as raw bytes, with `Connection: close`.
   static std::string post(const std::string &Body,
                           const std::string &MoreHeaders = "",
                           const std::string &Key = "kettle-key");
 
 private:
-  void carryOut(const Action &Asked);
+  void execute(const Action &NewAction);
 
   FixtureRouter Self;
   CallerSettings Settings;
@@ -109,12 +115,13 @@
   std::unique_ptr<CallerServer> Server;
 };
 
-/// The status code of a raw answer; 0 where there is none.
-int statusOfAnswer(const std::string &Answer);
+/// Returns the status code of a raw response; 0 if it has none.
+int statusOfResponse(const std::string &Response);
 
-/// Whether the answer is whole problem+json of this type, with a request id
-/// and an outcome.
-bool isProblem(const std::string &Answer, int Status, const std::string &Type);
+/// Whether the response is a complete problem+json document of this type, with
+/// a request id and an outcome.
+bool isProblem(const std::string &Response, int Status,
+               const std::string &Type);
 
 } // namespace parsleywing::test
 
--- a/test/Caller/ConnectionEndTest.cpp
+++ b/test/Caller/ConnectionEndTest.cpp
@@ -16,8 +16,8 @@
     "GET /v1/models HTTP/1.1\r\nHost: r1\r\n"
     "Authorization: Bearer kettle-key\r\n\r\n";
 
-/// A request for an answer of so many tokens, over a connection that is kept.
-std::string keptPost(int Tokens, bool Stream) {
+/// A request for a response of `Tokens` tokens on a keep-alive connection.
+std::string keepAlivePost(int Tokens, bool Stream) {
   const std::string Count = std::to_string(Tokens);
   std::string Request =
       CallerFixture::post(R"({"model":"advisory","input":"tokens=)" + Count +
@@ -26,15 +26,15 @@
   return Request.erase(Request.find("Connection: close\r\n"), 19);
 }
 
-bool has(const std::string &Answer, const std::string &Part) {
-  return Answer.find(Part) != std::string::npos;
+bool has(const std::string &Response, const std::string &Text) {
+  return Response.find(Text) != std::string::npos;
 }
 
-/// Whether the connection ends with a reset, behind whatever comes before.
+/// Reads until the connection ends; whether it ended with a reset.
 bool endsWithReset(Poco::Net::StreamSocket &From) {
-  std::array<char, 4096> Piece{};
+  std::array<char, 4096> Buffer{};
   try {
-    while (From.receiveBytes(Piece.data(), Piece.size()) > 0) {
+    while (From.receiveBytes(Buffer.data(), Buffer.size()) > 0) {
     }
   } catch (const Poco::Net::ConnectionResetException &) {
     return true;
@@ -44,42 +44,42 @@
 
 } // namespace
 
-// Guards against a connection that ends behind a stream whose head did not
-// announce it: the next request of its caller would be dropped.
-Test(ConnectionEnd, aRequestBehindAStreamThatOutlivedADrainIsAnswered) {
+// Guards against a connection that closes after a stream whose head did not
+// announce it: the caller's next request would be dropped. The drain starts
+// while the stream runs.
+Test(ConnectionEnd, answersARequestAfterAStreamDuringADrain) {
   CallerFixture Fixture;
   RawCaller Caller(Fixture.address());
-  Caller.send(keptPost(300, true));
-  const std::string Begun = Caller.readUntil("\r\n\r\n");
-  cr_assert_not(has(Begun, "Connection: Close"), "%s", Begun.c_str());
+  Caller.send(keepAlivePost(300, true));
+  const std::string Head = Caller.readUntil("\r\n\r\n");
+  cr_assert_not(has(Head, "Connection: Close"), "%s", Head.c_str());
   Fixture.server().announceDrain();
   Caller.readUntil("\r\n0\r\n\r\n");
   Caller.send(ModelsRequest);
   const std::string Next = Caller.readToEnd();
-  cr_assert_eq(statusOfAnswer(Next), 200, "got: %s", Next.c_str());
+  cr_assert_eq(statusOfResponse(Next), 200, "got: %s", Next.c_str());
   cr_assert(has(Next, "Connection: Close"), "%s", Next.c_str());
 }
 
-// Guards against a request that was sent ahead of the end of such a stream, and
-// is dropped with it.
-Test(ConnectionEnd, aRequestSentAheadOfADrainIsAnswered) {
+// Guards against dropping a request that was pipelined after such a stream.
+Test(ConnectionEnd, answersAPipelinedRequestDuringADrain) {
   CallerFixture Fixture;
   RawCaller Caller(Fixture.address());
-  Caller.send(keptPost(300, true) + ModelsRequest);
+  Caller.send(keepAlivePost(300, true) + ModelsRequest);
   Caller.readUntil("\r\n\r\n");
   Fixture.server().announceDrain();
   const std::string Rest = Caller.readToEnd();
   cr_assert(has(Rest, R"("object":"list")"), "got %zu bytes", Rest.size());
 }
 
-// Guards against the reset of a connection that holds unread bytes: what has
-// not left of its answer would be lost.
-Test(ConnectionEnd, anAnswerLeavesWholeWhereMoreWasSentBehindItsRequest,
-     .timeout = 60) {
+// Guards against a truncated response: a connection is closed while it holds
+// unread bytes of a further request, and the resulting reset discards the
+// unsent rest of the response.
+Test(ConnectionEnd, sendsTheCompleteResponseDespiteUnreadBytes, .timeout = 60) {
   CallerFixture Fixture({}, 8, Duration::zero());
   RawCaller Slow(Fixture.address());
   Slow.socket().setReceiveBufferSize(1024);
-  std::string Request = keptPost(60000, false);
+  std::string Request = keepAlivePost(60000, false);
   Request.insert(Request.find("\r\n") + 2, "Connection: close\r\n");
   Slow.send(Request);
   cr_assert(eventually([&] { return Fixture.engine().running() == 1; }));
@@ -87,35 +87,35 @@
   cr_assert(
       eventually([&] { return Fixture.server().openConnections() == 0; }));
   std::this_thread::sleep_for(2500ms);
-  const std::string Answer = Slow.readToEnd();
-  cr_assert(has(Answer, "t59999 "), "got %zu bytes", Answer.size());
+  const std::string Response = Slow.readToEnd();
+  cr_assert(has(Response, "t59999 "), "got %zu bytes", Response.size());
 }
 
-// Guards against a request that the end of the process drops without a word,
-// since its body was still on its way.
-Test(ConnectionEnd, aRequestReadAsTheProcessEndsIsRefused) {
+// Guards against a request that gets no response because the process shuts down
+// while the request body is still being received.
+Test(ConnectionEnd, refusesARequestThatIsReceivedDuringShutdown) {
   auto Fixture = std::make_unique<CallerFixture>();
   RawCaller Caller(Fixture->address());
-  const std::string Request = keptPost(3, false);
-  const std::size_t Part = Request.size() - 5;
-  Caller.send(Request.substr(0, Part));
+  const std::string Request = keepAlivePost(3, false);
+  const std::size_t SentBytes = Request.size() - 5;
+  Caller.send(Request.substr(0, SentBytes));
   cr_assert(eventually(
-      [&] { return Fixture->server().counters().BytesReceived >= Part; }));
+      [&] { return Fixture->server().counters().BytesReceived >= SentBytes; }));
   auto End = std::async(std::launch::async, [&] { Fixture.reset(); });
   std::this_thread::sleep_for(300ms);
-  Caller.send(Request.substr(Part));
-  const std::string Answer = Caller.readToEnd();
+  Caller.send(Request.substr(SentBytes));
+  const std::string Response = Caller.readToEnd();
   End.wait();
-  cr_assert(isProblem(Answer, 503, "draining"), "got: %s", Answer.c_str());
-  cr_assert(has(Answer, "X-Outcome: not-run"), "%s", Answer.c_str());
+  cr_assert(isProblem(Response, 503, "draining"), "got: %s", Response.c_str());
+  cr_assert(has(Response, "X-Outcome: not-run"), "%s", Response.c_str());
 }
 
-// Guards against a stream that the end of the process cuts and that ends as if
-// it were whole.
-Test(ConnectionEnd, aStreamCutByTheEndOfTheProcessSaysSo) {
+// Guards against a stream that the shutdown of the process truncates but that
+// ends as if it were complete.
+Test(ConnectionEnd, aStreamTruncatedByShutdownReportsIt) {
   auto Fixture = std::make_unique<CallerFixture>();
   RawCaller Caller(Fixture->address());
-  Caller.send(keptPost(20000, true));
+  Caller.send(keepAlivePost(20000, true));
   Caller.readUntil("t20 ");
   auto End = std::async(std::launch::async, [&] { Fixture.reset(); });
   const std::string Rest = Caller.readToEnd();
@@ -125,39 +125,39 @@
   cr_assert(has(Rest, R"("outcome":"unknown")"));
 }
 
-// Guards against a request in hand that the end of the process leaves without
-// an answer.
-Test(ConnectionEnd, aRequestThatRunsAsTheProcessEndsGetsItsFinalAnswer) {
+// Guards against a running request that gets no response when the process shuts
+// down.
+Test(ConnectionEnd, aRequestThatRunsDuringShutdownGetsAFinalResponse) {
   auto Fixture = std::make_unique<CallerFixture>();
   RawCaller Caller(Fixture->address());
-  Caller.send(keptPost(20000, false));
+  Caller.send(keepAlivePost(20000, false));
   cr_assert(eventually([&] { return Fixture->engine().running() == 1; }));
   auto End = std::async(std::launch::async, [&] { Fixture.reset(); });
-  const std::string Answer = Caller.readToEnd();
+  const std::string Response = Caller.readToEnd();
   End.wait();
-  cr_assert_eq(statusOfAnswer(Answer), 502, "got: %s", Answer.c_str());
-  cr_assert(has(Answer, "X-Outcome: unknown"), "%s", Answer.c_str());
+  cr_assert_eq(statusOfResponse(Response), 502, "got: %s", Response.c_str());
+  cr_assert(has(Response, "X-Outcome: unknown"), "%s", Response.c_str());
 }
 
-// Guards against a whole answer that is thrown away, since the process ends
-// before anybody has decided that it is the final one.
-Test(ConnectionEnd, aWholeAnswerInHandAsTheProcessEndsIsDelivered) {
+// Guards against discarding a complete response because the process shuts down
+// before the control thread has decided that the request is finished.
+Test(ConnectionEnd, deliversACompleteResponseDuringShutdown) {
   auto Fixture = std::make_unique<CallerFixture>();
   RawCaller Caller(Fixture->address());
-  Caller.send(keptPost(500, false));
+  Caller.send(keepAlivePost(500, false));
   cr_assert(eventually([&] { return Fixture->engine().running() == 1; }));
   Fixture->control().stop();
   cr_assert(eventually([&] { return Fixture->engine().running() == 0; }));
   std::this_thread::sleep_for(300ms);
   Fixture.reset();
-  const std::string Answer = Caller.readToEnd();
-  cr_assert_eq(statusOfAnswer(Answer), 200, "got: %s", Answer.c_str());
-  cr_assert(has(Answer, "t499 "));
+  const std::string Response = Caller.readToEnd();
+  cr_assert_eq(statusOfResponse(Response), 200, "got: %s", Response.c_str());
+  cr_assert(has(Response, "t499 "));
 }
 
-// Guards against a cut answer to a caller of HTTP/1.0 that looks whole, since
-// only the connection's end bounds it.
-Test(ConnectionEnd, aCutAnswerThatTheConnectionBoundsEndsWithAReset) {
+// Guards against a truncated response that looks complete to an HTTP/1.0
+// caller, since only the end of the connection delimits it.
+Test(ConnectionEnd, resetsATruncatedResponseDelimitedByTheConnection) {
   CallerFixture Fixture;
   standin::EngineFaults Faults;
   Faults.TruncateAfter = 5;
@@ -170,22 +170,23 @@
   cr_assert(endsWithReset(Caller.socket()));
 }
 
-// Guards against an idle connection that is closed while its last answer still
-// leaves: the next request of its caller would reset it and cut the answer.
-Test(ConnectionEnd, anIdleConnectionIsNotClosedBeforeItsAnswerHasLeft,
+// Guards against closing an idle connection while its last response is still
+// being sent: the caller's next request would cause a reset and truncate the
+// response.
+Test(ConnectionEnd, closesAnIdleConnectionOnlyAfterItsResponseIsSent,
      .timeout = 60) {
   CallerSettings Settings;
   Settings.IdleTimeout = 250ms;
   CallerFixture Fixture(Settings, 8, Duration::zero());
   RawCaller Slow(Fixture.address());
   Slow.socket().setReceiveBufferSize(1024);
-  Slow.send(keptPost(60000, false));
+  Slow.send(keepAlivePost(60000, false));
   cr_assert(
       eventually([&] { return Fixture.server().openConnections() == 1; }));
   cr_assert(
       eventually([&] { return Fixture.server().openConnections() == 0; }));
   Slow.send(ModelsRequest);
   std::this_thread::sleep_for(1500ms);
-  const std::string Answer = Slow.readToEnd();
-  cr_assert(has(Answer, "t59999 "), "got %zu bytes", Answer.size());
+  const std::string Response = Slow.readToEnd();
+  cr_assert(has(Response, "t59999 "), "got %zu bytes", Response.size());
 }
--- a/test/Caller/DrainTest.cpp
+++ b/test/Caller/DrainTest.cpp
@@ -12,12 +12,11 @@
 
 } // namespace
 
-// Symptom: a shutdown cuts off requests, or the balancer goes on sending.
-// Sequence: a stream runs and another connection idles; the drain is
-// announced, then the listener is closed.
-// Cause: POCO's stop drops connections without a thread, leaves the socket
-// listening, and knows no step before it.
-// Fails where the listener stays open (run: Caller.DrainTest on such a copy).
+// Guards against a shutdown that truncates requests, or that does not stop the
+// load balancer from sending more. A stream is running and another connection
+// is idle when the drain is announced and then the listener is closed. POCO's
+// `stop` drops connections without a thread, leaves the socket listening, and
+// has no announcement step. Fails if the listener stays open.
 Test(Drain, OpenRequestsEndAndNewConnectionsAreRefused) {
   CallerFixture Fixture;
   RawCaller Idle(Fixture.address());
@@ -35,10 +34,10 @@
   cr_assert_throw(RawCaller(Fixture.address()), Poco::Exception);
   cr_assert_eq(Fixture.engine().running(), 1);
   cr_assert_eq(Idle.readToEnd(), "");
-  const std::string Answer = Running.readToEnd();
-  cr_assert(Answer.find("\"delta\":\"t999 \"") != std::string::npos);
-  cr_assert(Answer.find("event: response.completed") != std::string::npos);
-  cr_assert(Answer.ends_with("\r\n0\r\n\r\n"));
+  const std::string Response = Running.readToEnd();
+  cr_assert(Response.find("\"delta\":\"t999 \"") != std::string::npos);
+  cr_assert(Response.find("event: response.completed") != std::string::npos);
+  cr_assert(Response.ends_with("\r\n0\r\n\r\n"));
   cr_assert(
       eventually([&] { return Fixture.server().openConnections() == 0; }));
 }
--- a/test/Caller/LimitsTest.cpp
+++ b/test/Caller/LimitsTest.cpp
@@ -7,9 +7,9 @@
 
 namespace {
 
-constexpr const char *Good = R"({"model":"advisory","input":"tokens=2"})";
+constexpr const char *ValidBody = R"({"model":"advisory","input":"tokens=2"})";
 
-struct BadRequest {
+struct InvalidRequest {
   const char *Name;
   std::string Bytes;
   int Status;
@@ -40,7 +40,7 @@
          Chunks;
 }
 
-std::vector<BadRequest> badRequests() {
+std::vector<InvalidRequest> invalidRequests() {
   const auto Post = [](const std::string &Body, const std::string &More = "") {
     return CallerFixture::post(Body, More);
   };
@@ -65,11 +65,12 @@
        "invalid-body"},
       {"an infinite number", withTokens("1e999"), 400, "invalid-body"},
       {"a negative number", withTokens("-1"), 400, "invalid-body"},
-      {"no tokens", withTokens("0"), 400, "invalid-body"},
+      {"zero tokens", withTokens("0"), 400, "invalid-body"},
       {"invalid UTF-8", Post("{\"model\":\"advisory\",\"input\":\"\xc3\x28\"}"),
        400, "invalid-body"},
-      {"cut UTF-8", Post("{\"model\":\"advisory\",\"input\":\"\"}\xe2\x82"),
-       400, "invalid-body"},
+      {"truncated UTF-8",
+       Post("{\"model\":\"advisory\",\"input\":\"\"}\xe2\x82"), 400,
+       "invalid-body"},
       {"unknown method",
        "BREW /v1/responses HTTP/1.1\r\nConnection: close\r\n\r\n", 405,
        "method-not-allowed"},
@@ -83,35 +84,37 @@
       {"a negative length",
        "POST /v1/responses HTTP/1.1\r\nContent-Length: -5\r\n\r\n", 400,
        "invalid-request"},
-      {"both framings", Post(Good, "Transfer-Encoding: chunked\r\n"), 400,
+      {"both framings", Post(ValidBody, "Transfer-Encoding: chunked\r\n"), 400,
        "invalid-request"},
       {"a large length",
        "POST /v1/responses HTTP/1.1\r\nContent-Length: 5000\r\n\r\n", 413,
        "body-too-large"},
       {"large chunks", chunked("1000\r\n" + std::string(0x1000, ' ') + "\r\n"),
        413, "body-too-large"},
-      {"a broken chunk", chunked("zz\r\n" + std::string(Good) + "\r\n"), 400,
-       "invalid-body"},
+      {"a malformed chunk", chunked("zz\r\n" + std::string(ValidBody) + "\r\n"),
+       400, "invalid-body"},
       {"a long target", "GET /" + Long + " HTTP/1.1\r\n\r\n", 414,
        "uri-too-long"},
-      {"many fields", Post(Good, manyHeaders(70)), 431, "headers-too-large"},
+      {"many fields", Post(ValidBody, manyHeaders(70)), 431,
+       "headers-too-large"},
       {"a large head",
-       Post(Good, "X-A: " + std::string(7000, 'a') +
-                      "\r\nX-B: " + std::string(7000, 'b') + "\r\n"),
+       Post(ValidBody, "X-A: " + std::string(7000, 'a') +
+                           "\r\nX-B: " + std::string(7000, 'b') + "\r\n"),
        431, "headers-too-large"},
-      {"a key with spaces", Post(Good, "Idempotency-Key: a b\r\n"), 400,
+      {"a key with spaces", Post(ValidBody, "Idempotency-Key: a b\r\n"), 400,
        "invalid-header"},
       {"a long key",
-       Post(Good, "Idempotency-Key: " + std::string(200, 'k') + "\r\n"), 400,
-       "invalid-header"},
-      {"no time", Post(Good, "X-Request-Timeout-Seconds: 0\r\n"), 400,
+       Post(ValidBody, "Idempotency-Key: " + std::string(200, 'k') + "\r\n"),
+       400, "invalid-header"},
+      {"a timeout of zero", Post(ValidBody, "X-Request-Timeout-Seconds: 0\r\n"),
+       400, "invalid-header"},
+      {"a timeout of letters",
+       Post(ValidBody, "X-Request-Timeout-Seconds: x\r\n"), 400,
        "invalid-header"},
-      {"a time of letters", Post(Good, "X-Request-Timeout-Seconds: x\r\n"), 400,
-       "invalid-header"},
-      {"another's key", CallerFixture::post(Good, "", "wrong"), 401,
+      {"an unknown key", CallerFixture::post(ValidBody, "", "wrong"), 401,
        "unknown-key"},
-      {"another's model", Post(R"({"model":"other","input":"x"})"), 403,
-       "service-not-allowed"},
+      {"a model that is not allowed", Post(R"({"model":"other","input":"x"})"),
+       403, "service-not-allowed"},
   };
 }
 
@@ -125,59 +128,54 @@
 
 } // namespace
 
-// Symptom: a request that no caller should send is answered with a bare
-// status, by a closed connection, or hurts the requests of others.
-// Sequence: each kind of broken or oversized request comes over a raw
-// connection; then a good one comes.
-// Cause: checks that are missing, or that POCO does without our form of error.
-// Failed while answers were sent after the connection was shut down, and while
-// a chunked body was read in whole pieces (runs of Caller.LimitsTest then).
-Test(Limits, EveryBadRequestGetsItsOwnProblemAndHurtsNobody) {
+// Guards against an invalid request that gets a status without a problem
+// document, only a closed connection, or that affects other requests: a check
+// is missing, or POCO performs it without our error format. Sends each kind of
+// malformed or oversized request over a raw connection, and then a valid one.
+// Fails if responses are sent after the connection was shut down, or if a
+// chunked body is read in full buffers only.
+Test(Limits, EveryInvalidRequestGetsItsOwnProblem) {
   CallerFixture Fixture(smallLimits());
-  for (const BadRequest &Bad : badRequests()) {
-    const std::string Answer = Fixture.exchange(Bad.Bytes);
-    cr_expect(isProblem(Answer, Bad.Status, Bad.Type), "%s: %s", Bad.Name,
-              Answer.c_str());
-    cr_expect(Answer.find("X-Outcome: not-run") != std::string::npos, "%s",
-              Bad.Name);
+  for (const InvalidRequest &Request : invalidRequests()) {
+    const std::string Response = Fixture.exchange(Request.Bytes);
+    cr_expect(isProblem(Response, Request.Status, Request.Type), "%s: %s",
+              Request.Name, Response.c_str());
+    cr_expect(Response.find("X-Outcome: not-run") != std::string::npos, "%s",
+              Request.Name);
   }
-  cr_assert_eq(statusOfAnswer(Fixture.exchange(CallerFixture::post(Good))),
-               200);
+  cr_assert_eq(
+      statusOfResponse(Fixture.exchange(CallerFixture::post(ValidBody))), 200);
   cr_assert_eq(Fixture.engine().executions().size(), 1);
 }
 
-// Symptom: one caller holds a thread for hours.
-// Sequence: bytes of the head, then of the body, come one by one, each soon
-// enough for POCO's time limit on a single read.
-// Cause: no limit on the request as a whole.
-// Fails with a limit for each read in place of one for the whole request (run:
-// Caller.LimitsTest on such a copy).
-Test(Limits, ASlowSenderIsCutOffByTheWholeRequest) {
+// Guards against a caller that occupies a thread for hours. It sends the head,
+// or the body, byte by byte, each byte within POCO's timeout for a single read.
+// Fails if the timeout applies to each read instead of the complete request.
+Test(Limits, ASlowSenderIsStoppedByTheRequestTimeout) {
   CallerSettings Settings;
   Settings.ReceiveTimeout = std::chrono::milliseconds(300);
   CallerFixture Fixture(Settings);
-  const std::string Whole = CallerFixture::post(Good);
-  for (const std::size_t Start : {std::size_t{1}, Whole.size() - 20}) {
+  const std::string Message = CallerFixture::post(ValidBody);
+  for (const std::size_t Offset : {std::size_t{1}, Message.size() - 20}) {
     RawCaller Slow(Fixture.address());
-    Slow.send(Whole.substr(0, Start));
-    std::size_t At = Start;
-    while (At < Start + 15 &&
+    Slow.send(Message.substr(0, Offset));
+    std::size_t Position = Offset;
+    while (Position < Offset + 15 &&
            !Slow.socket().poll(Poco::Timespan(0, 50'000),
                                Poco::Net::Socket::SELECT_READ))
-      Slow.send(Whole.substr(At++, 1));
-    cr_assert_lt(At, Start + 15, "the sender was let go on");
+      Slow.send(Message.substr(Position++, 1));
+    cr_assert_lt(Position, Offset + 15, "the slow sender was not stopped");
     cr_assert(isProblem(Slow.readToEnd(), 408, "receive-timeout"));
   }
   cr_assert_eq(
       Fixture.server().counters().problems(ProblemType::ReceiveTimeout), 2);
 }
 
-// Symptom: with all threads taken, a further caller waits without an answer.
-// Sequence: idle connections take all threads; one more caller comes; one of
-// the first leaves, and the next caller is served.
-// Cause: POCO's server queues connections that have no thread.
-// Fails with the limit raised by 100 (run: Caller.LimitsTest on such a copy).
-Test(Limits, AConnectionTooManyIsRefusedAtOnce) {
+// Guards against a caller that waits without a response because idle
+// connections occupy all threads and POCO's server queues further connections.
+// When one of the connections closes, the next caller is served. Fails if the
+// limit is raised by 100.
+Test(Limits, AConnectionAboveTheLimitIsRefusedImmediately) {
   CallerSettings Settings;
   Settings.MaxConnections = 2;
   CallerFixture Fixture(Settings);
@@ -185,22 +183,21 @@
   RawCaller Second(Fixture.address());
   cr_assert(
       eventually([&] { return Fixture.server().openConnections() == 2; }));
-  const std::string Refused = Fixture.exchange(CallerFixture::post(Good));
-  cr_assert(isProblem(Refused, 503, "connection-limit"));
-  cr_assert(Refused.find("Retry-After: 1") != std::string::npos);
+  const std::string Refusal = Fixture.exchange(CallerFixture::post(ValidBody));
+  cr_assert(isProblem(Refusal, 503, "connection-limit"));
+  cr_assert(Refusal.find("Retry-After: 1") != std::string::npos);
   First.disconnect();
   cr_assert(
       eventually([&] { return Fixture.server().openConnections() == 1; }));
-  cr_assert_eq(statusOfAnswer(Fixture.exchange(CallerFixture::post(Good))),
-               200);
+  cr_assert_eq(
+      statusOfResponse(Fixture.exchange(CallerFixture::post(ValidBody))), 200);
 }
 
-// Symptom: one flooding account leaves no thread to the others.
-// Sequence: an account has as many requests in flight as it may; a further one
-// of its own is refused, one of another account is served.
-// Cause: no limit of what one account has in flight.
-// Fails with the limit raised by 100 (run: Caller.LimitsTest on such a copy).
-Test(Limits, OneAccountCannotTakeThePlacesOfOthers) {
+// Guards against one account that occupies all threads. An account has its
+// maximum number of requests in flight; a further one of this account is
+// refused, and a request of another account is served. Fails if the limit is
+// raised by 100.
+Test(Limits, OneAccountCannotOccupyAllThreads) {
   CallerSettings Settings;
   Settings.MaxInFlightPerAccount = 1;
   CallerFixture Fixture(Settings);
@@ -208,18 +205,17 @@
   Long.send(CallerFixture::post(
       R"({"model":"advisory","input":"tokens=5000","max_output_tokens":5000})"));
   cr_assert(eventually([&] { return Fixture.engine().running() == 1; }));
-  const std::string Refused = Fixture.exchange(CallerFixture::post(Good));
-  cr_assert(isProblem(Refused, 429, "account-limit"));
-  cr_assert(Refused.find("Retry-After: ") != std::string::npos);
-  cr_assert_eq(statusOfAnswer(Fixture.exchange(
-                   CallerFixture::post(Good, "", "ledger-key"))),
+  const std::string Refusal = Fixture.exchange(CallerFixture::post(ValidBody));
+  cr_assert(isProblem(Refusal, 429, "account-limit"));
+  cr_assert(Refusal.find("Retry-After: ") != std::string::npos);
+  cr_assert_eq(statusOfResponse(Fixture.exchange(
+                   CallerFixture::post(ValidBody, "", "ledger-key"))),
                200);
 }
 
-// Symptom: connections without requests hold all threads.
-// Sequence: a caller connects and sends nothing.
-// Cause: no limit on idle connections.
-// Fails with a thousand times the wait (run: Caller.LimitsTest on such a copy).
+// Guards against connections without requests that occupy all threads: a caller
+// connects and sends nothing. Fails if the idle timeout is a thousand times
+// longer.
 Test(Limits, AnIdleConnectionIsClosed) {
   CallerSettings Settings;
   Settings.IdleTimeout = std::chrono::milliseconds(250);
--- a/test/Caller/PartsTest.cpp
+++ b/test/Caller/PartsTest.cpp
@@ -7,11 +7,11 @@
 
 using namespace parsleywing;
 
-Test(ProgressReporter, ReportsEachSixteenthTokenAndTheLast) {
+Test(ProgressReporter, ReportsEverySixteenthTokenAndTheLast) {
   const Clock Time = Clock::paused();
   std::vector<std::uint64_t> Posted;
-  ProgressReporter Reporter(Time,
-                            [&](std::uint64_t T) { Posted.push_back(T); });
+  ProgressReporter Reporter(
+      Time, [&](std::uint64_t Tokens) { Posted.push_back(Tokens); });
   for (std::uint64_t Token = 1; Token <= 35; ++Token)
     Reporter.report(Token);
   Reporter.flush();
@@ -19,11 +19,11 @@
   cr_assert(Posted == std::vector<std::uint64_t>({16, 32, 35}));
 }
 
-Test(ProgressReporter, ReportsSlowTokensByTime) {
+Test(ProgressReporter, ReportsSlowTokensAfterTheMaximumDelay) {
   Clock Time = Clock::paused();
   std::vector<std::uint64_t> Posted;
-  ProgressReporter Reporter(Time,
-                            [&](std::uint64_t T) { Posted.push_back(T); });
+  ProgressReporter Reporter(
+      Time, [&](std::uint64_t Tokens) { Posted.push_back(Tokens); });
   Reporter.report(1);
   Time.advance(ProgressReporter::MaxDelay);
   Reporter.report(2);
@@ -31,7 +31,7 @@
   cr_assert(Posted == std::vector<std::uint64_t>({2}));
 }
 
-Test(AccountKeys, FindsTheAccountOfTheDigestOnly) {
+Test(AccountKeys, FindsOnlyTheAccountWithTheDigest) {
   Declarations Declared;
   const auto Kettle = idOf<AccountId>("kettle");
   // SHA-256 of "abc", from FIPS 180-2, appendix B.1.
@@ -43,10 +43,10 @@
   cr_assert_not(Keys.find("").has_value());
 }
 
-Test(Problem, AnUnknownOutcomeIsNeverAnnouncedAsNotRun) {
-  const FinishRequest Answer{RequestId{1}, RequestOutcome::Unknown,
+Test(Problem, AnUnknownOutcomeIsNeverReportedAsNotRun) {
+  const FinishRequest Finish{RequestId{1}, RequestOutcome::Unknown,
                              ResponseReason::ServerFailed, Duration::zero()};
-  const Problem P = problemOf(Answer);
+  const Problem P = problemOf(Finish);
   cr_assert_eq(statusOf(P), Poco::Net::HTTPResponse::HTTP_BAD_GATEWAY);
   cr_assert(documentOf(P, "r1").find("\"outcome\":\"unknown\"") !=
             std::string::npos);
--- a/test/Caller/WatchTest.cpp
+++ b/test/Caller/WatchTest.cpp
@@ -8,25 +8,22 @@
 
 namespace {
 
-constexpr const char *Long =
+constexpr const char *LongRequest =
     R"({"model":"advisory","input":"tokens=20000","max_output_tokens":20000,"stream":true})";
 
 } // namespace
 
-// Symptom: a request whose caller is gone keeps its place in the queue and
-// runs later for nobody.
-// Sequence: one request runs on the only slot; a second waits; its caller
-// closes the connection.
-// Cause: nothing looks at a connection while its thread waits for a decision.
-// Fails where the watch is given no socket (run: Caller.WatchTest on such a
-// copy).
-Test(Watch, ACallerThatLeavesTheQueueIsWithdrawn) {
+// Guards against a request that stays in the queue and runs although its caller
+// has disconnected. One request runs on the only slot and a second one waits
+// when its caller closes the connection; nothing checks the connection while
+// its thread waits for a decision. Fails if no socket is passed to the watch.
+Test(Watch, CancelsAQueuedRequestOfADisconnectedCaller) {
   CallerFixture Fixture({}, 1);
   RawCaller Running(Fixture.address());
-  Running.send(CallerFixture::post(Long));
+  Running.send(CallerFixture::post(LongRequest));
   cr_assert(eventually([&] { return Fixture.engine().running() == 1; }));
   RawCaller Waiting(Fixture.address());
-  Waiting.send(CallerFixture::post(Long));
+  Waiting.send(CallerFixture::post(LongRequest));
   cr_assert(eventually([&] { return Fixture.control().openRequests() == 2; }));
   Waiting.disconnect();
   cr_assert(eventually([&] { return Fixture.control().openRequests() == 1; }));
@@ -34,13 +31,10 @@
   cr_assert_eq(Fixture.server().counters().CallersDisconnected, 1);
 }
 
-// Symptom: a request whose caller is gone holds its slot at the engine to its
-// end.
-// Sequence: a request without a stream runs, so that no write can fail; its
-// caller closes the connection.
-// Cause: as above.
-// Fails where the watch is given no socket (same run).
-Test(Watch, ACallerThatLeavesWhileItRunsFreesItsSlot) {
+// Guards against a request that occupies its engine slot to the end although
+// its caller has disconnected. The request does not stream, so that no write
+// can fail. Fails if no socket is passed to the watch.
+Test(Watch, CancelsARunningRequestOfADisconnectedCaller) {
   CallerFixture Fixture({}, 1);
   RawCaller Running(Fixture.address());
   Running.send(CallerFixture::post(
@@ -51,13 +45,11 @@
   cr_assert_eq(Fixture.control().openRequests(), 0);
 }
 
-// Symptom: a request is given up although its caller is there, or the watching
-// thread spins.
-// Sequence: a second request is pipelined behind a running one.
-// Cause: a socket with unread bytes is readable, as a closed one is.
-// Fails where unread bytes are taken for a close (run: Caller.WatchTest on such
-// a copy).
-Test(Watch, PipelinedBytesAreNoAlarm) {
+// Guards against cancelling a request whose caller is still connected, and
+// against a watch thread that spins. A second request is pipelined after a
+// running one, and a socket with unread bytes is readable just like a closed
+// one. Fails if unread bytes are taken for a close.
+Test(Watch, PipelinedBytesAreNotADisconnect) {
   CallerFixture Fixture;
   RawCaller Caller(Fixture.address());
   std::string First = CallerFixture::post(
@@ -67,24 +59,22 @@
   cr_assert(eventually([&] { return Fixture.engine().running() == 1; }));
   Caller.send(
       CallerFixture::post(R"({"model":"advisory","input":"tokens=2"})"));
-  const std::string Answer = Caller.readToEnd();
-  cr_assert(Answer.find("t299 ") != std::string::npos);
-  cr_assert(Answer.find("\"output_text\":\"t0 t1 \"") != std::string::npos);
+  const std::string Response = Caller.readToEnd();
+  cr_assert(Response.find("t299 ") != std::string::npos);
+  cr_assert(Response.find("\"output_text\":\"t0 t1 \"") != std::string::npos);
   cr_assert_eq(Fixture.server().counters().CallersDisconnected, 0);
 }
 
-// Symptom: as in the first test.
-// Sequence: as there, with a pipelined request in the way of the close.
-// Cause: unread bytes hide the close from a read.
-// Fails without the look behind unread bytes (run: Caller.WatchTest on a copy
-// without it).
-Test(Watch, ACloseBehindPipelinedBytesIsNoticed) {
+// Guards against the same failure as the first test if a pipelined request
+// precedes the close: its unread bytes hide the close from a read. Fails
+// without the check of connections with unread bytes.
+Test(Watch, DetectsACloseAfterPipelinedBytes) {
   CallerFixture Fixture({}, 1);
   RawCaller Caller(Fixture.address());
-  Caller.send(CallerFixture::post(Long));
+  Caller.send(CallerFixture::post(LongRequest));
   cr_assert(eventually([&] { return Fixture.engine().running() == 1; }));
   RawCaller Waiting(Fixture.address());
-  Waiting.send(CallerFixture::post(Long));
+  Waiting.send(CallerFixture::post(LongRequest));
   cr_assert(eventually([&] { return Fixture.control().openRequests() == 2; }));
   Waiting.send("GET /health HTTP/1.1\r\n\r\n");
   Waiting.disconnect();
@@ -93,18 +83,16 @@
   cr_assert_eq(Fixture.server().counters().CallersDisconnected, 1);
 }
 
-// Symptom: a caller that never reads holds its thread and its slot.
-// Sequence: a caller asks for a long stream and reads nothing, so that its
-// window fills.
-// Cause: no limit on the time that a write may block.
-// Fails with a send timeout of 60 s (run: Caller.WatchTest on such a copy).
-Test(Watch, ACallerThatDoesNotReadIsGivenUp) {
+// Guards against a caller that never reads and thereby occupies a thread and a
+// slot. It requests a long stream and reads nothing, so that its receive window
+// fills and writes block. Fails with a send timeout of 60 s.
+Test(Watch, CancelsARequestWhoseCallerDoesNotRead) {
   CallerSettings Settings;
   Settings.SendTimeout = std::chrono::milliseconds(200);
   CallerFixture Fixture(Settings, 1, Duration::zero());
-  RawCaller Silent(Fixture.address());
-  Silent.socket().setReceiveBufferSize(1024);
-  Silent.send(CallerFixture::post(
+  RawCaller Stalled(Fixture.address());
+  Stalled.socket().setReceiveBufferSize(1024);
+  Stalled.send(CallerFixture::post(
       R"({"model":"advisory","input":"tokens=900000","max_output_tokens":900000,"stream":true})"));
   cr_assert(eventually([&] { return Fixture.engine().running() == 1; }));
   cr_assert(eventually([&] { return Fixture.engine().running() == 0; }));
@@ -112,22 +100,21 @@
       eventually([&] { return Fixture.server().openConnections() == 0; }));
 }
 
-// Symptom: after a cut of the callers' network the queue stays full of requests
-// that nobody waits for.
-// Sequence: 500 callers wait; all of them leave at once.
-// Cause: as in the first test, at the most connections that a router has.
-// Fails where the watch is given no socket (same run as the first).
-Test(Watch, FiveHundredCallersLeaveAtOnce) {
+// Guards against a queue full of requests that nobody waits for after a failure
+// of the callers' network. 500 callers, about the maximum number of connections
+// of a router, wait and disconnect at the same time. Fails if no socket is
+// passed to the watch.
+Test(Watch, CancelsTheRequestsOfFiveHundredCallersAtOnce) {
   CallerSettings Settings;
   Settings.MaxInFlightPerAccount = 1000;
   CallerFixture Fixture(Settings, 1);
   RawCaller Running(Fixture.address());
-  Running.send(CallerFixture::post(Long));
+  Running.send(CallerFixture::post(LongRequest));
   cr_assert(eventually([&] { return Fixture.engine().running() == 1; }));
   std::vector<std::unique_ptr<RawCaller>> Waiting;
   for (int I = 0; I < 500; ++I) {
     Waiting.push_back(std::make_unique<RawCaller>(Fixture.address()));
-    Waiting.back()->send(CallerFixture::post(Long));
+    Waiting.back()->send(CallerFixture::post(LongRequest));
   }
   cr_assert(
       eventually([&] { return Fixture.control().openRequests() == 501; }));
