--- a/bench/BackendStreamBench.cpp
+++ b/bench/BackendStreamBench.cpp
@@ -1,7 +1,7 @@
-// Events a second through the engine client, beside a raw read of the same
-// stream, both from the stand-in in the same process. The stand-in makes the
-// events before they are read, so that its steps do not limit the rate: a
-// background response is read again from its start.
+// Measures the events per second read by the engine client, compared with a raw
+// read of the same stream. The stand-in engine runs in the same process. It
+// generates all events in advance, so that its steps do not limit the rate: a
+// finished background response is resumed from its start.
 #include "Backend/EngineClient.h"
 #include "standin/EngineStandIn.h"
 
@@ -16,7 +16,7 @@
 
 constexpr std::uint64_t Tokens = 20'000;
 
-/// An engine that holds one finished response of many tokens.
+/// An engine with one finished response of many tokens.
 struct FinishedEngine {
   FinishedEngine() : Engine(options()) {
     this->Engine.start();
@@ -63,7 +63,7 @@
   };
   while (State.KeepRunning())
     if (Client.run(Call, Listener).Outcome != AttemptOutcome::Completed)
-      State.SkipWithError("the answer is not whole");
+      State.SkipWithError("the response is incomplete");
   State.SetItemsProcessed(static_cast<std::int64_t>(Events));
 }
 BENCHMARK(throughTheClient)->UseRealTime()->Unit(benchmark::kMillisecond);
@@ -78,9 +78,9 @@
     Poco::Net::StreamSocket Socket{
         Poco::Net::SocketAddress(engine().Engine.address())};
     Socket.sendBytes(Head.data(), static_cast<int>(Head.size()));
-    int Got = 0;
-    while ((Got = Socket.receiveBytes(Buffer.data(), Buffer.size())) > 0)
-      Bytes += Got;
+    int Count = 0;
+    while ((Count = Socket.receiveBytes(Buffer.data(), Buffer.size())) > 0)
+      Bytes += Count;
   }
   State.SetBytesProcessed(Bytes);
   State.SetItemsProcessed(State.iterations() *
--- a/bench/CallerLatencyBench.cpp
+++ b/bench/CallerLatencyBench.cpp
@@ -1,7 +1,8 @@
-// What a router adds to a request, and how many requests a second one router
-// carries. Both sides run in this process and in the same run: callers, the
-// router's front, its control thread and a stand-in engine whose steps take no
-// time. Run it alone: `build/CallerLatencyBench`. It ends within some 20 s.
+// Measures the latency that a router adds to a request, and the throughput of
+// one router in requests per second. The callers, the router's caller-facing
+// server, its control thread and a stand-in engine whose steps take no time all
+// run in this process. Run it alone on the machine: `build/CallerLatencyBench`.
+// Takes about 20 s.
 
 #include "Caller/CallerServer.h"
 #include "Control/ControlLoop.h"
@@ -30,7 +31,7 @@
 constexpr int LatencyRequests = 400;
 constexpr int ThroughputCallers = 32;
 constexpr auto ThroughputTime = std::chrono::seconds(4);
-constexpr std::uint32_t EngineWidth = 64;
+constexpr std::uint32_t EngineSlots = 64;
 constexpr const char *Key = "bench-key";
 constexpr const char *Body =
     R"({"model":"bench","input":"tokens=2","max_output_tokens":2,"stream":true,"metadata":{"identity":"bench"}})";
@@ -55,12 +56,11 @@
   Declared->Services[Service] =
       ServiceDeclaration{"bench", ServiceKind::Engine, true, {Server}, {}};
   Declared->Servers[Server] = ServerDeclaration{
-      "engine", EngineAddress, "z1", FencingCheck::Ignored, EngineWidth};
+      "engine", EngineAddress, "z1", FencingCheck::Ignored, EngineSlots};
   return Declared;
 }
 
-/// One keep-alive connection that sends the same small request again and
-/// again.
+/// One keep-alive connection that sends the same small request repeatedly.
 class BenchCaller {
 public:
   explicit BenchCaller(const std::string &Address)
@@ -68,18 +68,18 @@
     this->Session.setKeepAlive(true);
   }
 
-  /// Sends one request and reads its whole answer; false where it failed.
+  /// Sends one request and reads the complete response; false on failure.
   bool call() {
     Poco::Net::HTTPRequest Request("POST", "/v1/responses", "HTTP/1.1");
     Request.set("Authorization", std::string("Bearer ") + Key);
     Request.setContentLength(static_cast<std::streamsize>(std::strlen(Body)));
     this->Session.sendRequest(Request) << Body;
     Poco::Net::HTTPResponse Response;
-    std::string Answer;
+    std::string ResponseBody;
     Poco::StreamCopier::copyToString(this->Session.receiveResponse(Response),
-                                     Answer);
+                                     ResponseBody);
     return Response.getStatus() == Poco::Net::HTTPResponse::HTTP_OK &&
-           Answer.find("response.completed") != std::string::npos;
+           ResponseBody.find("response.completed") != std::string::npos;
   }
 
 private:
@@ -88,15 +88,16 @@
 
 using Microseconds = std::chrono::duration<double, std::micro>;
 
-enum class Connections { OneForAll, OneForEach };
+enum class ConnectionReuse { Shared, PerRequest };
 
-/// The times of requests sent one after the other, sorted.
-std::vector<double> latencies(const std::string &Address, Connections Wanted) {
+/// Returns the sorted latencies of requests sent one after another.
+std::vector<double> latencies(const std::string &Address,
+                              ConnectionReuse Reuse) {
   auto Caller = std::make_unique<BenchCaller>(Address);
   std::vector<double> Times;
   for (int I = 0; I < LatencyRequests; ++I) {
     const auto Start = std::chrono::steady_clock::now();
-    if (Wanted == Connections::OneForEach)
+    if (Reuse == ConnectionReuse::PerRequest)
       Caller = std::make_unique<BenchCaller>(Address);
     if (!Caller->call())
       std::printf("a request failed\n");
@@ -107,12 +108,12 @@
   return Times;
 }
 
-double quantile(const std::vector<double> &Sorted, double Part) {
-  return Sorted[static_cast<std::size_t>(Part *
+double quantile(const std::vector<double> &Sorted, double Quantile) {
+  return Sorted[static_cast<std::size_t>(Quantile *
                                          static_cast<double>(Sorted.size()))];
 }
 
-/// Requests a second with many callers at once.
+/// Returns the requests per second with `ThroughputCallers` concurrent callers.
 double throughput(const std::string &Address) {
   std::atomic<std::uint64_t> Served{0};
   std::vector<std::thread> Callers;
@@ -125,7 +126,7 @@
         while (std::chrono::steady_clock::now() < End)
           Served += Caller.call() ? 1 : 0;
       } catch (const Poco::Exception &Failure) {
-        std::printf("a caller broke: %s\n", Failure.displayText().c_str());
+        std::printf("a caller failed: %s\n", Failure.displayText().c_str());
       }
     });
   for (std::thread &Caller : Callers)
@@ -144,7 +145,7 @@
 int main() {
   standin::EngineOptions Options;
   Options.Address = freeAddress();
-  Options.MaxRunning = EngineWidth;
+  Options.MaxRunning = EngineSlots;
   Options.Step = Duration::zero();
   standin::EngineStandIn Engine(Options);
   Engine.start();
@@ -161,12 +162,13 @@
   if (!Router.start())
     return 1;
 
-  const auto Direct = latencies(Options.Address, Connections::OneForAll);
-  // A router without kept connections to its engines pays this in any case.
-  const auto Anew = latencies(Options.Address, Connections::OneForEach);
-  const auto Routed = latencies(Settings.Address, Connections::OneForAll);
+  const auto Direct = latencies(Options.Address, ConnectionReuse::Shared);
+  // A router without a pool of engine connections would always have this cost.
+  const auto Reconnecting =
+      latencies(Options.Address, ConnectionReuse::PerRequest);
+  const auto Routed = latencies(Settings.Address, ConnectionReuse::Shared);
   printLatency("direct", Direct);
-  printLatency("direct, connected anew", Anew);
+  printLatency("direct, new connection", Reconnecting);
   printLatency("through a router", Routed);
   std::printf("%-22s p50 %8.0f us   p99 %8.0f us\n", "added by the router",
               quantile(Routed, 0.5) - quantile(Direct, 0.5),
