--- a/src/Backend/BackendConnection.cpp
+++ b/src/Backend/BackendConnection.cpp
@@ -23,10 +23,10 @@
 /// Returns the time left until the deadline. Throws if it has passed, since
 /// POCO treats a timeout of zero as no limit.
 Duration remaining(const Clock &Time, TimePoint Deadline) {
-  const Duration Left = Deadline - Time.now();
-  if (Left <= Duration::zero())
+  const Duration TimeLeft = Deadline - Time.now();
+  if (TimeLeft <= Duration::zero())
     throw Poco::TimeoutException("no progress");
-  return Left;
+  return TimeLeft;
 }
 
 /// Waits until the socket is ready for one of `Events` and returns the ready
@@ -34,16 +34,16 @@
 /// which creates and closes an epoll descriptor on each call.
 short waitFor(short Events, poco_socket_t Descriptor, const Clock &Time,
               TimePoint Deadline) {
-  ::pollfd Waiting{Descriptor, Events, 0};
+  ::pollfd Poll{Descriptor, Events, 0};
   int Ready = 0;
   do {
     const Duration Wait =
         std::min(remaining(Time, Deadline),
                  Time.isPaused() ? PausedClockInterval : MaxWait);
-    const auto Left = std::chrono::ceil<std::chrono::milliseconds>(Wait);
-    Ready = ::poll(&Waiting, 1, static_cast<int>(Left.count()));
+    const auto TimeLeft = std::chrono::ceil<std::chrono::milliseconds>(Wait);
+    Ready = ::poll(&Poll, 1, static_cast<int>(TimeLeft.count()));
   } while (Ready == 0 || (Ready < 0 && errno == EINTR));
-  return Waiting.revents;
+  return Poll.revents;
 }
 
 } // namespace
--- a/src/Backend/LoadPoller.cpp
+++ b/src/Backend/LoadPoller.cpp
@@ -82,8 +82,8 @@
     Next->second.DueAt = Now + this->nextInterval();
     const Watched Target = Next->second.Target;
     Lock.unlock();
-    const Observation Observed = this->poll(Target);
-    this->applyObservation(Target, Observed);
+    const Observation PollResult = this->poll(Target);
+    this->applyObservation(Target, PollResult);
     Lock.lock();
   }
 }
@@ -95,24 +95,24 @@
   Call.Timeout = this->Settings.Timeout;
   ++this->Counters.PollCalls;
   const auto Response = runShortCall(Call);
-  Observation Observed;
+  Observation PollResult;
   if (Response) {
     this->Counters.PollBytes += Response->Bytes;
-    Observed.Leaving = Response->Leaving;
-    Observed.Answered = Response->Leaving || Response->Status == Ok;
+    PollResult.Leaving = Response->Leaving;
+    PollResult.Answered = Response->Leaving || Response->Status == Ok;
   }
-  if (!Observed.Answered)
+  if (!PollResult.Answered)
     ++this->Counters.PollFailures;
-  else if (Target.ReportsLoad && !Observed.Leaving)
-    Observed.Load = parseLoadReport(Response->Body);
-  return Observed;
+  else if (Target.ReportsLoad && !PollResult.Leaving)
+    PollResult.Load = parseLoadReport(Response->Body);
+  return PollResult;
 }
 
 /// A single failed poll is no evidence, since a connection may have been lost.
 /// The server counts as failed after `FailureThreshold` consecutive failures,
 /// each on a new connection, and as usable again after the first success.
 void LoadPoller::applyObservation(const Watched &Target,
-                                  const Observation &Observed) {
+                                  const Observation &PollResult) {
   std::unique_lock<std::mutex> Lock(this->Mutex);
   const auto Found = this->Servers.find(Target.Server);
   if (Found == this->Servers.end() ||
@@ -121,17 +121,17 @@
   PolledServer &Server = Found->second;
   Server.InProgress = false;
   Server.ConsecutiveFailures =
-      Observed.Answered ? 0 : Server.ConsecutiveFailures + 1;
+      PollResult.Answered ? 0 : Server.ConsecutiveFailures + 1;
   ServerCondition NewCondition = Server.Condition;
-  if (Observed.Answered)
+  if (PollResult.Answered)
     NewCondition =
-        Observed.Leaving ? ServerCondition::Leaving : ServerCondition::Usable;
+        PollResult.Leaving ? ServerCondition::Leaving : ServerCondition::Usable;
   else if (Server.ConsecutiveFailures >= this->Settings.FailureThreshold)
     NewCondition = ServerCondition::Failed;
   const TimePoint Now = Clock::steady().now();
   // After a failed poll the last condition is no longer confirmed.
   const bool IsConfirmed =
-      Observed.Answered || NewCondition == ServerCondition::Failed;
+      PollResult.Answered || NewCondition == ServerCondition::Failed;
   const bool IsRepeatDue =
       IsConfirmed &&
       Now >= Server.LastReportedAt + this->Settings.RepeatInterval;
@@ -142,9 +142,9 @@
   Lock.unlock();
   if (ShouldReport)
     this->Sink(ServerConditionChanged{Target.Server, NewCondition});
-  if (Observed.Load)
-    this->Sink(LoadReported{Target.Server, Observed.Load->Running,
-                            Observed.Load->Waiting});
+  if (PollResult.Load)
+    this->Sink(LoadReported{Target.Server, PollResult.Load->Running,
+                            PollResult.Load->Waiting});
 }
 
 Poco::JSON::Object::Ptr LoadPoller::dump() const {
--- a/src/Backend/LoadPoller.h
+++ b/src/Backend/LoadPoller.h
@@ -83,7 +83,7 @@
   void runThread();
   std::map<ServerId, PolledServer>::iterator nextDue();
   Observation poll(const Watched &Target);
-  void applyObservation(const Watched &Target, const Observation &Observed);
+  void applyObservation(const Watched &Target, const Observation &PollResult);
   Duration nextInterval();
 
   PollSettings Settings;
--- a/src/Caller/RequestHandler.h
+++ b/src/Caller/RequestHandler.h
@@ -64,6 +64,8 @@
   void endAttempt(AttemptNumber Attempt, AttemptOutcome Outcome,
                   std::uint64_t Tokens);
   std::uint64_t offset() const;
+  /// Registers the attempt on the channel and returns the function that sets
+  /// its canceller.
   std::function<void(std::function<void()>)>
   cancellerSetter(AttemptNumber Attempt);
 
--- a/src/Caller/ResponseForwarder.cpp
+++ b/src/Caller/ResponseForwarder.cpp
@@ -12,8 +12,8 @@
 
 namespace {
 
-bool isNamed(const std::string &Name, const std::string &Wanted) {
-  return Poco::icompare(Name, Wanted) == 0;
+bool isNamed(const std::string &Name, const std::string &Expected) {
+  return Poco::icompare(Name, Expected) == 0;
 }
 
 bool isBufferable(const HeaderList &Headers) {
--- a/test/Caller/ApiTest.cpp
+++ b/test/Caller/ApiTest.cpp
@@ -79,11 +79,11 @@
 }
 
 Test(CallerApi, ReportsTheTimingsOfEachRequestOnce) {
-  static std::atomic<int> Observed{0};
+  static std::atomic<int> Observations{0};
   static std::atomic<std::uint64_t> Tokens{0};
   CallerFixture Fixture;
   Fixture.server().observeTimings([](const RequestTiming &Timing) {
-    Observed +=
+    Observations +=
         Timing.Queued && Timing.FirstToken && Timing.Total >= *Timing.FirstToken
             ? 1
             : 0;
@@ -91,6 +91,6 @@
   });
   Fixture.exchange(
       CallerFixture::post(R"({"model":"advisory","input":"tokens=3"})"));
-  cr_assert(eventually([] { return Observed == 1; }));
+  cr_assert(eventually([] { return Observations == 1; }));
   cr_assert_eq(Tokens, 3);
 }
--- a/test/Caller/CallerFixture.cpp
+++ b/test/Caller/CallerFixture.cpp
@@ -157,17 +157,17 @@
     this->Self.Wire->remove(idOf<RouterId>(this->Self.Name));
 }
 
-void CallerFixture::execute(const Action &Executed) {
-  if (const auto *Claim = std::get_if<ClaimRunRecord>(&Executed)) {
+void CallerFixture::execute(const Action &NewAction) {
+  if (const auto *Claim = std::get_if<ClaimRunRecord>(&NewAction)) {
     ++this->Claims;
     this->Control.post(
         RunRecordVerdictReceived{Claim->Request, RunRecordVerdict::Claimed});
   }
   const auto Name = idOf<RouterId>(this->Self.Name);
-  const auto *Send = std::get_if<SendToPeer>(&Executed);
+  const auto *Send = std::get_if<SendToPeer>(&NewAction);
   if (Send && this->Self.Wire)
     this->Self.Wire->deliver(Name, Send->Part);
-  const auto *Contact = std::get_if<ContactAddress>(&Executed);
+  const auto *Contact = std::get_if<ContactAddress>(&NewAction);
   if (Contact && this->Self.Wire)
     this->Self.Wire->deliver(Name, Contact->Message);
 }
--- a/test/Caller/CallerFixture.h
+++ b/test/Caller/CallerFixture.h
@@ -28,12 +28,11 @@
 
   void send(const std::string &Bytes);
 
-  /// Returns all bytes until the peer closes the connection; waits at most 10
-  /// s.
+  /// Returns all bytes until the peer closes the connection; waits up to 10 s.
   std::string readToEnd();
 
   /// Returns the bytes received until they contain `Text` or the connection
-  /// ends; waits at most 10 s.
+  /// ends; waits up to 10 s.
   std::string readUntil(const std::string &Text);
 
   /// Closes the connection.
@@ -105,7 +104,7 @@
                           const std::string &Key = "kettle-key");
 
 private:
-  void execute(const Action &Executed);
+  void execute(const Action &NewAction);
 
   FixtureRouter Self;
   CallerSettings Settings;
--- a/test/Caller/HandOverTest.cpp
+++ b/test/Caller/HandOverTest.cpp
@@ -182,8 +182,8 @@
 // Guards against a stream that ends twice or that ends as if it were complete.
 // The other router's stream breaks after part of it was forwarded, and both
 // routers end the stream, or neither does. Fails without
-// HandOverClient::reportedIncomplete: the connection is then broken off after
-// the final event.
+// HandOverClient::reportedIncomplete: the connection is then aborted after the
+// final event.
 Test(HandOver, ATruncatedStreamIsReportedOnce, .timeout = 60) {
   TwoRouters Fleet;
   standin::EngineFaults Faults;
