--- a/bench/PeerMembershipBench.cpp
+++ b/bench/PeerMembershipBench.cpp
@@ -2,8 +2,9 @@
 
 #include <cstdio>
 
-// Prints what membership costs and how fast it tells, for fleets of several
-// sizes, from the tables themselves under a paused clock with 1% loss:
+// Measures the traffic of membership and the time that it takes to propagate
+// changes, for fleets of several sizes. Runs the membership tables on a fake
+// network under a paused clock with 1% loss:
 //   ./build/PeerMembershipBench [largest fleet]
 
 using namespace parsleywing;
@@ -12,10 +13,10 @@
 namespace {
 
 constexpr unsigned LossPercent = 1;
-constexpr Duration Limit = std::chrono::seconds(40);
-constexpr Duration Rest = std::chrono::seconds(12);
-constexpr Duration Settle = std::chrono::seconds(25);
-constexpr Duration Cut = std::chrono::seconds(20);
+constexpr Duration TimeLimit = std::chrono::seconds(40);
+constexpr Duration RestTime = std::chrono::seconds(12);
+constexpr Duration SettleTime = std::chrono::seconds(25);
+constexpr Duration PartitionTime = std::chrono::seconds(20);
 
 double seconds(Duration Length) {
   return std::chrono::duration<double>(Length).count();
@@ -23,7 +24,7 @@
 
 struct Traffic {
   double Mean = 0;
-  double Most = 0;
+  double Max = 0;
 };
 
 void clearCounts(MembershipNetwork &Network) {
@@ -33,7 +34,7 @@
   }
 }
 
-/// Bytes sent a second and node, datagrams and bulk.
+/// Bytes sent per second and router, datagrams and bulk.
 Traffic traffic(MembershipNetwork &Network, Duration Length) {
   Traffic Sum;
   for (std::size_t Index = 0; Index < Network.size(); ++Index) {
@@ -41,7 +42,7 @@
     const double Rate =
         static_cast<double>(Router.Bytes + Router.BulkBytes) / seconds(Length);
     Sum.Mean += Rate / static_cast<double>(Network.size());
-    Sum.Most = std::max(Sum.Most, Rate);
+    Sum.Max = std::max(Sum.Max, Rate);
   }
   return Sum;
 }
@@ -56,36 +57,36 @@
   Network.LossPercent = LossPercent;
   Network.addMany(Size);
   const Duration Formed =
-      Network.runUntil([&] { return Network.agreed(); }, Limit);
-  Network.run(Settle);
+      Network.runUntil([&] { return Network.agreed(); }, TimeLimit);
+  Network.run(SettleTime);
 
   clearCounts(Network);
-  Network.run(Rest);
-  const Traffic AtRest = traffic(Network, Rest);
+  Network.run(RestTime);
+  const Traffic AtRest = traffic(Network, RestTime);
 
   const std::size_t Joining = Network.size();
   Network.addMany(1);
   const Duration Joined = Network.runUntil(
-      [&] { return Network.knownByAll(Joining, true); }, Limit);
-  Network.run(Rest);
+      [&] { return Network.knownByAll(Joining, true); }, TimeLimit);
+  Network.run(RestTime);
 
   clearCounts(Network);
   const std::size_t Victim = Size / 2;
   Network.crash(Victim);
   const Duration Detected = Network.runUntil(
-      [&] { return Network.knownByAll(Victim, false); }, Limit);
+      [&] { return Network.knownByAll(Victim, false); }, TimeLimit);
   const Traffic AtDeath = traffic(Network, Detected);
   Network.start(Victim);
-  const Duration Returned =
-      Network.runUntil([&] { return Network.knownByAll(Victim, true); }, Limit);
-  Network.run(Rest);
+  const Duration Returned = Network.runUntil(
+      [&] { return Network.knownByAll(Victim, true); }, TimeLimit);
+  Network.run(RestTime);
 
   split(Network, 2);
-  Network.run(Cut);
+  Network.run(PartitionTime);
   split(Network, 1);
   clearCounts(Network);
   const Duration Healed =
-      Network.runUntil([&] { return Network.agreed(); }, Limit);
+      Network.runUntil([&] { return Network.agreed(); }, TimeLimit);
   const Traffic AtHeal = traffic(Network, Healed);
 
   std::uint64_t Largest = 0;
@@ -93,22 +94,23 @@
     Largest = std::max(Largest, Network.at(Index).LargestDatagram);
   std::printf("%7zu %8.1f %8.0f %8.0f %8.1f %8.1f %8.0f %8.1f %8.1f %8.0f "
               "%8.0f %8llu\n",
-              Size, seconds(Formed), AtRest.Mean, AtRest.Most, seconds(Joined),
+              Size, seconds(Formed), AtRest.Mean, AtRest.Max, seconds(Joined),
               seconds(Detected), AtDeath.Mean, seconds(Returned),
-              seconds(Healed), AtHeal.Mean, AtHeal.Most,
+              seconds(Healed), AtHeal.Mean, AtHeal.Max,
               static_cast<unsigned long long>(Largest));
   std::fflush(stdout);
 }
 
-void measureUpTo(std::size_t Most) {
-  std::printf("%u%% loss; times in s until all routers know; bytes a second a "
-              "node, with IP and UDP headers; a time of %.0f: not in time\n",
-              LossPercent, seconds(Limit));
+void measureUpTo(std::size_t Max) {
+  std::printf(
+      "%u%% loss; times in s until all routers agree; bytes per second and "
+      "router, with IP and UDP headers; a time of %.0f is a timeout\n",
+      LossPercent, seconds(TimeLimit));
   std::printf("%7s %8s %8s %8s %8s %8s %8s %8s %8s %8s %8s %8s\n", "routers",
               "formed", "B/s rest", "most", "join", "death", "B/s", "restart",
               "healed", "B/s", "most", "datagram");
   for (const std::size_t Size : {8, 32, 128, 380})
-    if (Size <= Most)
+    if (Size <= Max)
       measure(Size);
 }
 
--- a/bench/PeerOwnershipBench.cpp
+++ b/bench/PeerOwnershipBench.cpp
@@ -12,14 +12,14 @@
 constexpr std::uint64_t AccountServicePairs = std::uint64_t{24'000} * 5;
 
 View fleet(std::uint64_t Size) {
-  View Made{RouterId{1}, {}};
+  View FleetView{RouterId{1}, {}};
   for (std::uint64_t Router = 1; Router <= Size; ++Router)
-    Made.Members.push_back({RouterId{Router * 0x9e3779b97f4a7c15ULL}, 1});
-  std::sort(Made.Members.begin(), Made.Members.end(),
+    FleetView.Members.push_back({RouterId{Router * 0x9e3779b97f4a7c15ULL}, 1});
+  std::sort(FleetView.Members.begin(), FleetView.Members.end(),
             [](const Member &Left, const Member &Right) {
               return Left.Router < Right.Router;
             });
-  return Made;
+  return FleetView;
 }
 
 void fill(OwnerCache &Cache, std::uint64_t Keys) {
@@ -27,13 +27,13 @@
     benchmark::DoNotOptimize(Cache.ownerOf(Key * 0x2545f4914f6cdd1dULL));
 }
 
-void wholeComputation(benchmark::State &State) {
+void uncachedKey(benchmark::State &State) {
   const View Current = fleet(Routers);
   std::uint64_t Key = 0;
   while (State.KeepRunning())
     benchmark::DoNotOptimize(ownerOf(Current, ++Key));
 }
-BENCHMARK(wholeComputation);
+BENCHMARK(uncachedKey);
 
 void cachedKey(benchmark::State &State) {
   OwnerCache Cache(fleet(Routers));
@@ -45,16 +45,16 @@
 }
 BENCHMARK(cachedKey);
 
-/// One router leaves and comes back, with this many keys remembered.
+/// One router leaves and returns, with this many keys cached.
 void viewChange(benchmark::State &State) {
-  const View Whole = fleet(Routers);
-  View Less = Whole;
-  Less.Members.erase(Less.Members.begin() + 100);
-  OwnerCache Cache(Whole);
+  const View Full = fleet(Routers);
+  View Reduced = Full;
+  Reduced.Members.erase(Reduced.Members.begin() + 100);
+  OwnerCache Cache(Full);
   fill(Cache, static_cast<std::uint64_t>(State.range(0)));
   while (State.KeepRunning()) {
-    benchmark::DoNotOptimize(Cache.update(Less));
-    benchmark::DoNotOptimize(Cache.update(Whole));
+    benchmark::DoNotOptimize(Cache.update(Reduced));
+    benchmark::DoNotOptimize(Cache.update(Full));
   }
 }
 BENCHMARK(viewChange)
--- a/src/Peer/BulkChannel.cpp
+++ b/src/Peer/BulkChannel.cpp
@@ -12,27 +12,27 @@
 namespace parsleywing {
 namespace {
 
-constexpr char Receipt = 1;
+constexpr char Acknowledgement = 1;
 constexpr std::size_t LengthBytes = 4;
-constexpr int MostConnections = 4;
-constexpr int MostWaitingConnections = 16;
+constexpr int MaxConnections = 4;
+constexpr int MaxQueuedConnections = 16;
 constexpr std::size_t ChunkBytes = 65536;
 
 Poco::Timespan timespan(Duration Length) {
   return Poco::Timespan(static_cast<Poco::Timespan::TimeDiff>(Length.count()));
 }
 
-/// The time left of a deadline. A limit on each read alone would let a peer
-/// that sends a byte now and then hold a connection for ever.
+/// The time left until a deadline. A timeout of each read alone would let a
+/// peer that sends a byte now and then occupy a connection indefinitely.
 class Deadline {
 public:
   explicit Deadline(Duration Length) : End(this->Time.now() + Length) {}
 
-  Poco::Timespan left() const {
-    const Duration Left = this->End - this->Time.now();
-    if (Left <= Duration::zero())
-      throw Poco::TimeoutException("bulk message not whole in time");
-    return timespan(Left);
+  Poco::Timespan remaining() const {
+    const Duration Remaining = this->End - this->Time.now();
+    if (Remaining <= Duration::zero())
+      throw Poco::TimeoutException("bulk message not complete by its deadline");
+    return timespan(Remaining);
   }
 
 private:
@@ -44,7 +44,7 @@
              const Deadline &Until) {
   std::size_t Sent = 0;
   while (Sent < Bytes.size()) {
-    Socket.setSendTimeout(Until.left());
+    Socket.setSendTimeout(Until.remaining());
     const auto Chunk =
         static_cast<int>(std::min(ChunkBytes, Bytes.size() - Sent));
     const int Count = Socket.sendBytes(Bytes.data() + Sent, Chunk);
@@ -57,17 +57,18 @@
 std::string receiveAll(Poco::Net::StreamSocket &Socket, std::size_t Size,
                        const Deadline &Until) {
   std::string Bytes;
-  // Grows with what arrives, so a claimed length alone takes no memory.
+  // Grows with the received data, so that a claimed length alone allocates no
+  // memory.
   while (Bytes.size() < Size) {
-    const std::size_t Have = Bytes.size();
-    const std::size_t Chunk = std::min(ChunkBytes, Size - Have);
-    Bytes.resize(Have + Chunk);
-    Socket.setReceiveTimeout(Until.left());
+    const std::size_t Received = Bytes.size();
+    const std::size_t Chunk = std::min(ChunkBytes, Size - Received);
+    Bytes.resize(Received + Chunk);
+    Socket.setReceiveTimeout(Until.remaining());
     const int Count =
-        Socket.receiveBytes(Bytes.data() + Have, static_cast<int>(Chunk));
+        Socket.receiveBytes(Bytes.data() + Received, static_cast<int>(Chunk));
     if (Count <= 0)
       throw Poco::Net::NetException("connection closed");
-    Bytes.resize(Have + static_cast<std::size_t>(Count));
+    Bytes.resize(Received + static_cast<std::size_t>(Count));
   }
   return Bytes;
 }
@@ -77,9 +78,9 @@
   try {
     const Deadline Until(Limits.Deadline);
     Poco::Net::StreamSocket Socket;
-    Socket.connect(Poco::Net::SocketAddress(Address), Until.left());
+    Socket.connect(Poco::Net::SocketAddress(Address), Until.remaining());
     sendAll(Socket, Framed, Until);
-    receiveAll(Socket, sizeof(Receipt), Until);
+    receiveAll(Socket, sizeof(Acknowledgement), Until);
     return {};
   } catch (const Poco::TimeoutException &Problem) {
     return failure(ErrorCode::TimedOut, Problem.displayText());
@@ -98,7 +99,8 @@
     try {
       this->receive();
     } catch (const std::exception &) {
-      // The connection ends without a receipt, and its sender tries again.
+      // The connection is closed without an acknowledgement, and the sender
+      // retries.
     }
   }
 
@@ -112,7 +114,7 @@
     if (Length > this->Limits.Bytes)
       return;
     if (this->Received(receiveAll(this->socket(), Length, Until)))
-      this->socket().sendBytes(&Receipt, sizeof(Receipt));
+      this->socket().sendBytes(&Acknowledgement, sizeof(Acknowledgement));
   }
 
   BulkServer::Sink Received;
@@ -136,8 +138,8 @@
 
 Poco::Net::TCPServerParams::Ptr serverParams() {
   Poco::Net::TCPServerParams::Ptr Params = new Poco::Net::TCPServerParams;
-  Params->setMaxThreads(MostConnections);
-  Params->setMaxQueued(MostWaitingConnections);
+  Params->setMaxThreads(MaxConnections);
+  Params->setMaxQueued(MaxQueuedConnections);
   return Params;
 }
 
--- a/src/Peer/BulkChannel.h
+++ b/src/Peer/BulkChannel.h
@@ -14,25 +14,27 @@
 
 namespace parsleywing {
 
-/// The limits of a bulk message.
+/// The limits of a bulk message: its size, and the time to transfer it.
 struct BulkLimits {
   std::size_t Bytes = 0;
   Duration Deadline = Duration::zero();
 };
 
-/// Sends one sealed message over a connection of its own: its length in four
-/// bytes, the message, and one byte back as receipt. A connection kept open
-/// could go silent unseen and swallow the next message; a new one for each of
-/// the few bulk messages cannot, and a second connection is tried where the
-/// first brings no receipt. Blocks for at most twice the deadline.
+/// Sends one sealed message over a new connection: its length in four bytes,
+/// the message, and one byte back as acknowledgement. A persistent connection
+/// could break unnoticed and lose the next message; bulk messages are rare
+/// enough for a new connection each. If the first connection yields no
+/// acknowledgement, the message is sent again on a second one. Blocks for at
+/// most twice the deadline.
 Result<void> sendBulk(const std::string &Address, const std::string &Message,
                       const BulkLimits &Limits);
 
-/// Receives bulk messages on a few threads of its own. A message larger than
-/// the limit, or not whole by the deadline, ends its connection.
+/// Receives bulk messages on a small thread pool. A message that exceeds the
+/// size limit, or that is incomplete at the deadline, ends its connection.
 class BulkServer {
 public:
-  /// Takes a whole message; says whether it was of use, else no receipt goes.
+  /// Processes a complete message. Returns whether the message was accepted; if
+  /// not, no acknowledgement is sent.
   using Sink = std::function<bool(const std::string &)>;
 
   BulkServer(const Poco::Net::ServerSocket &Socket, Sink Received,
--- a/src/Peer/ByteBudget.h
+++ b/src/Peer/ByteBudget.h
@@ -8,44 +8,44 @@
 
 namespace parsleywing {
 
-/// A token bucket: so many bytes a second, and a burst after a silence. What
-/// is urgent may go a burst into debt, which later messages pay off; so over
-/// any stretch of t seconds at most 2 bursts + t x rate leave.
+/// A token bucket with a rate in bytes per second and a burst size. Urgent
+/// messages may overdraw it by up to one burst, which delays later messages; so
+/// at most 2 bursts + t x rate are sent in any t seconds.
 class ByteBudget {
 public:
   ByteBudget(std::int64_t BytesPerSecond, std::int64_t BurstBytes,
              TimePoint Start)
       : BytesPerSecond(BytesPerSecond), BurstBytes(BurstBytes),
-        Tokens(BurstBytes * Scale), Filled(Start) {}
+        Tokens(BurstBytes * Scale), LastRefill(Start) {}
 
-  /// Takes the bytes where the budget allows it now.
-  bool take(TimePoint Now, std::int64_t Bytes, bool Urgent) {
-    this->fill(Now);
-    const std::int64_t Floor = Urgent ? -this->BurstBytes * Scale : 0;
-    if (this->Tokens - Bytes * Scale < Floor)
+  /// Consumes the bytes if the budget allows it at this time.
+  bool consume(TimePoint Now, std::int64_t Bytes, bool Urgent) {
+    this->refill(Now);
+    const std::int64_t MinTokens = Urgent ? -this->BurstBytes * Scale : 0;
+    if (this->Tokens - Bytes * Scale < MinTokens)
       return false;
     this->Tokens -= Bytes * Scale;
     return true;
   }
 
 private:
-  /// Tokens are kept in millionths of a byte, so that no refill is lost to
-  /// rounding however often it happens.
+  /// Tokens are counted in millionths of a byte, so that frequent refills lose
+  /// nothing to rounding.
   static constexpr std::int64_t Scale = 1'000'000;
 
-  void fill(TimePoint Now) {
-    const Duration Passed = std::clamp<Duration>(
-        Now - this->Filled, Duration::zero(), std::chrono::hours(1));
-    this->Filled = std::max(this->Filled, Now);
+  void refill(TimePoint Now) {
+    const Duration Elapsed = std::clamp<Duration>(
+        Now - this->LastRefill, Duration::zero(), std::chrono::hours(1));
+    this->LastRefill = std::max(this->LastRefill, Now);
     this->Tokens =
         std::min(this->BurstBytes * Scale,
-                 this->Tokens + Passed.count() * this->BytesPerSecond);
+                 this->Tokens + Elapsed.count() * this->BytesPerSecond);
   }
 
   std::int64_t BytesPerSecond;
   std::int64_t BurstBytes;
   std::int64_t Tokens;
-  TimePoint Filled;
+  TimePoint LastRefill;
 };
 
 } // namespace parsleywing
--- a/src/Peer/PeerArchive.h
+++ b/src/Peer/PeerArchive.h
@@ -10,7 +10,7 @@
 
 namespace parsleywing::internal {
 
-/// Maps a number to the unsigned integer whose bytes are written.
+/// Maps a number type to the unsigned integer type whose bytes are written.
 template <class Number> struct WireNumber {
   using Type = std::conditional_t<
       sizeof(Number) == 1, std::uint8_t,
@@ -27,9 +27,10 @@
 
 namespace parsleywing {
 
-/// A cereal archive that appends to a string: numbers in their own width, low
-/// byte first; sizes of containers in as few groups of 7 bits as they need
-/// (cereal's own portable archive spends 8 bytes on each).
+/// A cereal archive that appends to a string. Numbers are written in
+/// little-endian order at their own width. Container sizes are written as
+/// variable-length integers with 7 bits per byte; cereal's portable archive
+/// uses 8 bytes for each.
 class PeerOutputArchive : public cereal::OutputArchive<PeerOutputArchive> {
 public:
   explicit PeerOutputArchive(std::string &Bytes)
@@ -59,19 +60,19 @@
   std::string &Bytes;
 };
 
-/// Reads what `PeerOutputArchive` wrote and throws `cereal::Exception` where
-/// the bytes end early or a container claims more elements than bytes remain.
-/// Without that bound a datagram with a forged size would make cereal allocate
-/// gigabytes; the sign would be a router killed for its memory.
+/// Reads the output of `PeerOutputArchive`. Throws `cereal::Exception` if the
+/// input ends early or a container's size exceeds the number of remaining
+/// bytes. Without that bound, a datagram with a forged size would make cereal
+/// allocate gigabytes, and the router would be killed for its memory use.
 class PeerInputArchive : public cereal::InputArchive<PeerInputArchive> {
 public:
   explicit PeerInputArchive(std::string_view Bytes)
-      : InputArchive(this), Rest(Bytes) {}
+      : InputArchive(this), Remaining(Bytes) {}
 
   void readBytes(void *Data, std::size_t Size) {
     this->require(Size);
-    this->Rest.copy(static_cast<char *>(Data), Size);
-    this->Rest.remove_prefix(Size);
+    this->Remaining.copy(static_cast<char *>(Data), Size);
+    this->Remaining.remove_prefix(Size);
   }
 
   template <class Number> void readNumber(Number &Value) {
@@ -79,9 +80,9 @@
     this->require(sizeof(Wire));
     std::uint64_t Bits = 0;
     for (std::size_t Byte = 0; Byte < sizeof(Wire); ++Byte)
-      Bits |= std::uint64_t{static_cast<std::uint8_t>(this->Rest[Byte])}
+      Bits |= std::uint64_t{static_cast<std::uint8_t>(this->Remaining[Byte])}
               << (8 * Byte);
-    this->Rest.remove_prefix(sizeof(Wire));
+    this->Remaining.remove_prefix(sizeof(Wire));
     if constexpr (std::is_same_v<Number, bool>)
       Value = Bits != 0;
     else
@@ -99,27 +100,27 @@
         return Size;
       }
     }
-    throw cereal::Exception("size of a container is too long");
+    throw cereal::Exception("container size has too many bytes");
   }
 
-  /// Passes over bytes that somebody else reads.
+  /// Skips bytes that are read elsewhere.
   void skip(std::size_t Size) {
     this->require(Size);
-    this->Rest.remove_prefix(Size);
+    this->Remaining.remove_prefix(Size);
   }
 
-  std::size_t remaining() const { return this->Rest.size(); }
+  std::size_t remaining() const { return this->Remaining.size(); }
 
 private:
   void require(std::uint64_t Size) const {
-    if (Size > this->Rest.size())
+    if (Size > this->Remaining.size())
       throw cereal::Exception("message ends early");
   }
 
-  std::string_view Rest;
+  std::string_view Remaining;
 };
 
-// The names below are those that cereal looks up.
+// The following macros expand to the function names that cereal looks up.
 template <class Number>
 requires std::is_arithmetic_v<Number>
 void CEREAL_SAVE_FUNCTION_NAME(PeerOutputArchive &Ar, const Number &Value) {
--- a/src/Peer/PeerCodec.cpp
+++ b/src/Peer/PeerCodec.cpp
@@ -12,16 +12,18 @@
 
 constexpr std::size_t ChecksumBytes = sizeof(std::uint64_t);
 
-/// Marks a length of more than two bytes: four bytes of length follow.
-constexpr std::uint16_t LongLength = std::numeric_limits<std::uint16_t>::max();
+/// Marks a length that does not fit into two bytes: a four-byte length follows.
+constexpr std::uint16_t LongLengthMarker =
+    std::numeric_limits<std::uint16_t>::max();
 
-/// Reads the alternative with this index, whatever their number is.
+/// Reads the alternative with this index; nothing if there is none. Recurses
+/// over the indices, so that it needs no change when alternatives are added.
 template <std::size_t Index = 0>
-std::optional<PeerPart> readAlternative(std::size_t Wanted,
+std::optional<PeerPart> readAlternative(std::size_t PartIndex,
                                         PeerInputArchive &Ar) {
   if constexpr (Index < std::variant_size_v<PeerPart>) {
-    if (Wanted != Index)
-      return readAlternative<Index + 1>(Wanted, Ar);
+    if (PartIndex != Index)
+      return readAlternative<Index + 1>(PartIndex, Ar);
     std::variant_alternative_t<Index, PeerPart> Value;
     Ar(Value);
     return PeerPart(std::in_place_index<Index>, std::move(Value));
@@ -40,13 +42,14 @@
 }
 
 void readHeader(PeerInputArchive &Ar, PeerHeader &Header) {
-  Ar(Header.From.Value, Header.Life, Header.To.Value, Header.Sequence);
+  Ar(Header.From.Value, Header.IncarnationNumber, Header.To.Value,
+     Header.Sequence);
 }
 
 std::size_t readLength(PeerInputArchive &Ar) {
   std::uint16_t Short = 0;
   Ar(Short);
-  if (Short != LongLength)
+  if (Short != LongLengthMarker)
     return Short;
   std::uint32_t Long = 0;
   Ar(Long);
@@ -86,10 +89,10 @@
   std::string Bytes;
   PeerOutputArchive Ar(Bytes);
   Ar(static_cast<std::uint8_t>(Part.index()));
-  if (Body.size() < LongLength)
+  if (Body.size() < LongLengthMarker)
     Ar(static_cast<std::uint16_t>(Body.size()));
   else
-    Ar(LongLength, static_cast<std::uint32_t>(Body.size()));
+    Ar(LongLengthMarker, static_cast<std::uint32_t>(Body.size()));
   return Bytes + Body;
 }
 
@@ -98,8 +101,8 @@
   std::string Bytes;
   Bytes.reserve(PeerHeaderBytes + Parts.size());
   PeerOutputArchive Ar(Bytes);
-  Ar(PeerProtocolVersion, Header.From.Value, Header.Life, Header.To.Value,
-     Header.Sequence);
+  Ar(PeerProtocolVersion, Header.From.Value, Header.IncarnationNumber,
+     Header.To.Value, Header.Sequence);
   Bytes.append(Parts);
   Ar(this->checksum(Bytes));
   return Bytes;
@@ -110,18 +113,18 @@
   if (Message.size() < PeerHeaderBytes ||
       static_cast<std::uint8_t>(Message[0]) != PeerProtocolVersion)
     return tl::unexpected(PeerDrop::Malformed);
-  const std::string_view Signed =
+  const std::string_view Content =
       Message.substr(0, Message.size() - ChecksumBytes);
   try {
-    std::uint64_t Claimed = 0;
-    PeerInputArchive(Message.substr(Signed.size()))(Claimed);
-    if (Claimed != this->checksum(Signed))
+    std::uint64_t ReceivedChecksum = 0;
+    PeerInputArchive(Message.substr(Content.size()))(ReceivedChecksum);
+    if (ReceivedChecksum != this->checksum(Content))
       return tl::unexpected(PeerDrop::WrongSecret);
     DecodedMessage Decoded;
-    PeerInputArchive Ar(Signed);
+    PeerInputArchive Ar(Content);
     Ar.skip(sizeof(PeerProtocolVersion));
     readHeader(Ar, Decoded.Header);
-    readParts(Ar, Signed, Decoded);
+    readParts(Ar, Content, Decoded);
     return Decoded;
   } catch (const std::exception &) {
     return tl::unexpected(PeerDrop::Malformed);
--- a/src/Peer/PeerCodec.h
+++ b/src/Peer/PeerCodec.h
@@ -12,35 +12,36 @@
 
 namespace parsleywing {
 
-/// The version of the protocol between routers; others are dropped.
+/// The version of the protocol between routers. Messages of other versions are
+/// dropped.
 inline constexpr std::uint8_t PeerProtocolVersion = 1;
 
-/// Bytes of the header before the parts of a datagram.
+/// The size of a message's header and checksum, which enclose its parts.
 inline constexpr std::size_t PeerHeaderBytes = 37;
 
-/// Bytes before each part: its alternative and its length.
+/// The size of a part's header: the index of its alternative and its length.
 inline constexpr std::size_t PartHeaderBytes = 3;
 
-/// Who sent a datagram or a bulk message, and to whom. `To` is zero where the
-/// sender knows only an address yet.
+/// The sender and the receiver of a datagram or a bulk message. `To` is zero if
+/// the sender knows only the receiver's address.
 struct PeerHeader {
   RouterId From;
-  Incarnation Life = 0;
+  Incarnation IncarnationNumber = 0;
   RouterId To;
   std::uint32_t Sequence = 0;
 };
 
-/// Why a received message was not passed on.
+/// Why a message was dropped.
 enum class PeerDrop {
-  Malformed,   ///< Not of this protocol, or cut short.
-  WrongSecret, ///< Checksum wrong: garbled, stray or forged.
-  WrongTarget, ///< Meant for another router, as after a replacement.
-  Duplicate,   ///< Seen before, or too old to tell.
-  OverBudget,  ///< Sending side: waited too long for the byte budget.
-  TooLarge,    ///< Sending side: does not fit its way of travel.
-  NoAddress,   ///< Sending side: the peer's address is not known.
-  SendFailed,  ///< Sending side: the socket or connection failed.
-  Injected,    ///< Dropped on purpose by a test.
+  Malformed,   ///< Not of this protocol, or truncated.
+  WrongSecret, ///< Wrong checksum: corrupt, misdirected or forged.
+  WrongTarget, ///< Addressed to another router, as after a replacement.
+  Duplicate,   ///< Received before, or too old to tell.
+  OverBudget,  ///< Sender: byte budget exhausted for too long, or queue full.
+  TooLarge,    ///< Sender: exceeds the limit of a datagram or bulk message.
+  NoAddress,   ///< Sender: the peer's address is unknown.
+  SendFailed,  ///< Sender: the socket or connection failed.
+  Injected,    ///< Dropped by fault injection.
 };
 
 inline constexpr EnumNames<PeerDrop, 9> PeerDropNames{{
@@ -55,29 +56,31 @@
     {PeerDrop::Injected, "injected"},
 }};
 
-/// A message as it came, with the parts that could be read.
+/// A received message with the parts that could be decoded.
 struct DecodedMessage {
   PeerHeader Header;
   std::vector<PeerPart> Parts;
   std::size_t UnreadableParts = 0;
 };
 
-/// Packs and unpacks messages between routers. Each carries a checksum keyed
-/// with the fleet's secret. That keeps out garbled datagrams and those of
-/// another fleet; xxHash is no cryptographic code, so it does not keep out
-/// somebody who can read the traffic. Neither throws nor allocates more than a
-/// few times the input. Immutable after construction, so safe to share.
+/// Encodes and decodes messages between routers. Each message has a checksum
+/// keyed with the fleet's secret, which detects corrupt datagrams and those of
+/// other fleets. xxHash is not a cryptographic hash, so the checksum does not
+/// protect against an attacker who can read the traffic. `seal` and `open` do
+/// not throw, and allocate at most a small multiple of the input's size.
+/// Immutable after construction, so safe to share between threads.
 class PeerCodec {
 public:
   explicit PeerCodec(std::string_view Secret);
 
-  /// One part with its alternative and length (of 4 bytes where `Bulk`).
+  /// Encodes one part with the index of its alternative and its length. The
+  /// length has two bytes, or four more for a part too large for these.
   static std::string encodePart(const PeerPart &Part);
 
-  /// The message of these encoded parts, put one after another.
+  /// Builds a message from encoded parts, which the caller concatenates.
   std::string seal(const PeerHeader &Header, std::string_view Parts) const;
 
-  /// Reads a message. A part of an unknown alternative is skipped, so that
+  /// Decodes a message. A part with an unknown alternative is skipped, so that
   /// routers of two versions can run side by side.
   tl::expected<DecodedMessage, PeerDrop> open(std::string_view Message) const;
 
--- a/src/Peer/PeerCounters.cpp
+++ b/src/Peer/PeerCounters.cpp
@@ -9,7 +9,7 @@
   for (const auto &[Reason, Name] : PeerDropNames)
     Drops->set(std::string(Name), this->dropped(Reason));
   Poco::JSON::Array::Ptr Parts = new Poco::JSON::Array;
-  for (const Number &Bytes : this->PartBytesOut)
+  for (const Counter &Bytes : this->PartBytesOut)
     Parts->add(Bytes.load());
 
   Poco::JSON::Object::Ptr Dump = new Poco::JSON::Object;
--- a/src/Peer/PeerCounters.h
+++ b/src/Peer/PeerCounters.h
@@ -10,28 +10,30 @@
 
 namespace parsleywing {
 
-/// The bytes that IP and UDP put before each datagram; counted in the budget.
+/// The size of the IP and UDP headers of a datagram, which count toward the
+/// byte budget.
 inline constexpr std::size_t UdpOverheadBytes = 28;
 
-/// What the transport did since the start. Written by its threads and read by
-/// any; each number is exact, but not all of one moment.
+/// Counters of the transport since its start. Written by its threads and
+/// readable from any thread. Each value is exact, but the values are not a
+/// consistent snapshot.
 struct PeerCounters {
-  using Number = std::atomic<std::uint64_t>;
-
-  Number DatagramsOut = 0;
-  Number DatagramsIn = 0;
-  Number DatagramBytesOut = 0; ///< With IP and UDP headers.
-  Number DatagramBytesIn = 0;  ///< With IP and UDP headers.
-  Number UrgentOut = 0;        ///< Of `DatagramsOut`.
-  Number BulkOut = 0;
-  Number BulkIn = 0;
-  Number BulkBytesOut = 0;
-  Number BulkBytesIn = 0;
-  Number UnreadableParts = 0;
-  /// Encoded bytes sent by alternative of `PeerPart`.
-  std::array<Number, std::variant_size_v<PeerPart>> PartBytesOut{};
-  /// Messages dropped, by `PeerDrop`.
-  std::array<Number, PeerDropNames.size()> Dropped{};
+  using Counter = std::atomic<std::uint64_t>;
+
+  Counter DatagramsOut = 0;
+  Counter DatagramsIn = 0;
+  Counter DatagramBytesOut = 0; ///< With IP and UDP headers.
+  Counter DatagramBytesIn = 0;  ///< With IP and UDP headers.
+  Counter UrgentOut = 0;        ///< Of `DatagramsOut`.
+  Counter BulkOut = 0;
+  Counter BulkIn = 0;
+  Counter BulkBytesOut = 0;
+  Counter BulkBytesIn = 0;
+  Counter UnreadableParts = 0;
+  /// Encoded bytes queued for sending, by alternative of `PeerPart`.
+  std::array<Counter, std::variant_size_v<PeerPart>> PartBytesOut{};
+  /// Dropped messages, by `PeerDrop`.
+  std::array<Counter, PeerDropNames.size()> Dropped{};
 
   void drop(PeerDrop Reason) {
     ++this->Dropped[static_cast<std::size_t>(Reason)];
--- a/src/Peer/PeerOutbox.cpp
+++ b/src/Peer/PeerOutbox.cpp
@@ -5,26 +5,26 @@
 namespace parsleywing {
 namespace {
 
-/// How long an urgent part waits for its companions.
-constexpr Duration UrgentWait = std::chrono::milliseconds(1);
+/// How long an urgent part waits for further parts.
+constexpr Duration UrgentDelay = std::chrono::milliseconds(1);
 
-/// How soon to ask again for a batch that the budget held back.
-constexpr Duration BudgetRetry = std::chrono::milliseconds(5);
+/// The interval at which to retry a batch that the budget did not allow.
+constexpr Duration BudgetRetryInterval = std::chrono::milliseconds(5);
 
-/// Bounds the memory for a fleet that answers nothing.
-constexpr std::size_t MostBatches = 2048;
+/// Bounds the memory use when no batch can be sent.
+constexpr std::size_t MaxBatches = 2048;
 
 } // namespace
 
-PeerOutbox::Batch &PeerOutbox::openBatch(TimePoint Now,
-                                         const std::string &Destination,
-                                         std::size_t Bytes) {
+PeerOutbox::Batch &PeerOutbox::batchFor(TimePoint Now,
+                                        const std::string &Destination,
+                                        std::size_t Bytes) {
   for (auto It = this->Batches.rbegin(); It != this->Batches.rend(); ++It) {
     if (It->Content.Destination != Destination)
       continue;
     if (It->Content.Parts.size() + Bytes <= DatagramPartBytes)
       return *It;
-    // Full: it leaves as soon as the budget allows.
+    // The batch is full: send it as soon as the budget allows.
     It->Due = std::min(It->Due, Now);
     break;
   }
@@ -37,14 +37,14 @@
                      const std::string &Part, bool Urgent) {
   if (Part.size() > DatagramPartBytes)
     return this->Counters.drop(PeerDrop::TooLarge);
-  if (this->Batches.size() >= MostBatches)
+  if (this->Batches.size() >= MaxBatches)
     return this->Counters.drop(PeerDrop::OverBudget);
-  Batch &Open = this->openBatch(Now, Destination, Part.size());
+  Batch &Open = this->batchFor(Now, Destination, Part.size());
   Open.Content.Parts += Part;
   if (!Urgent)
     return;
   Open.Content.Urgent = true;
-  Open.Due = std::min(Open.Due, Now + UrgentWait);
+  Open.Due = std::min(Open.Due, Now + UrgentDelay);
 }
 
 std::optional<OutgoingBatch> PeerOutbox::take(TimePoint Now) {
@@ -61,8 +61,8 @@
     return std::nullopt;
   const std::size_t Bytes =
       Best->Content.Parts.size() + PeerHeaderBytes + UdpOverheadBytes;
-  if (!this->Budget.take(Now, static_cast<std::int64_t>(Bytes),
-                         Best->Content.Urgent))
+  if (!this->Budget.consume(Now, static_cast<std::int64_t>(Bytes),
+                            Best->Content.Urgent))
     return std::nullopt;
   OutgoingBatch Ready = std::move(Best->Content);
   this->Batches.erase(Best);
@@ -72,7 +72,8 @@
 std::optional<TimePoint> PeerOutbox::nextDue(TimePoint Now) const {
   std::optional<TimePoint> Next;
   for (const Batch &Waiting : this->Batches) {
-    const TimePoint Due = Waiting.Due > Now ? Waiting.Due : Now + BudgetRetry;
+    const TimePoint Due =
+        Waiting.Due > Now ? Waiting.Due : Now + BudgetRetryInterval;
     Next = Next ? std::min(*Next, Due) : Due;
   }
   return Next;
@@ -80,7 +81,7 @@
 
 void PeerOutbox::dropStale(TimePoint Now) {
   std::erase_if(this->Batches, [&](const Batch &Waiting) {
-    if (Now - Waiting.Started <= this->BatchingInterval + this->LongestWait)
+    if (Now - Waiting.Created <= this->BatchingInterval + this->MaxWait)
       return false;
     this->Counters.drop(PeerDrop::OverBudget);
     return true;
--- a/src/Peer/PeerOutbox.h
+++ b/src/Peer/PeerOutbox.h
@@ -12,60 +12,62 @@
 
 namespace parsleywing {
 
-/// Datagrams are never larger than this, so that no path fragments them.
+/// The maximum size of a datagram, small enough that no path fragments it.
 inline constexpr std::size_t DatagramBytes = 1200;
 
-/// The bytes of a datagram left for parts.
+/// The number of bytes of a datagram available for parts.
 inline constexpr std::size_t DatagramPartBytes =
     DatagramBytes - PeerHeaderBytes;
 
-/// A batch of encoded parts that is ready to go to one destination.
+/// A batch of encoded parts that is ready to be sent to one destination.
 struct OutgoingBatch {
   std::string Destination;
   std::string Parts;
   bool Urgent = false;
 };
 
-/// Gathers parts by destination and says which batches may leave when.
-/// Deterministic and without locks or I/O; the transport guards it.
+/// Collects parts into batches by destination and schedules when each batch is
+/// sent. Deterministic, without locks or I/O; the transport synchronizes
+/// access.
 ///
-/// A batch that the budget does not allow waits, urgent ones first and then
-/// the longest waiting, and is dropped once it is older than `LongestWait`: a
-/// short wait evens out bursts, while a late digest would be sent after the
-/// newer one that replaces it.
+/// Batches that the budget does not allow yet wait, urgent ones first and then
+/// in order of age, and are dropped once older than `BatchingInterval` plus
+/// `MaxWait`. A short wait smooths bursts; a late digest would only be sent
+/// after the newer one that replaces it.
 class PeerOutbox {
 public:
-  PeerOutbox(Duration BatchingInterval, Duration LongestWait, ByteBudget Budget,
+  PeerOutbox(Duration BatchingInterval, Duration MaxWait, ByteBudget Budget,
              PeerCounters &Counters)
-      : BatchingInterval(BatchingInterval), LongestWait(LongestWait),
-        Budget(Budget), Counters(Counters) {}
+      : BatchingInterval(BatchingInterval), MaxWait(MaxWait), Budget(Budget),
+        Counters(Counters) {}
 
-  /// Adds an encoded part. Too large ones are dropped and counted.
+  /// Adds an encoded part. A part that exceeds `DatagramPartBytes` is dropped
+  /// and counted.
   void add(TimePoint Now, const std::string &Destination,
            const std::string &Part, bool Urgent);
 
-  /// The next batch to send now, or nothing.
+  /// Removes and returns the next batch to send now, or nothing.
   std::optional<OutgoingBatch> take(TimePoint Now);
 
-  /// When `take` should be asked again; nothing where no part waits.
+  /// The time at which to call `take` again; nothing if no part is queued.
   std::optional<TimePoint> nextDue(TimePoint Now) const;
 
 private:
   struct Batch {
     OutgoingBatch Content;
     TimePoint Due;
-    TimePoint Started;
+    TimePoint Created;
   };
 
-  Batch &openBatch(TimePoint Now, const std::string &Destination,
-                   std::size_t Bytes);
+  Batch &batchFor(TimePoint Now, const std::string &Destination,
+                  std::size_t Bytes);
   void dropStale(TimePoint Now);
 
   Duration BatchingInterval;
-  Duration LongestWait;
+  Duration MaxWait;
   ByteBudget Budget;
   PeerCounters &Counters;
-  std::vector<Batch> Batches; ///< In the order in which they were started.
+  std::vector<Batch> Batches; ///< In order of creation.
 };
 
 } // namespace parsleywing
--- a/src/Peer/PeerTransport.cpp
+++ b/src/Peer/PeerTransport.cpp
@@ -22,44 +22,45 @@
 namespace parsleywing {
 namespace {
 
-/// How long a thread sleeps before it looks whether to stop.
-constexpr Duration StopCheck = std::chrono::milliseconds(50);
+/// How long a thread sleeps before it checks whether to stop.
+constexpr Duration StopCheckInterval = std::chrono::milliseconds(50);
 
-/// Bulk messages that wait for the sending thread; more are dropped.
-constexpr std::size_t MostBulkWaiting = 32;
+/// The maximum number of bulk messages queued for sending; more are dropped.
+constexpr std::size_t MaxQueuedBulkMessages = 32;
 
-constexpr int TriesForFreePort = 16;
+constexpr int MaxBindAttempts = 16;
 
 struct Sockets {
   Poco::Net::DatagramSocket Datagrams;
   Poco::Net::ServerSocket Connections;
 };
 
-/// Binds UDP and TCP to one port. With port 0 the port that UDP got may be
-/// taken for TCP; then another is tried.
+/// Binds UDP and TCP to the same port. With port 0, the port that the system
+/// selects for UDP may be in use for TCP; the function then tries another.
 Result<Sockets> bindSockets(const std::string &Address) {
   try {
-    const Poco::Net::SocketAddress Wanted(Address);
-    for (int Try = 0; Try < TriesForFreePort; ++Try) {
+    const Poco::Net::SocketAddress Requested(Address);
+    for (int Attempt = 0; Attempt < MaxBindAttempts; ++Attempt) {
       Sockets Bound;
-      Bound.Datagrams.bind(Wanted, false);
+      Bound.Datagrams.bind(Requested, false);
       try {
         Bound.Connections.bind(Bound.Datagrams.address(), true);
         Bound.Connections.listen();
         return Bound;
       } catch (const Poco::Net::NetException &) {
-        if (Wanted.port() != 0)
+        if (Requested.port() != 0)
           throw;
       }
     }
-    return failure(ErrorCode::Unreachable, "no port free for UDP and TCP");
+    return failure(ErrorCode::Unreachable,
+                   "no port is free for both UDP and TCP");
   } catch (const Poco::Exception &Problem) {
     return failure(ErrorCode::Unreachable,
                    "cannot bind " + Address + ": " + Problem.displayText());
   }
 }
 
-struct BulkOrder {
+struct BulkMessage {
   RouterId To;
   std::string Address;
   std::string Part;
@@ -78,7 +79,7 @@
   Impl(PeerSettings Settings, Sink Received, const Clock &Time, Sockets Bound);
   ~Impl();
 
-  void send(const SendToPeer &Order);
+  void send(const SendToPeer &Outgoing);
   void sendToAddress(const std::string &Address, const PeerPart &Part);
   bool allowsFaults() const { return this->Settings.FaultInjectionAllowed; }
   Poco::JSON::Object::Ptr dump();
@@ -87,7 +88,7 @@
   PeerCounters Counters;
   std::string Address;
 
-  std::mutex Mutex; ///< Of the members below, up to the threads.
+  std::mutex Mutex; ///< Guards the members below, up to the threads.
   std::map<RouterId, std::string> AddressBook;
   std::set<RouterId> Blocked;
   PeerFaults Faults;
@@ -112,17 +113,17 @@
   Clock Time;
   PeerCodec Codec;
   Sockets Bound;
-  PeerOutbox Waiting;
-  std::map<std::string, RouterId> RouterAt;
-  std::unordered_map<RouterId, ReplayWindow> Windows;
-  std::size_t BulkWaiting = 0;
+  PeerOutbox Outbox;
+  std::map<std::string, RouterId> RouterByAddress;
+  std::unordered_map<RouterId, ReplayWindow> ReplayWindows;
+  std::size_t QueuedBulkMessages = 0;
   std::uint32_t Sequence = 0;
   std::minstd_rand Random{1};
 
-  std::condition_variable Added;
+  std::condition_variable PartQueued;
   std::atomic<bool> Stopping = false;
-  std::deque<DelayedDatagram> Delayed; ///< Of the receiving thread alone.
-  Mailbox<BulkOrder> BulkOrders;
+  std::deque<DelayedDatagram> Delayed; ///< Used by the receiving thread only.
+  Mailbox<BulkMessage> BulkQueue;
   std::unique_ptr<BulkServer> BulkReceiver;
   std::thread Sender;
   std::thread Receiver;
@@ -136,10 +137,10 @@
     : Settings(std::move(S)), Address(Bound.Datagrams.address().toString()),
       Received(std::move(Received)), Time(Time),
       Codec(this->Settings.FleetSecret), Bound(std::move(Bound)),
-      Waiting(this->Settings.BatchingInterval, this->Settings.LongestWait,
-              ByteBudget(this->Settings.BytesPerSecond,
-                         this->Settings.BurstBytes, Time.now()),
-              this->Counters) {
+      Outbox(this->Settings.BatchingInterval, this->Settings.MaxWait,
+             ByteBudget(this->Settings.BytesPerSecond,
+                        this->Settings.BurstBytes, Time.now()),
+             this->Counters) {
   const BulkLimits Limits{this->Settings.BulkLimitBytes,
                           this->Settings.BulkDeadline};
   this->BulkReceiver = std::make_unique<BulkServer>(
@@ -155,32 +156,33 @@
 
 PeerTransport::Impl::~Impl() {
   this->Stopping = true;
-  this->Added.notify_all();
-  this->BulkOrders.close();
+  this->PartQueued.notify_all();
+  this->BulkQueue.close();
   this->Sender.join();
   this->Receiver.join();
   this->BulkSender.join();
   this->BulkReceiver.reset();
 }
 
-void PeerTransport::Impl::send(const SendToPeer &Order) {
+void PeerTransport::Impl::send(const SendToPeer &Outgoing) {
   std::unique_lock<std::mutex> Lock(this->Mutex);
-  const auto Known = this->AddressBook.find(Order.To);
-  if (Known == this->AddressBook.end())
+  const auto Entry = this->AddressBook.find(Outgoing.To);
+  if (Entry == this->AddressBook.end())
     return this->Counters.drop(PeerDrop::NoAddress);
-  if (this->Blocked.contains(Order.To))
+  if (this->Blocked.contains(Outgoing.To))
     return this->Counters.drop(PeerDrop::Injected);
-  if (Order.Bulk)
-    this->enqueueBulk(Order.To, Known->second, Order.Part);
+  if (Outgoing.Bulk)
+    this->enqueueBulk(Outgoing.To, Entry->second, Outgoing.Part);
   else
-    this->enqueue(Known->second, Order.Part, Order.Urgent);
+    this->enqueue(Entry->second, Outgoing.Part, Outgoing.Urgent);
 }
 
 void PeerTransport::Impl::sendToAddress(const std::string &Destination,
                                         const PeerPart &Part) {
   std::unique_lock<std::mutex> Lock(this->Mutex);
-  const auto Known = this->RouterAt.find(Destination);
-  if (Known != this->RouterAt.end() && this->Blocked.contains(Known->second))
+  const auto Entry = this->RouterByAddress.find(Destination);
+  if (Entry != this->RouterByAddress.end() &&
+      this->Blocked.contains(Entry->second))
     return this->Counters.drop(PeerDrop::Injected);
   this->enqueue(Destination, Part, false);
 }
@@ -189,21 +191,21 @@
                                   const PeerPart &Part, bool Urgent) {
   const std::string Bytes = PeerCodec::encodePart(Part);
   this->Counters.PartBytesOut[Part.index()] += Bytes.size();
-  this->Waiting.add(this->Time.now(), Destination, Bytes, Urgent);
-  this->Added.notify_one();
+  this->Outbox.add(this->Time.now(), Destination, Bytes, Urgent);
+  this->PartQueued.notify_one();
 }
 
 void PeerTransport::Impl::enqueueBulk(RouterId To,
                                       const std::string &Destination,
                                       const PeerPart &Part) {
-  if (this->BulkWaiting >= MostBulkWaiting)
+  if (this->QueuedBulkMessages >= MaxQueuedBulkMessages)
     return this->Counters.drop(PeerDrop::OverBudget);
   std::string Bytes = PeerCodec::encodePart(Part);
   if (Bytes.size() + PeerHeaderBytes > this->Settings.BulkLimitBytes)
     return this->Counters.drop(PeerDrop::TooLarge);
   this->Counters.PartBytesOut[Part.index()] += Bytes.size();
-  ++this->BulkWaiting;
-  this->BulkOrders.put({To, Destination, std::move(Bytes)});
+  ++this->QueuedBulkMessages;
+  this->BulkQueue.put({To, Destination, std::move(Bytes)});
 }
 
 PeerHeader PeerTransport::Impl::headerTo(RouterId To) {
@@ -214,15 +216,17 @@
   std::unique_lock<std::mutex> Lock(this->Mutex);
   while (!this->Stopping) {
     const TimePoint Now = this->Time.now();
-    if (const auto Batch = this->Waiting.take(Now)) {
-      const auto Known = this->RouterAt.find(Batch->Destination);
-      this->transmit(*Batch, Known == this->RouterAt.end() ? RouterId{}
-                                                           : Known->second);
+    if (const auto Batch = this->Outbox.take(Now)) {
+      const auto Entry = this->RouterByAddress.find(Batch->Destination);
+      this->transmit(*Batch, Entry == this->RouterByAddress.end()
+                                 ? RouterId{}
+                                 : Entry->second);
       continue;
     }
-    const auto Due = this->Waiting.nextDue(Now);
-    const Duration Wait = Due ? std::min(StopCheck, *Due - Now) : StopCheck;
-    this->Added.wait_for(Lock, Wait);
+    const auto Due = this->Outbox.nextDue(Now);
+    const Duration Wait =
+        Due ? std::min(StopCheckInterval, *Due - Now) : StopCheckInterval;
+    this->PartQueued.wait_for(Lock, Wait);
   }
 }
 
@@ -245,7 +249,7 @@
 void PeerTransport::Impl::runReceiver() {
   while (!this->Stopping) {
     const Duration Wait = this->Delayed.empty()
-                              ? StopCheck
+                              ? StopCheckInterval
                               : Duration(std::chrono::milliseconds(1));
     try {
       if (this->Bound.Datagrams.poll(
@@ -254,8 +258,9 @@
               Poco::Net::Socket::SELECT_READ))
         this->receiveDatagram();
     } catch (const std::exception &) {
-      // An ICMP report of a closed port comes back as an error of the next
-      // read; the peer that is gone is found by its silence.
+      // An ICMP "port unreachable" surfaces as an error of the next read. The
+      // unreachable peer itself is detected by the failure detector of
+      // membership.
       this->Counters.drop(PeerDrop::Malformed);
     }
     this->releaseDelayed();
@@ -263,7 +268,8 @@
 }
 
 void PeerTransport::Impl::receiveDatagram() {
-  // Larger than any of ours, so that a longer one is seen to be too long.
+  // Larger than any valid datagram, so that an oversized one is detected rather
+  // than truncated.
   std::array<char, 2 * DatagramBytes> Buffer{};
   Poco::Net::SocketAddress From;
   const int Count = this->Bound.Datagrams.receiveFrom(
@@ -275,14 +281,14 @@
   this->Counters.DatagramBytesIn += Size + UdpOverheadBytes;
   if (Size > DatagramBytes)
     return this->Counters.drop(PeerDrop::Malformed);
-  PeerFaults Asked;
+  PeerFaults Active;
   {
     std::lock_guard<std::mutex> Lock(this->Mutex);
-    Asked = this->Faults;
+    Active = this->Faults;
   }
-  if (this->Random() % 100 < Asked.LossPercent)
+  if (this->Random() % 100 < Active.LossPercent)
     return this->Counters.drop(PeerDrop::Injected);
-  this->Delayed.push_back({this->Time.now() + Asked.Delay,
+  this->Delayed.push_back({this->Time.now() + Active.Delay,
                            std::string(Buffer.data(), Size), From.toString()});
 }
 
@@ -297,29 +303,29 @@
 
 bool PeerTransport::Impl::acceptMessage(const std::string &Bytes,
                                         const std::string &From, bool Bulk) {
-  auto Opened = this->Codec.open(Bytes);
-  if (!Opened) {
-    this->Counters.drop(Opened.error());
+  auto Decoded = this->Codec.open(Bytes);
+  if (!Decoded) {
+    this->Counters.drop(Decoded.error());
     return false;
   }
-  if (!this->admit(Opened->Header, Bulk))
+  if (!this->admit(Decoded->Header, Bulk))
     return false;
-  this->Counters.UnreadableParts += Opened->UnreadableParts;
+  this->Counters.UnreadableParts += Decoded->UnreadableParts;
   if (Bulk) {
     ++this->Counters.BulkIn;
     this->Counters.BulkBytesIn += Bytes.size();
   }
-  for (PeerPart &Part : Opened->Parts)
-    this->Received(
-        {Opened->Header.From, Opened->Header.Life, std::move(Part), From});
+  for (PeerPart &Part : Decoded->Parts)
+    this->Received({Decoded->Header.From, Decoded->Header.IncarnationNumber,
+                    std::move(Part), From});
   return true;
 }
 
 bool PeerTransport::Impl::admit(const PeerHeader &Header, bool Bulk) {
   std::lock_guard<std::mutex> Lock(this->Mutex);
-  const bool ForAnybody = Header.To == RouterId{};
+  const bool Untargeted = Header.To == RouterId{};
   if (Header.From == this->Settings.Self ||
-      (!ForAnybody && Header.To != this->Settings.Self)) {
+      (!Untargeted && Header.To != this->Settings.Self)) {
     this->Counters.drop(PeerDrop::WrongTarget);
     return false;
   }
@@ -327,10 +333,10 @@
     this->Counters.drop(PeerDrop::Injected);
     return false;
   }
-  // A bulk message may be retried, and may overtake datagrams: what it carries
-  // is whole state, which does no harm twice.
-  if (!Bulk &&
-      !this->Windows[Header.From].accept(Header.Life, Header.Sequence)) {
+  // A bulk message may be retried and may overtake datagrams. It carries
+  // complete state, so duplicates do no harm.
+  if (!Bulk && !this->ReplayWindows[Header.From].accept(
+                   Header.IncarnationNumber, Header.Sequence)) {
     this->Counters.drop(PeerDrop::Duplicate);
     return false;
   }
@@ -341,17 +347,17 @@
   const BulkLimits Limits{this->Settings.BulkLimitBytes,
                           this->Settings.BulkDeadline};
   while (!this->Stopping) {
-    const auto Order = this->BulkOrders.take(StopCheck);
-    if (!Order)
+    const auto Outgoing = this->BulkQueue.take(StopCheckInterval);
+    if (!Outgoing)
       continue;
     PeerHeader Header;
     {
       std::lock_guard<std::mutex> Lock(this->Mutex);
-      --this->BulkWaiting;
-      Header = this->headerTo(Order->To);
+      --this->QueuedBulkMessages;
+      Header = this->headerTo(Outgoing->To);
     }
-    const std::string Message = this->Codec.seal(Header, Order->Part);
-    if (!sendBulk(Order->Address, Message, Limits)) {
+    const std::string Message = this->Codec.seal(Header, Outgoing->Part);
+    if (!sendBulk(Outgoing->Address, Message, Limits)) {
       this->Counters.drop(PeerDrop::SendFailed);
       continue;
     }
@@ -362,15 +368,15 @@
 
 Poco::JSON::Object::Ptr PeerTransport::Impl::dump() {
   std::lock_guard<std::mutex> Lock(this->Mutex);
-  Poco::JSON::Object::Ptr Book = new Poco::JSON::Object;
-  for (const auto &[Peer, Where] : this->AddressBook)
-    Book->set(std::to_string(Peer.Value), Where);
+  Poco::JSON::Object::Ptr Addresses = new Poco::JSON::Object;
+  for (const auto &[Peer, PeerAddress] : this->AddressBook)
+    Addresses->set(std::to_string(Peer.Value), PeerAddress);
   Poco::JSON::Object::Ptr Dump = new Poco::JSON::Object;
   Dump->set("address", this->Address);
   Dump->set("bytes_per_second", this->Settings.BytesPerSecond);
   Dump->set("burst_bytes", this->Settings.BurstBytes);
   Dump->set("blocked_peers", this->Blocked.size());
-  Dump->set("addresses", Book);
+  Dump->set("addresses", Addresses);
   Dump->set("counters", this->Counters.dump());
   return Dump;
 }
@@ -390,7 +396,9 @@
 
 PeerTransport::~PeerTransport() = default;
 
-void PeerTransport::send(const SendToPeer &Order) { this->State->send(Order); }
+void PeerTransport::send(const SendToPeer &Outgoing) {
+  this->State->send(Outgoing);
+}
 
 void PeerTransport::sendToAddress(const std::string &Address,
                                   const PeerPart &Part) {
@@ -408,20 +416,20 @@
   this->removeAddress(Peer);
   std::lock_guard<std::mutex> Lock(this->State->Mutex);
   this->State->AddressBook[Peer] = Canonical;
-  this->State->RouterAt[Canonical] = Peer;
+  this->State->RouterByAddress[Canonical] = Peer;
   return {};
 }
 
 void PeerTransport::removeAddress(RouterId Peer) {
   std::lock_guard<std::mutex> Lock(this->State->Mutex);
-  const auto Known = this->State->AddressBook.find(Peer);
-  if (Known == this->State->AddressBook.end())
+  const auto Entry = this->State->AddressBook.find(Peer);
+  if (Entry == this->State->AddressBook.end())
     return;
-  // The address may meanwhile be that of a router that took its place.
-  const auto Holder = this->State->RouterAt.find(Known->second);
-  if (Holder != this->State->RouterAt.end() && Holder->second == Peer)
-    this->State->RouterAt.erase(Holder);
-  this->State->AddressBook.erase(Known);
+  // The address may meanwhile belong to the router that replaced this one.
+  const auto Reverse = this->State->RouterByAddress.find(Entry->second);
+  if (Reverse != this->State->RouterByAddress.end() && Reverse->second == Peer)
+    this->State->RouterByAddress.erase(Reverse);
+  this->State->AddressBook.erase(Entry);
 }
 
 Result<void> PeerTransport::setBlockedPeers(std::set<RouterId> Peers) {
--- a/src/Peer/ReplayWindow.h
+++ b/src/Peer/ReplayWindow.h
@@ -7,41 +7,42 @@
 
 namespace parsleywing {
 
-/// Tells whether a datagram of one sender was seen before. The network may
-/// double a datagram; the sign would be an account charged twice for it. Keeps
-/// the last 64 sequence numbers; an older number counts as seen. A new life of
-/// the sender starts afresh. Datagrams of an older life pass unchecked, since
-/// membership must tell that process of its successor; whoever else reads a
-/// part compares the life.
+/// Detects duplicate datagrams of one sender. The network may duplicate a
+/// datagram; without this check an account would be charged twice for it.
+/// Remembers the last 64 sequence numbers; an older number counts as received.
+/// A new incarnation of the sender resets the window. Datagrams of an older
+/// incarnation pass unchecked, since membership must inform that process of its
+/// successor; other readers of a part compare the incarnation number.
 class ReplayWindow {
 public:
-  bool accept(Incarnation FromLife, std::uint32_t Sequence) {
-    if (FromLife < this->Life)
+  bool accept(Incarnation SenderIncarnation, std::uint32_t Sequence) {
+    if (SenderIncarnation < this->IncarnationNumber)
       return true;
-    if (FromLife > this->Life) {
-      this->Life = FromLife;
-      this->Highest = Sequence;
-      this->Seen = 1;
+    if (SenderIncarnation > this->IncarnationNumber) {
+      this->IncarnationNumber = SenderIncarnation;
+      this->HighestSequence = Sequence;
+      this->ReceivedMask = 1;
       return true;
     }
-    // Taken as signed, the difference stays right when the number wraps.
-    const auto Ahead = static_cast<std::int32_t>(Sequence - this->Highest);
+    // As a signed number, the difference is correct across wraparound.
+    const auto Ahead =
+        static_cast<std::int32_t>(Sequence - this->HighestSequence);
     if (Ahead > 0) {
-      this->Seen = Ahead < 64 ? (this->Seen << Ahead) | 1 : 1;
-      this->Highest = Sequence;
+      this->ReceivedMask = Ahead < 64 ? (this->ReceivedMask << Ahead) | 1 : 1;
+      this->HighestSequence = Sequence;
       return true;
     }
-    const std::int64_t Behind = -std::int64_t{Ahead};
-    if (Behind >= 64 || ((this->Seen >> Behind) & 1) != 0)
+    const std::int64_t Age = -std::int64_t{Ahead};
+    if (Age >= 64 || ((this->ReceivedMask >> Age) & 1) != 0)
       return false;
-    this->Seen |= std::uint64_t{1} << Behind;
+    this->ReceivedMask |= std::uint64_t{1} << Age;
     return true;
   }
 
 private:
-  Incarnation Life = 0;
-  std::uint32_t Highest = 0;
-  std::uint64_t Seen = 0;
+  Incarnation IncarnationNumber = 0;
+  std::uint32_t HighestSequence = 0;
+  std::uint64_t ReceivedMask = 0;
 };
 
 } // namespace parsleywing
--- a/test/Peer/PeerPair.h
+++ b/test/Peer/PeerPair.h
@@ -12,7 +12,7 @@
 
 namespace parsleywing::test {
 
-/// Gathers what a transport passes on.
+/// Collects the parts that a transport delivers.
 class Inbox {
 public:
   PeerTransport::Sink sink() {
@@ -46,7 +46,7 @@
   return Settings;
 }
 
-/// Two transports on loopback that know each other's addresses.
+/// Two transports on loopback that have each other's addresses.
 struct PeerPair {
   Inbox LeftInbox;
   Inbox RightInbox;
@@ -64,9 +64,9 @@
   }
 };
 
-/// Polls until the condition holds; false where it does not within 10 s.
+/// Polls until the condition holds. Returns false if it does not within 10 s.
 inline bool eventually(const std::function<bool()> &Condition) {
-  for (int Try = 0; Try < 2000; ++Try) {
+  for (int Poll = 0; Poll < 2000; ++Poll) {
     if (Condition())
       return true;
     std::this_thread::sleep_for(std::chrono::milliseconds(5));
@@ -74,7 +74,7 @@
   return false;
 }
 
-/// A part of about this many bytes.
+/// Returns a part of about this many bytes.
 inline PeerPart partOf(std::size_t Bytes, std::uint32_t Number = 0) {
   MembershipMessage Message;
   Message.Number = Number;
--- a/test/Peer/PeerTransportTest.cpp
+++ b/test/Peer/PeerTransportTest.cpp
@@ -35,7 +35,7 @@
   cr_assert_eq(Pair.Left->counters().DatagramsOut.load(), 1);
 }
 
-Test(PeerTransport, AddressAloneIsEnoughToSay) {
+Test(PeerTransport, SendsToTheAddressOfAnUnknownPeer) {
   PeerPair Pair;
   Pair.Left->removeAddress(RouterId{2});
   Pair.Left->send({RouterId{2}, partOf(20), false, false});
@@ -44,10 +44,10 @@
   cr_assert(eventually([&] { return Pair.RightInbox.size() == 1; }));
 }
 
-// Symptom: a router dies or takes up what a stranger sent.
-// Sequence: garbled, cut, oversized, forged, misdirected and doubled datagrams
-// arrive; then a good one.
-// Cause: anybody on the network can send to the port.
+// Guards against a router that crashes on or accepts datagrams of unknown
+// senders, since any host on the network can send to the port. Corrupt,
+// truncated, oversized, forged, misdirected and duplicate datagrams arrive, and
+// one valid one.
 Test(PeerTransport, BadDatagramsAreCountedAndDropped) {
   PeerPair Pair;
   const std::string Right = Pair.Right->address();
@@ -56,9 +56,9 @@
   sendRaw(std::string(2000, '\1'), Right);
   sendRaw(sealed("forged", {RouterId{1}, 1, RouterId{2}, 900}), Right);
   sendRaw(sealed(Secret, {RouterId{1}, 1, RouterId{3}, 901}), Right);
-  const std::string Good = sealed(Secret, {RouterId{1}, 1, RouterId{2}, 902});
-  sendRaw(Good, Right);
-  sendRaw(Good, Right);
+  const std::string Valid = sealed(Secret, {RouterId{1}, 1, RouterId{2}, 902});
+  sendRaw(Valid, Right);
+  sendRaw(Valid, Right);
   const PeerCounters &Counters = Pair.Right->counters();
   cr_assert(eventually([&] { return Counters.DatagramsIn == 6; }));
   cr_assert(
@@ -69,7 +69,7 @@
   cr_assert_eq(Pair.RightInbox.size(), 1);
 }
 
-Test(PeerTransport, BulkPartsArriveWhole) {
+Test(PeerTransport, BulkPartsArriveComplete) {
   PeerPair Pair;
   Pair.Left->send({RouterId{2}, partOf(3'000'000, 8), false, true});
   cr_assert(eventually([&] { return Pair.RightInbox.size() == 1; }));
@@ -84,15 +84,14 @@
   cr_assert_eq(Pair.Left->counters().dropped(PeerDrop::TooLarge), 1);
 }
 
-// Symptom: bulk messages to all routers stop for good.
-// Sequence: one peer accepts connections and answers nothing; then a message
-// goes to another peer.
-// Cause: a connection that went silent would hold the sender for ever.
-// Fails without the deadline of `receiveAll`; see docs/PEERS.md, mutation 13.
-Test(PeerTransport, SilentPeerDoesNotHoldUpBulk) {
-  PeerSettings Hasty = loopbackSettings(1);
-  Hasty.BulkDeadline = 100ms;
-  PeerPair Pair(Hasty);
+// Guards against bulk messages to all routers that stop because one peer
+// accepts connections and never responds, so that the sending thread waits
+// forever. A message to another peer follows. Fails without the deadline of
+// `receiveAll`; see docs/PEERS.md, mutation 13.
+Test(PeerTransport, SilentPeerDoesNotBlockBulkMessages) {
+  PeerSettings ShortDeadline = loopbackSettings(1);
+  ShortDeadline.BulkDeadline = 100ms;
+  PeerPair Pair(ShortDeadline);
   const Poco::Net::ServerSocket Silent(
       Poco::Net::SocketAddress("127.0.0.1", 0));
   cr_assert(Pair.Left->setAddress(RouterId{3}, Silent.address().toString()));
@@ -102,14 +101,13 @@
   cr_assert_eq(Pair.Left->counters().dropped(PeerDrop::SendFailed), 1);
 }
 
-// Symptom: no bulk message is received any more.
-// Sequence: as many connections as there are threads claim a length of 4 GiB
-// or send nothing; then a good message comes.
-// Cause: each would hold a thread or gigabytes.
-Test(PeerTransport, IdleConnectionsAreEnded) {
-  PeerSettings Hasty = loopbackSettings(2);
-  Hasty.BulkDeadline = 200ms;
-  PeerPair Pair(loopbackSettings(1), Hasty);
+// Guards against a router that receives no more bulk messages: more connections
+// than there are threads claim a length of 4 GiB or send nothing, and each
+// would occupy a thread or gigabytes of memory. A valid message follows.
+Test(PeerTransport, IdleBulkConnectionsAreClosed) {
+  PeerSettings ShortDeadline = loopbackSettings(2);
+  ShortDeadline.BulkDeadline = 200ms;
+  PeerPair Pair(loopbackSettings(1), ShortDeadline);
   const Poco::Net::SocketAddress Right(Pair.Right->address());
   std::vector<Poco::Net::StreamSocket> Idle;
   for (int Connection = 0; Connection < 6; ++Connection) {
@@ -121,8 +119,8 @@
   cr_assert(eventually([&] { return Pair.RightInbox.size() == 1; }));
 }
 
-// Faults can be asked for where the settings allow it, and nowhere else.
-Test(PeerTransport, BlockedPeersHearNothing) {
+// Faults can be injected only if the settings allow it.
+Test(PeerTransport, TrafficOfBlockedPeersIsDropped) {
   PeerSettings Allowed = loopbackSettings(2);
   Allowed.FaultInjectionAllowed = true;
   PeerPair Pair(loopbackSettings(1), Allowed);
@@ -138,7 +136,7 @@
   cr_assert_eq(numberOf(Pair.RightInbox.at(0)), 2);
 }
 
-Test(PeerTransport, DumpHoldsCountersAndAddresses) {
+Test(PeerTransport, DumpContainsCountersAndAddresses) {
   PeerPair Pair;
   const auto Dump = Pair.Left->dump();
   cr_assert(Dump->getObject("counters")->has("datagrams_out"));
