--- a/demo/DemoMain.cpp
+++ b/demo/DemoMain.cpp
@@ -1,5 +1,6 @@
 // Sends requests of several client accounts to the routers of a demonstration
-// fleet and prints who got which part of the capacity, and from which router.
+// fleet, and prints each account's share of the completed requests and which
+// router served them.
 
 #include "Runtime/LatencyHistogram.h"
 
@@ -20,8 +21,8 @@
 
 namespace {
 
-constexpr int TokensARequest = 20;
-constexpr int WorkersAnAccount = 24;
+constexpr int TokensPerRequest = 20;
+constexpr int WorkersPerAccount = 24;
 constexpr auto PauseAfterRefusal = std::chrono::milliseconds(50);
 
 struct Account {
@@ -44,20 +45,20 @@
   std::array<std::atomic<int>, 2> Completed{};
 };
 
-/// The load of one run: when it ends, and where it goes.
+/// The duration and the targets of one run.
 struct Load {
   std::chrono::steady_clock::time_point Middle;
   std::chrono::steady_clock::time_point End;
   std::deque<Router> Routers;
 };
 
-/// Adds the outcome of one whole answer to the numbers.
-void countAnswer(const Load &Run, Router &Entry, Account &Caller,
-                 const Poco::Net::HTTPResponse &Response,
-                 const std::string &Answer) {
-  if (Answer.find("response.completed") != std::string::npos) {
+/// Counts the outcome of one complete response.
+void countOutcome(const Load &Run, Router &Target, Account &Caller,
+                  const Poco::Net::HTTPResponse &Response,
+                  const std::string &Text) {
+  if (Text.find("response.completed") != std::string::npos) {
     ++Caller.Completed;
-    ++Entry.Completed[std::chrono::steady_clock::now() < Run.Middle ? 0 : 1];
+    ++Target.Completed[std::chrono::steady_clock::now() < Run.Middle ? 0 : 1];
     return;
   }
   if (Response.get("X-Outcome", "") != "not-run") {
@@ -68,13 +69,13 @@
   std::this_thread::sleep_for(PauseAfterRefusal);
 }
 
-/// Sends one request on a connection that is open, and counts its outcome. An
-/// answer that breaks off counts as unknown.
-void exchange(const Load &Run, Router &Entry, Account &Caller,
-              const Poco::Net::StreamSocket &Connection) {
+/// Sends one request on an open connection and counts its outcome. The outcome
+/// of a truncated response is unknown.
+void sendAndCount(const Load &Run, Router &Target, Account &Caller,
+                  const Poco::Net::StreamSocket &Connection) {
   const std::string Body =
       R"({"model":"advisory","stream":true,"input":"tokens=)" +
-      std::to_string(TokensARequest) + R"("})";
+      std::to_string(TokensPerRequest) + R"("})";
   const auto Start = std::chrono::steady_clock::now();
   ++Caller.Sent;
   try {
@@ -84,9 +85,9 @@
     Request.setContentLength(static_cast<std::streamsize>(Body.size()));
     Session.sendRequest(Request) << Body;
     Poco::Net::HTTPResponse Response;
-    std::string Answer;
-    Poco::StreamCopier::copyToString(Session.receiveResponse(Response), Answer);
-    countAnswer(Run, Entry, Caller, Response, Answer);
+    std::string Text;
+    Poco::StreamCopier::copyToString(Session.receiveResponse(Response), Text);
+    countOutcome(Run, Target, Caller, Response, Text);
   } catch (const Poco::Exception &) {
     ++Caller.Unknown;
   }
@@ -94,16 +95,16 @@
       std::chrono::steady_clock::now() - Start));
 }
 
-/// Sends one request after the other. Goes to the next router where one takes
-/// no connection, as a balancer in front of the fleet would.
+/// Sends requests one after another. If a router accepts no connection,
+/// switches to the next one, as a load balancer in front of the fleet would.
 void work(Load &Run, Account &Caller, std::size_t FirstRouter) {
   std::size_t Index = FirstRouter % Run.Routers.size();
   while (std::chrono::steady_clock::now() < Run.End) {
-    Router &Entry = Run.Routers[Index];
+    Router &Target = Run.Routers[Index];
     try {
       const Poco::Net::StreamSocket Connection{
-          Poco::Net::SocketAddress(Entry.Address)};
-      exchange(Run, Entry, Caller, Connection);
+          Poco::Net::SocketAddress(Target.Address)};
+      sendAndCount(Run, Target, Caller, Connection);
     } catch (const Poco::Exception &) {
       Index = (Index + 1) % Run.Routers.size();
       std::this_thread::sleep_for(PauseAfterRefusal);
@@ -120,7 +121,7 @@
   }
   std::printf("%-10s %5s %8s %9s %7s %7s %7s %9s %9s %8s %8s\n", "account",
               "share", "requests", "completed", "not-run", "unknown", "tokens",
-              "part due", "part got", "p50 ms", "p95 ms");
+              "expected", "received", "p50 ms", "p95 ms");
   for (const Account *Each : Accounts) {
     const auto Milliseconds = [Each](double Part) {
       return static_cast<double>(Each->Latency.quantile(Part).count()) / 1e3;
@@ -128,7 +129,7 @@
     std::printf("%-10s %5d %8d %9d %7d %7d %7d %8.1f%% %8.1f%% %8.0f %8.0f\n",
                 Each->Name.c_str(), Each->Share, Each->Sent.load(),
                 Each->Completed.load(), Each->NotRun.load(),
-                Each->Unknown.load(), Each->Completed * TokensARequest,
+                Each->Unknown.load(), Each->Completed * TokensPerRequest,
                 100.0 * Each->Share / AllShares,
                 AllCompleted ? 100.0 * Each->Completed / AllCompleted : 0.0,
                 Milliseconds(0.5), Milliseconds(0.95));
@@ -153,15 +154,15 @@
 
 } // namespace
 
-/// Takes the seconds to run and the routers' addresses.
+/// Arguments: the duration in seconds, and the addresses of the routers.
 int main(int ArgumentCount, char **Arguments) {
   if (ArgumentCount < 3) {
     std::fputs("usage: parsleywing-demo SECONDS ROUTER...\n", stderr);
     return 2;
   }
-  const auto Length = std::chrono::seconds(std::atoi(Arguments[1]));
+  const auto RunTime = std::chrono::seconds(std::atoi(Arguments[1]));
   const auto Start = std::chrono::steady_clock::now();
-  Load Run{Start + Length / 2, Start + Length, {}};
+  Load Run{Start + RunTime / 2, Start + RunTime, {}};
   for (int Index = 2; Index < ArgumentCount; ++Index)
     Run.Routers.emplace_back(Arguments[Index]);
   Account Large("large", 4);
@@ -170,7 +171,7 @@
   const std::vector<Account *> Accounts{&Large, &Middle, &Small};
   std::vector<std::thread> Workers;
   for (Account *Each : Accounts)
-    for (std::size_t Index = 0; Index < WorkersAnAccount; ++Index)
+    for (std::size_t Index = 0; Index < WorkersPerAccount; ++Index)
       Workers.emplace_back([&Run, Each, Index] { work(Run, *Each, Index); });
   for (std::thread &Worker : Workers)
     Worker.join();
