--- a/tools/check.sh
+++ b/tools/check.sh
@@ -1,12 +1,12 @@
 #!/usr/bin/env bash
-# Checks the links of the pages, and the format and the lint of every source
-# file that git knows. All findings are printed, and any one fails the check.
+# Checks the links of the pages, and the format and lint of all source files
+# that are tracked by git. Prints all findings; exits with 1 if there is any.
 #   tools/check.sh                 everything
-#   tools/check.sh --since REV     lint only what differs from REV's branch point
+#   tools/check.sh --since REV     lints only what changed since REV's merge base
 #
-# A file that was clean is not linted again while it, the files of the
-# repository that it includes, the configuration and the linter are the same;
-# build/tidy holds an empty file for each such state. A new machine has none.
+# A file that was clean is not linted again while it, the repository's files
+# that it includes, the configuration and the linter are unchanged; build/tidy
+# contains an empty file for each such state, and is empty on a new machine.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 
@@ -26,8 +26,8 @@
 States=build/tidy
 mkdir -p "$States"
 Linter=$(clang-tidy --version; cat .clang-tidy)
-# Each source file with the files of the repository that it includes, as the
-# build has found them: "source include include ...".
+# Each source file with the repository's files that it includes, as recorded by
+# the build: "source include include ...".
 declare -A Includes
 while read -r Source Rest; do Includes[$Source]=$Rest; done < <(
   ninja -C build -t deps | sed 's/^ *//' | awk -v Here="$PWD/" '
@@ -35,7 +35,7 @@
     { sub("^" Here, ""); sub("^[.][.]/", "") }
     /^(src|standin|test|bench|demo)\// { Line = Line $0 " " }
     END { if (Line) print Line }')
-# Prints what the verdict on a file depends on, as one hash.
+# Prints a hash of everything that the lint result of a file depends on.
 stateOf() {
   # shellcheck disable=SC2086
   { echo "$Linter"; cat CMakeLists.txt "$1" ${Includes[$1]:-} || true; } \
@@ -46,7 +46,7 @@
 Due=()
 for File in "${Wanted[@]}"; do
   State=$(stateOf "$File")
-  # Without the list of includes the file is always linted.
+  # A file whose includes are unknown is always linted.
   if [ -n "${Includes[$File]:-}" ] && [ -e "$States/$State" ]; then
     Known=$((Known + 1))
   else
@@ -64,7 +64,7 @@
     echo "$Output"
     exit 1' >"$Log" || Result=1
 fi
-# A finding in a header comes once for each file that includes it.
+# A finding in a header is reported once for each file that includes it.
 grep -E '(warning|error):' "$Log" | sort -u || true
 if [ "$Result" -ne 0 ]; then
   grep -qE '(warning|error):' "$Log" || tail -n 50 "$Log"
--- a/tools/fairness-run.sh
+++ b/tools/fairness-run.sh
@@ -1,6 +1,7 @@
 #!/usr/bin/env bash
-# Runs the randomised fairness test with as many seeds as wanted and prints
-# those that fail. Usage: tools/fairness-run.sh [count] [first seed]
+# Runs the randomized fairness test with a number of seeds and prints the seeds
+# that fail.
+#   tools/fairness-run.sh [COUNT [FIRST_SEED]]
 set -euo pipefail
 cd "$(dirname "$0")/.."
 export FAIRNESS_SEEDS="${1:-50}" FAIRNESS_FIRST_SEED="${2:-1}"
--- a/tools/install.sh
+++ b/tools/install.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Installs what the build and the checks need, from Debian's packages.
+# Installs the Debian packages that the build and the checks need.
 set -euo pipefail
 Packages="g++ cmake ninja-build ccache pkg-config clang-format clang-tidy \
   libpoco-dev libcereal-dev libboost-dev libboost-program-options-dev \
--- a/tools/kinds.sh
+++ b/tools/kinds.sh
@@ -1,10 +1,11 @@
 #!/usr/bin/env bash
-# Plays a day of its own for each kind of trouble that a site's bench knows, the
-# trouble three times on a calm day, and prints a table: what was served, and
-# which rules were broken. Days are made here from the site's calm day, so that
-# nothing of the site's file stands in the repository.
-#   tools/kinds.sh BENCH SITE "why" [KIND ...]    all kinds where none is named
-# BENCH is the users' program; its entries go into journal/ as with each run.
+# Runs one scenario for each kind of fault that a site's bench supports, with
+# the fault injected three times into a quiet day, and prints a table of the
+# outcomes and of the rules that were broken. The scenarios are generated from
+# the site's quiet day, so that no part of the site file is stored in the
+# repository.
+#   tools/kinds.sh BENCH SITE "why" [KIND ...]    all kinds if none is given
+# BENCH is the users' program; it adds its entries to journal/ as with each run.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 Bench=$1
@@ -19,8 +20,8 @@
   mapfile -t Kinds < <("$Bench" kinds "$Site" | sed -n 's/^\([a-z_]*\): .*/\1/p')
 fi
 
-# The first day of the site's file whose name begins with "quiet", without its
-# planned work and its faults, which are lists over several lines.
+# Prints the first day of the site file whose name starts with "quiet", without
+# its planned work and its faults, which are multi-line lists.
 calmDay() {
   awk '
     /^\[\[day\]\]/ { if (Wanted) exit; Text = ""; Reading = 1 }
@@ -33,7 +34,8 @@
     END { if (Wanted) printf "%s", Text }' "$Site"
 }
 
-# Early, in the middle, and again at once: the second may meet the first.
+# Early, in the middle, and shortly after that, so that the third fault may
+# overlap with the second.
 Starts=(4 12 15)
 calmDay >"$Folder/calm.toml"
 [ -s "$Folder/calm.toml" ] || { echo "no calm day in $Site" >&2; exit 1; }
--- a/tools/links.sh
+++ b/tools/links.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Checks that every relative link of the pages leads to a file of the
-# repository. Prints the broken ones.
+# Checks that every relative link in the pages points to a file in the
+# repository. Prints the broken links.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 Broken=0
--- a/tools/pair.sh
+++ b/tools/pair.sh
@@ -1,8 +1,9 @@
 #!/usr/bin/env bash
-# Plays days of a deployment with several seeds on this state of the code, and
-# prints each day's worth and their mean, to compare two states on the same days.
+# Runs days of a deployment with several seeds on the current state of the code,
+# and prints the worth of each day and their mean, to compare two states of the
+# code on the same days.
 #   tools/pair.sh BENCH SITE "why" "DAY..." "SEED..." [JOBS]
-# BENCH is the users' program. A rule that breaks is printed with its day.
+# BENCH is the users' program. A broken rule is printed with its day.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 Bench=$1 Site=$2 Why=$3 Days=$4 Seeds=$5 Jobs=${6:-4}
--- a/tools/regression.sh
+++ b/tools/regression.sh
@@ -1,9 +1,10 @@
 #!/usr/bin/env bash
-# Scores what must hold, one deployment after the other, and prints a table: the
-# gate, and the mean worth of the days with trouble beside its floor, 0.03 under
-# what was reached. Ends with 1 where one fails.
+# Scores deployments one after another and prints a table for regression checks:
+# the gate, and the mean worth of the days with trouble next to its floor, which
+# is 0.03 below the worth that was reached before. Exits with 1 if a deployment
+# fails.
 #   tools/regression.sh BENCH FOLDER "why" [DEPLOYMENT...]
-# BENCH is the users' program, FOLDER holds the folders of their site files.
+# BENCH is the users' program, FOLDER contains the folders of their site files.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 Bench=$1 Folder=$2 Why=$3
@@ -12,7 +13,7 @@
   [kakao-batch-large]=0.63 [ancll-desk]=0.64 [ancll-desk-grown]=0.59
   [kakao-batch-grown]=0.62 [meridian-crew-grown]=0.56
   [kakao-batch]=0.70 [meridian-crew]=0.67 [kakao-batch-now-grown]=0.65)
-# The last three are played once a landing.
+# The last three deployments are run once per merge.
 [ $# -gt 0 ] || set -- kakao-batch-large ancll-desk ancll-desk-grown \
   kakao-batch-grown meridian-crew-grown
 Log=$(mktemp)
--- a/tools/request-run.sh
+++ b/tools/request-run.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# Runs the randomised test of the request decisions at length.
+# Runs the randomized test of the request decisions with many cases.
 #   tools/request-run.sh [RUNS [SEED]]
-# A failure prints the seed and the steps of the run, and how to repeat it.
+# A failure prints the seed, the steps of the run, and how to reproduce it.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 Runs=${1:-5000}
--- a/tools/sanitize.sh
+++ b/tools/sanitize.sh
@@ -1,12 +1,13 @@
 #!/usr/bin/env bash
-# Builds and runs tests with the compiler's sanitizers, in a build folder of its
-# own. Not part of the checks of each change: it compiles all libraries anew.
+# Builds and runs tests with the compiler's sanitizers, in a separate build
+# folder. Not part of the checks of each change, since it compiles all libraries
+# from scratch.
 #   tools/sanitize.sh [address|thread] [test folders...]
-# address (the default) also looks for undefined behaviour. Folders are those of
-# test/; by default Decision Caller Backend Peer Platform, and for thread Caller
-# Peer Platform Control. Exits with 1 where a test or a sanitizer failed; the
-# reports stand in build-KIND/sanitizer-report.PID.
-# JOBS (3) bounds the compilers at once, LIMIT (600 s) the tests' time.
+# address (the default) also detects undefined behaviour. The folders are those
+# of test/; the default is Decision Caller Backend Peer Platform, and for thread
+# Caller Peer Platform Control. Exits with 1 if a test or a sanitizer fails; the
+# reports are in build-KIND/sanitizer-report.PID. JOBS (3) limits the number of
+# concurrent compilers, LIMIT (600 s) the time of the tests.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 
@@ -29,7 +30,7 @@
 esac
 
 Build="build-$Kind"
-# No optimisation and few symbols: most of the time goes into compiling.
+# No optimization and few debug symbols: most of the time is spent compiling.
 cmake -S . -B "$Build" -G Ninja -DCMAKE_BUILD_TYPE=Debug \
   -DCMAKE_CXX_FLAGS_DEBUG="-O0 -g1" \
   -DCMAKE_CXX_FLAGS="$Flags" >/dev/null
@@ -42,9 +43,9 @@
 done
 ninja -C "$Build" -j "${JOBS:-3}" "${Targets[@]}"
 
-# Criterion runs each test in a process of its own, so a report ends only its
-# own test; the log files keep what the test's output does not show. Each test
-# process leaves what it never frees to its end, so leaks are not looked for.
+# Criterion runs each test in its own process, so a report ends only that test;
+# the log files keep reports that are missing from the test's output. Test
+# processes do not free everything before they exit, so leak detection is off.
 Report="$PWD/$Build/sanitizer-report"
 rm -f "$Report".*
 export ASAN_OPTIONS="log_path=$Report:detect_leaks=0"
