--- a/src/Caller/CallerApi.cpp
+++ b/src/Caller/CallerApi.cpp
@@ -30,7 +30,7 @@
     return true;
   E.Response.set("Allow", Method);
   E.sendProblem({ProblemType::MethodNotAllowed,
-                 "This path accepts only " + Method + "."});
+                 "This path is served with " + Method + " only."});
   return false;
 }
 
@@ -136,8 +136,7 @@
   if (!requireMethod(E, HTTPServerRequest::HTTP_GET))
     return;
   if (E.Context.Draining) {
-    E.sendProblem({ProblemType::Draining,
-                   "This router accepts no new requests.",
+    E.sendProblem({ProblemType::Draining, "This router takes no new work.",
                    RequestOutcome::NotRun, E.Context.Settings.LimitRetryAfter});
     return;
   }
@@ -164,8 +163,7 @@
   else if (Path.starts_with(ServicesPrefix))
     servePlainService(E);
   else
-    E.sendProblem(
-        {ProblemType::NotFound, "There is no resource at this path."});
+    E.sendProblem({ProblemType::NotFound, "Nothing is served at this path."});
 }
 
 } // namespace parsleywing
--- a/src/Caller/CallerConnection.cpp
+++ b/src/Caller/CallerConnection.cpp
@@ -114,13 +114,14 @@
 Problem CallerConnection::headProblem() const {
   if (this->SocketImpl->receiveTimedOut())
     return {ProblemType::ReceiveTimeout,
-            "The request head was not received completely in time."};
+            "The head of the request did not come whole in time."};
   if (this->SocketImpl->headTooLarge())
     return {ProblemType::HeadersTooLarge,
-            "The request head exceeds the limit of " +
+            "The head of the request may hold " +
                 std::to_string(this->Context.Settings.MaxHeaderBytes) +
                 " bytes."};
-  return {ProblemType::InvalidRequest, "The request head is not valid HTTP."};
+  return {ProblemType::InvalidRequest,
+          "The head of the request is not valid HTTP."};
 }
 
 /// If all responses are acknowledged and no bytes are unread, the connection is
--- a/src/Caller/CallerServer.cpp
+++ b/src/Caller/CallerServer.cpp
@@ -58,10 +58,9 @@
   /// the empty send buffer, and `CallerWatch` closes the connection later.
   void refuse(Poco::Net::StreamSocket Accepted) {
     const CallerSettings &Settings = this->Context.Settings;
-    const Problem P{
-        ProblemType::ConnectionLimit,
-        "This router has reached its maximum number of connections.",
-        RequestOutcome::NotRun, Settings.LimitRetryAfter};
+    const Problem P{ProblemType::ConnectionLimit,
+                    "This router serves as many connections as it may.",
+                    RequestOutcome::NotRun, Settings.LimitRetryAfter};
     const std::string Identity = Settings.RouterName + "-" +
                                  this->Context.IncarnationNumber + "-" +
                                  std::to_string(this->Context.NextRequest++);
--- a/src/Caller/CallerSocket.cpp
+++ b/src/Caller/CallerSocket.cpp
@@ -34,11 +34,11 @@
       !this->poll(Poco::Timespan(TimeLeft.count()),
                   Poco::Net::Socket::SELECT_READ)) {
     this->TimedOut = true;
-    throw Poco::TimeoutException("the request was not received in time");
+    throw Poco::TimeoutException("the request did not come in time");
   }
   if (this->RemainingHeadBytes == 0) {
     this->HeadTooLarge = true;
-    throw Poco::Net::MessageException("the request head is too large");
+    throw Poco::Net::MessageException("the head of the request is too large");
   }
   const int Received = StreamSocketImpl::receiveBytes(Buffer, Length, Flags);
   if (Received <= 0)
--- a/src/Caller/Problem.cpp
+++ b/src/Caller/Problem.cpp
@@ -17,7 +17,7 @@
 std::string_view sentenceFor(RequestOutcome Outcome) {
   switch (Outcome) {
   case RequestOutcome::Completed:
-    return "An earlier request with this Idempotency-Key was completed";
+    return "An earlier request with this Idempotency-Key ran to its end";
   case RequestOutcome::NotRun:
     return "The request did not run";
   case RequestOutcome::Unknown:
--- a/src/Caller/RequestParser.cpp
+++ b/src/Caller/RequestParser.cpp
@@ -54,8 +54,7 @@
   std::string Key = Request.get(IdempotencyKeyHeader);
   if (Key.empty() || Key.size() > MaxLength || !isPrintable(Key))
     return refuse(ProblemType::InvalidHeader,
-                  "Idempotency-Key must have 1 to " +
-                      std::to_string(MaxLength) +
+                  "Idempotency-Key takes 1 to " + std::to_string(MaxLength) +
                       " visible ASCII characters without spaces.");
   return Key;
 }
@@ -68,9 +67,8 @@
   if (!Poco::NumberParser::tryParseUnsigned(Request.get(TimeoutHeader),
                                             Seconds) ||
       Seconds == 0)
-    return refuse(
-        ProblemType::InvalidHeader,
-        "X-Request-Timeout-Seconds must be an integer of at least 1.");
+    return refuse(ProblemType::InvalidHeader,
+                  "X-Request-Timeout-Seconds takes a whole number from 1.");
   return std::min<Duration>(std::chrono::seconds(Seconds), Settings.MaxTimeout);
 }
 
@@ -82,7 +80,7 @@
   }
   if (!Body.isArray("input") || Body.getArray("input")->empty())
     return refuse(ProblemType::InvalidBody,
-                  "'input' must be a string or a non-empty list of messages.");
+                  "'input' takes a string or a list of messages.");
   std::ostringstream List;
   Body.getArray("input")->stringify(List);
   Out.InputJson = List.str();
@@ -95,10 +93,10 @@
   const Poco::Dynamic::Var Value = Body.get("max_output_tokens");
   if (Value.isEmpty())
     return Default;
-  const auto InvalidValue = refuse(
-      ProblemType::InvalidBody, "'max_output_tokens' must be an integer from 1 "
-                                "to " +
-                                    std::to_string(Max) + ".");
+  const auto InvalidValue =
+      refuse(ProblemType::InvalidBody,
+             "'max_output_tokens' takes a whole number from 1 to " +
+                 std::to_string(Max) + ".");
   if (!Value.isInteger() || Value.isBoolean())
     return InvalidValue;
   try {
@@ -116,7 +114,7 @@
   if (Value.isEmpty())
     return false;
   if (!Value.isBoolean())
-    return refuse(ProblemType::InvalidBody, "'stream' must be true or false.");
+    return refuse(ProblemType::InvalidBody, "'stream' takes true or false.");
   return Value.convert<bool>();
 }
 
@@ -125,7 +123,7 @@
                        const CallerSettings &Settings, CallerRequest &Out) {
   const Poco::Dynamic::Var Model = Body.get("model");
   if (!Model.isString())
-    return refuse(ProblemType::InvalidBody, "'model' must be a string.");
+    return refuse(ProblemType::InvalidBody, "'model' takes a string.");
   Out.Model = Model.extract<std::string>();
   Out.Service = idOf<ServiceId>(Out.Model);
   if (const auto Input = parseInput(Body, Out); !Input)
@@ -165,22 +163,22 @@
   if (Request.has(HTTPMessage::TRANSFER_ENCODING) &&
       (!Chunked || Request.hasContentLength()))
     return refuse(ProblemType::InvalidRequest,
-                  "The body must be framed by either Content-Length or the "
-                  "chunked transfer encoding.");
+                  "The body takes either Content-Length or the chunked "
+                  "transfer encoding, and no other.");
   if (Chunked)
     return {};
   if (!Request.hasContentLength()) {
     if (Request.getMethod() == HTTPServerRequest::HTTP_POST ||
         Request.getMethod() == HTTPServerRequest::HTTP_PUT)
       return refuse(ProblemType::LengthRequired,
-                    "The request must have a Content-Length.");
+                    "The request needs a Content-Length.");
     return {};
   }
   const Poco::Int64 Length = Request.getContentLength64();
   if (Length < 0)
     return refuse(ProblemType::InvalidRequest, "Content-Length is negative.");
   if (static_cast<std::uint64_t>(Length) > MaxBodyBytes)
-    return refuse(ProblemType::BodyTooLarge, "The body exceeds the limit of " +
+    return refuse(ProblemType::BodyTooLarge, "The body may hold " +
                                                  std::to_string(MaxBodyBytes) +
                                                  " bytes.");
   return {};
@@ -192,11 +190,11 @@
   const CallerSettings &Settings = E.Context.Settings;
   if (E.Request->getURI().size() > Settings.MaxUriBytes)
     return refuse(ProblemType::UriTooLong,
-                  "The request target exceeds the limit of " +
+                  "The request target may hold " +
                       std::to_string(Settings.MaxUriBytes) + " bytes.");
   if (E.Request->size() > Settings.MaxHeaderFields)
     return refuse(ProblemType::HeadersTooLarge,
-                  "The request exceeds the limit of " +
+                  "The request may have " +
                       std::to_string(Settings.MaxHeaderFields) +
                       " header fields.");
   return checkFraming(*E.Request, Settings.MaxBodyBytes);
@@ -210,7 +208,7 @@
             Declared.Keys->find(Credentials.substr(BearerPrefix.size())))
       return *Account;
   return refuse(ProblemType::UnknownKey,
-                "The key in the Authorization header is unknown.");
+                "The key in the Authorization header is not known.");
 }
 
 bool mayUse(const Declarations &Declared, AccountId Account,
@@ -240,12 +238,11 @@
     Body.append(Chunk.data(), static_cast<std::size_t>(In.gcount()));
     if (Body.size() > Max)
       return refuse(ProblemType::BodyTooLarge,
-                    "The body exceeds the limit of " + std::to_string(Max) +
-                        " bytes.");
+                    "The body may hold " + std::to_string(Max) + " bytes.");
   }
   if (E.SocketImpl.receiveTimedOut())
     return refuse(ProblemType::ReceiveTimeout,
-                  "The body was not received completely in time.");
+                  "The body did not come whole in time.");
   // POCO ends the stream in the same way at the end of the body and on an
   // error.
   const bool Chunked = E.Request->getChunkedTransferEncoding();
@@ -253,7 +250,7 @@
       (!Chunked &&
        Body.size() != static_cast<std::uint64_t>(std::max<Poco::Int64>(
                           0, E.Request->getContentLength64()))))
-    return refuse(ProblemType::InvalidBody, "The body is incomplete.");
+    return refuse(ProblemType::InvalidBody, "The body did not come whole.");
   // A malformed chunk looks like the last one, so no request may follow a
   // chunked body.
   E.BodyRead = !Chunked;
@@ -292,8 +289,7 @@
                                        Settings.FleetSecret);
   if (!Out.HandedOver)
     return refuse(ProblemType::InvalidHeader,
-                  std::string(HandOverHeader) +
-                      " may be used only by routers.");
+                  std::string(HandOverHeader) + " is for routers only.");
   return {};
 }
 
@@ -316,7 +312,7 @@
   const ServiceDeclaration &Service = Declared.Active->Services.at(Out.Service);
   if (Service.Kind != ServiceKind::Engine)
     return refuse(ProblemType::InvalidBody,
-                  "The service is not a model; call it under /services.");
+                  "The service is no model; call it under /services.");
   Out.Repeatable = Service.Repeatable;
   if (const auto Outcome = parseHeaders(E, Out); !Outcome)
     return tl::unexpected(Outcome.error());
