--- a/bench/LoadResponseReader.h
+++ b/bench/LoadResponseReader.h
@@ -32,7 +32,7 @@
   /// Whether a token or a sequence number was out of order.
   bool isOutOfOrder() const { return this->OutOfOrder; }
 
-  /// The outcome that the router reports, such as `completed` or `not run`;
+  /// The outcome that the router reports, such as `completed` or `not-run`;
   /// empty if there is none yet.
   const std::string &outcome() const { return this->Outcome; }
 
