--- a/bench/FleetFaults.cpp
+++ b/bench/FleetFaults.cpp
@@ -226,17 +226,17 @@
   Outcomes.push_back({"streams truncated without a final event",
                       std::to_string(Report.Total.Truncated)});
   const ExecutionCheck &Check = Report.Check;
-  const auto formatCount = [&](std::size_t Count) {
+  const auto FormatCount = [&](std::size_t Count) {
     return Check.Available
                ? std::to_string(Count) + " of " + std::to_string(Check.Compared)
                : "n/a";
   };
   Outcomes.push_back({"reported as completed, but not executed by any engine",
-                      formatCount(Check.CompletedButNotExecuted)});
+                      FormatCount(Check.CompletedButNotExecuted)});
   Outcomes.push_back({"reported as not run, but executed by an engine",
-                      formatCount(Check.NotRunButExecuted)});
+                      FormatCount(Check.NotRunButExecuted)});
   Outcomes.push_back(
-      {"executed by more than one attempt", formatCount(Check.ExecutedAgain)});
+      {"executed by more than one attempt", FormatCount(Check.ExecutedAgain)});
   printTable(Out, Outcomes, Markdown);
 }
 
