--- a/bench/ConfigurationFleetBench.cpp
+++ b/bench/ConfigurationFleetBench.cpp
@@ -72,7 +72,7 @@
   Usage Sum;
   Sum.StoreCalls = static_cast<double>(Fleet.storeCalls());
   for (const FleetRouter &Router : Routers) {
-    const auto Text = OperatorClient(Router.Operators).get("/metrics");
+    const auto Text = OperatorClient(Router.OperatorAddress).get("/metrics");
     if (!Text)
       throw std::runtime_error(Text.error().Message);
     Sum.RouterCalls += metric(*Text, "store_calls_total");
--- a/test/Process/ConfigurationFleet.cpp
+++ b/test/Process/ConfigurationFleet.cpp
@@ -12,11 +12,12 @@
 
 namespace {
 
-constexpr auto Settled = std::chrono::seconds(60);
-constexpr auto Pause = std::chrono::milliseconds(50);
+constexpr auto WaitTimeout = std::chrono::seconds(60);
+constexpr auto PollInterval = std::chrono::milliseconds(50);
 
-/// Nothing where the text is cut short, as by a router killed meanwhile.
-Poco::JSON::Object::Ptr parse(const std::string &Text) {
+/// Returns nothing if the text is truncated, for instance because the router
+/// was killed.
+Poco::JSON::Object::Ptr parseObject(const std::string &Text) {
   try {
     return Poco::JSON::Parser().parse(Text).extract<Poco::JSON::Object::Ptr>();
   } catch (const Poco::Exception &) {
@@ -24,75 +25,77 @@
   }
 }
 
-std::vector<std::size_t> allOf(std::size_t Count) {
-  std::vector<std::size_t> All(Count);
+std::vector<std::size_t> allIndexes(std::size_t Count) {
+  std::vector<std::size_t> Indexes(Count);
   for (std::size_t Index = 0; Index < Count; ++Index)
-    All[Index] = Index;
-  return All;
+    Indexes[Index] = Index;
+  return Indexes;
 }
 
 } // namespace
 
-bool within(std::chrono::seconds Limit, const std::function<bool()> &IsSo) {
+bool waitFor(std::chrono::seconds Limit,
+             const std::function<bool()> &Condition) {
   const auto End = std::chrono::steady_clock::now() + Limit;
-  while (!IsSo()) {
+  while (!Condition()) {
     if (std::chrono::steady_clock::now() > End)
       return false;
-    std::this_thread::sleep_for(Pause);
+    std::this_thread::sleep_for(PollInterval);
   }
   return true;
 }
 
-CommandResult runProgram(std::vector<std::string> Words) {
+CommandResult runProgram(std::vector<std::string> Arguments) {
   const TemporaryFolder Folder;
-  ChildProcess Command("parsleywing", std::move(Words), Folder.path("out"));
+  ChildProcess Command("parsleywing", std::move(Arguments), Folder.path("out"));
   const int Code = Command.wait();
   std::ostringstream Text;
   Text << std::ifstream(Folder.path("out")).rdbuf();
   return {Code, Text.str()};
 }
 
-std::optional<GenerationAnswer> FleetRouter::generation() const {
-  const OperatorClient Client(this->Operators, std::chrono::seconds(1));
+std::optional<GenerationResponse> FleetRouter::generation() const {
+  const OperatorClient Client(this->OperatorAddress, std::chrono::seconds(1));
   const auto Body = Client.get("/generation");
   if (!Body)
     return std::nullopt;
-  const auto Told = parse(*Body);
-  if (!Told)
+  const auto Document = parseObject(*Body);
+  if (!Document)
     return std::nullopt;
-  return GenerationAnswer{Told->getValue<Poco::UInt64>("incarnation"),
-                          Told->getValue<Poco::UInt64>("generation")};
+  return GenerationResponse{Document->getValue<Poco::UInt64>("incarnation"),
+                            Document->getValue<Poco::UInt64>("generation")};
 }
 
 Poco::JSON::Object::Ptr FleetRouter::dump() const {
-  const auto Body = OperatorClient(this->Operators).get("/dump");
-  return Body ? parse(*Body) : Poco::JSON::Object::Ptr();
+  const auto Body = OperatorClient(this->OperatorAddress).get("/dump");
+  return Body ? parseObject(*Body) : Poco::JSON::Object::Ptr();
 }
 
-bool FleetRouter::cutFrom(const std::vector<std::string> &Names) const {
+bool FleetRouter::disconnectFrom(const std::vector<std::string> &Names) const {
   std::string List;
   for (const std::string &Name : Names)
     List += (List.empty() ? "\"" : ",\"") + Name + "\"";
-  return OperatorClient(this->Operators)
+  return OperatorClient(this->OperatorAddress)
       .post("/faults", "{\"cutFrom\":[" + List + "]}")
       .has_value();
 }
 
-ConfigurationFleet::ConfigurationFleet(std::size_t Count, bool WithRelays,
+ConfigurationFleet::ConfigurationFleet(std::size_t Count, bool WithStoreLinks,
                                        int Lease)
     : LeaseSeconds(Lease), Routers(Count),
       StoreProcess("parsleywing-standin", {"--store", this->Store},
                    this->Folder.path("store.log")),
       EngineProcess("parsleywing-standin", {"--engine", this->Engine},
                     this->Folder.path("engine.log")) {
-  // A poll of a router that is killed meanwhile would else end the test.
+  // Otherwise SIGPIPE would end the test when a router is killed during a poll.
   std::signal(SIGPIPE, SIG_IGN);
   if (!waitForListener(this->Store) || !waitForListener(this->Engine))
-    throw std::runtime_error("the stand-ins do not listen");
+    throw std::runtime_error("the stand-ins are not listening");
   for (std::size_t Index = 0; Index < Count; ++Index) {
     this->Routers[Index].Name = "r" + std::to_string(Index + 1);
-    if (WithRelays)
-      this->Routers[Index].Relay = std::make_unique<TroubledWay>(this->Store);
+    if (WithStoreLinks)
+      this->Routers[Index].StoreLink =
+          std::make_unique<TroubledWay>(this->Store);
   }
   for (std::size_t Index = 0; Index < Count; ++Index) {
     FleetRouter &Router = this->Routers[Index];
@@ -101,30 +104,31 @@
     this->startRouter(Index);
   }
   for (const FleetRouter &Router : this->Routers)
-    if (!waitForListener(Router.Operators))
-      throw std::runtime_error("a router does not listen");
+    if (!waitForListener(Router.OperatorAddress))
+      throw std::runtime_error("a router is not listening");
 }
 
 ConfigurationFleet::~ConfigurationFleet() {
-  // Routers go first: a relay waits for the end of their connections.
+  // Routers end first, since a link waits for the end of their connections.
   for (FleetRouter &Router : this->Routers)
     Router.Process.reset();
 }
 
 std::string ConfigurationFleet::settingsFor(const FleetRouter &Router,
                                             std::size_t Index) const {
-  std::string Text =
-      "[router]\nname = " + Router.Name + "\navailability_zone = z" +
-      std::to_string(Index % 2) + "\n[listen]\ncallers = " + Router.Callers +
-      "\npeers = " + Router.Peers + "\noperators = " + Router.Operators +
-      "\n[peers]\nsecret = a-secret-of-the-fleet\n"
-      "fault_injection = yes\n";
+  std::string Text = "[router]\nname = " + Router.Name +
+                     "\navailability_zone = z" + std::to_string(Index % 2) +
+                     "\n[listen]\ncallers = " + Router.CallerAddress +
+                     "\npeers = " + Router.PeerAddress +
+                     "\noperators = " + Router.OperatorAddress +
+                     "\n[peers]\nsecret = a-secret-of-the-fleet\n"
+                     "fault_injection = yes\n";
   for (const FleetRouter &Other : this->Routers)
     if (Other.Name != Router.Name)
-      Text += Other.Name + " = " + Other.Peers + "\n";
+      Text += Other.Name + " = " + Other.PeerAddress + "\n";
   return Text + "[platform]\nlease_life_seconds = " +
          std::to_string(this->LeaseSeconds) + "\naddress = " +
-         (Router.Relay ? Router.Relay->address() : this->Store) + "\n";
+         (Router.StoreLink ? Router.StoreLink->address() : this->Store) + "\n";
 }
 
 void ConfigurationFleet::startRouter(std::size_t Index) {
@@ -140,18 +144,19 @@
 ConfigurationFleet::replaceRouter(std::size_t Index) {
   FleetRouter &Router = this->Routers[Index];
   auto Old = std::move(Router.Process);
-  Router.Callers = freeAddress();
-  Router.Peers = freeAddress();
-  Router.Operators = freeAddress();
+  Router.CallerAddress = freeAddress();
+  Router.PeerAddress = freeAddress();
+  Router.OperatorAddress = freeAddress();
   Router.SettingsFile = this->Folder.write(Router.Name + ".replaced.ini",
                                            this->settingsFor(Router, Index));
   this->startRouter(Index);
-  if (!waitForListener(Router.Operators))
-    throw std::runtime_error("the replacement does not listen");
+  if (!waitForListener(Router.OperatorAddress))
+    throw std::runtime_error("the replacement router is not listening");
   return Old;
 }
 
-std::string ConfigurationFleet::declare(const std::string &Account) const {
+std::string
+ConfigurationFleet::writeDeclarations(const std::string &Account) const {
   return this->Folder.write(
       Account + ".declarations.ini",
       "[account " + Account +
@@ -161,20 +166,21 @@
           this->Engine + "\n");
 }
 
-CommandResult
-ConfigurationFleet::apply(const std::string &File, const std::string &Operator,
-                          const std::vector<std::string> &More) const {
-  std::vector<std::string> Words{"apply",  File,         "--operator",
-                                 Operator, "--platform", this->Store};
-  Words.insert(Words.end(), More.begin(), More.end());
-  return runProgram(std::move(Words));
+CommandResult ConfigurationFleet::apply(
+    const std::string &File, const std::string &Operator,
+    const std::vector<std::string> &ExtraArguments) const {
+  std::vector<std::string> Arguments{"apply",  File,         "--operator",
+                                     Operator, "--platform", this->Store};
+  Arguments.insert(Arguments.end(), ExtraArguments.begin(),
+                   ExtraArguments.end());
+  return runProgram(std::move(Arguments));
 }
 
 CommandResult ConfigurationFleet::show() const {
   return runProgram({"show", "--platform", this->Store});
 }
 
-void ConfigurationFleet::orderStoreFaults(const std::string &Json) const {
+void ConfigurationFleet::setStoreFaults(const std::string &Json) const {
   const auto Done = OperatorClient(this->Store).post("/standin/faults", Json);
   if (!Done)
     throw std::runtime_error(Done.error().Message);
@@ -184,9 +190,9 @@
   const auto Body = OperatorClient(this->Store).post("/standin/counts");
   if (!Body)
     throw std::runtime_error(Body.error().Message);
-  const auto Counts = parse(*Body);
+  const auto Counts = parseObject(*Body);
   if (!Counts)
-    throw std::runtime_error("the counts are not readable");
+    throw std::runtime_error("the counts are not valid JSON");
   std::uint64_t Calls = 0;
   for (const auto &[Kind, Count] : *Counts)
     if (Kind != "waiting-watches")
@@ -195,9 +201,9 @@
 }
 
 bool ConfigurationFleet::waitForGeneration(
-    std::uint64_t Generation, const std::vector<std::size_t> &Which) {
-  return within(Settled, [&] {
-    return std::ranges::all_of(Which, [&](std::size_t Index) {
+    std::uint64_t Generation, const std::vector<std::size_t> &Indexes) {
+  return waitFor(WaitTimeout, [&] {
+    return std::ranges::all_of(Indexes, [&](std::size_t Index) {
       const auto Answer = this->Routers[Index].generation();
       return Answer && Answer->Generation >= Generation;
     });
@@ -205,13 +211,13 @@
 }
 
 bool ConfigurationFleet::waitForGeneration(std::uint64_t Generation) {
-  return this->waitForGeneration(Generation, allOf(this->Routers.size()));
+  return this->waitForGeneration(Generation, allIndexes(this->Routers.size()));
 }
 
-bool ConfigurationFleet::waitForViews(std::size_t Size,
-                                      const std::vector<std::size_t> &Which) {
-  return within(Settled, [&] {
-    return std::ranges::all_of(Which, [&](std::size_t Index) {
+bool ConfigurationFleet::waitForViewSize(
+    std::size_t Size, const std::vector<std::size_t> &Indexes) {
+  return waitFor(WaitTimeout, [&] {
+    return std::ranges::all_of(Indexes, [&](std::size_t Index) {
       const auto Dump = this->Routers[Index].dump();
       const auto Part = Dump ? Dump->getObject("membership") : nullptr;
       return Part && Part->getValue<std::size_t>("view_size") == Size;
@@ -219,49 +225,51 @@
   });
 }
 
-int ConfigurationFleet::callAt(std::size_t Index, const std::string &Account) {
-  return callRouter(this->Routers[Index].Callers, Account + "-key",
+int ConfigurationFleet::requestStatusAt(std::size_t Index,
+                                        const std::string &Account) {
+  return callRouter(this->Routers[Index].CallerAddress, Account + "-key",
                     R"({"model":"advisory","input":"tokens=2","stream":true})")
       .Status;
 }
 
-GenerationWatch::GenerationWatch(const std::vector<FleetRouter> &Routers) {
+GenerationMonitor::GenerationMonitor(const std::vector<FleetRouter> &Routers) {
   for (const FleetRouter &Router : Routers) {
-    Seen &Into = this->All.emplace_back();
+    RouterHistory &History = this->Histories.emplace_back();
     this->Threads.emplace_back(
-        [this, &Router, &Into] { this->watch(Router, Into); });
+        [this, &Router, &History] { this->watch(Router, History); });
   }
 }
 
-GenerationWatch::~GenerationWatch() { this->stop(); }
+GenerationMonitor::~GenerationMonitor() { this->stop(); }
 
-void GenerationWatch::watch(const FleetRouter &Router, Seen &Into) {
+void GenerationMonitor::watch(const FleetRouter &Router,
+                              RouterHistory &History) {
   while (!this->Stopping) {
     if (const auto Now = Router.generation()) {
       ++this->Polls;
-      const bool Restarted = Now->Incarnation != Into.Last.Incarnation;
-      const bool Unset = Restarted || Into.Last.Generation == 0;
-      const bool IsLower = Now->Generation < Into.Highest;
+      const bool Restarted = Now->Incarnation != History.Last.Incarnation;
+      const bool Unset = Restarted || History.Last.Generation == 0;
+      const bool IsLower = Now->Generation < History.Highest;
       if (IsLower && !(Unset && Now->Generation == 0))
-        Into.StepsBack += Router.Name + " went from " +
-                          std::to_string(Into.Highest) + " to " +
-                          std::to_string(Now->Generation) + "\n";
-      Into.Last = *Now;
-      Into.Highest = std::max(Into.Highest, Now->Generation);
+        History.Regressions += Router.Name + " went from " +
+                               std::to_string(History.Highest) + " to " +
+                               std::to_string(Now->Generation) + "\n";
+      History.Last = *Now;
+      History.Highest = std::max(History.Highest, Now->Generation);
     }
     std::this_thread::sleep_for(std::chrono::milliseconds(20));
   }
 }
 
-std::string GenerationWatch::stop() {
+std::string GenerationMonitor::stop() {
   this->Stopping = true;
-  std::string StepsBack;
-  for (std::thread &Each : this->Threads)
-    if (Each.joinable())
-      Each.join();
-  for (const Seen &Router : this->All)
-    StepsBack += Router.StepsBack;
-  return StepsBack;
+  std::string Regressions;
+  for (std::thread &Thread : this->Threads)
+    if (Thread.joinable())
+      Thread.join();
+  for (const RouterHistory &Router : this->Histories)
+    Regressions += Router.Regressions;
+  return Regressions;
 }
 
 } // namespace parsleywing::test
--- a/test/Process/ConfigurationFleet.h
+++ b/test/Process/ConfigurationFleet.h
@@ -17,72 +17,77 @@
 
 namespace parsleywing::test {
 
-/// What a command of the program left.
+/// The result of a command of the program.
 struct CommandResult {
   int Code = 0;
-  std::string Printed;
+  std::string Output;
 };
 
-/// What a router says of its generation.
-struct GenerationAnswer {
+/// The generation that a router reports.
+struct GenerationResponse {
   std::uint64_t Incarnation = 0;
   std::uint64_t Generation = 0;
 };
 
-/// One router of the fleet, and its own way to the store.
+/// One router of the fleet with its own link to the store.
 struct FleetRouter {
   std::string Name;
-  std::string Callers = freeAddress();
-  std::string Peers = freeAddress();
-  std::string Operators = freeAddress();
-  std::unique_ptr<TroubledWay> Relay;
+  std::string CallerAddress = freeAddress();
+  std::string PeerAddress = freeAddress();
+  std::string OperatorAddress = freeAddress();
+  std::unique_ptr<TroubledWay> StoreLink;
   std::string SettingsFile;
   std::unique_ptr<ChildProcess> Process;
 
-  /// Nothing where it does not answer.
-  std::optional<GenerationAnswer> generation() const;
+  /// Returns nothing if the router does not respond.
+  std::optional<GenerationResponse> generation() const;
   Poco::JSON::Object::Ptr dump() const;
-  /// Cuts it off from routers of these names, and heals the cut from others.
-  bool cutFrom(const std::vector<std::string> &Names) const;
+  /// Partitions the router from the routers with these names and reconnects it
+  /// to all others. Returns whether the router accepted that.
+  bool disconnectFrom(const std::vector<std::string> &Names) const;
 };
 
-/// The shortest lease that the settings allow.
+/// The minimum lease TTL that the settings allow.
 inline constexpr int ShortLeaseSeconds = 5;
 
-/// Real routers with the store's stand-in and one engine's, in two availability
-/// zones.
+/// Router processes with stand-ins for the store and one engine, in two
+/// availability zones.
 class ConfigurationFleet {
 public:
-  /// `WithRelays` gives each router a way to the store that can be cut.
-  explicit ConfigurationFleet(std::size_t Count, bool WithRelays = false,
+  /// With `WithStoreLinks`, each router reaches the store through a link that
+  /// can be cut.
+  explicit ConfigurationFleet(std::size_t Count, bool WithStoreLinks = false,
                               int LeaseSeconds = ShortLeaseSeconds);
   ~ConfigurationFleet();
 
   void startRouter(std::size_t Index);
-  /// Starts another process of the name at new addresses, as on another VM;
-  /// gives the old one.
+  /// Starts another process with the same router name at new addresses, as on a
+  /// new VM. Returns the old process.
   std::unique_ptr<ChildProcess> replaceRouter(std::size_t Index);
   FleetRouter &router(std::size_t Index) { return this->Routers[Index]; }
   std::vector<FleetRouter> &routers() { return this->Routers; }
 
-  /// A file that declares one account of this name, with the key NAME-key.
-  std::string declare(const std::string &Account) const;
-  CommandResult apply(const std::string &File, const std::string &Operator,
-                      const std::vector<std::string> &More = {}) const;
+  /// Writes declarations with one account of this name, whose key is NAME-key.
+  /// Returns the path.
+  std::string writeDeclarations(const std::string &Account) const;
+  CommandResult
+  apply(const std::string &File, const std::string &Operator,
+        const std::vector<std::string> &ExtraArguments = {}) const;
   CommandResult show() const;
 
-  void orderStoreFaults(const std::string &Json) const;
-  /// Calls that the store has had, waiting watches not counted.
+  void setStoreFaults(const std::string &Json) const;
+  /// The number of calls that the store has received, except open watches.
   std::uint64_t storeCalls() const;
 
   /// Waits until these routers have at least this generation.
   bool waitForGeneration(std::uint64_t Generation,
-                         const std::vector<std::size_t> &Which);
+                         const std::vector<std::size_t> &Indexes);
   bool waitForGeneration(std::uint64_t Generation);
-  /// Waits until each of these counts so many members in its view.
-  bool waitForViews(std::size_t Size, const std::vector<std::size_t> &Which);
-  /// The status that a caller with this account's key gets there.
-  int callAt(std::size_t Index, const std::string &Account);
+  /// Waits until the view of each of these routers has so many members.
+  bool waitForViewSize(std::size_t Size,
+                       const std::vector<std::size_t> &Indexes);
+  /// Sends a request with this account's key and returns the status.
+  int requestStatusAt(std::size_t Index, const std::string &Account);
 
   const TemporaryFolder &folder() const { return this->Folder; }
   const std::string &storeAddress() const { return this->Store; }
@@ -99,39 +104,41 @@
   ChildProcess EngineProcess;
 };
 
-/// Polls the generation of every router without pause from its start to its
-/// end, and notes each step back: within one process any lower number, after a
-/// restart any but zero (nothing in force yet) below the highest seen there.
-class GenerationWatch {
+/// Polls the generation of every router from construction to `stop` and records
+/// each regression: within one process any lower number; after a restart any
+/// number below the highest seen, except zero (no active configuration yet).
+class GenerationMonitor {
 public:
-  explicit GenerationWatch(const std::vector<FleetRouter> &Routers);
-  ~GenerationWatch();
-  GenerationWatch(const GenerationWatch &) = delete;
-  GenerationWatch &operator=(const GenerationWatch &) = delete;
+  explicit GenerationMonitor(const std::vector<FleetRouter> &Routers);
+  ~GenerationMonitor();
+  GenerationMonitor(const GenerationMonitor &) = delete;
+  GenerationMonitor &operator=(const GenerationMonitor &) = delete;
 
-  /// Ends the polls; one line for each step back, and an empty text for none.
+  /// Stops polling. Returns one line for each regression, or an empty text.
   std::string stop();
-  /// Answers read so far, over all routers.
+  /// The number of responses received from all routers.
   std::uint64_t polls() const { return this->Polls; }
 
 private:
-  struct Seen {
-    GenerationAnswer Last;
+  struct RouterHistory {
+    GenerationResponse Last;
     std::uint64_t Highest = 0;
-    std::string StepsBack;
+    std::string Regressions;
   };
-  void watch(const FleetRouter &Router, Seen &Into);
+  void watch(const FleetRouter &Router, RouterHistory &History);
 
   std::atomic<bool> Stopping{false};
   std::atomic<std::uint64_t> Polls{0};
-  std::list<Seen> All;
+  std::list<RouterHistory> Histories;
   std::vector<std::thread> Threads;
 };
 
-/// Tries each 50 ms for at most so long; whether it came true.
-bool within(std::chrono::seconds Limit, const std::function<bool()> &IsSo);
+/// Polls the condition every 50 ms. Returns false if it does not hold within
+/// the limit.
+bool waitFor(std::chrono::seconds Limit,
+             const std::function<bool()> &Condition);
 
-CommandResult runProgram(std::vector<std::string> Words);
+CommandResult runProgram(std::vector<std::string> Arguments);
 
 } // namespace parsleywing::test
 
--- a/test/Process/CrashingRequestTest.cpp
+++ b/test/Process/CrashingRequestTest.cpp
@@ -7,22 +7,22 @@
 namespace {
 
 constexpr int Engines = 10;
-/// Servers that a request may cost: three, and three further sends.
-constexpr int MostLost = 6;
+/// The servers that one request may crash: three, plus three further attempts.
+constexpr int MaxCrashed = 6;
 constexpr int Attempts = 20;
-/// No other request asks for as many.
+/// A token count that no other request uses.
 constexpr int Tokens = 77;
 
-int lostEngines(const TestFleet &Fleet) {
-  int Lost = 0;
+int crashedEngines(const TestFleet &Fleet) {
+  int Count = 0;
   for (int Engine = 0; Engine < Engines; ++Engine)
-    Lost += getFrom(Fleet.engineAddress(Engine), "/health").empty() ? 1 : 0;
-  return Lost;
+    Count += httpGet(Fleet.engineAddress(Engine), "/health").empty() ? 1 : 0;
+  return Count;
 }
 
 } // namespace
 
-// Guards against repeats of a request that crash one engine after the other.
+// Guards against retries of a request that crash one engine after the other.
 Test(CrashingRequest, doesNotTakeOneEngineAfterTheOther, .timeout = 120) {
   TestFleet Fleet({.Routers = 2, .Engines = Engines});
   cr_assert(Fleet.ready());
@@ -30,8 +30,8 @@
     Fleet.engineFaults(Engine,
                        R"({"crash_on":"tokens=77","back_after_ms":100000})");
   for (int Attempt = 0; Attempt < Attempts; ++Attempt)
-    sendCall(Fleet.callers(Attempt % 2),
+    sendCall(Fleet.callerAddress(Attempt % 2),
              {.Tokens = Tokens, .Stream = false, .TimeoutSeconds = 2});
-  cr_assert_leq(lostEngines(Fleet), MostLost, "%d engines lost",
-                lostEngines(Fleet));
+  cr_assert_leq(crashedEngines(Fleet), MaxCrashed, "%d engines crashed",
+                crashedEngines(Fleet));
 }
--- a/test/Process/Fleet.cpp
+++ b/test/Process/Fleet.cpp
@@ -27,22 +27,22 @@
                            std::vector<std::string> Arguments,
                            const std::string &LogFile) {
   const std::string Path = std::string(BINARY_FOLDER) + "/" + Program;
-  std::vector<char *> Words{const_cast<char *>(Path.c_str())};
+  std::vector<char *> ArgumentPointers{const_cast<char *>(Path.c_str())};
   for (std::string &Argument : Arguments)
-    Words.push_back(Argument.data());
-  Words.push_back(nullptr);
+    ArgumentPointers.push_back(Argument.data());
+  ArgumentPointers.push_back(nullptr);
   this->Pid = ::fork();
   if (this->Pid != 0)
     return;
-  // A test that dies by a failed assertion runs no destructor; this ends the
-  // process all the same.
+  // A failed assertion ends a test without running destructors. The signal then
+  // ends this process.
   ::prctl(PR_SET_PDEATHSIG, SIGKILL);
-  // The program must not depend on what the test ignores.
+  // The program must not inherit signals that the test ignores.
   std::signal(SIGPIPE, SIG_DFL);
   const int Log = ::open(LogFile.c_str(), O_CREAT | O_WRONLY | O_APPEND, 0644);
   ::dup2(Log, STDOUT_FILENO);
   ::dup2(Log, STDERR_FILENO);
-  ::execv(Path.c_str(), Words.data());
+  ::execv(Path.c_str(), ArgumentPointers.data());
   ::_exit(127);
 }
 
@@ -57,7 +57,7 @@
 }
 
 void ChildProcess::signal(int Number) const {
-  // Zero and below would reach whole groups of processes.
+  // Zero and negative IDs would signal process groups.
   if (this->Pid > 0)
     ::kill(this->Pid, Number);
 }
@@ -104,39 +104,39 @@
 }
 
 bool waitForListener(const std::string &Address) {
-  constexpr int Tries = 500;
-  constexpr auto Pause = std::chrono::milliseconds(20);
-  for (int Try = 0; Try < Tries; ++Try) {
+  constexpr int MaxAttempts = 500;
+  constexpr auto PollInterval = std::chrono::milliseconds(20);
+  for (int Attempt = 0; Attempt < MaxAttempts; ++Attempt) {
     try {
       const Poco::Net::StreamSocket Probe{Poco::Net::SocketAddress(Address)};
       return true;
     } catch (const Poco::Exception &) {
-      std::this_thread::sleep_for(Pause);
+      std::this_thread::sleep_for(PollInterval);
     }
   }
   return false;
 }
 
-CallerAnswer callRouter(const std::string &Address, const std::string &Key,
-                        const std::string &JsonBody) {
-  CallerAnswer Answer;
+CallerResponse callRouter(const std::string &Address, const std::string &Key,
+                          const std::string &Body) {
+  CallerResponse Result;
   try {
     Poco::Net::HTTPClientSession Session{Poco::Net::SocketAddress(Address)};
     Poco::Net::HTTPRequest Request("POST", "/v1/responses", "HTTP/1.1");
     Request.set("Authorization", "Bearer " + Key);
-    Request.setContentLength(static_cast<std::streamsize>(JsonBody.size()));
-    Session.sendRequest(Request) << JsonBody;
+    Request.setContentLength(static_cast<std::streamsize>(Body.size()));
+    Session.sendRequest(Request) << Body;
     Poco::Net::HTTPResponse Response;
     std::istream &In = Session.receiveResponse(Response);
-    Answer.Status = Response.getStatus();
-    Answer.Outcome = Response.get("X-Outcome", "");
-    Answer.RequestId = Response.get("X-Request-Id", "");
-    Answer.RetryAfter = Response.get("Retry-After", "");
-    Poco::StreamCopier::copyToString(In, Answer.Body);
-  } catch (const Poco::Exception &Failure) {
-    Answer.Body = Failure.displayText();
+    Result.Status = Response.getStatus();
+    Result.Outcome = Response.get("X-Outcome", "");
+    Result.RequestId = Response.get("X-Request-Id", "");
+    Result.RetryAfter = Response.get("Retry-After", "");
+    Poco::StreamCopier::copyToString(In, Result.Body);
+  } catch (const Poco::Exception &Error) {
+    Result.Body = Error.displayText();
   }
-  return Answer;
+  return Result;
 }
 
 std::string digestOfKey(const std::string &Key) {
--- a/test/Process/FreeAddressTest.cpp
+++ b/test/Process/FreeAddressTest.cpp
@@ -7,29 +7,30 @@
 
 using namespace parsleywing::test;
 
-// Guards against two fleets of concurrent tests that are given the same ports.
-Test(FreeAddress, processesThatWantTheSameBlockGetTwo) {
-  const auto Own = internal::claimPortBlockFrom(7);
-  cr_assert(Own.has_value());
+// Guards against fleets of concurrent tests that use the same ports.
+Test(FreeAddress, concurrentProcessesClaimDifferentBlocks) {
+  const auto OwnBlock = internal::claimPortBlockFrom(7);
+  cr_assert(OwnBlock.has_value());
   std::array<int, 2> Pipe{};
   cr_assert_eq(::pipe(Pipe.data()), 0);
   const ::pid_t Child = ::fork();
   if (Child == 0) {
-    const std::uint32_t Other =
-        internal::claimPortBlockFrom(*Own).value_or(*Own);
-    const bool Told = ::write(Pipe[1], &Other, sizeof(Other)) == sizeof(Other);
-    ::_exit(Told ? 0 : 1);
+    const std::uint32_t OtherBlock =
+        internal::claimPortBlockFrom(*OwnBlock).value_or(*OwnBlock);
+    const bool Written =
+        ::write(Pipe[1], &OtherBlock, sizeof(OtherBlock)) == sizeof(OtherBlock);
+    ::_exit(Written ? 0 : 1);
   }
-  std::uint32_t Other = *Own;
-  cr_assert_eq(::read(Pipe[0], &Other, sizeof(Other)),
-               static_cast<::ssize_t>(sizeof(Other)));
+  std::uint32_t OtherBlock = *OwnBlock;
+  cr_assert_eq(::read(Pipe[0], &OtherBlock, sizeof(OtherBlock)),
+               static_cast<::ssize_t>(sizeof(OtherBlock)));
   ::waitpid(Child, nullptr, 0);
-  cr_expect_neq(Other, *Own);
+  cr_expect_neq(OtherBlock, *OwnBlock);
 }
 
-// Guards against an address that is given out twice before its server listens.
-Test(FreeAddress, noAddressIsGivenTwiceWithinTheBlocksOfAProcess) {
-  std::set<std::string> Given;
+// Guards against an address that is returned again before its server listens.
+Test(FreeAddress, aProcessGetsEachAddressOnce) {
+  std::set<std::string> Addresses;
   for (int Count = 0; Count < 300; ++Count)
-    cr_assert(Given.insert(freeLoopbackAddress()).second);
+    cr_assert(Addresses.insert(freeLoopbackAddress()).second);
 }
--- a/test/Process/RequestOnceTest.cpp
+++ b/test/Process/RequestOnceTest.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-constexpr int LongAnswer = 300;
+constexpr int LongResponseTokens = 300;
 
 Call batchCall(const std::string &Key, int Tokens = 3) {
   return {.Service = "batch", .Tokens = Tokens, .IdempotencyKey = Key};
@@ -20,27 +20,28 @@
                     [Address, C] { return sendCall(Address, C); });
 }
 
-/// What a repeat may be told of a key that ran, or may have: never "not run".
-bool saysThatItMayHaveRun(const CallResult &Got) {
+/// Whether the response to a retry is correct for a key that ran or may have
+/// run; it must never be "not run".
+bool reportsPossibleRun(const CallResult &Result) {
   constexpr int Conflict = 409;
-  return Got.Status == Conflict && Got.Reason == "already-run" &&
-         (Got.Outcome == "unknown" || Got.Outcome == "completed");
+  return Result.Status == Conflict && Result.Reason == "already-run" &&
+         (Result.Outcome == "unknown" || Result.Outcome == "completed");
 }
 
-/// Whether the answer is a refusal that is true and says when to come back.
-bool isHonestRefusal(const TestFleet &Fleet, const CallResult &Got) {
+/// Whether the response is a refusal that is true and has a retry delay.
+bool isCorrectRefusal(const TestFleet &Fleet, const CallResult &Result) {
   constexpr int Unavailable = 503;
-  return Got.Status == Unavailable && Got.Outcome == "not-run" &&
-         Got.Reason == "record-unavailable" && !Got.RetryAfter.empty() &&
-         Fleet.executionsOfRequest(Got.RequestId) == 0;
+  return Result.Status == Unavailable && Result.Outcome == "not-run" &&
+         Result.Reason == "record-unavailable" && !Result.RetryAfter.empty() &&
+         Fleet.executionsOfRequest(Result.RequestId) == 0;
 }
 
-/// Repeats a key until it runs or is told that it ran.
-CallResult repeatUntilDecided(const TestFleet &Fleet, const Call &C) {
+/// Retries a key until it completes or has been executed.
+CallResult retryUntilDecided(const TestFleet &Fleet, const Call &C) {
   CallResult Last;
   const bool Decided = waitUntil([&] {
-    Last = sendCall(Fleet.callers(0), C);
-    return Last.isWhole(C.Tokens) || Fleet.executionsOfKey(C.IdempotencyKey);
+    Last = sendCall(Fleet.callerAddress(0), C);
+    return Last.isComplete(C.Tokens) || Fleet.executionsOfKey(C.IdempotencyKey);
   });
   cr_assert(Decided, "%s", Last.describe().c_str());
   return Last;
@@ -48,114 +49,114 @@
 
 } // namespace
 
-// Symptom: a caller's job is run twice after its router was killed.
-// Sequence: an engine runs a keyed request for router A; A is killed; the
-// caller repeats the key at B, and at A as soon as A is back, at the same time
-// and again when the engine has finished.
-// Cause: A kept the key in its memory only.
-// Fails without the claim in RequestTable::on(RequestArrived): the repeat at B
-// ran. (Run on a scratch copy.)
+// Guards against running a caller's request twice after its router was killed:
+// an engine runs a keyed request for router A, A is killed, and the caller
+// retries the key at B, and at A as soon as it is back, concurrently and again
+// after the engine has finished. This happens if A keeps the key only in
+// memory. Fails without the claim in RequestTable::on(RequestArrived): the
+// retry at B runs.
 Test(Once, AKilledRoutersRequestIsNotRunAgain) {
   TestFleet Fleet({.Engines = 1});
   cr_assert(Fleet.ready());
-  auto First = startCall(Fleet.callers(0), batchCall("once", LongAnswer));
+  auto Original =
+      startCall(Fleet.callerAddress(0), batchCall("once", LongResponseTokens));
   cr_assert(waitUntil([&] { return Fleet.executionsOfKey("once") == 1; }));
   Fleet.router(0).kill();
-  const CallResult Cut = First.get();
-  cr_assert_eq(Cut.FinalAnswers, 0, "%s", Cut.describe().c_str());
-  const CallResult AtB = sendCall(Fleet.callers(1), batchCall("once"));
-  cr_assert(saysThatItMayHaveRun(AtB), "%s", AtB.describe().c_str());
+  const CallResult Interrupted = Original.get();
+  cr_assert_eq(Interrupted.FinalResponses, 0, "%s",
+               Interrupted.describe().c_str());
+  const CallResult AtB = sendCall(Fleet.callerAddress(1), batchCall("once"));
+  cr_assert(reportsPossibleRun(AtB), "%s", AtB.describe().c_str());
   cr_assert(Fleet.startRouter(0));
   for (int Round = 0; Round < 2; ++Round) {
-    std::deque<std::future<CallResult>> Repeats;
+    std::deque<std::future<CallResult>> Retries;
     for (int Number = 0; Number < 6; ++Number)
-      Repeats.push_back(
-          startCall(Fleet.callers(Number % 2), batchCall("once")));
-    for (auto &Repeat : Repeats) {
-      const CallResult Got = Repeat.get();
-      cr_assert(saysThatItMayHaveRun(Got), "%s", Got.describe().c_str());
+      Retries.push_back(
+          startCall(Fleet.callerAddress(Number % 2), batchCall("once")));
+    for (auto &Retry : Retries) {
+      const CallResult Result = Retry.get();
+      cr_assert(reportsPossibleRun(Result), "%s", Result.describe().c_str());
     }
     cr_assert(waitUntil([&] { return Fleet.running() == 0; }));
   }
   cr_assert_eq(Fleet.executionsOfKey("once"), 1);
 }
 
-// Symptom: two copies of a request, sent to two routers at one moment, both
-// run; or the second is told of an empty answer as if it were the first's.
-// Sequence: eight callers send one key to two routers at the same time, then
-// one repeats it at each.
-// Cause: a router that looks before it writes; a repeat answered as served.
-// Fails without the claim, and failed as long as RequestServer did not look at
-// the reason of a completed outcome. (Run on a scratch copy.)
-Test(Once, CopiesAtTheSameTimeRunOnceAndOneIsAnswered) {
+// Guards against two copies of a request that both run when sent to two routers
+// at the same time, and against a second copy that gets an empty response as if
+// it were the first's: eight callers send one key to two routers concurrently,
+// then one retries it at each. Fails without the claim, and if RequestHandler
+// ignores the reason of a completed outcome.
+Test(Once, ConcurrentCopiesRunOnce) {
   TestFleet Fleet({.Engines = 1});
   cr_assert(Fleet.ready());
   std::deque<std::future<CallResult>> Copies;
   for (int Number = 0; Number < 8; ++Number)
-    Copies.push_back(startCall(Fleet.callers(Number % 2), batchCall("twin")));
-  int Whole = 0;
+    Copies.push_back(
+        startCall(Fleet.callerAddress(Number % 2), batchCall("twin")));
+  int Completed = 0;
   for (auto &Copy : Copies) {
-    const CallResult Got = Copy.get();
-    cr_assert(Got.isWhole(3) || saysThatItMayHaveRun(Got), "%s",
-              Got.describe().c_str());
-    Whole += Got.isWhole(3) ? 1 : 0;
+    const CallResult Result = Copy.get();
+    cr_assert(Result.isComplete(3) || reportsPossibleRun(Result), "%s",
+              Result.describe().c_str());
+    Completed += Result.isComplete(3) ? 1 : 0;
   }
-  cr_assert_eq(Whole, 1);
+  cr_assert_eq(Completed, 1);
   for (int Router = 0; Router < 2; ++Router) {
-    const CallResult Got = sendCall(Fleet.callers(Router), batchCall("twin"));
-    cr_assert(saysThatItMayHaveRun(Got), "%s", Got.describe().c_str());
+    const CallResult Result =
+        sendCall(Fleet.callerAddress(Router), batchCall("twin"));
+    cr_assert(reportsPossibleRun(Result), "%s", Result.describe().c_str());
   }
   cr_assert_eq(Fleet.executionsOfKey("twin"), 1);
 }
 
-// Symptom: a request is refused for good, or runs twice, when the store's
-// answer to its claim is lost.
-// Sequence: the store closes the connection after the effect of one write, of
-// two, of three, while a keyed request is claimed; the key is repeated.
-// Cause: the router takes its own record for another's, or claims anew.
-// Fails where RunRecordWriter does not know its own record (isOwn): 409. (Run
-// on a scratch copy.)
-Test(Once, ALostReplyToTheClaimRunsItOnce) {
+// Guards against a request that is refused for good, or runs twice, because the
+// reply of the store to its claim was lost: the store closes the connection
+// after the effect of one, two or three writes while a keyed request is
+// claimed, and the key is retried. This happens if the router mistakes its own
+// record for another's or claims again. Fails without isOwn in RunRecordWriter:
+// the retry gets a 409.
+Test(Once, AClaimWithALostReplyRunsOnce) {
   TestFleet Fleet({.Engines = 1});
   cr_assert(Fleet.ready());
-  cr_assert(sendCall(Fleet.callers(0), batchCall("warm")).isWhole(3));
-  for (int Lost = 1; Lost <= 3; ++Lost) {
-    const Call C = batchCall("lost-" + std::to_string(Lost));
-    Fleet.storeFaults(R"({"loseReplies":)" + std::to_string(Lost) + "}");
-    const CallResult Got = sendCall(Fleet.callers(0), C);
+  cr_assert(sendCall(Fleet.callerAddress(0), batchCall("warm")).isComplete(3));
+  for (int LostReplies = 1; LostReplies <= 3; ++LostReplies) {
+    const Call C = batchCall("lost-" + std::to_string(LostReplies));
+    Fleet.storeFaults(R"({"loseReplies":)" + std::to_string(LostReplies) + "}");
+    const CallResult Result = sendCall(Fleet.callerAddress(0), C);
     Fleet.storeFaults(R"({"loseReplies":0})");
-    cr_assert(Got.isWhole(3) || isHonestRefusal(Fleet, Got), "%s",
-              Got.describe().c_str());
-    repeatUntilDecided(Fleet, C);
+    cr_assert(Result.isComplete(3) || isCorrectRefusal(Fleet, Result), "%s",
+              Result.describe().c_str());
+    retryUntilDecided(Fleet, C);
     cr_assert_eq(Fleet.executionsOfKey(C.IdempotencyKey), 1);
   }
 }
 
-// Symptom: in an outage of the store keyed requests run unrecorded, hang to
-// their deadline, or are never accepted again.
-// Sequence: the store refuses, then is silent; a keyed request with a minute to
-// spend is sent; the store comes back and the key is repeated at both routers.
-// Cause: no limit to the claim, or a record that nobody takes back.
-// Fails where an unavailable record is taken for a claim: it ran unrecorded.
-// (Run on a scratch copy.)
-Test(Once, AnOutageOfTheStoreIsToldAndTheRepeatRunsOnce) {
+// Guards against keyed requests that run unrecorded, hang until their deadline
+// or are never accepted again after a store outage: the store first refuses and
+// then is silent, a keyed request with a deadline of a minute is sent, the
+// store returns, and the key is retried at both routers. The claim needs a
+// timeout, and the record of an abandoned claim must be deleted. Fails if an
+// unavailable record counts as claimed: the request then runs unrecorded.
+Test(Once, AStoreOutageIsReportedAndTheRetryRunsOnce) {
   TestFleet Fleet({.Engines = 1});
   cr_assert(Fleet.ready());
-  cr_assert(sendCall(Fleet.callers(0), batchCall("warm")).isWhole(3));
+  cr_assert(sendCall(Fleet.callerAddress(0), batchCall("warm")).isComplete(3));
   for (const std::string Fault : {"refuse", "silent"}) {
     Fleet.storeFaults("{\"" + Fault + "\":true}");
-    const CallResult Got = sendCall(Fleet.callers(0), batchCall(Fault));
-    cr_assert(isHonestRefusal(Fleet, Got), "%s", Got.describe().c_str());
-    cr_assert_lt(Got.Took, std::chrono::seconds(20), "%s",
-                 Got.describe().c_str());
+    const CallResult Result =
+        sendCall(Fleet.callerAddress(0), batchCall(Fault));
+    cr_assert(isCorrectRefusal(Fleet, Result), "%s", Result.describe().c_str());
+    cr_assert_lt(Result.Elapsed, std::chrono::seconds(20), "%s",
+                 Result.describe().c_str());
     cr_assert_eq(Fleet.executionsOfKey(Fault), 0);
-    // Repeatable requests need no record and are served meanwhile.
-    cr_assert(sendCall(Fleet.callers(0), {}).isWhole(3));
+    // Repeatable requests need no record and are served during the outage.
+    cr_assert(sendCall(Fleet.callerAddress(0), {}).isComplete(3));
     Fleet.storeFaults("{\"" + Fault + "\":false}");
-    const CallResult Again = repeatUntilDecided(Fleet, batchCall(Fault));
-    cr_assert(Again.isWhole(3), "%s", Again.describe().c_str());
-    const CallResult AtB = sendCall(Fleet.callers(1), batchCall(Fault));
-    cr_assert(saysThatItMayHaveRun(AtB), "%s", AtB.describe().c_str());
+    const CallResult RetryAtA = retryUntilDecided(Fleet, batchCall(Fault));
+    cr_assert(RetryAtA.isComplete(3), "%s", RetryAtA.describe().c_str());
+    const CallResult AtB = sendCall(Fleet.callerAddress(1), batchCall(Fault));
+    cr_assert(reportsPossibleRun(AtB), "%s", AtB.describe().c_str());
     cr_assert_eq(Fleet.executionsOfKey(Fault), 1);
   }
 }
@@ -167,49 +168,50 @@
 
 std::string keyOf(unsigned Number) { return "key-" + std::to_string(Number); }
 
-/// What went wrong with one answer; empty if nothing.
-std::string faultOf(const TestFleet &Fleet, const Call &C,
-                    const CallResult &Got, bool RouterWasKilled) {
-  if (Got.FinalAnswers > 1)
-    return "more than one final answer";
-  if (Got.FinalAnswers == 0 && !RouterWasKilled)
-    return "no final answer";
-  if (Got.Outcome == "not-run" && Fleet.executionsOfRequest(Got.RequestId) > 0)
-    return "a false not-run";
-  if (Got.LastEvent == "response.completed" && !Got.isWhole(C.Tokens))
-    return "a mixed or cut answer";
+/// The guarantee that a result violates; empty if none.
+std::string violationOf(const TestFleet &Fleet, const Call &C,
+                        const CallResult &Result, bool RouterWasKilled) {
+  if (Result.FinalResponses > 1)
+    return "more than one final response";
+  if (Result.FinalResponses == 0 && !RouterWasKilled)
+    return "no final response";
+  if (Result.Outcome == "not-run" &&
+      Fleet.executionsOfRequest(Result.RequestId) > 0)
+    return "not-run reported for an executed request";
+  if (Result.LastEvent == "response.completed" && !Result.isComplete(C.Tokens))
+    return "a mixed or truncated response";
   return {};
 }
 
-/// Callers that repeat a few keys at two routers, each with its own seed.
-std::string repeatKeys(const TestFleet &Fleet, unsigned Seed,
-                       const std::vector<std::atomic<int>> &Kills,
-                       const std::atomic<bool> &Stop) {
+/// Sends requests with few keys to both routers, until stopped or a guarantee
+/// is violated.
+std::string retryKeys(const TestFleet &Fleet, unsigned Seed,
+                      const std::vector<std::atomic<int>> &Kills,
+                      const std::atomic<bool> &Stop) {
   std::mt19937 Random(Seed);
   while (!Stop) {
     const Call C =
         batchCall(keyOf(Random() % Keys), static_cast<int>(5 + Random() % 40));
     const unsigned Router = Random() % Kills.size();
     const int Before = Kills[Router];
-    const CallResult Got = sendCall(Fleet.callers(static_cast<int>(Router)), C);
-    // An odd number stands for a router that is down.
+    const CallResult Result =
+        sendCall(Fleet.callerAddress(static_cast<int>(Router)), C);
+    // The count is odd while the router is down.
     const bool Killed = Kills[Router] != Before || Before % 2 != 0;
-    const std::string Fault = faultOf(Fleet, C, Got, Killed);
-    if (!Fault.empty())
-      return Fault + ": " + C.IdempotencyKey + " " + Got.describe();
+    const std::string Violation = violationOf(Fleet, C, Result, Killed);
+    if (!Violation.empty())
+      return Violation + ": " + C.IdempotencyKey + " " + Result.describe();
   }
   return {};
 }
 
 } // namespace
 
-// Symptom: now and then a keyed request runs twice, or a caller gets no answer
-// or a false one.
-// Sequence: six callers repeat forty keys at two routers for five seconds,
-// while routers and engines are killed and started again at random.
-// Cause: any of those above, in an order nobody wrote down. Keys are drawn with
-// seed 17 and following; the order of events is the machine's.
-// Fails without the claim: a key ran twice. (Run on a scratch copy.)
+// Guards against rare interleavings in which a keyed request runs twice or a
+// caller gets no response or a false one: six callers retry forty keys at two
+// routers for five seconds, while routers and engines are killed and restarted
+// at random. Keys are drawn from fixed seeds; the order of events is up to the
+// machine. Fails without the claim: a key runs twice.
 Test(Once, RandomKillsNeverRunAKeyTwice) {
   TestFleet Fleet({.StepMilliseconds = 2});
   cr_assert(Fleet.ready());
@@ -218,7 +220,7 @@
   std::deque<std::future<std::string>> Callers;
   for (unsigned Number = 0; Number < 6; ++Number)
     Callers.push_back(std::async(std::launch::async, [&, Number] {
-      return repeatKeys(Fleet, 17 + Number, Kills, Stop);
+      return retryKeys(Fleet, 17 + Number, Kills, Stop);
     }));
   std::mt19937 Random(17);
   const auto End = std::chrono::steady_clock::now() + RunTime;
@@ -237,14 +239,14 @@
   }
   Stop = true;
   for (auto &Caller : Callers) {
-    const std::string Fault = Caller.get();
-    cr_assert(Fault.empty(), "%s", Fault.c_str());
+    const std::string Violation = Caller.get();
+    cr_assert(Violation.empty(), "%s", Violation.c_str());
   }
-  int Ran = 0;
+  int Executions = 0;
   for (unsigned Number = 0; Number < Keys; ++Number) {
     cr_assert_leq(Fleet.executionsOfKey(keyOf(Number)), 1, "%s",
                   keyOf(Number).c_str());
-    Ran += Fleet.executionsOfKey(keyOf(Number));
+    Executions += Fleet.executionsOfKey(keyOf(Number));
   }
-  cr_assert_gt(Ran, Keys / 4);
+  cr_assert_gt(Executions, Keys / 4);
 }
--- a/test/Process/TestFleet.cpp
+++ b/test/Process/TestFleet.cpp
@@ -18,29 +18,32 @@
 using Poco::Net::HTTPResponse;
 using SteadyClock = std::chrono::steady_clock;
 
-constexpr auto PollPause = std::chrono::milliseconds(10);
-constexpr auto PollLimit = std::chrono::seconds(20);
-/// Silence of a router after which a caller gives up; far above any verdict.
-constexpr long AnswerLimitSeconds = 60;
-constexpr long ControlLimitSeconds = 2;
+constexpr auto PollInterval = std::chrono::milliseconds(10);
+constexpr auto PollTimeout = std::chrono::seconds(20);
+/// A caller gives up after this long without bytes from the router. This is far
+/// longer than a router takes to decide a request.
+constexpr long ResponseTimeoutSeconds = 60;
+constexpr long ControlTimeoutSeconds = 2;
 
 constexpr const char *ExecutionsLog = "executions.log";
 
-std::string exchange(const std::string &Method, const std::string &Address,
-                     const std::string &Path, const std::string &Body) {
-  std::string Answer;
+std::string sendHttpRequest(const std::string &Method,
+                            const std::string &Address, const std::string &Path,
+                            const std::string &Body) {
+  std::string ResponseBody;
   try {
     HTTPClientSession Session{Poco::Net::SocketAddress(Address)};
-    Session.setTimeout(Poco::Timespan(ControlLimitSeconds, 0));
+    Session.setTimeout(Poco::Timespan(ControlTimeoutSeconds, 0));
     HTTPRequest Request(Method, Path, "HTTP/1.1");
     Request.setContentLength(static_cast<std::streamsize>(Body.size()));
     Session.sendRequest(Request) << Body;
     HTTPResponse Response;
-    Poco::StreamCopier::copyToString(Session.receiveResponse(Response), Answer);
+    Poco::StreamCopier::copyToString(Session.receiveResponse(Response),
+                                     ResponseBody);
   } catch (const Poco::Exception &) {
     return {};
   }
-  return Answer;
+  return ResponseBody;
 }
 
 Poco::JSON::Object::Ptr parseObject(const std::string &Text) {
@@ -51,7 +54,7 @@
   }
 }
 
-std::string bodyOf(const Call &C) {
+std::string requestBody(const Call &C) {
   return R"({"model":")" + C.Service + R"(","input":"tokens=)" +
          std::to_string(C.Tokens) + R"(","max_output_tokens":)" +
          std::to_string(C.Tokens) + R"(,"stream":)" +
@@ -59,7 +62,7 @@
 }
 
 void sendRequest(HTTPClientSession &Session, const Call &C) {
-  const std::string Body = bodyOf(C);
+  const std::string Body = requestBody(C);
   HTTPRequest Request("POST", "/v1/responses", "HTTP/1.1");
   Request.set("Authorization", "Bearer " + C.Account + "-key");
   if (!C.IdempotencyKey.empty())
@@ -70,72 +73,72 @@
   Session.sendRequest(Request) << Body << std::flush;
 }
 
-/// Takes one event's data into the result.
-void takeEvent(const std::string &Data, CallResult &Into) {
+/// Applies the data of one event to the result.
+void applyEvent(const std::string &Data, CallResult &Result) {
   const auto Event = parseObject(Data);
   const auto Type = Event->optValue<std::string>("type", "");
   if (Type == "response.output_text.delta")
-    Into.Text += Event->optValue<std::string>("delta", "");
+    Result.Text += Event->optValue<std::string>("delta", "");
   if (Type != "response.completed" && Type != "response.incomplete")
     return;
-  ++Into.FinalAnswers;
-  Into.LastEvent = Type;
+  ++Result.FinalResponses;
+  Result.LastEvent = Type;
   if (const auto Response = Event->getObject("response")) {
-    Into.Outcome = Response->optValue<std::string>("outcome", "");
-    Into.Reason = Response->optValue<std::string>("reason", "");
+    Result.Outcome = Response->optValue<std::string>("outcome", "");
+    Result.Reason = Response->optValue<std::string>("reason", "");
   }
 }
 
-void readStream(std::istream &In, CallResult &Into,
+void readStream(std::istream &In, CallResult &Result,
                 const std::function<bool(const std::string &)> &OnText) {
   std::string Line;
   while (std::getline(In, Line)) {
-    Into.Body += Line + "\n";
+    Result.Body += Line + "\n";
     if (!Line.starts_with("data: "))
       continue;
-    takeEvent(Line.substr(std::string("data: ").size()), Into);
-    if (OnText && !OnText(Into.Text))
+    applyEvent(Line.substr(std::string("data: ").size()), Result);
+    if (OnText && !OnText(Result.Text))
       return;
   }
 }
 
-void readDocument(std::istream &In, CallResult &Into) {
-  Poco::StreamCopier::copyToString(In, Into.Body);
-  const auto Document = parseObject(Into.Body);
-  Into.Text = Document->optValue<std::string>("output_text", "");
+void readDocument(std::istream &In, CallResult &Result) {
+  Poco::StreamCopier::copyToString(In, Result.Body);
+  const auto Document = parseObject(Result.Body);
+  Result.Text = Document->optValue<std::string>("output_text", "");
   const auto Type = Document->optValue<std::string>("type", "");
-  Into.Reason = Type.empty() ? Document->optValue<std::string>("reason", "")
-                             : Type.substr(Type.rfind(':') + 1);
-  if (!Into.Reason.empty())
-    ++Into.FinalAnswers;
-  if (Into.Status == HTTPResponse::HTTP_OK)
-    Into.LastEvent = "response.completed";
+  Result.Reason = Type.empty() ? Document->optValue<std::string>("reason", "")
+                               : Type.substr(Type.rfind(':') + 1);
+  if (!Result.Reason.empty())
+    ++Result.FinalResponses;
+  if (Result.Status == HTTPResponse::HTTP_OK)
+    Result.LastEvent = "response.completed";
 }
 
-std::string textOfTokens(int Tokens) {
+std::string expectedText(int Tokens) {
   std::string Text;
   for (int Number = 0; Number < Tokens; ++Number)
     Text += "t" + std::to_string(Number) + " ";
   return Text;
 }
 
-/// The value of one line of an engine's metrics.
-int metricOf(const std::string &Text, const std::string &Name) {
+/// Returns the value of a metric of an engine, or -1 if it is missing.
+int metricValue(const std::string &Text, const std::string &Name) {
   const std::size_t Line = Text.find("\n" + Name + "{");
   if (Line == std::string::npos)
     return -1;
   return std::atoi(Text.c_str() + Text.find("} ", Line) + 2);
 }
 
-std::string listOf(const std::string &Prefix, int Count) {
+std::string nameList(const std::string &Prefix, int Count) {
   std::string List;
   for (int Index = 0; Index < Count; ++Index)
     List += (Index == 0 ? "" : ", ") + Prefix + std::to_string(Index);
   return List;
 }
 
-std::string serviceText(const std::string &Name, const std::string &Kind,
-                        bool Repeatable, const std::string &Servers) {
+std::string serviceSection(const std::string &Name, const std::string &Kind,
+                           bool Repeatable, const std::string &Servers) {
   return "[service " + Name + "]\nkind = " + Kind +
          "\nrepeatable = " + (Repeatable ? "yes" : "no") +
          "\nservers = " + Servers + "\n";
@@ -143,68 +146,68 @@
 
 } // namespace
 
-bool waitUntil(const std::function<bool()> &Holds) {
-  const auto Limit = SteadyClock::now() + PollLimit;
-  while (!Holds()) {
-    if (SteadyClock::now() > Limit)
+bool waitUntil(const std::function<bool()> &Condition) {
+  const auto Deadline = SteadyClock::now() + PollTimeout;
+  while (!Condition()) {
+    if (SteadyClock::now() > Deadline)
       return false;
-    std::this_thread::sleep_for(PollPause);
+    std::this_thread::sleep_for(PollInterval);
   }
   return true;
 }
 
-std::string getFrom(const std::string &Address, const std::string &Path) {
-  return exchange("GET", Address, Path, "");
+std::string httpGet(const std::string &Address, const std::string &Path) {
+  return sendHttpRequest("GET", Address, Path, "");
 }
 
-std::string postTo(const std::string &Address, const std::string &Path,
-                   const std::string &Body) {
-  return exchange("POST", Address, Path, Body);
+std::string httpPost(const std::string &Address, const std::string &Path,
+                     const std::string &Body) {
+  return sendHttpRequest("POST", Address, Path, Body);
 }
 
-bool CallResult::isWhole(int Tokens) const {
+bool CallResult::isComplete(int Tokens) const {
   return this->Status == HTTPResponse::HTTP_OK &&
          this->LastEvent == "response.completed" &&
-         this->Outcome == "completed" && this->FinalAnswers == 1 &&
-         this->Text == textOfTokens(Tokens);
+         this->Outcome == "completed" && this->FinalResponses == 1 &&
+         this->Text == expectedText(Tokens);
 }
 
 std::string CallResult::describe() const {
   return std::to_string(this->Status) + " " + this->Outcome + " " +
          this->Reason + " " + this->LastEvent + " retry-after '" +
-         this->RetryAfter + "' finals " + std::to_string(this->FinalAnswers) +
-         " after " + std::to_string(this->Took.count()) + " ms: " + this->Text +
-         (this->Text.empty() ? this->Body : "");
+         this->RetryAfter + "' finals " + std::to_string(this->FinalResponses) +
+         " after " + std::to_string(this->Elapsed.count()) +
+         " ms: " + this->Text + (this->Text.empty() ? this->Body : "");
 }
 
 CallResult sendCall(const std::string &Address, const Call &C,
                     const std::function<bool(const std::string &)> &OnText) {
-  CallResult Got;
+  CallResult Result;
   const auto Start = SteadyClock::now();
   try {
     HTTPClientSession Session{Poco::Net::SocketAddress(Address)};
-    Session.setTimeout(Poco::Timespan(AnswerLimitSeconds, 0));
+    Session.setTimeout(Poco::Timespan(ResponseTimeoutSeconds, 0));
     sendRequest(Session, C);
     HTTPResponse Response;
     std::istream &In = Session.receiveResponse(Response);
-    Got.Status = Response.getStatus();
-    Got.Outcome = Response.get("X-Outcome", "");
-    Got.RetryAfter = Response.get("Retry-After", "");
-    Got.RequestId = Response.get("X-Request-Id", "");
+    Result.Status = Response.getStatus();
+    Result.Outcome = Response.get("X-Outcome", "");
+    Result.RetryAfter = Response.get("Retry-After", "");
+    Result.RequestId = Response.get("X-Request-Id", "");
     if (Response.getContentType().starts_with("text/event-stream"))
-      readStream(In, Got, OnText);
+      readStream(In, Result, OnText);
     else
-      readDocument(In, Got);
-  } catch (const Poco::Exception &Failure) {
-    Got.Body += Failure.displayText();
+      readDocument(In, Result);
+  } catch (const Poco::Exception &Error) {
+    Result.Body += Error.displayText();
   }
-  Got.Took = std::chrono::duration_cast<std::chrono::milliseconds>(
+  Result.Elapsed = std::chrono::duration_cast<std::chrono::milliseconds>(
       SteadyClock::now() - Start);
-  return Got;
+  return Result;
 }
 
 TestFleet::TestFleet(FleetPlan P)
-    : Plan(std::move(P)), StoreAt(this->Plan.Store ? freeAddress() : "") {
+    : Plan(std::move(P)), StoreAddress(this->Plan.Store ? freeAddress() : "") {
   for (int Index = 0; Index < this->Plan.Routers; ++Index)
     this->Routers.push_back({"r" + std::to_string(Index), freeAddress(),
                              freeAddress(), freeAddress(), nullptr});
@@ -212,7 +215,7 @@
     this->Engines.push_back(
         {"s" + std::to_string(Index), freeAddress(), "", "", nullptr});
   for (int Index = 0; Index < this->Plan.PlainServices; ++Index)
-    this->Plains.push_back(
+    this->PlainServiceNodes.push_back(
         {"p" + std::to_string(Index), freeAddress(), "", "", nullptr});
   this->writeDeclarations();
   for (const Node &Router : this->Routers)
@@ -221,15 +224,16 @@
   for (int Index = 0; Index < this->Plan.Engines; ++Index)
     this->Ready = this->startEngine(Index) && this->Ready;
   for (int Index = 0; Index < this->Plan.PlainServices; ++Index)
-    this->Ready = this->startPlain(Index) && this->Ready;
+    this->Ready = this->startPlainService(Index) && this->Ready;
   for (int Index = 0; Index < this->Plan.Routers; ++Index)
     this->Ready = this->startRouter(Index) && this->Ready;
 }
 
 void TestFleet::writeDeclarations() const {
   std::string Text;
-  const std::string Services =
-      this->Plains.empty() ? "advisory, batch" : "advisory, batch, records";
+  const std::string Services = this->PlainServiceNodes.empty()
+                                   ? "advisory, batch"
+                                   : "advisory, batch, records";
   for (const std::string &Account : this->Plan.Accounts)
     Text.append("[account ")
         .append(Account)
@@ -239,12 +243,12 @@
         .append(Services)
         .append("\n")
         .append(this->Plan.AccountLines);
-  const std::string Names = listOf("s", this->Plan.Engines);
-  Text += serviceText("advisory", "engine", true, Names) +
-          serviceText("batch", "engine", false, Names);
-  if (!this->Plains.empty())
-    Text += serviceText("records", "plain", false,
-                        listOf("p", this->Plan.PlainServices));
+  const std::string Names = nameList("s", this->Plan.Engines);
+  Text += serviceSection("advisory", "engine", true, Names) +
+          serviceSection("batch", "engine", false, Names);
+  if (!this->PlainServiceNodes.empty())
+    Text += serviceSection("records", "plain", false,
+                           nameList("p", this->Plan.PlainServices));
   const auto AddServer = [&Text, this](const Node &Server) {
     Text += "[server " + Server.Name +
             "]\navailability_zone = z1\naddress = " + Server.Address +
@@ -252,7 +256,7 @@
             std::to_string(this->Plan.MaxConcurrent) + "\n";
   };
   std::ranges::for_each(this->Engines, AddServer);
-  std::ranges::for_each(this->Plains, AddServer);
+  std::ranges::for_each(this->PlainServiceNodes, AddServer);
   this->Folder.write("declarations.ini", Text);
 }
 
@@ -266,17 +270,17 @@
     if (Other.Name != Router.Name)
       Text += Other.Name + " = " + Other.Peers + "\n";
   if (this->Plan.Store)
-    Text += "[platform]\naddress = " + this->StoreAt + "\n";
+    Text += "[platform]\naddress = " + this->StoreAddress + "\n";
   Text += "[declarations]\nfile = " + this->declarations() + "\n" +
           this->Plan.Settings;
   this->Folder.write(Router.Name + ".ini", Text);
 }
 
-const std::string &TestFleet::callers(int Router) const {
+const std::string &TestFleet::callerAddress(int Router) const {
   return this->Routers.at(Router).Address;
 }
 
-const std::string &TestFleet::operators(int Router) const {
+const std::string &TestFleet::operatorAddress(int Router) const {
   return this->Routers.at(Router).Operators;
 }
 
@@ -285,7 +289,7 @@
 }
 
 const std::string &TestFleet::plainAddress(int Service) const {
-  return this->Plains.at(Service).Address;
+  return this->PlainServiceNodes.at(Service).Address;
 }
 
 std::string TestFleet::declarations() const {
@@ -305,16 +309,16 @@
 }
 
 ChildProcess &TestFleet::plain(int Service) {
-  return *this->Plains.at(Service).Process;
+  return *this->PlainServiceNodes.at(Service).Process;
 }
 
 ChildProcess &TestFleet::store() { return *this->StoreNode.Process; }
 
 bool TestFleet::start(Node &N, const std::string &Program,
-                      std::vector<std::string> Words) {
+                      std::vector<std::string> Arguments) {
   N.Process.reset();
   N.Process = std::make_unique<ChildProcess>(
-      Program, std::move(Words), this->Folder.path(N.Name + ".log"));
+      Program, std::move(Arguments), this->Folder.path(N.Name + ".log"));
   return waitForListener(N.Address);
 }
 
@@ -331,58 +335,59 @@
                       "--executions-log", this->Folder.path(ExecutionsLog)});
 }
 
-bool TestFleet::startPlain(int Service) {
-  return this->start(this->Plains.at(Service), "parsleywing-standin",
+bool TestFleet::startPlainService(int Service) {
+  return this->start(this->PlainServiceNodes.at(Service), "parsleywing-standin",
                      {"--plain", this->plainAddress(Service)});
 }
 
 bool TestFleet::startStore() {
   this->StoreNode.Name = "store";
-  this->StoreNode.Address = this->StoreAt;
+  this->StoreNode.Address = this->StoreAddress;
   return this->start(this->StoreNode, "parsleywing-standin",
-                     {"--store", this->StoreAt});
+                     {"--store", this->StoreAddress});
 }
 
 void TestFleet::engineFaults(int Engine, const std::string &Json) const {
-  postTo(this->engineAddress(Engine), "/standin/faults", Json);
+  httpPost(this->engineAddress(Engine), "/standin/faults", Json);
 }
 
 void TestFleet::storeFaults(const std::string &Json) const {
-  postTo(this->StoreAt, "/standin/faults", Json);
+  httpPost(this->StoreAddress, "/standin/faults", Json);
 }
 
 std::vector<TestFleet::Execution> TestFleet::executions() const {
   std::ifstream Log(this->Folder.path(ExecutionsLog));
   std::vector<Execution> All;
-  Execution Next;
-  while (Log >> Next.Identity >> Next.Key)
-    All.push_back(Next);
+  Execution Entry;
+  while (Log >> Entry.Identity >> Entry.Key)
+    All.push_back(Entry);
   return All;
 }
 
 int TestFleet::executionsOfKey(const std::string &Key) const {
   int Count = 0;
-  for (const Execution &Each : this->executions())
-    Count += Each.Key == Key ? 1 : 0;
+  for (const Execution &Logged : this->executions())
+    Count += Logged.Key == Key ? 1 : 0;
   return Count;
 }
 
 int TestFleet::executionsOfRequest(const std::string &RequestId) const {
-  // Engines get the request's identity and the attempt's number behind a dot.
+  // Engines receive the request's identity with the attempt's number after a
+  // dot.
   int Count = 0;
-  for (const Execution &Each : this->executions())
-    Count += Each.Identity.starts_with(RequestId + ".") ? 1 : 0;
+  for (const Execution &Logged : this->executions())
+    Count += Logged.Identity.starts_with(RequestId + ".") ? 1 : 0;
   return Count;
 }
 
 int TestFleet::runningAt(int Engine) const {
-  return metricOf(getFrom(this->engineAddress(Engine), "/metrics"),
-                  "vllm:num_requests_running");
+  return metricValue(httpGet(this->engineAddress(Engine), "/metrics"),
+                     "vllm:num_requests_running");
 }
 
 int TestFleet::waitingAt(int Engine) const {
-  return metricOf(getFrom(this->engineAddress(Engine), "/metrics"),
-                  "vllm:num_requests_waiting");
+  return metricValue(httpGet(this->engineAddress(Engine), "/metrics"),
+                     "vllm:num_requests_waiting");
 }
 
 int TestFleet::running() const {
@@ -392,8 +397,8 @@
   return Sum;
 }
 
-int TestFleet::openAt(int Router) const {
-  const std::string Health = getFrom(this->operators(Router), "/health");
+int TestFleet::openRequestsAt(int Router) const {
+  const std::string Health = httpGet(this->operatorAddress(Router), "/health");
   return parseObject(Health)->optValue<int>("open_requests", -1);
 }
 
--- a/test/Process/TroubledWay.cpp
+++ b/test/Process/TroubledWay.cpp
@@ -12,116 +12,121 @@
 
 namespace {
 
-constexpr int StepMicroseconds = 50'000;
+constexpr int PollMicroseconds = 50'000;
 constexpr int DelayMilliseconds = 40;
 constexpr int MaxConnections = 64;
 
-class WayConnection : public Poco::Net::TCPServerConnection {
+class LinkConnection : public Poco::Net::TCPServerConnection {
 public:
-  WayConnection(const StreamSocket &Caller, std::string F,
-                const std::atomic<WayTrouble> &T, const std::atomic<bool> &A)
-      : TCPServerConnection(Caller), FarEnd(std::move(F)), Trouble(T), Away(A) {
-  }
+  LinkConnection(const StreamSocket &Caller, std::string F,
+                 const std::atomic<WayTrouble> &T, const std::atomic<bool> &A)
+      : TCPServerConnection(Caller), TargetAddress(std::move(F)), Trouble(T),
+        Down(A) {}
 
   void run() override {
     try {
-      this->carry();
+      this->forward();
     } catch (const Poco::Exception &) {
-      // Either side is gone: the way closes the other.
+      // One side has disconnected; the destructor closes the other.
     }
   }
 
 private:
-  void carry() {
-    StreamSocket Near = this->socket();
+  void forward() {
+    StreamSocket CallerSocket = this->socket();
     if (this->Trouble == WayTrouble::Cut) {
-      Near.setLinger(true, 0);
+      CallerSocket.setLinger(true, 0);
       return;
     }
-    StreamSocket Far{Poco::Net::SocketAddress(this->FarEnd)};
-    while (this->Trouble != WayTrouble::Cut && !this->Away)
-      if (!this->passOnce(Near, Far))
+    StreamSocket TargetSocket{Poco::Net::SocketAddress(this->TargetAddress)};
+    while (this->Trouble != WayTrouble::Cut && !this->Down)
+      if (!this->forwardOnce(CallerSocket, TargetSocket))
         return;
-    // Closed so, a connection is reset.
-    Near.setLinger(true, 0);
-    Far.setLinger(true, 0);
+    // With a zero linger time, closing resets the connection.
+    CallerSocket.setLinger(true, 0);
+    TargetSocket.setLinger(true, 0);
   }
 
-  /// False where one end has closed.
-  bool passOnce(StreamSocket &Near, StreamSocket &Far) {
+  /// Returns false if one side has closed.
+  bool forwardOnce(StreamSocket &CallerSocket, StreamSocket &TargetSocket) {
     const WayTrouble Now = this->Trouble;
     Socket::SocketList Readable;
     if (Now != WayTrouble::SilentTo)
-      Readable.push_back(Near);
+      Readable.push_back(CallerSocket);
     if (Now != WayTrouble::SilentFrom)
-      Readable.push_back(Far);
-    Socket::SocketList None;
+      Readable.push_back(TargetSocket);
+    Socket::SocketList Writable;
     Socket::SocketList Failed;
-    Socket::select(Readable, None, Failed, Poco::Timespan(0, StepMicroseconds));
+    Socket::select(Readable, Writable, Failed,
+                   Poco::Timespan(0, PollMicroseconds));
     if (Now == WayTrouble::Delayed && !Readable.empty())
       Poco::Thread::sleep(DelayMilliseconds);
-    for (const Socket &Ready : Readable)
-      if (!(Ready == Near ? pass(Near, Far) : pass(Far, Near)))
+    for (const Socket &ReadySocket : Readable)
+      if (!(ReadySocket == CallerSocket
+                ? forwardBytes(CallerSocket, TargetSocket)
+                : forwardBytes(TargetSocket, CallerSocket)))
         return false;
     return true;
   }
 
-  static bool pass(StreamSocket &From, StreamSocket &To) {
+  static bool forwardBytes(StreamSocket &From, StreamSocket &To) {
     std::array<char, 65'536> Bytes;
-    const int Got = From.receiveBytes(Bytes.data(), Bytes.size());
+    const int Received = From.receiveBytes(Bytes.data(), Bytes.size());
     int Sent = 0;
-    while (Sent < Got)
-      Sent += To.sendBytes(Bytes.data() + Sent, Got - Sent);
-    return Got > 0;
+    while (Sent < Received)
+      Sent += To.sendBytes(Bytes.data() + Sent, Received - Sent);
+    return Received > 0;
   }
 
-  std::string FarEnd;
+  std::string TargetAddress;
   const std::atomic<WayTrouble> &Trouble;
-  const std::atomic<bool> &Away;
+  const std::atomic<bool> &Down;
 };
 
-class WayFactory : public Poco::Net::TCPServerConnectionFactory {
+class LinkFactory : public Poco::Net::TCPServerConnectionFactory {
 public:
-  WayFactory(std::string F, const std::atomic<WayTrouble> &T,
-             const std::atomic<bool> &A)
-      : FarEnd(std::move(F)), Trouble(T), Away(A) {}
+  LinkFactory(std::string F, const std::atomic<WayTrouble> &T,
+              const std::atomic<bool> &A)
+      : TargetAddress(std::move(F)), Trouble(T), Down(A) {}
 
   Poco::Net::TCPServerConnection *
   createConnection(const StreamSocket &Caller) override {
-    return new WayConnection(Caller, this->FarEnd, this->Trouble, this->Away);
+    return new LinkConnection(Caller, this->TargetAddress, this->Trouble,
+                              this->Down);
   }
 
 private:
-  std::string FarEnd;
+  std::string TargetAddress;
   const std::atomic<WayTrouble> &Trouble;
-  const std::atomic<bool> &Away;
+  const std::atomic<bool> &Down;
 };
 
 } // namespace
 
 TroubledWay::TroubledWay(const std::string &F)
-    : FarEnd(F), Threads(2, MaxConnections) {
+    : TargetAddress(F), Threads(2, MaxConnections) {
   this->listen();
-  this->Place = this->Server->socket().address();
+  this->ListenAddress = this->Server->socket().address();
 }
 
 void TroubledWay::listen() {
-  const Poco::Net::ServerSocket Socket{this->Place};
+  const Poco::Net::ServerSocket Socket{this->ListenAddress};
   Poco::Net::TCPServerParams::Ptr Params = new Poco::Net::TCPServerParams;
   Params->setMaxThreads(MaxConnections);
   this->Server = std::make_unique<Poco::Net::TCPServer>(
-      new WayFactory(this->FarEnd, this->Trouble, this->IsAway), this->Threads,
-      Socket, Params);
+      new LinkFactory(this->TargetAddress, this->Trouble, this->IsDown),
+      this->Threads, Socket, Params);
   this->Server->start();
 }
 
-void TroubledWay::setAway(bool Away) {
-  this->IsAway = Away;
-  if (!Away) {
+void TroubledWay::setAway(bool Down) {
+  this->IsDown = Down;
+  if (!Down) {
     this->listen();
     return;
   }
-  // The library stops listening only when it has looked for callers once more.
+  // Without the shutdown, Poco would stop listening only after its next poll
+  // for connections.
   ::shutdown(this->Server->socket().impl()->sockfd(), SHUT_RDWR);
   this->Server->stop();
   while (this->Server->currentConnections() > 0)
@@ -135,9 +140,11 @@
   this->Trouble = WayTrouble::Cut;
   this->Server->stop();
   while (this->Server->currentConnections() > 0)
-    Poco::Thread::sleep(StepMicroseconds / 1000);
+    Poco::Thread::sleep(PollMicroseconds / 1000);
 }
 
-std::string TroubledWay::address() const { return this->Place.toString(); }
+std::string TroubledWay::address() const {
+  return this->ListenAddress.toString();
+}
 
 } // namespace parsleywing::test
--- a/test/Process/TroubledWay.h
+++ b/test/Process/TroubledWay.h
@@ -9,30 +9,30 @@
 
 namespace parsleywing::test {
 
-/// What is wrong with a way at present. What is silent is held, and goes on
-/// when the trouble is over.
+/// The fault that is injected into a link. Bytes in a silent direction are held
+/// back and delivered after the fault.
 enum class WayTrouble {
   None,
-  Cut,        ///< Connections are reset, new ones too.
-  SilentTo,   ///< Nothing passes towards the far end.
-  SilentFrom, ///< Nothing passes from the far end.
-  Delayed,    ///< Each piece is late.
+  Cut,        ///< Connections are reset, including new ones.
+  SilentTo,   ///< No bytes are forwarded to the target.
+  SilentFrom, ///< No bytes are forwarded from the target.
+  Delayed,    ///< Each read is forwarded late.
 };
 
-/// A way of connections to one address, with the troubles that a test orders.
+/// A TCP proxy to one address, into which a test injects faults.
 class TroubledWay {
 public:
-  explicit TroubledWay(const std::string &FarEnd);
+  explicit TroubledWay(const std::string &TargetAddress);
   ~TroubledWay();
   TroubledWay(const TroubledWay &) = delete;
   TroubledWay &operator=(const TroubledWay &) = delete;
 
   std::string address() const;
   void setTrouble(WayTrouble Now) { this->Trouble = Now; }
-  /// Ends all connections and refuses new ones, as where the far end's process
-  /// has crashed, or listens again at the same address. Not from a connection
-  /// of the way itself.
-  void setAway(bool Away);
+  /// With true, closes all connections and refuses new ones, as if the process
+  /// at the target address had crashed. With false, listens again at the same
+  /// address. Must not be called from a connection of the link itself.
+  void setAway(bool Down);
   void setCut(bool Cut) {
     this->setTrouble(Cut ? WayTrouble::Cut : WayTrouble::None);
   }
@@ -40,10 +40,10 @@
 private:
   void listen();
 
-  const std::string FarEnd;
-  Poco::Net::SocketAddress Place{"127.0.0.1", 0};
+  const std::string TargetAddress;
+  Poco::Net::SocketAddress ListenAddress{"127.0.0.1", 0};
   std::atomic<WayTrouble> Trouble{WayTrouble::None};
-  std::atomic<bool> IsAway{false};
+  std::atomic<bool> IsDown{false};
   Poco::ThreadPool Threads;
   std::unique_ptr<Poco::Net::TCPServer> Server;
 };
--- a/test/Process/WholePathTest.cpp
+++ b/test/Process/WholePathTest.cpp
@@ -24,8 +24,8 @@
 
 } // namespace
 
-// Two routers and two engines run as processes; a caller gets its whole
-// streamed answer from either router.
+// Two routers and two engines run as processes; a caller gets a complete
+// streamed response from either router.
 Test(WholePath, EitherRouterServesAWholeStream) {
   const TemporaryFolder Folder;
   const std::string Engine1 = freeAddress();
@@ -34,26 +34,26 @@
                         Folder.path("e1.log"));
   const ChildProcess E2("parsleywing-standin", {"--engine", Engine2},
                         Folder.path("e2.log"));
-  // Under load an engine may start later than a router, which then rightly
-  // answers that there is no server.
+  // On a busy machine an engine may start later than a router, which would then
+  // correctly respond that there is no server.
   cr_assert(waitForListener(Engine1));
   cr_assert(waitForListener(Engine2));
-  const std::string Declared =
+  const std::string Declarations =
       Folder.write("declarations.ini", declarationsFor(Engine1, Engine2));
   for (const std::string Name : {"r1", "r2"}) {
     const std::string Callers = freeAddress();
     const std::string Settings =
-        Folder.write(Name + ".ini", settingsFor(Name, Callers, Declared));
+        Folder.write(Name + ".ini", settingsFor(Name, Callers, Declarations));
     const ChildProcess Router("parsleywing", {"router", "--settings", Settings},
                               Folder.path(Name + ".log"));
     cr_assert(waitForListener(Callers));
-    const CallerAnswer Answer =
+    const CallerResponse Response =
         callRouter(Callers, "kettle-key",
                    R"({"model":"advisory","input":"tokens=3","stream":true})");
-    const bool Whole =
-        Answer.Body.find("t2 ") != std::string::npos &&
-        Answer.Body.find("response.completed") != std::string::npos;
-    cr_assert(Answer.Status == 200 && Whole, "%s answered %d: %s", Name.c_str(),
-              Answer.Status, Answer.Body.c_str());
+    const bool IsComplete =
+        Response.Body.find("t2 ") != std::string::npos &&
+        Response.Body.find("response.completed") != std::string::npos;
+    cr_assert(Response.Status == 200 && IsComplete, "%s responded with %d: %s",
+              Name.c_str(), Response.Status, Response.Body.c_str());
   }
 }
