--- a/bench/ConfigurationFleetBench.cpp
+++ b/bench/ConfigurationFleetBench.cpp
@@ -6,36 +6,36 @@
 #include <cstdio>
 #include <sstream>
 
-// Prints how long a change takes from accepted to in force at every router,
-// and what configuration and membership cost meanwhile, with real routers and
-// the store's stand-in on this machine, in about two minutes:
-//   ./build/ConfigurationFleetBench [accounts]
+// Measures the time from the acceptance of a change to its activation at every
+// router, and the cost of configuration and membership. Uses router processes
+// and a stand-in for the store on this machine and takes about two minutes:
+//     ./build/ConfigurationFleetBench [accounts]
 
 using namespace parsleywing;
 using namespace parsleywing::test;
 
 namespace {
 
-using Moment = std::chrono::steady_clock::time_point;
+using SteadyTime = std::chrono::steady_clock::time_point;
 
 constexpr std::size_t DefaultAccounts = 2'000;
 constexpr std::size_t ManyAccounts = 24'000;
-constexpr int LeaseSeconds = 30; // The default of a router's settings.
+constexpr int LeaseSeconds = 30; // The default of the settings.
 constexpr int TimedChanges = 7;
 constexpr auto PollPause = std::chrono::milliseconds(5);
-constexpr auto LongestChange = std::chrono::seconds(30);
-constexpr auto Settle = std::chrono::seconds(3);
+constexpr auto MaxChangeTime = std::chrono::seconds(30);
+constexpr auto SettleTime = std::chrono::seconds(3);
 constexpr auto Window = std::chrono::seconds(10);
 constexpr int FirstShare = 10;
 constexpr double ChangesPerSecond = 0.9;
 
-double secondsSince(Moment Start) {
+double secondsSince(SteadyTime Start) {
   return std::chrono::duration<double>(std::chrono::steady_clock::now() - Start)
       .count();
 }
 
-/// A file of accounts with these shares.
-std::string fileOf(const std::vector<int> &Shares) {
+/// Returns a declarations file with one account per share.
+std::string declarationsText(const std::vector<int> &Shares) {
   std::ostringstream Text;
   for (std::size_t Index = 0; Index < Shares.size(); ++Index) {
     const std::string Name = "account-" + std::to_string(Index);
@@ -47,13 +47,13 @@
   return Text.str();
 }
 
-/// What the fleet has used up to a moment.
+/// The resource usage of the fleet up to a time.
 struct Usage {
-  Moment At = std::chrono::steady_clock::now();
+  SteadyTime MeasuredAt = std::chrono::steady_clock::now();
   double StoreCalls = 0;
   double RouterCalls = 0;
   double PeerBytes = 0;
-  double ProcessorSeconds = 0;
+  double CpuSeconds = 0;
 };
 
 /// The sum of a metric over its labels.
@@ -78,7 +78,7 @@
     Sum.RouterCalls += metric(*Text, "store_calls_total");
     Sum.PeerBytes += metric(*Text, "peer_sent_bytes_total") +
                      metric(*Text, "peer_bulk_sent_bytes_total");
-    Sum.ProcessorSeconds += metric(*Text, "process_cpu_seconds_total");
+    Sum.CpuSeconds += metric(*Text, "process_cpu_seconds_total");
   }
   return Sum;
 }
@@ -86,88 +86,92 @@
 struct Rates {
   double StoreCalls;
   double RouterCalls;
-  double BytesPerNode;
-  double ProcessorPercent;
+  double BytesPerRouter;
+  double CpuPercent;
 };
 
-Rates ratesBetween(const Usage &From, const Usage &To, std::size_t Nodes) {
-  const double Length = std::chrono::duration<double>(To.At - From.At).count();
-  const double NodeSeconds = Length * static_cast<double>(Nodes);
-  return {(To.StoreCalls - From.StoreCalls) / Length,
-          (To.RouterCalls - From.RouterCalls) / Length,
-          (To.PeerBytes - From.PeerBytes) / NodeSeconds,
-          100 * (To.ProcessorSeconds - From.ProcessorSeconds) / NodeSeconds};
+Rates ratesBetween(const Usage &Before, const Usage &After,
+                   std::size_t RouterCount) {
+  const double Seconds =
+      std::chrono::duration<double>(After.MeasuredAt - Before.MeasuredAt)
+          .count();
+  const double RouterSeconds = Seconds * static_cast<double>(RouterCount);
+  return {(After.StoreCalls - Before.StoreCalls) / Seconds,
+          (After.RouterCalls - Before.RouterCalls) / Seconds,
+          (After.PeerBytes - Before.PeerBytes) / RouterSeconds,
+          100 * (After.CpuSeconds - Before.CpuSeconds) / RouterSeconds};
 }
 
 class Measurement {
 public:
-  Measurement(std::size_t R, std::size_t A)
-      : Shares(A, FirstShare), Fleet(R, false, LeaseSeconds) {}
+  Measurement(std::size_t RouterCount, std::size_t AccountCount)
+      : Shares(AccountCount, FirstShare),
+        Fleet(RouterCount, false, LeaseSeconds) {}
 
   void run() {
     this->apply();
-    this->awaitEverywhere();
-    std::this_thread::sleep_for(Settle);
+    this->waitForAllRouters();
+    std::this_thread::sleep_for(SettleTime);
     std::vector<double> Times;
     for (int Change = 0; Change < TimedChanges; ++Change) {
       this->apply();
-      Times.push_back(this->awaitEverywhere());
+      Times.push_back(this->waitForAllRouters());
     }
     std::ranges::sort(Times);
-    std::this_thread::sleep_for(Settle);
-    const Rates AtRest = this->measure(0);
+    std::this_thread::sleep_for(SettleTime);
+    const Rates Idle = this->measure(0);
     const Rates Changing = this->measure(ChangesPerSecond);
     std::printf("| %zu | %zu | %.0f | %.0f | %.1f | %.1f | %.1f | %.0f | %.0f "
                 "| %.2f | %.2f | %d |\n",
                 this->Fleet.routers().size(), this->Shares.size(),
                 1000 * Times[Times.size() / 2], 1000 * Times.back(),
-                AtRest.StoreCalls, Changing.RouterCalls, Changing.StoreCalls,
-                AtRest.BytesPerNode, Changing.BytesPerNode,
-                AtRest.ProcessorPercent, Changing.ProcessorPercent,
-                this->LastChanges);
+                Idle.StoreCalls, Changing.RouterCalls, Changing.StoreCalls,
+                Idle.BytesPerRouter, Changing.BytesPerRouter, Idle.CpuPercent,
+                Changing.CpuPercent, this->LastChanges);
     std::fflush(stdout);
   }
 
 private:
-  /// Puts the next change in force; it changes one account.
+  /// Applies the next change, which changes the share of one account.
   void apply() {
     constexpr std::size_t Stride = 7919;
-    ++this->Version;
-    ++this->Shares[this->Version * Stride % this->Shares.size()];
-    const auto Done =
+    ++this->Generation;
+    ++this->Shares[this->Generation * Stride % this->Shares.size()];
+    const auto Result =
         applyToPlatform({{this->Fleet.storeAddress(), "parsleywing/"},
-                         fileOf(this->Shares),
+                         declarationsText(this->Shares),
                          "bench",
-                         LongestChange});
-    if (!Done || Done->Generation != this->Version)
-      throw std::runtime_error(Done ? "a generation was left out"
-                                    : Done.error().Message);
+                         MaxChangeTime});
+    if (!Result || Result->Generation != this->Generation)
+      throw std::runtime_error(Result ? "unexpected generation"
+                                      : Result.error().Message);
   }
 
-  /// Seconds until the last router has the newest generation.
-  double awaitEverywhere() {
-    const Moment Start = std::chrono::steady_clock::now();
+  /// Returns the seconds until the last router has the newest generation.
+  double waitForAllRouters() {
+    const SteadyTime Start = std::chrono::steady_clock::now();
     std::vector<std::future<double>> Waits;
     for (const FleetRouter &Router : this->Fleet.routers())
       Waits.push_back(std::async(std::launch::async, [&Router, Start, this] {
-        while (secondsSince(Start) < LongestChange.count()) {
+        while (secondsSince(Start) < MaxChangeTime.count()) {
           const auto Now = Router.generation();
-          if (Now && Now->Generation >= this->Version)
+          if (Now && Now->Generation >= this->Generation)
             break;
           std::this_thread::sleep_for(PollPause);
         }
         return secondsSince(Start);
       }));
     double Slowest = 0;
-    for (std::future<double> &Each : Waits)
-      Slowest = std::max(Slowest, Each.get());
+    for (std::future<double> &Wait : Waits)
+      Slowest = std::max(Slowest, Wait.get());
     return Slowest;
   }
 
-  /// Uses of a window with so many changes a second, without polls.
+  /// Measures the usage in a window with this rate of changes per second,
+  /// without polling the generation.
   Rates measure(double Rate) {
     const Usage Before = usageOf(this->Fleet, this->Fleet.routers());
-    const Moment Start = std::chrono::steady_clock::now();
+    const SteadyTime Start = std::chrono::steady_clock::now();
     this->LastChanges = 0;
     while (secondsSince(Start) < Window.count()) {
       if (Rate > 0 && secondsSince(Start) >= this->LastChanges / Rate) {
@@ -181,17 +185,17 @@
   }
 
   std::vector<int> Shares;
-  std::uint64_t Version = 0;
+  std::uint64_t Generation = 0;
   int LastChanges = 0;
   ConfigurationFleet Fleet;
 };
 
-void printHead() {
+void printTableHeader() {
   std::printf(
-      "| routers | accounts | in force everywhere, ms: middle | slowest "
-      "| calls/s at rest | calls/s, changes, by routers | with the "
-      "operator's | B/s a node at rest | changes | %% processor a node "
-      "at rest | changes | changes in 10 s |\n"
+      "| routers | accounts | active at all routers, ms: median | max "
+      "| store calls/s, idle | changes, by routers | with the "
+      "operator's | B/s per router, idle | changes | %% CPU per router, "
+      "idle | changes | changes in 10 s |\n"
       "|---|---|---|---|---|---|---|---|---|---|---|---|\n");
 }
 
@@ -201,13 +205,13 @@
   try {
     const std::size_t Accounts =
         Count > 1 ? std::stoul(Arguments[1]) : DefaultAccounts;
-    printHead();
+    printTableHeader();
     for (const std::size_t Routers : {2, 8, 32})
       Measurement(Routers, Accounts).run();
     Measurement(8, ManyAccounts).run();
     return 0;
-  } catch (const std::exception &Failure) {
-    std::fprintf(stderr, "%s\n", Failure.what());
+  } catch (const std::exception &Error) {
+    std::fprintf(stderr, "%s\n", Error.what());
     return 1;
   }
 }
--- a/bench/FleetBench.cpp
+++ b/bench/FleetBench.cpp
@@ -17,18 +17,18 @@
 
 bool isInterrupted() { return Interrupted != 0; }
 
-/// What the process tells the shell.
+/// The exit codes of the process.
 enum ExitCode { Success = 0, Failed = 1, WrongUsage = 2 };
 
-constexpr unsigned MostProcesses = 100;
+constexpr unsigned MaxProcesses = 100;
 
-struct Wanted {
+struct BenchOptions {
   std::string Deployment;
   unsigned Routers = 8;
   unsigned Engines = 0;
   unsigned StepMilliseconds = 25;
   unsigned MaxRunning = 8;
-  unsigned DeclaredBeyond = 0;
+  unsigned ExtraDeclaredRequests = 0;
   unsigned WindowSeconds = 30;
   unsigned WarmUpSeconds = 10;
   unsigned LatencyRequests = 1000;
@@ -40,49 +40,49 @@
   bool Markdown = false;
 };
 
-int runLatency(const Wanted &W) {
-  const LatencyFigures F =
+int runLatency(const BenchOptions &W) {
+  const LatencyResults F =
       measureLatency(W.LatencyRequests, W.LatencyCallers, isInterrupted);
-  if (!F.Missing.empty()) {
-    std::cerr << "FleetBench: " << F.Missing << '\n';
+  if (!F.Error.empty()) {
+    std::cerr << "FleetBench: " << F.Error << '\n';
     return Failed;
   }
   constexpr double Milliseconds = 1000;
   const auto Row = [](const char *Name, const PathLatency &P) {
-    return std::vector<std::string>{Name, decimal(P.P50 * Milliseconds, 3),
-                                    decimal(P.P99 * Milliseconds, 3),
-                                    decimal(P.RequestsPerSecond, 0),
-                                    std::to_string(P.Failed)};
+    return std::vector<std::string>{
+        Name, formatDecimal(P.P50 * Milliseconds, 3),
+        formatDecimal(P.P99 * Milliseconds, 3),
+        formatDecimal(P.RequestsPerSecond, 0), std::to_string(P.Failed)};
   };
-  printTable(
-      std::cout,
-      {{"path", "p50 ms", "p99 ms", "requests/s", "failed"},
-       Row("straight to the engine", F.Direct),
-       Row("through one router", F.Routed),
-       {"added by the router",
-        decimal((F.Routed.P50 - F.Direct.P50) * Milliseconds, 3),
-        decimal((F.Routed.P99 - F.Direct.P99) * Milliseconds, 3), "", ""}},
-      W.Markdown);
+  printTable(std::cout,
+             {{"path", "p50 ms", "p99 ms", "requests/s", "failed"},
+              Row("direct to the engine", F.Direct),
+              Row("through one router", F.Routed),
+              {"added by the router",
+               formatDecimal((F.Routed.P50 - F.Direct.P50) * Milliseconds, 3),
+               formatDecimal((F.Routed.P99 - F.Direct.P99) * Milliseconds, 3),
+               "", ""}},
+             W.Markdown);
   return F.Direct.Failed + F.Routed.Failed == 0 ? Success : Failed;
 }
 
-int runFleet(const Wanted &W, bool Faults) {
+int runFleet(const BenchOptions &W, bool Faults) {
   DeploymentPlan Plan = planFor(W.Deployment, W.Routers, W.Engines);
   Plan.StepMilliseconds = W.StepMilliseconds;
   Plan.MaxRunning = W.MaxRunning;
-  Plan.DeclaredBeyond = W.DeclaredBeyond;
+  Plan.ExtraDeclaredRequests = W.ExtraDeclaredRequests;
   Plan.WithStore = W.WithStore;
   unsigned Processes = Plan.Routers;
   for (const ServicePlan &Service : Plan.Services)
     Processes += Service.Engines;
-  if (Processes > MostProcesses) {
+  if (Processes > MaxProcesses) {
     std::cerr << "FleetBench: " << Processes << " processes; at most "
-              << MostProcesses << " are allowed\n";
+              << MaxProcesses << " are allowed\n";
     return WrongUsage;
   }
-  PhaseLengths Lengths;
-  Lengths.Window = std::chrono::seconds(W.WindowSeconds);
-  Lengths.WarmUp = std::chrono::seconds(W.WarmUpSeconds);
+  PhaseDurations Durations;
+  Durations.Window = std::chrono::seconds(W.WindowSeconds);
+  Durations.WarmUp = std::chrono::seconds(W.WarmUpSeconds);
   LoadOptions Options;
   Options.Seed = W.Seed;
   int Code = Success;
@@ -92,22 +92,22 @@
       continue;
     if (Faults) {
       const FaultReport Report =
-          measureFaults(Plan, Policy, Lengths.WarmUp, Options, isInterrupted);
+          measureFaults(Plan, Policy, Durations.WarmUp, Options, isInterrupted);
       printFaults(std::cout, Plan, Report, W.Markdown);
-      if (!Report.Missing.empty())
+      if (!Report.Error.empty())
         Code = Failed;
       continue;
     }
-    const FleetFigures Figures =
-        measureFleet(Plan, Policy, Lengths, Options, isInterrupted);
-    printFigures(std::cout, Plan, Figures, W.Markdown);
-    if (!Figures.Missing.empty())
+    const FleetResults Results =
+        measureFleet(Plan, Policy, Durations, Options, isInterrupted);
+    printResults(std::cout, Plan, Results, W.Markdown);
+    if (!Results.Error.empty())
       Code = Failed;
   }
   return Code;
 }
 
-boost::program_options::options_description options(Wanted &W) {
+boost::program_options::options_description describeOptions(BenchOptions &W) {
   namespace options = boost::program_options;
   options::options_description Visible(
       "FleetBench [--deployment NAME | --routers N --engines M] [options]\n"
@@ -117,40 +117,40 @@
       "association (the default) or meridian")(
       "routers", options::value(&W.Routers), "number of routers; default 8")(
       "engines", options::value(&W.Engines),
-      "number of engines of one service, in place of a deployment")(
+      "number of engines of one service, instead of a deployment")(
       "step-ms", options::value(&W.StepMilliseconds),
-      "time of an engine for one token; default 25")(
+      "time per token of an engine; default 25")(
       "max-running", options::value(&W.MaxRunning),
-      "requests that an engine runs at once; default 8")(
-      "declared-beyond", options::value(&W.DeclaredBeyond),
-      "declare so many requests beyond that of each engine; default 0")(
-      "window-s", options::value(&W.WindowSeconds),
-      "measured time with all accounts; default 30")(
+      "concurrent requests of an engine; default 8")(
+      "declared-beyond", options::value(&W.ExtraDeclaredRequests),
+      "concurrent requests declared in excess of that for each engine; default "
+      "0")("window-s", options::value(&W.WindowSeconds),
+           "measured time with all accounts; default 30")(
       "warm-up-s", options::value(&W.WarmUpSeconds),
       "time before the window; default 10")("seed", options::value(&W.Seed),
                                             "seed of the load; default 1")(
       "latency", "measure the latency that one router adds")(
-      "faults", "kill and freeze routers under the load")(
+      "faults", "kill and pause routers under load")(
       "latency-requests", options::value(&W.LatencyRequests),
-      "timed requests on each way; default 1000")(
+      "measured requests on each path; default 1000")(
       "latency-callers", options::value(&W.LatencyCallers),
-      "callers at once for requests a second; default 8")(
-      "policy", options::value(&W.Policy), "local or shared, in place of both")(
+      "concurrent callers when measuring throughput; default 8")(
+      "policy", options::value(&W.Policy), "local or shared, instead of both")(
       "store", options::bool_switch(&W.WithStore),
-      "start a stand-in for the platform's store as well")(
+      "also start a stand-in for the platform's store")(
       "markdown", options::bool_switch(&W.Markdown), "print Markdown tables");
   return Visible;
 }
 
 int run(int ArgumentCount, char **Arguments) {
   namespace options = boost::program_options;
-  Wanted W;
-  const options::options_description Visible = ::options(W);
-  options::variables_map Given;
+  BenchOptions W;
+  const options::options_description Visible = ::describeOptions(W);
+  options::variables_map Parsed;
   options::store(options::parse_command_line(ArgumentCount, Arguments, Visible),
-                 Given);
-  options::notify(Given);
-  if (Given.contains("help")) {
+                 Parsed);
+  options::notify(Parsed);
+  if (Parsed.contains("help")) {
     std::cout << Visible;
     return Success;
   }
@@ -167,8 +167,8 @@
   for (int Index = 1; Index < ArgumentCount; ++Index)
     W.CommandLine += std::string(" ") + Arguments[Index];
   printConditions(std::cout, W.CommandLine, W.Seed, W.Markdown);
-  return Given.contains("latency") ? runLatency(W)
-                                   : runFleet(W, Given.contains("faults"));
+  return Parsed.contains("latency") ? runLatency(W)
+                                    : runFleet(W, Parsed.contains("faults"));
 }
 
 } // namespace
@@ -179,8 +179,8 @@
   std::signal(SIGPIPE, SIG_IGN);
   try {
     return run(ArgumentCount, Arguments);
-  } catch (const std::exception &Problem) {
-    std::cerr << "FleetBench: " << Problem.what() << '\n';
+  } catch (const std::exception &Error) {
+    std::cerr << "FleetBench: " << Error.what() << '\n';
     return WrongUsage;
   }
 }
--- a/bench/FleetDeployment.cpp
+++ b/bench/FleetDeployment.cpp
@@ -12,8 +12,8 @@
 
 constexpr unsigned SmallOpenRequests = 24;
 constexpr unsigned LargeOpenRequests = 96;
-constexpr unsigned SmallEntries = 2;
-constexpr unsigned LargeEntries = 4;
+constexpr unsigned MaxSmallAccountRouters = 2;
+constexpr unsigned LargeAccountRouters = 4;
 constexpr unsigned LargeShareSteps = 3;
 
 std::string zoneOf(std::size_t Index, unsigned Zones) {
@@ -31,15 +31,16 @@
   return Service.Name + "-" + std::to_string(Index + 1);
 }
 
-/// Chooses routers at which an account enters.
-std::vector<std::string> drawRouters(std::vector<std::string> All,
-                                     unsigned Count, std::mt19937_64 &Random) {
+/// Chooses the routers that an account calls.
+std::vector<std::string> chooseRouters(std::vector<std::string> All,
+                                       unsigned Count,
+                                       std::mt19937_64 &Random) {
   std::ranges::shuffle(All, Random);
   All.resize(std::min<std::size_t>(Count, All.size()));
   return All;
 }
 
-LoadAccount newAccount(const std::string &Name, const std::string &Service) {
+LoadAccount makeAccount(const std::string &Name, const std::string &Service) {
   LoadAccount Account;
   Account.Name = Name;
   Account.Key = "key-of-" + Name;
@@ -77,36 +78,37 @@
   std::vector<LoadAccount> Accounts;
   for (const ServicePlan &Service : Plan.Services) {
     for (unsigned Index = 0; Index < Service.SmallAccounts; ++Index) {
-      LoadAccount Small = newAccount(
+      LoadAccount Small = makeAccount(
           Service.Name + "-small-" + std::to_string(Index + 1), Service.Name);
       Small.Share = Index % 3 == 2 ? 2 : 1;
       Small.OpenRequests = SmallOpenRequests;
-      Small.Routers = drawRouters(Routers, 1 + Index % SmallEntries, Random);
+      Small.Routers =
+          chooseRouters(Routers, 1 + Index % MaxSmallAccountRouters, Random);
       Accounts.push_back(Small);
     }
     for (unsigned Index = 0; Index < Service.LargeAccounts; ++Index) {
-      LoadAccount Large = newAccount(
+      LoadAccount Large = makeAccount(
           Service.Name + "-large-" + std::to_string(Index + 1), Service.Name);
       Large.Share = 1U << Index % LargeShareSteps; // 1, 2 and 4.
       Large.OpenRequests = LargeOpenRequests;
-      Large.Routers = drawRouters(Routers, LargeEntries, Random);
+      Large.Routers = chooseRouters(Routers, LargeAccountRouters, Random);
       Accounts.push_back(Large);
     }
   }
   LoadAccount Occasional =
-      newAccount(OccasionalAccount, Plan.Services.front().Name);
+      makeAccount(OccasionalAccount, Plan.Services.front().Name);
   Occasional.OpenRequests = 1;
   Occasional.Pause = std::chrono::milliseconds(100);
   Occasional.FixedTokens = 4;
-  Occasional.Routers = drawRouters(Routers, 1, Random);
+  Occasional.Routers = chooseRouters(Routers, 1, Random);
   Accounts.push_back(Occasional);
   return Accounts;
 }
 
 FleetDeployment::FleetDeployment(DeploymentPlan P) : Plan(std::move(P)) {}
 
-std::string FleetDeployment::newAddress() {
-  // The system may give a port again that was given a moment ago.
+std::string FleetDeployment::unusedAddress() {
+  // The system may return an address again that it returned a moment ago.
   std::string Address = test::freeAddress();
   while (std::ranges::count(this->UsedAddresses, Address) > 0)
     Address = test::freeAddress();
@@ -114,20 +116,20 @@
   return Address;
 }
 
-void FleetDeployment::planProcesses() {
+void FleetDeployment::assignAddresses() {
   for (const ServicePlan &Service : this->Plan.Services)
     for (unsigned Index = 0; Index < Service.Engines; ++Index)
       this->Engines.push_back(
-          {engineName(Service, Index), this->newAddress(), "", "", nullptr});
+          {engineName(Service, Index), this->unusedAddress(), "", "", nullptr});
   for (unsigned Index = 0; Index < this->Plan.Routers; ++Index)
     this->Routers.push_back({"r" + std::to_string(Index + 1),
-                             this->newAddress(), this->newAddress(),
-                             this->newAddress(), nullptr});
+                             this->unusedAddress(), this->unusedAddress(),
+                             this->unusedAddress(), nullptr});
 }
 
 std::string FleetDeployment::start(FairnessPolicy P, std::uint64_t Seed) {
   this->Policy = P;
-  this->planProcesses();
+  this->assignAddresses();
   std::vector<std::string> Addresses;
   for (const FleetProcess &Router : this->Routers)
     Addresses.push_back(Router.Address);
@@ -138,13 +140,13 @@
 std::string FleetDeployment::startAll() {
   this->Folder.write("declarations.ini", this->declarationsText());
   if (this->Plan.WithStore) {
-    this->Store = {"store", this->newAddress(), "", "", nullptr};
+    this->Store = {"store", this->unusedAddress(), "", "", nullptr};
     this->Store.Process = std::make_unique<test::ChildProcess>(
         "parsleywing-standin",
         std::vector<std::string>{"--store", this->Store.Address},
         this->Folder.path("store.log"));
     if (!test::waitForListener(this->Store.Address))
-      return "the store does not listen";
+      return "the store is not listening";
   }
   for (FleetProcess &Engine : this->Engines)
     Engine.Process = std::make_unique<test::ChildProcess>(
@@ -158,10 +160,10 @@
     this->restartRouter(Router);
   for (const FleetProcess &Engine : this->Engines)
     if (!test::waitForListener(Engine.Address))
-      return "engine " + Engine.Name + " does not listen";
+      return "engine " + Engine.Name + " is not listening";
   for (const FleetProcess &Router : this->Routers)
     if (!test::waitForListener(Router.Address))
-      return "router " + Router.Name + " does not listen";
+      return "router " + Router.Name + " is not listening";
   return {};
 }
 
@@ -175,10 +177,10 @@
       this->Folder.path(Router.Name + ".log"));
 }
 
-std::string FleetDeployment::endedRouters() const {
+std::string FleetDeployment::exitedRouters() const {
   std::vector<std::string> Names;
   for (const FleetProcess &Router : this->Routers)
-    if (hasEnded(Router.Process->id()))
+    if (hasExited(Router.Process->id()))
       Names.push_back(Router.Name);
   return joinNames(Names);
 }
@@ -190,13 +192,13 @@
     std::vector<std::string> Names;
     for (unsigned Index = 0; Index < Service.Engines; ++Index, ++Engine) {
       Names.push_back(this->Engines[Engine].Name);
-      Text +=
-          "[server " + Names.back() +
-          "]\naddress = " + this->Engines[Engine].Address +
-          "\navailability_zone = " + zoneOf(Engine, this->Plan.Zones) +
-          "\nmax_concurrent_requests = " +
-          std::to_string(this->Plan.MaxRunning + this->Plan.DeclaredBeyond) +
-          "\n";
+      Text += "[server " + Names.back() +
+              "]\naddress = " + this->Engines[Engine].Address +
+              "\navailability_zone = " + zoneOf(Engine, this->Plan.Zones) +
+              "\nmax_concurrent_requests = " +
+              std::to_string(this->Plan.MaxRunning +
+                             this->Plan.ExtraDeclaredRequests) +
+              "\n";
     }
     Text +=
         "[service " + Service.Name + "]\nservers = " + joinNames(Names) + "\n";
--- a/bench/FleetDeployment.h
+++ b/bench/FleetDeployment.h
@@ -10,10 +10,11 @@
 
 namespace parsleywing::bench {
 
-/// How routers share fairness positions, as `[fairness] policy` names it.
+/// Whether routers share virtual times, as `[fairness] policy` names it.
 enum class FairnessPolicy { Local, Shared };
 
-/// A service, the number of its engines, and of the accounts that use it.
+/// A service, the number of its engines, and the number of accounts that use
+/// it.
 struct ServicePlan {
   std::string Name;
   unsigned Engines = 0;
@@ -21,31 +22,33 @@
   unsigned LargeAccounts = 0;
 };
 
-/// What to start and which load to put on it.
+/// The processes to start and the load to generate.
 struct DeploymentPlan {
   std::string Name;
   unsigned Routers = 8;
   unsigned Zones = 4;
   std::vector<ServicePlan> Services;
   unsigned MaxRunning = 8;
-  /// What is declared of each engine beyond what it runs at once.
-  unsigned DeclaredBeyond = 0;
+  /// The number of concurrent requests declared for each engine in excess of
+  /// what it runs.
+  unsigned ExtraDeclaredRequests = 0;
   unsigned StepMilliseconds = 25;
   /// Whether a stand-in for the platform's store runs.
   bool WithStore = false;
 };
 
-/// The plan of a named deployment, or one service with `Engines` engines where
-/// the name is empty. Throws std::invalid_argument for an unknown name.
+/// Returns the plan of a named deployment, or a plan with one service and
+/// `Engines` engines if the name is empty. Throws std::invalid_argument if the
+/// name is unknown.
 DeploymentPlan planFor(const std::string &Name, unsigned Routers,
                        unsigned Engines);
 
-/// A small account that sends one request at a time, now and then, to the
-/// first service. Always the last of `accountsFor`.
+/// A small account that sends one request at a time, with pauses, to the first
+/// service. Always the last one of `accountsFor`.
 constexpr const char *OccasionalAccount = "occasional";
 
-/// The accounts of the plan, entering unevenly: small ones at one or two
-/// routers, large ones at up to four. Router addresses are filled in.
+/// Returns the accounts of the plan. They call different numbers of routers:
+/// small ones call one or two, large ones up to four.
 std::vector<LoadAccount> accountsFor(const DeploymentPlan &Plan,
                                      const std::vector<std::string> &Routers,
                                      std::uint64_t Seed);
@@ -59,14 +62,14 @@
   std::unique_ptr<test::ChildProcess> Process;
 };
 
-/// Engines and routers as processes on loopback. All are killed, by id, when
-/// the object goes; when this process is killed, the system ends them.
+/// Engines and routers as processes on loopback addresses. The destructor kills
+/// each process; if this process is killed, the kernel kills them.
 class FleetDeployment {
 public:
   explicit FleetDeployment(DeploymentPlan P);
 
-  /// Starts engines and routers and waits until all listen. An empty text, or
-  /// what went wrong.
+  /// Starts engines and routers and waits until all are listening. Returns an
+  /// error message, or an empty text.
   std::string start(FairnessPolicy Policy, std::uint64_t Seed);
 
   const DeploymentPlan &plan() const { return this->Plan; }
@@ -74,15 +77,15 @@
   const std::vector<FleetProcess> &engines() const { return this->Engines; }
   const std::vector<LoadAccount> &accounts() const { return this->Accounts; }
 
-  /// Starts a router anew after its process was killed; the same addresses.
+  /// Restarts a router at the same addresses after its process was killed.
   void restartRouter(std::size_t Router);
 
-  /// Names of the routers' processes that have ended by themselves.
-  std::string endedRouters() const;
+  /// The names of the routers whose processes have exited by themselves.
+  std::string exitedRouters() const;
 
 private:
-  std::string newAddress();
-  void planProcesses();
+  std::string unusedAddress();
+  void assignAddresses();
   std::string declarationsText() const;
   std::string settingsText(std::size_t Router) const;
   std::string startAll();
--- a/bench/FleetFaults.h
+++ b/bench/FleetFaults.h
@@ -5,52 +5,52 @@
 
 namespace parsleywing::bench {
 
-/// What followed one fault, up to the next one or the end.
-struct FaultFigures {
+/// The effect of one fault, until the next fault or the end.
+struct FaultResult {
   std::string Fault;
   std::string Service;
-  /// The largest gap over three seconds, in tokens per share: in the time
-  /// before the first fault, and from this fault on.
-  double RecentGapBefore = 0;
-  double RecentGapAfter = 0;
+  /// The largest gap over three seconds, in tokens per share: before the first
+  /// fault, and after this fault.
+  double MaxGapBefore = 0;
+  double MaxGapAfter = 0;
   /// Seconds from the fault until the gap over three seconds stays within the
-  /// largest one before any fault; nothing where it never did.
-  std::optional<double> SecondsUntilRestored;
+  /// largest one before any fault; nothing if it never did.
+  std::optional<double> RecoverySeconds;
 };
 
-/// What callers were told beside what the engines ran.
+/// Compares what was reported to callers with what the engines executed.
 struct ExecutionCheck {
-  /// False where an engine did not give its counts.
-  bool Done = false;
+  /// False if an engine did not return its counts.
+  bool Available = false;
   std::size_t Compared = 0;
-  /// Told completed, but no engine began to run it.
-  std::size_t CompletedButNotRun = 0;
-  /// Told that it did not run, but an engine ran it.
-  std::size_t NotRunButRun = 0;
-  /// Run by more than one attempt, which is allowed for these requests.
-  std::size_t RunAgain = 0;
+  /// Reported as completed, but not executed by any engine.
+  std::size_t CompletedButNotExecuted = 0;
+  /// Reported as not run, but executed by an engine.
+  std::size_t NotRunButExecuted = 0;
+  /// Executed by more than one attempt, which is allowed for these requests.
+  std::size_t ExecutedAgain = 0;
 };
 
-/// The figures of one policy under faults.
+/// The results of one policy under faults.
 struct FaultReport {
   FairnessPolicy Policy = FairnessPolicy::Local;
-  /// Why there are no figures; empty where there are.
-  std::string Missing;
-  std::vector<FaultFigures> Faults;
-  /// Requests by outcome over the whole time, of all accounts.
+  /// Why there are no results; empty if there are.
+  std::string Error;
+  std::vector<FaultResult> Faults;
+  /// Requests of all accounts by outcome over the whole measurement.
   AccountRecord Total;
-  /// Told outcomes that the engines' counts of executions contradict.
+  /// Reported outcomes that contradict the engines' execution counts.
   ExecutionCheck Check;
 };
 
-/// Under the load of all accounts: kills a router and starts it anew, and
-/// freezes another for a few seconds. Each outcome that a caller was told is
-/// compared with the engines' own counts of executions.
+/// Generates the load of all accounts, kills and restarts one router, and stops
+/// another one for a few seconds. Compares each outcome reported to a caller
+/// with the execution counts of the engines.
 FaultReport measureFaults(const DeploymentPlan &Plan, FairnessPolicy Policy,
                           Duration WarmUp, const LoadOptions &Options,
                           const std::function<bool()> &Stop);
 
-/// One table of faults and one of outcomes.
+/// Prints one table of faults and one of outcomes.
 void printFaults(std::ostream &Out, const DeploymentPlan &Plan,
                  const FaultReport &Report, bool Markdown);
 
--- a/bench/FleetLatency.cpp
+++ b/bench/FleetLatency.cpp
@@ -15,21 +15,22 @@
 
 constexpr auto ThroughputTime = std::chrono::seconds(2);
 constexpr unsigned WarmUpRequests = 20;
-constexpr unsigned RequestsPerTurn = 20;
+constexpr unsigned BatchSize = 20;
 
-/// One caller with one connection, kept open while the server allows.
-class SmallCaller {
+/// A caller with one connection, which is kept alive as long as the server
+/// allows.
+class LatencyCaller {
 public:
-  SmallCaller(const std::string &Address, std::string K,
-              const std::string &Service)
-      : Session(Poco::Net::SocketAddress(Address)), Key(std::move(K)),
+  LatencyCaller(const std::string &Address, std::string ApiKey,
+                const std::string &Service)
+      : Session(Poco::Net::SocketAddress(Address)), Key(std::move(ApiKey)),
         Body(R"({"model":")" + Service +
              R"(","input":"tokens=1","stream":true,"max_output_tokens":1,)"
              R"("metadata":{"identity":"small"}})") {
     this->Session.setKeepAlive(true);
   }
 
-  /// False where the answer was not whole.
+  /// Returns false if the response was not complete.
   bool call() {
     try {
       Poco::Net::HTTPRequest Request("POST", "/v1/responses", "HTTP/1.1");
@@ -37,10 +38,10 @@
       Request.setContentLength(static_cast<std::streamsize>(this->Body.size()));
       this->Session.sendRequest(Request) << this->Body;
       Poco::Net::HTTPResponse Response;
-      std::string Answer;
+      std::string ResponseBody;
       Poco::StreamCopier::copyToString(this->Session.receiveResponse(Response),
-                                       Answer);
-      return Answer.find("response.completed") != std::string::npos;
+                                       ResponseBody);
+      return ResponseBody.find("response.completed") != std::string::npos;
     } catch (const Poco::Exception &) {
       this->Session.reset();
       return false;
@@ -53,27 +54,27 @@
   std::string Body;
 };
 
-/// One way to the engine, measured.
-class Path {
+/// Measures one path to the engine.
+class MeasuredPath {
 public:
-  Path(std::string A, const LoadAccount &L)
-      : Address(std::move(A)), Account(L),
-        Caller(this->Address, L.Key, L.Service) {}
+  MeasuredPath(std::string TargetAddress, const LoadAccount &CallingAccount)
+      : Address(std::move(TargetAddress)), Account(CallingAccount),
+        Caller(this->Address, CallingAccount.Key, CallingAccount.Service) {}
 
-  void time(unsigned Requests) {
+  void measureLatencies(unsigned Requests) {
     for (unsigned Request = 0; Request < Requests; ++Request) {
       const auto Start = std::chrono::steady_clock::now();
-      const bool Whole = this->Caller.call();
-      const std::chrono::duration<double> Taken =
+      const bool IsComplete = this->Caller.call();
+      const std::chrono::duration<double> Elapsed =
           std::chrono::steady_clock::now() - Start;
-      this->Failed += !Whole;
-      this->Seconds.push_back(Taken.count());
+      this->Failed += !IsComplete;
+      this->Seconds.push_back(Elapsed.count());
     }
   }
 
-  void forget() { this->Seconds.clear(); }
+  void discard() { this->Seconds.clear(); }
 
-  void saturate(unsigned Callers) {
+  void measureThroughput(unsigned Callers) {
     const auto Start = std::chrono::steady_clock::now();
     std::vector<std::thread> Threads;
     Threads.reserve(Callers);
@@ -81,26 +82,27 @@
       Threads.emplace_back([this, Start] { this->callUntil(Start); });
     for (std::thread &Thread : Threads)
       Thread.join();
-    const std::chrono::duration<double> Taken =
+    const std::chrono::duration<double> Elapsed =
         std::chrono::steady_clock::now() - Start;
-    this->Rate = static_cast<double>(this->Completed) / Taken.count();
+    this->Rate = static_cast<double>(this->Completed) / Elapsed.count();
   }
 
-  PathLatency figures() const {
+  PathLatency results() const {
     return {percentile(this->Seconds, 0.5), percentile(this->Seconds, 0.99),
             this->Rate, this->Failed};
   }
 
 private:
   void callUntil(std::chrono::steady_clock::time_point Start) {
-    SmallCaller Own(this->Address, this->Account.Key, this->Account.Service);
+    LatencyCaller OwnCaller(this->Address, this->Account.Key,
+                            this->Account.Service);
     while (std::chrono::steady_clock::now() - Start < ThroughputTime)
-      ++(Own.call() ? this->Completed : this->Failed);
+      ++(OwnCaller.call() ? this->Completed : this->Failed);
   }
 
   std::string Address;
   LoadAccount Account;
-  SmallCaller Caller;
+  LatencyCaller Caller;
   std::vector<double> Seconds;
   std::atomic<std::uint64_t> Completed = 0;
   std::atomic<std::uint64_t> Failed = 0;
@@ -118,31 +120,34 @@
 
 } // namespace
 
-LatencyFigures measureLatency(unsigned Requests, unsigned Callers,
+LatencyResults measureLatency(unsigned Requests, unsigned Callers,
                               const std::function<bool()> &Stop) {
-  LatencyFigures Figures;
+  LatencyResults Results;
   FleetDeployment Fleet(smallPlan());
-  Figures.Missing = Fleet.start(FairnessPolicy::Local, 1);
-  if (!Figures.Missing.empty())
-    return Figures;
-  Path Direct(Fleet.engines().front().Address, Fleet.accounts().front());
-  Path Routed(Fleet.routers().front().Address, Fleet.accounts().front());
-  for (Path *Each : {&Direct, &Routed}) {
-    Each->time(WarmUpRequests);
-    Each->forget();
+  Results.Error = Fleet.start(FairnessPolicy::Local, 1);
+  if (!Results.Error.empty())
+    return Results;
+  MeasuredPath Direct(Fleet.engines().front().Address,
+                      Fleet.accounts().front());
+  MeasuredPath Routed(Fleet.routers().front().Address,
+                      Fleet.accounts().front());
+  for (MeasuredPath *Path : {&Direct, &Routed}) {
+    Path->measureLatencies(WarmUpRequests);
+    Path->discard();
   }
-  // In turns, so that a busy moment of the machine meets both ways.
-  for (unsigned Done = 0; Done < Requests && !Stop(); Done += RequestsPerTurn) {
-    Direct.time(RequestsPerTurn);
-    Routed.time(RequestsPerTurn);
+  // Alternates between the paths, so that load peaks of the machine affect
+  // both.
+  for (unsigned Count = 0; Count < Requests && !Stop(); Count += BatchSize) {
+    Direct.measureLatencies(BatchSize);
+    Routed.measureLatencies(BatchSize);
   }
-  Direct.saturate(Callers);
-  Routed.saturate(Callers);
-  Figures.Direct = Direct.figures();
-  Figures.Routed = Routed.figures();
+  Direct.measureThroughput(Callers);
+  Routed.measureThroughput(Callers);
+  Results.Direct = Direct.results();
+  Results.Routed = Routed.results();
   if (Stop())
-    Figures.Missing = "interrupted";
-  return Figures;
+    Results.Error = "interrupted";
+  return Results;
 }
 
 } // namespace parsleywing::bench
--- a/bench/FleetLatency.h
+++ b/bench/FleetLatency.h
@@ -7,7 +7,7 @@
 
 namespace parsleywing::bench {
 
-/// The time of small answers on one way to the engine, in seconds.
+/// The latency of small responses on one path to the engine, in seconds.
 struct PathLatency {
   double P50 = 0;
   double P99 = 0;
@@ -15,16 +15,17 @@
   std::uint64_t Failed = 0;
 };
 
-/// Small answers straight from an engine and through one router, in turns.
-struct LatencyFigures {
-  std::string Missing;
+/// Small responses directly from an engine and through one router, measured
+/// alternately.
+struct LatencyResults {
+  std::string Error;
   PathLatency Direct;
   PathLatency Routed;
 };
 
-/// Starts one engine and one router. `Requests` are timed one after the other
-/// on each way; then `Callers` threads keep each way busy for two seconds.
-LatencyFigures measureLatency(unsigned Requests, unsigned Callers,
+/// Starts one engine and one router. Measures `Requests` requests sequentially
+/// on each path; then `Callers` threads saturate each path for two seconds.
+LatencyResults measureLatency(unsigned Requests, unsigned Callers,
                               const std::function<bool()> &Stop);
 
 } // namespace parsleywing::bench
--- a/bench/FleetMeasurement.cpp
+++ b/bench/FleetMeasurement.cpp
@@ -14,7 +14,7 @@
 constexpr const char *StoreCallsMetric = "parsleywing_store_calls_total";
 constexpr double MillisecondsPerSecond = 1000;
 
-/// Counters of the whole fleet at one moment.
+/// Counters of the whole fleet at one time.
 struct FleetCounters {
   std::vector<ProcessUse> Routers;
   ProcessUse Generator;
@@ -28,7 +28,7 @@
 
 void addMetric(std::optional<double> &Sum, const std::string &Text,
                const char *Name) {
-  if (const auto Value = metricIn(Text, Name))
+  if (const auto Value = metricSum(Text, Name))
     Sum = Sum.value_or(0) + *Value;
 }
 
@@ -42,12 +42,12 @@
       continue;
     addMetric(Now.PeerBytes, *Metrics, PeerBytesMetric);
     Now.PeerBytesByRouter.push_back(
-        metricIn(*Metrics, PeerBytesMetric).value_or(0));
+        metricSum(*Metrics, PeerBytesMetric).value_or(0));
     const std::string Dump =
         fetch(Router.OperatorAddress, "/dump").value_or("");
-    Now.Dropped += numberIn(Dump, "over-budget");
-    Now.SlotsGranted += numberIn(Dump, "slots-granted");
-    Now.FairnessBytes += numberIn(Dump, "bytes-sent");
+    Now.Dropped += jsonNumber(Dump, "over-budget");
+    Now.SlotsGranted += jsonNumber(Dump, "slots-granted");
+    Now.FairnessBytes += jsonNumber(Dump, "bytes-sent");
     addMetric(Now.StoreCalls, *Metrics, StoreCallsMetric);
   }
   return Now;
@@ -64,7 +64,7 @@
 struct ServiceTotals {
   std::size_t Accounts = 0;
   double Tokens = 0;
-  /// Those that had work waiting at every sample.
+  /// Accounts with waiting requests at every sample.
   std::vector<std::size_t> Backlogged;
   double BackloggedTokens = 0;
   double BackloggedShares = 0;
@@ -80,7 +80,7 @@
       continue;
     ++Totals.Accounts;
     Totals.Tokens += static_cast<double>(Record.Tokens);
-    if (Record.LeastWaiting == 0 || Account.Name == OccasionalAccount)
+    if (Record.MinWaiting == 0 || Account.Name == OccasionalAccount)
       continue;
     Totals.Backlogged.push_back(Index);
     Totals.BackloggedTokens += static_cast<double>(Record.Tokens);
@@ -92,30 +92,31 @@
   return Totals;
 }
 
-/// Carries the phases on a fleet that runs.
+/// Runs the phases on a running fleet.
 class PhaseRunner {
 public:
-  PhaseRunner(const FleetDeployment &F, const PhaseLengths &L,
+  PhaseRunner(const FleetDeployment &F, const PhaseDurations &L,
               const LoadOptions &O, const std::function<bool()> &S)
-      : Fleet(F), Lengths(L), Stop(S), Load(F.accounts(), O),
-        Wanted(F.accounts()) {}
+      : Fleet(F), Durations(L), Stop(S), Load(F.accounts(), O),
+        Accounts(F.accounts()) {}
 
-  /// False where it was stopped.
-  bool run(FleetFigures &Figures) {
-    this->silenceAll();
+  /// Returns false if it was stopped.
+  bool run(FleetResults &Results) {
+    this->stopAll();
     this->Load.setOpenRequests(this->occasional(), 1);
-    if (!this->measure(Duration::zero(), this->Lengths.Alone))
+    if (!this->measure(Duration::zero(), this->Durations.Alone))
       return false;
-    Figures.OccasionalAlone = this->occasionalTimes();
+    Results.OccasionalAlone = this->occasionalTimes();
     this->Load.setOpenRequests(this->neighbour(), NeighbourOpenRequests);
-    if (!this->measure(this->Lengths.NeighbourWarmUp, this->Lengths.Neighbour))
+    if (!this->measure(this->Durations.NeighbourWarmUp,
+                       this->Durations.Neighbour))
       return false;
-    Figures.OccasionalBesideNeighbour = this->occasionalTimes();
-    return this->measureAll(Figures);
+    Results.OccasionalWithNeighbour = this->occasionalTimes();
+    return this->measureAll(Results);
   }
 
 private:
-  std::size_t occasional() const { return this->Wanted.size() - 1; }
+  std::size_t occasional() const { return this->Accounts.size() - 1; }
 
   /// The last large account of the occasional account's service.
   std::size_t neighbour() const {
@@ -123,8 +124,8 @@
     return First.SmallAccounts + First.LargeAccounts - 1;
   }
 
-  void silenceAll() {
-    for (std::size_t Account = 0; Account < this->Wanted.size(); ++Account)
+  void stopAll() {
+    for (std::size_t Account = 0; Account < this->Accounts.size(); ++Account)
       this->Load.setOpenRequests(Account, 0);
   }
 
@@ -140,45 +141,46 @@
         this->Load.records()[this->occasional()].FirstTokenSeconds);
   }
 
-  bool measureAll(FleetFigures &Figures) {
-    this->Load.abandonAll();
-    for (std::size_t Account = 0; Account < this->Wanted.size(); ++Account)
-      this->Load.setOpenRequests(Account, this->Wanted[Account].OpenRequests);
-    this->Load.run(this->Lengths.WarmUp, this->Stop);
+  bool measureAll(FleetResults &Results) {
+    this->Load.abortAll();
+    for (std::size_t Account = 0; Account < this->Accounts.size(); ++Account)
+      this->Load.setOpenRequests(Account, this->Accounts[Account].OpenRequests);
+    this->Load.run(this->Durations.WarmUp, this->Stop);
     const FleetCounters Before = readCounters(this->Fleet);
     FleetSampler Sampler(this->Fleet);
-    if (!this->measure(Duration::zero(), this->Lengths.Window))
+    if (!this->measure(Duration::zero(), this->Durations.Window))
       return false;
     const double Seconds = this->Load.windowSeconds();
-    const std::vector<EngineUse> Uses = Sampler.finish();
-    this->fill(Figures, Before, readCounters(this->Fleet), Seconds);
-    for (std::size_t Service = 0; Service < Uses.size(); ++Service) {
-      const EngineUse &Use = Uses[Service];
-      Figures.Services[Service].RunningPart =
-          Use.Running / std::max(1.0, Use.Capacity);
-      Figures.Services[Service].WaitingByEngine =
-          Use.Waiting / std::max<double>(1, static_cast<double>(Use.Samples));
+    const std::vector<EngineUsage> Usages = Sampler.finish();
+    this->fillResults(Results, Before, readCounters(this->Fleet), Seconds);
+    for (std::size_t Service = 0; Service < Usages.size(); ++Service) {
+      const EngineUsage &Usage = Usages[Service];
+      Results.Services[Service].RunningFraction =
+          Usage.Running / std::max(1.0, Usage.Capacity);
+      Results.Services[Service].WaitingPerEngine =
+          Usage.Waiting /
+          std::max<double>(1, static_cast<double>(Usage.Samples));
     }
     return true;
   }
 
-  void fill(FleetFigures &Figures, const FleetCounters &Before,
-            const FleetCounters &After, double Seconds) const {
-    Figures.WindowSeconds = Seconds;
-    Figures.Services = serviceFigures(this->Fleet.plan(), this->Load, Seconds);
-    Figures.OccasionalBesideAll = this->occasionalTimes();
-    for (std::size_t Account = 0; Account < this->Wanted.size(); ++Account)
-      Figures.Accounts.push_back(
-          {this->Wanted[Account], this->Load.records()[Account]});
+  void fillResults(FleetResults &Results, const FleetCounters &Before,
+                   const FleetCounters &After, double Seconds) const {
+    Results.WindowSeconds = Seconds;
+    Results.Services = serviceResults(this->Fleet.plan(), this->Load, Seconds);
+    Results.OccasionalWithAll = this->occasionalTimes();
+    for (std::size_t Account = 0; Account < this->Accounts.size(); ++Account)
+      Results.Accounts.push_back(
+          {this->Accounts[Account], this->Load.records()[Account]});
     for (std::size_t Router = 0; Router < After.Routers.size(); ++Router)
-      Figures.Routers.push_back({(After.Routers[Router].ProcessorSeconds -
+      Results.Routers.push_back({(After.Routers[Router].ProcessorSeconds -
                                   Before.Routers[Router].ProcessorSeconds) /
                                      Seconds,
                                  After.Routers[Router].ResidentMebibytes});
-    Figures.GeneratorProcessorShare =
+    Results.GeneratorCpuShare =
         (After.Generator.ProcessorSeconds - Before.Generator.ProcessorSeconds) /
         Seconds;
-    Figures.ControlBytesPerSecond =
+    Results.ControlBytesPerSecond =
         rate(Before.PeerBytes, After.PeerBytes,
              Seconds * static_cast<double>(After.Routers.size()));
     const double RouterSeconds =
@@ -186,24 +188,24 @@
     for (std::size_t Router = 0; Router < After.PeerBytesByRouter.size() &&
                                  Router < Before.PeerBytesByRouter.size();
          ++Router)
-      Figures.MostControlBytes = std::max(
-          Figures.MostControlBytes,
-          (After.PeerBytesByRouter[Router] - Before.PeerBytesByRouter[Router]) /
-              Seconds);
-    Figures.DroppedPerSecond = (After.Dropped - Before.Dropped) / RouterSeconds;
-    Figures.SlotsGrantedPerSecond =
+      Results.MaxControlBytes =
+          std::max(Results.MaxControlBytes, (After.PeerBytesByRouter[Router] -
+                                             Before.PeerBytesByRouter[Router]) /
+                                                Seconds);
+    Results.DroppedPerSecond = (After.Dropped - Before.Dropped) / RouterSeconds;
+    Results.SlotsGrantedPerSecond =
         (After.SlotsGranted - Before.SlotsGranted) / RouterSeconds;
-    Figures.FairnessBytesPerSecond =
+    Results.FairnessBytesPerSecond =
         (After.FairnessBytes - Before.FairnessBytes) / RouterSeconds;
-    Figures.StoreCallsPerSecond =
+    Results.StoreCallsPerSecond =
         rate(Before.StoreCalls, After.StoreCalls, Seconds);
   }
 
   const FleetDeployment &Fleet;
-  const PhaseLengths &Lengths;
+  const PhaseDurations &Durations;
   const std::function<bool()> &Stop;
   LoadGenerator Load;
-  std::vector<LoadAccount> Wanted;
+  std::vector<LoadAccount> Accounts;
 };
 
 } // namespace
@@ -213,45 +215,45 @@
           percentile(Seconds, 0.99)};
 }
 
-std::vector<ServiceFigures> serviceFigures(const DeploymentPlan &Plan,
-                                           const LoadGenerator &Load,
-                                           double Seconds) {
-  std::vector<ServiceFigures> All;
+std::vector<ServiceResult> serviceResults(const DeploymentPlan &Plan,
+                                          const LoadGenerator &Load,
+                                          double Seconds) {
+  std::vector<ServiceResult> All;
   for (const ServicePlan &Service : Plan.Services) {
     const ServiceTotals Totals = totalsOf(Load, Service.Name);
     const double Capacity = Service.Engines * Plan.MaxRunning *
                             MillisecondsPerSecond / Plan.StepMilliseconds;
-    ServiceFigures Figures;
-    Figures.Name = Service.Name;
-    Figures.Accounts = Totals.Accounts;
-    Figures.Backlogged = Totals.Backlogged.size();
-    Figures.Gap = serviceGap(Load.samples(), Totals.Backlogged);
+    ServiceResult Result;
+    Result.Name = Service.Name;
+    Result.Accounts = Totals.Accounts;
+    Result.Backlogged = Totals.Backlogged.size();
+    Result.Gap = serviceGap(Load.samples(), Totals.Backlogged);
     if (Totals.BackloggedShares > 0)
-      Figures.FairRate =
+      Result.FairRate =
           Totals.BackloggedTokens / Totals.BackloggedShares / Seconds;
-    Figures.Utilisation = Totals.Tokens / (Capacity * Seconds);
-    Figures.FirstToken = firstTokenTimes(Totals.FirstTokenSeconds);
-    All.push_back(Figures);
+    Result.Utilisation = Totals.Tokens / (Capacity * Seconds);
+    Result.FirstToken = firstTokenTimes(Totals.FirstTokenSeconds);
+    All.push_back(Result);
   }
   return All;
 }
 
-FleetFigures measureFleet(const DeploymentPlan &Plan, FairnessPolicy Policy,
-                          const PhaseLengths &Lengths,
+FleetResults measureFleet(const DeploymentPlan &Plan, FairnessPolicy Policy,
+                          const PhaseDurations &Durations,
                           const LoadOptions &Options,
                           const std::function<bool()> &Stop) {
-  FleetFigures Figures;
-  Figures.Policy = Policy;
+  FleetResults Results;
+  Results.Policy = Policy;
   FleetDeployment Fleet(Plan);
-  Figures.Missing = Fleet.start(Policy, Options.Seed);
-  if (!Figures.Missing.empty())
-    return Figures;
-  PhaseRunner Runner(Fleet, Lengths, Options, Stop);
-  if (!Runner.run(Figures))
-    Figures.Missing = "interrupted";
-  else if (!Fleet.endedRouters().empty())
-    Figures.Missing = "routers ended by themselves: " + Fleet.endedRouters();
-  return Figures;
+  Results.Error = Fleet.start(Policy, Options.Seed);
+  if (!Results.Error.empty())
+    return Results;
+  PhaseRunner Runner(Fleet, Durations, Options, Stop);
+  if (!Runner.run(Results))
+    Results.Error = "interrupted";
+  else if (!Fleet.exitedRouters().empty())
+    Results.Error = "routers exited by themselves: " + Fleet.exitedRouters();
+  return Results;
 }
 
 } // namespace parsleywing::bench
--- a/bench/FleetMeasurement.h
+++ b/bench/FleetMeasurement.h
@@ -7,8 +7,8 @@
 
 namespace parsleywing::bench {
 
-/// How long each phase of a measurement takes.
-struct PhaseLengths {
+/// The duration of each phase of a measurement.
+struct PhaseDurations {
   Duration Alone = std::chrono::seconds(5);
   Duration NeighbourWarmUp = std::chrono::seconds(6);
   Duration Neighbour = std::chrono::seconds(10);
@@ -26,76 +26,79 @@
 
 FirstTokenTimes firstTokenTimes(const std::vector<double> &Seconds);
 
-/// What one service did in the window.
-struct ServiceFigures {
+/// The results of one service in the window.
+struct ServiceResult {
   std::string Name;
-  /// Accounts that had work waiting at every sample, and all accounts.
+  /// Accounts with waiting requests at every sample, and all accounts.
   std::size_t Backlogged = 0;
   std::size_t Accounts = 0;
   ServiceGap Gap;
-  /// Tokens a second that one share of a backlogged account got on average.
+  /// The average rate in tokens per second of one share of the backlogged
+  /// accounts.
   double FairRate = 0;
-  /// Tokens generated, as a part of what the engines could have generated.
+  /// The generated tokens as a fraction of what the engines could have
+  /// generated.
   double Utilisation = 0;
-  /// Requests that the engines said they ran, as a part of what they can run,
-  /// and those that they said wait in an engine, by engine.
-  double RunningPart = 0;
-  double WaitingByEngine = 0;
-  /// Of the backlogged accounts' requests.
+  /// What the engines reported: running requests as a fraction of their
+  /// capacity, and the average number of waiting requests per engine.
+  double RunningFraction = 0;
+  double WaitingPerEngine = 0;
+  /// Times to first token of the backlogged accounts' requests.
   FirstTokenTimes FirstToken;
 };
 
-/// What one account did in the window.
-struct AccountFigures {
+/// The results of one account in the window.
+struct AccountResult {
   LoadAccount Account;
   AccountRecord Record;
 };
 
-/// The use of one router process.
-struct RouterFigures {
-  double ProcessorShare = 0;
+/// The resource usage of one router process.
+struct RouterResult {
+  double CpuShare = 0;
   double ResidentMebibytes = 0;
 };
 
-/// The figures of one policy.
-struct FleetFigures {
+/// The results of one policy.
+struct FleetResults {
   FairnessPolicy Policy = FairnessPolicy::Local;
-  /// Why there are no figures; empty where there are.
-  std::string Missing;
+  /// Why there are no results; empty if there are.
+  std::string Error;
   double WindowSeconds = 0;
-  std::vector<ServiceFigures> Services;
-  std::vector<AccountFigures> Accounts;
-  std::vector<RouterFigures> Routers;
+  std::vector<ServiceResult> Services;
+  std::vector<AccountResult> Accounts;
+  std::vector<RouterResult> Routers;
   FirstTokenTimes OccasionalAlone;
-  FirstTokenTimes OccasionalBesideNeighbour;
-  FirstTokenTimes OccasionalBesideAll;
-  /// Bytes a second and router between routers; nothing where not exported.
+  FirstTokenTimes OccasionalWithNeighbour;
+  FirstTokenTimes OccasionalWithAll;
+  /// Bytes per second and router that routers send to each other; nothing if
+  /// the metric is not exported.
   std::optional<double> ControlBytesPerSecond;
-  /// The largest of any router.
-  double MostControlBytes = 0;
-  /// Datagrams a second and router that the byte budget dropped.
+  /// The maximum over all routers.
+  double MaxControlBytes = 0;
+  /// Datagrams per second and router that the byte budget dropped.
   double DroppedPerSecond = 0;
-  /// Slots that moved between routers, by second and router.
+  /// Slots that moved between routers, per second and router.
   double SlotsGrantedPerSecond = 0;
-  /// Bytes a second and router of the scheduler's own messages.
+  /// Bytes per second and router of the scheduler's own messages.
   double FairnessBytesPerSecond = 0;
-  /// Calls a second on the platform's store by all routers.
+  /// Store calls per second of all routers.
   std::optional<double> StoreCallsPerSecond;
-  /// Processor seconds a second of the load generator's own process.
-  double GeneratorProcessorShare = 0;
+  /// CPU seconds per second of the load generator's process.
+  double GeneratorCpuShare = 0;
 };
 
-/// Starts the deployment, carries the phases and stops it again. `Stop` ends
-/// it early; figures are then missing.
-FleetFigures measureFleet(const DeploymentPlan &Plan, FairnessPolicy Policy,
-                          const PhaseLengths &Lengths,
+/// Starts the deployment, runs the phases and stops the deployment. If `Stop`
+/// ends it early, there are no results.
+FleetResults measureFleet(const DeploymentPlan &Plan, FairnessPolicy Policy,
+                          const PhaseDurations &Durations,
                           const LoadOptions &Options,
                           const std::function<bool()> &Stop);
 
-/// Compares the accounts of each service in the window of the generator.
-std::vector<ServiceFigures> serviceFigures(const DeploymentPlan &Plan,
-                                           const LoadGenerator &Load,
-                                           double Seconds);
+/// Computes the results of each service from the generator's window.
+std::vector<ServiceResult> serviceResults(const DeploymentPlan &Plan,
+                                          const LoadGenerator &Load,
+                                          double Seconds);
 
 } // namespace parsleywing::bench
 
--- a/bench/FleetProbe.cpp
+++ b/bench/FleetProbe.cpp
@@ -13,8 +13,8 @@
 
 namespace {
 
-/// The fields of /proc/PID/stat behind the program's name, which may itself
-/// hold spaces. Empty where the process is gone.
+/// Returns the fields of /proc/PID/stat after the program's name, which may
+/// contain spaces. Empty if the process does not exist.
 std::istringstream statFields(int ProcessId) {
   std::ifstream File("/proc/" + std::to_string(ProcessId) + "/stat");
   std::string Line;
@@ -27,8 +27,8 @@
 } // namespace
 
 ProcessUse useOf(int ProcessId) {
-  // State is the first field; user and system time are the 12th and 13th,
-  // resident pages the 22nd.
+  // The state is the first of these fields; user and system time are the 12th
+  // and 13th, resident pages the 22nd.
   constexpr int UserTime = 12;
   constexpr int SystemTime = 13;
   constexpr int ResidentPages = 22;
@@ -48,7 +48,7 @@
   return Use;
 }
 
-bool hasEnded(int ProcessId) {
+bool hasExited(int ProcessId) {
   std::string State;
   return !(statFields(ProcessId) >> State) || State == "Z";
 }
@@ -75,21 +75,21 @@
     if (Response.getStatus() == Poco::Net::HTTPResponse::HTTP_OK)
       return Body;
   } catch (const Poco::Exception &) {
-    return std::nullopt; // Nothing serves it there.
+    return std::nullopt; // The server is unreachable or did not respond.
   }
   return std::nullopt;
 }
 
-double numberIn(const std::string &Json, const std::string &Name) {
-  const std::string Mark = "\"" + Name + "\":";
-  const std::size_t Place = Json.find(Mark);
-  return Place == std::string::npos
+double jsonNumber(const std::string &Json, const std::string &Name) {
+  const std::string Field = "\"" + Name + "\":";
+  const std::size_t Position = Json.find(Field);
+  return Position == std::string::npos
              ? 0
-             : std::strtod(Json.c_str() + Place + Mark.size(), nullptr);
+             : std::strtod(Json.c_str() + Position + Field.size(), nullptr);
 }
 
-std::optional<double> metricIn(const std::string &Text,
-                               const std::string &Name) {
+std::optional<double> metricSum(const std::string &Text,
+                                const std::string &Name) {
   std::optional<double> Sum;
   std::istringstream Lines(Text);
   for (std::string Line; std::getline(Lines, Line);) {
--- a/bench/FleetProbe.h
+++ b/bench/FleetProbe.h
@@ -6,37 +6,39 @@
 
 namespace parsleywing::bench {
 
-/// What a process has used, from the system's process table.
+/// The resource usage of a process, from /proc.
 struct ProcessUse {
   double ProcessorSeconds = 0;
   double ResidentMebibytes = 0;
 };
 
-/// Zeros where the process is gone.
+/// Returns zeros if the process does not exist.
 ProcessUse useOf(int ProcessId);
 
-/// True where the child has ended and was not waited for, or is gone.
-bool hasEnded(int ProcessId);
+/// Whether the child has exited, waited for or not.
+bool hasExited(int ProcessId);
 
-/// True where something accepts connections there now.
+/// Whether something accepts connections at the address.
 bool isListening(const std::string &Address);
 
-/// The body of the answer to GET, or nothing where there is none.
+/// Returns the response body of a GET request, or nothing if there is no
+/// successful response.
 std::optional<std::string> fetch(const std::string &Address,
                                  const std::string &Path);
 
-/// The body of GET /metrics, or nothing where there is none.
+/// Returns the response body of GET /metrics, or nothing if there is no
+/// successful response.
 inline std::optional<std::string> fetchMetrics(const std::string &Address) {
   return fetch(Address, "/metrics");
 }
 
-/// The whole number behind `"Name":` in JSON text; zero where there is none.
-double numberIn(const std::string &Json, const std::string &Name);
+/// Returns the number after `"Name":` in JSON text; zero if there is none.
+double jsonNumber(const std::string &Json, const std::string &Name);
 
-/// The sum of all series of this name in the usual text form of metrics, or
-/// nothing where the name does not appear.
-std::optional<double> metricIn(const std::string &Text,
-                               const std::string &Name);
+/// Returns the sum of all series of this name in the text format of Prometheus,
+/// or nothing if the name does not occur.
+std::optional<double> metricSum(const std::string &Text,
+                                const std::string &Name);
 
 } // namespace parsleywing::bench
 
--- a/bench/FleetReport.cpp
+++ b/bench/FleetReport.cpp
@@ -13,80 +13,82 @@
 
 namespace {
 
-std::string percent(double Part) { return decimal(Part * 100, 1) + " %"; }
+std::string formatPercent(double Fraction) {
+  return formatDecimal(Fraction * 100, 1) + " %";
+}
 
-std::string times(const FirstTokenTimes &T) {
+std::string formatTimes(const FirstTokenTimes &T) {
   if (T.Count == 0)
     return "none";
-  return decimal(T.P50, 3) + " / " + decimal(T.P95, 3) + " / " +
-         decimal(T.P99, 3) + " s (" + std::to_string(T.Count) + ")";
+  return formatDecimal(T.P50, 3) + " / " + formatDecimal(T.P95, 3) + " / " +
+         formatDecimal(T.P99, 3) + " s (" + std::to_string(T.Count) + ")";
 }
 
-std::string perSecond(const std::optional<double> &Rate, const char *Unit) {
-  return Rate ? decimal(*Rate, 1) + " " + Unit + "/s" : "n/a";
+std::string formatRate(const std::optional<double> &Rate, const char *Unit) {
+  return Rate ? formatDecimal(*Rate, 1) + " " + Unit + "/s" : "n/a";
 }
 
-std::string gap(double TokensPerShare, double FairRate) {
+std::string formatGap(double TokensPerShare, double FairRate) {
   const double Seconds = FairRate > 0 ? TokensPerShare / FairRate : 0;
-  return decimal(TokensPerShare, 0) + " tokens/share = " + decimal(Seconds, 2) +
-         " s of one share";
+  return formatDecimal(TokensPerShare, 0) +
+         " tokens/share = " + formatDecimal(Seconds, 2) + " s of one share";
 }
 
-void addService(Table &Rows, const ServiceFigures &S) {
+void addService(Table &Rows, const ServiceResult &S) {
   const std::string Name = S.Name + ": ";
   Rows.push_back(
       {Name + "continuously backlogged accounts",
        std::to_string(S.Backlogged) + " of " + std::to_string(S.Accounts)});
-  Rows.push_back({Name + "largest gap", gap(S.Gap.Largest, S.FairRate)});
-  Rows.push_back({Name + "gap at the end", gap(S.Gap.AtEnd, S.FairRate)});
-  Rows.push_back(
-      {Name + "fair rate of one share", decimal(S.FairRate, 1) + " tokens/s"});
-  Rows.push_back({Name + "utilisation (tokens)", percent(S.Utilisation)});
-  Rows.push_back(
-      {Name + "utilisation (engines' running counts)", percent(S.RunningPart)});
-  Rows.push_back(
-      {Name + "waiting in an engine, mean", decimal(S.WaitingByEngine, 2)});
-  Rows.push_back({Name + "first token p50/p95/p99", times(S.FirstToken)});
+  Rows.push_back({Name + "largest gap", formatGap(S.Gap.Largest, S.FairRate)});
+  Rows.push_back({Name + "gap at the end", formatGap(S.Gap.AtEnd, S.FairRate)});
+  Rows.push_back({Name + "fair rate of one share",
+                  formatDecimal(S.FairRate, 1) + " tokens/s"});
+  Rows.push_back({Name + "utilisation (tokens)", formatPercent(S.Utilisation)});
+  Rows.push_back({Name + "utilisation (engines' running counts)",
+                  formatPercent(S.RunningFraction)});
+  Rows.push_back({Name + "waiting requests per engine, mean",
+                  formatDecimal(S.WaitingPerEngine, 2)});
+  Rows.push_back({Name + "first token p50/p95/p99", formatTimes(S.FirstToken)});
 }
 
-void addOccasional(Table &Rows, const FleetFigures &F) {
+void addOccasional(Table &Rows, const FleetResults &F) {
   Rows.push_back({"occasional account alone, first token p50/p95/p99",
-                  times(F.OccasionalAlone)});
-  Rows.push_back({"occasional account beside a flood",
-                  times(F.OccasionalBesideNeighbour)});
-  Rows.push_back(
-      {"occasional account beside all accounts", times(F.OccasionalBesideAll)});
+                  formatTimes(F.OccasionalAlone)});
+  Rows.push_back({"occasional account with a flooding account",
+                  formatTimes(F.OccasionalWithNeighbour)});
+  Rows.push_back({"occasional account with all accounts",
+                  formatTimes(F.OccasionalWithAll)});
 }
 
-void addRouters(Table &Rows, const FleetFigures &F) {
-  double Processor = 0;
-  double MostProcessor = 0;
-  double MostMemory = 0;
-  for (const RouterFigures &Router : F.Routers) {
-    Processor += Router.ProcessorShare;
-    MostProcessor = std::max(MostProcessor, Router.ProcessorShare);
-    MostMemory = std::max(MostMemory, Router.ResidentMebibytes);
+void addRouters(Table &Rows, const FleetResults &F) {
+  double CpuSum = 0;
+  double MaxCpu = 0;
+  double MaxMemory = 0;
+  for (const RouterResult &Router : F.Routers) {
+    CpuSum += Router.CpuShare;
+    MaxCpu = std::max(MaxCpu, Router.CpuShare);
+    MaxMemory = std::max(MaxMemory, Router.ResidentMebibytes);
   }
   const double Count =
       std::max<double>(1, static_cast<double>(F.Routers.size()));
-  Rows.push_back({"control traffic a router",
-                  perSecond(F.ControlBytesPerSecond, "bytes")});
-  Rows.push_back({"control traffic, largest of a router",
-                  decimal(F.MostControlBytes, 1) + " bytes/s"});
-  Rows.push_back({"of it fairness, with what the budget dropped",
-                  decimal(F.FairnessBytesPerSecond, 1) + " bytes/s"});
-  Rows.push_back({"datagrams dropped over budget, a router",
-                  decimal(F.DroppedPerSecond, 2) + " /s"});
-  Rows.push_back(
-      {"slots given, a router", decimal(F.SlotsGrantedPerSecond, 2) + " /s"});
-  Rows.push_back(
-      {"calls on the store", perSecond(F.StoreCallsPerSecond, "calls")});
-  Rows.push_back({"processor a router, mean and largest",
-                  percent(Processor / Count) + ", " + percent(MostProcessor)});
+  Rows.push_back({"control traffic per router",
+                  formatRate(F.ControlBytesPerSecond, "bytes")});
+  Rows.push_back({"control traffic, max of a router",
+                  formatDecimal(F.MaxControlBytes, 1) + " bytes/s"});
+  Rows.push_back({"fairness part of it, including what the budget dropped",
+                  formatDecimal(F.FairnessBytesPerSecond, 1) + " bytes/s"});
+  Rows.push_back({"datagrams dropped over budget, per router",
+                  formatDecimal(F.DroppedPerSecond, 2) + " /s"});
+  Rows.push_back({"slots granted, per router",
+                  formatDecimal(F.SlotsGrantedPerSecond, 2) + " /s"});
+  Rows.push_back({"store calls", formatRate(F.StoreCallsPerSecond, "calls")});
   Rows.push_back(
-      {"largest resident memory of a router", decimal(MostMemory, 1) + " MiB"});
+      {"CPU per router, mean and max",
+       formatPercent(CpuSum / Count) + ", " + formatPercent(MaxCpu)});
+  Rows.push_back({"resident memory, max of a router",
+                  formatDecimal(MaxMemory, 1) + " MiB"});
   Rows.push_back(
-      {"processor of the load generator", percent(F.GeneratorProcessorShare)});
+      {"CPU of the load generator", formatPercent(F.GeneratorCpuShare)});
 }
 
 std::string outcomesText(const AccountRecord &Record) {
@@ -96,18 +98,19 @@
   return Text;
 }
 
-Table accountTable(const FleetFigures &F) {
+Table accountTable(const FleetResults &F) {
   Table Rows{{"account", "share", "routers", "open", "tokens", "tokens/share",
-              "least waiting", "outcomes", "not whole", "cut"}};
-  for (const AccountFigures &A : F.Accounts)
+              "min waiting", "outcomes", "invalid", "cut"}};
+  for (const AccountResult &A : F.Accounts)
     Rows.push_back(
-        {A.Account.Name, decimal(A.Account.Share, 0),
+        {A.Account.Name, formatDecimal(A.Account.Share, 0),
          std::to_string(A.Account.Routers.size()),
          std::to_string(A.Account.OpenRequests),
          std::to_string(A.Record.Tokens),
-         decimal(static_cast<double>(A.Record.Tokens) / A.Account.Share, 0),
-         std::to_string(A.Record.LeastWaiting), outcomesText(A.Record),
-         std::to_string(A.Record.Broken), std::to_string(A.Record.Cut)});
+         formatDecimal(static_cast<double>(A.Record.Tokens) / A.Account.Share,
+                       0),
+         std::to_string(A.Record.MinWaiting), outcomesText(A.Record),
+         std::to_string(A.Record.Invalid), std::to_string(A.Record.Truncated)});
   return Rows;
 }
 
@@ -121,7 +124,7 @@
 
 } // namespace
 
-std::string decimal(double Value, int Digits) {
+std::string formatDecimal(double Value, int Digits) {
   std::ostringstream Out;
   Out << std::fixed << std::setprecision(Digits) << Value;
   return Out.str();
@@ -157,23 +160,23 @@
        {"command", CommandLine},
        {"seed", std::to_string(Seed)},
        {"processors", std::to_string(std::thread::hardware_concurrency())},
-       {"memory", decimal(Memory, 1) + " GiB"},
-       {"load of the machine at the start", Load}},
+       {"memory", formatDecimal(Memory, 1) + " GiB"},
+       {"system load at the start", Load}},
       Markdown);
 }
 
-void printFigures(std::ostream &Out, const DeploymentPlan &Plan,
-                  const FleetFigures &F, bool Markdown) {
+void printResults(std::ostream &Out, const DeploymentPlan &Plan,
+                  const FleetResults &F, bool Markdown) {
   const std::string Name = Plan.Name.empty() ? "slope" : Plan.Name;
   Table Rows{{Name + ", " + std::to_string(Plan.Routers) + " routers",
               std::string("policy ") + nameOf(F.Policy)}};
-  if (!F.Missing.empty()) {
-    Rows.push_back({"figures", F.Missing});
+  if (!F.Error.empty()) {
+    Rows.push_back({"figures", F.Error});
     printTable(Out, Rows, Markdown);
     return;
   }
-  Rows.push_back({"window", decimal(F.WindowSeconds, 1) + " s"});
-  for (const ServiceFigures &Service : F.Services)
+  Rows.push_back({"window", formatDecimal(F.WindowSeconds, 1) + " s"});
+  for (const ServiceResult &Service : F.Services)
     addService(Rows, Service);
   addOccasional(Rows, F);
   addRouters(Rows, F);
--- a/bench/FleetReport.h
+++ b/bench/FleetReport.h
@@ -7,22 +7,23 @@
 
 namespace parsleywing::bench {
 
-/// Rows of cells, the first row being the heading.
+/// Rows of cells; the first row is the header.
 using Table = std::vector<std::vector<std::string>>;
 
-/// Writes the table with aligned columns, or as Markdown.
+/// Prints the table with aligned columns or as Markdown.
 void printTable(std::ostream &Out, const Table &Rows, bool Markdown);
 
-/// A number with this many digits after the point.
-std::string decimal(double Value, int Digits);
+/// Formats a number with this many decimal places.
+std::string formatDecimal(double Value, int Digits);
 
-/// The command line, seed, processors and memory of the machine.
+/// Prints the command line, the seed, and the processors and memory of the
+/// machine.
 void printConditions(std::ostream &Out, const std::string &CommandLine,
                      std::uint64_t Seed, bool Markdown);
 
-/// One table of figures and one of accounts.
-void printFigures(std::ostream &Out, const DeploymentPlan &Plan,
-                  const FleetFigures &Figures, bool Markdown);
+/// Prints one table of results and one of accounts.
+void printResults(std::ostream &Out, const DeploymentPlan &Plan,
+                  const FleetResults &Results, bool Markdown);
 
 } // namespace parsleywing::bench
 
--- a/bench/FleetSampler.cpp
+++ b/bench/FleetSampler.cpp
@@ -16,7 +16,7 @@
 
 FleetSampler::~FleetSampler() { this->finish(); }
 
-std::vector<EngineUse> FleetSampler::finish() {
+std::vector<EngineUsage> FleetSampler::finish() {
   this->Stopping = true;
   if (this->Thread.joinable())
     this->Thread.join();
@@ -28,17 +28,21 @@
   while (!this->Stopping) {
     std::size_t Engine = 0;
     for (std::size_t Service = 0; Service < Plan.Services.size(); ++Service) {
-      EngineUse &Use = this->Sums[Service];
-      for (unsigned Of = 0; Of < Plan.Services[Service].Engines; ++Of) {
-        const auto Said = fetchMetrics(this->Fleet.engines()[Engine++].Address);
+      EngineUsage &Usage = this->Sums[Service];
+      for (unsigned Index = 0; Index < Plan.Services[Service].Engines;
+           ++Index) {
+        const auto Metrics =
+            fetchMetrics(this->Fleet.engines()[Engine++].Address);
         const auto Running =
-            Said ? metricIn(*Said, "vllm:num_requests_running") : std::nullopt;
+            Metrics ? metricSum(*Metrics, "vllm:num_requests_running")
+                    : std::nullopt;
         if (!Running)
           continue;
-        ++Use.Samples;
-        Use.Running += *Running;
-        Use.Waiting += metricIn(*Said, "vllm:num_requests_waiting").value_or(0);
-        Use.Capacity += Plan.MaxRunning;
+        ++Usage.Samples;
+        Usage.Running += *Running;
+        Usage.Waiting +=
+            metricSum(*Metrics, "vllm:num_requests_waiting").value_or(0);
+        Usage.Capacity += Plan.MaxRunning;
       }
     }
     std::this_thread::sleep_for(SampleInterval);
--- a/bench/FleetSampler.h
+++ b/bench/FleetSampler.h
@@ -8,17 +8,17 @@
 
 namespace parsleywing::bench {
 
-/// What the engines of one service said of themselves, added up over samples.
-struct EngineUse {
+/// The load that the engines of one service reported, summed over samples.
+struct EngineUsage {
   std::size_t Samples = 0;
   double Running = 0;
   double Waiting = 0;
-  /// Requests that the engines can run at once, added up likewise.
+  /// The requests that the engines can run concurrently, summed likewise.
   double Capacity = 0;
 };
 
-/// Reads the engines' own running and waiting counts in a thread while it
-/// lives: four rounds a second, one short call for each engine and round.
+/// Reads the running and waiting counts of the engines on its own thread until
+/// `finish`: four rounds per second, with one short call per engine and round.
 class FleetSampler {
 public:
   explicit FleetSampler(const FleetDeployment &F);
@@ -26,14 +26,14 @@
   FleetSampler(const FleetSampler &) = delete;
   FleetSampler &operator=(const FleetSampler &) = delete;
 
-  /// Ends the thread and gives the sums, in the order of the plan's services.
-  std::vector<EngineUse> finish();
+  /// Stops the thread and returns the sums in the order of the plan's services.
+  std::vector<EngineUsage> finish();
 
 private:
   void run();
 
   const FleetDeployment &Fleet;
-  std::vector<EngineUse> Sums;
+  std::vector<EngineUsage> Sums;
   std::atomic<bool> Stopping{false};
   std::thread Thread;
 };
--- a/bench/LoadGenerator.cpp
+++ b/bench/LoadGenerator.cpp
@@ -10,12 +10,12 @@
 
 namespace {
 
-constexpr auto PauseAfterRefusal = std::chrono::milliseconds(200);
-constexpr Duration PollTime = std::chrono::milliseconds(5);
-constexpr std::size_t ReadBytes = 16384;
+constexpr auto RefusalDelay = std::chrono::milliseconds(200);
+constexpr Duration PollTimeout = std::chrono::milliseconds(5);
+constexpr std::size_t ReadBufferSize = 16384;
 
-double secondsOf(Duration D) {
-  return std::chrono::duration<double>(D).count();
+double secondsOf(Duration Length) {
+  return std::chrono::duration<double>(Length).count();
 }
 
 std::string requestText(const LoadAccount &Account, std::uint64_t Tokens,
@@ -35,11 +35,11 @@
 
 LoadGenerator::LoadGenerator(std::vector<LoadAccount> A, LoadOptions O)
     : Accounts(std::move(A)), Options(O), Random(O.Seed),
-      Records(this->Accounts.size()), Open(this->Accounts.size()),
-      Waiting(this->Accounts.size()), NextRouter(this->Accounts.size()),
+      Records(this->Accounts.size()), OpenCounts(this->Accounts.size()),
+      WaitingCounts(this->Accounts.size()), NextRouter(this->Accounts.size()),
       WindowStart(this->Time.now()) {}
 
-LoadGenerator::~LoadGenerator() { this->abandonAll(); }
+LoadGenerator::~LoadGenerator() { this->abortAll(); }
 
 void LoadGenerator::setOpenRequests(std::size_t Account, unsigned Count) {
   this->Accounts[Account].OpenRequests = Count;
@@ -56,18 +56,18 @@
     std::ranges::replace(Account.Routers, From, To);
 }
 
-void LoadGenerator::abandonAll() {
+void LoadGenerator::abortAll() {
   this->Sockets.clear();
   this->Connections.clear();
-  this->Starts = {};
-  this->Open.assign(this->Accounts.size(), 0);
-  this->Waiting.assign(this->Accounts.size(), 0);
+  this->ScheduledStarts = {};
+  this->OpenCounts.assign(this->Accounts.size(), 0);
+  this->WaitingCounts.assign(this->Accounts.size(), 0);
 }
 
 void LoadGenerator::startWindow() {
   this->Records.assign(this->Accounts.size(), {});
   for (std::size_t Account = 0; Account < this->Accounts.size(); ++Account)
-    this->Records[Account].LeastWaiting = this->Waiting[Account];
+    this->Records[Account].MinWaiting = this->WaitingCounts[Account];
   this->Samples.clear();
   this->WindowStart = this->Time.now();
 }
@@ -76,54 +76,55 @@
   return secondsOf(this->Time.now() - this->WindowStart);
 }
 
-void LoadGenerator::run(Duration For, const std::function<bool()> &Stop) {
-  const TimePoint End = this->Time.now() + For;
+void LoadGenerator::run(Duration RunTime, const std::function<bool()> &Stop) {
+  const TimePoint End = this->Time.now() + RunTime;
   TimePoint NextSample = this->Time.now() + this->Options.SampleInterval;
   for (std::size_t Account = 0; Account < this->Accounts.size(); ++Account)
-    this->fill(Account);
+    this->scheduleMissing(Account);
   while (this->Time.now() < End) {
     this->startDue();
     for (const auto &[Socket, Mode] :
-         this->Sockets.poll(Poco::Timespan(PollTime.count())))
-      this->serve(Socket, Mode);
+         this->Sockets.poll(Poco::Timespan(PollTimeout.count())))
+      this->handleReady(Socket, Mode);
     if (this->Time.now() < NextSample)
       continue;
     NextSample += this->Options.SampleInterval;
-    this->sample();
+    this->takeSample();
     if (Stop())
       return;
   }
 }
 
-void LoadGenerator::fill(std::size_t Account) {
-  // Spread over a second, so that a fleet does not meet all of them at once.
-  std::uniform_int_distribution<Duration::rep> Spread(0, 1'000'000);
-  while (this->Open[Account] < this->Accounts[Account].OpenRequests)
-    this->again(Account, Duration(Spread(this->Random)));
+void LoadGenerator::scheduleMissing(std::size_t Account) {
+  // Spread over one second, so that the requests do not all arrive at once.
+  std::uniform_int_distribution<Duration::rep> StartDelay(0, 1'000'000);
+  while (this->OpenCounts[Account] < this->Accounts[Account].OpenRequests)
+    this->scheduleNext(Account, Duration(StartDelay(this->Random)));
 }
 
-void LoadGenerator::again(std::size_t Account, Duration After) {
-  if (this->Open[Account] >= this->Accounts[Account].OpenRequests)
+void LoadGenerator::scheduleNext(std::size_t Account, Duration Delay) {
+  if (this->OpenCounts[Account] >= this->Accounts[Account].OpenRequests)
     return;
-  ++this->Open[Account];
-  this->Starts.push({this->Time.now() + After, Account});
+  ++this->OpenCounts[Account];
+  this->ScheduledStarts.push({this->Time.now() + Delay, Account});
 }
 
 void LoadGenerator::startDue() {
-  while (!this->Starts.empty() && this->Starts.top().At <= this->Time.now()) {
-    const std::size_t Account = this->Starts.top().Account;
-    this->Starts.pop();
-    this->open(Account);
+  while (!this->ScheduledStarts.empty() &&
+         this->ScheduledStarts.top().At <= this->Time.now()) {
+    const std::size_t Account = this->ScheduledStarts.top().Account;
+    this->ScheduledStarts.pop();
+    this->openConnection(Account);
   }
 }
 
-void LoadGenerator::open(std::size_t Account) {
+void LoadGenerator::openConnection(std::size_t Account) {
   const LoadAccount &A = this->Accounts[Account];
   const std::uint64_t Tokens = A.FixedTokens > 0
                                    ? A.FixedTokens
                                    : this->Options.Sizes.draw(this->Random);
   const std::uint64_t Hint =
-      drawHint(Tokens, this->Options.WorstHintFactor, this->Random);
+      drawHint(Tokens, this->Options.MaxHintFactor, this->Random);
   const std::string &Router =
       A.Routers[this->NextRouter[Account]++ % A.Routers.size()];
   auto C = std::make_unique<Connection>();
@@ -136,31 +137,31 @@
     Poco::Net::StreamSocket Stream;
     Stream.connectNB(Poco::Net::SocketAddress(Router));
     this->Sockets.add(Stream, PollSet::POLL_WRITE | PollSet::POLL_ERROR);
-    ++this->Waiting[Account];
+    ++this->WaitingCounts[Account];
     this->Connections.emplace(Stream, std::move(C));
   } catch (const Poco::Exception &) {
     ++this->Records[Account].Outcomes["no connection"];
-    --this->Open[Account];
-    this->again(Account, PauseAfterRefusal);
+    --this->OpenCounts[Account];
+    this->scheduleNext(Account, RefusalDelay);
   }
 }
 
-void LoadGenerator::serve(const Poco::Net::Socket &Socket, int Mode) {
-  const auto Place = this->Connections.find(Socket);
-  if (Place == this->Connections.end())
+void LoadGenerator::handleReady(const Poco::Net::Socket &Socket, int Mode) {
+  const auto Found = this->Connections.find(Socket);
+  if (Found == this->Connections.end())
     return;
-  Connection &C = *Place->second;
+  Connection &C = *Found->second;
   Poco::Net::StreamSocket Stream(Socket);
-  bool GoesOn = true;
+  bool KeepOpen = true;
   try {
     if (!C.Sent && (Mode & PollSet::POLL_ERROR) == 0)
       this->send(Stream, C);
     else
-      GoesOn = this->receive(Stream, C);
+      KeepOpen = this->receive(Stream, C);
   } catch (const Poco::Exception &) {
-    GoesOn = false;
+    KeepOpen = false;
   }
-  if (!GoesOn)
+  if (!KeepOpen)
     this->close(Socket);
 }
 
@@ -176,64 +177,67 @@
 }
 
 bool LoadGenerator::receive(Poco::Net::StreamSocket &Stream, Connection &C) {
-  std::array<char, ReadBytes> Buffer;
-  const int Got = Stream.receiveBytes(Buffer.data(), Buffer.size());
-  if (Got == 0)
+  std::array<char, ReadBufferSize> Buffer;
+  const int Received = Stream.receiveBytes(Buffer.data(), Buffer.size());
+  if (Received == 0)
     return false;
-  if (Got < 0)
-    return true; // Nothing has come yet.
+  if (Received < 0)
+    return true; // No bytes are available yet.
   const std::uint64_t Before = C.Reader.tokens();
-  C.Reader.feed({Buffer.data(), static_cast<std::size_t>(Got)});
+  C.Reader.feed({Buffer.data(), static_cast<std::size_t>(Received)});
   AccountRecord &R = this->Records[C.Account];
   R.Tokens += C.Reader.tokens() - Before;
   if (Before == 0 && C.Reader.tokens() > 0) {
-    --this->Waiting[C.Account];
+    --this->WaitingCounts[C.Account];
     R.FirstTokenSeconds.push_back(secondsOf(this->Time.now() - C.Opened));
   }
   return !C.Reader.ended();
 }
 
 void LoadGenerator::close(const Poco::Net::Socket &Socket) {
-  const auto Place = this->Connections.find(Socket);
-  const std::unique_ptr<Connection> C = std::move(Place->second);
+  const auto Found = this->Connections.find(Socket);
+  const std::unique_ptr<Connection> C = std::move(Found->second);
   this->Sockets.remove(Socket);
-  this->Connections.erase(Place);
+  this->Connections.erase(Found);
   if (C->Reader.tokens() == 0)
-    --this->Waiting[C->Account];
-  this->record(*C);
-  --this->Open[C->Account];
+    --this->WaitingCounts[C->Account];
+  this->recordResult(*C);
+  --this->OpenCounts[C->Account];
   const bool Refused = C->Reader.status() != 200;
-  const Duration Told = std::chrono::seconds(C->Reader.retryAfterSeconds());
-  this->again(C->Account, Refused ? std::max<Duration>(PauseAfterRefusal, Told)
-                                  : this->Accounts[C->Account].Pause);
+  const Duration RetryAfter =
+      std::chrono::seconds(C->Reader.retryAfterSeconds());
+  this->scheduleNext(C->Account,
+                     Refused ? std::max<Duration>(RefusalDelay, RetryAfter)
+                             : this->Accounts[C->Account].Pause);
 }
 
-void LoadGenerator::record(const Connection &C) {
+void LoadGenerator::recordResult(const Connection &C) {
   AccountRecord &R = this->Records[C.Account];
-  const LoadAnswerReader &Answer = C.Reader;
-  std::string Outcome = Answer.outcome();
+  const LoadResponseReader &Response = C.Reader;
+  std::string Outcome = Response.outcome();
   if (Outcome.empty())
-    Outcome = Answer.status() == 0 ? "no answer" : "stream cut";
-  if (Answer.status() != 200 && Answer.status() != 0)
-    Outcome += " (" + std::to_string(Answer.status()) + ")";
+    Outcome = Response.status() == 0 ? "no response" : "stream truncated";
+  if (Response.status() != 200 && Response.status() != 0)
+    Outcome += " (" + std::to_string(Response.status()) + ")";
   ++R.Outcomes[Outcome];
-  if (!Answer.requestId().empty())
-    this->Told.push_back({Answer.requestId(), Answer.outcome()});
-  const bool Whole = Answer.tokens() == C.ExpectedTokens &&
-                     Answer.statedTokens() == C.ExpectedTokens;
-  if (Answer.disordered() || (Answer.completed() && !Whole))
-    ++R.Broken;
-  if (Answer.status() == 200 && Answer.outcome().empty())
-    ++R.Cut;
-}
-
-void LoadGenerator::sample() {
+  if (!Response.requestId().empty())
+    this->ReportedOutcomes.push_back(
+        {Response.requestId(), Response.outcome()});
+  const bool IsComplete = Response.tokens() == C.ExpectedTokens &&
+                          Response.reportedTokens() == C.ExpectedTokens;
+  if (Response.isOutOfOrder() || (Response.completed() && !IsComplete))
+    ++R.Invalid;
+  if (Response.status() == 200 && Response.outcome().empty())
+    ++R.Truncated;
+}
+
+void LoadGenerator::takeSample() {
   ServiceSample Now;
   for (std::size_t Account = 0; Account < this->Accounts.size(); ++Account) {
     AccountRecord &R = this->Records[Account];
     Now.push_back(static_cast<double>(R.Tokens) /
                   this->Accounts[Account].Share);
-    R.LeastWaiting = std::min(R.LeastWaiting, this->Waiting[Account]);
+    R.MinWaiting = std::min(R.MinWaiting, this->WaitingCounts[Account]);
   }
   this->Samples.push_back(std::move(Now));
 }
--- a/bench/LoadAnswerReader.cpp
+++ b/bench/LoadResponseReader.cpp
@@ -1,4 +1,4 @@
-#include "LoadAnswerReader.h"
+#include "LoadResponseReader.h"
 
 #include <Poco/String.h>
 #include <charconv>
@@ -11,30 +11,30 @@
 constexpr std::string_view LineEnd = "\r\n";
 constexpr std::string_view EventEnd = "\n\n";
 
-/// The number after the mark; `Default` where there is none.
-std::int64_t numberAfter(std::string_view Text, std::string_view Mark,
+/// Returns the number after the prefix, or `Default` if there is none.
+std::int64_t numberAfter(std::string_view Text, std::string_view Prefix,
                          std::int64_t Default) {
-  const std::size_t Place = Text.find(Mark);
-  if (Place == std::string_view::npos)
+  const std::size_t Position = Text.find(Prefix);
+  if (Position == std::string_view::npos)
     return Default;
-  const std::string_view Rest = Text.substr(Place + Mark.size());
+  const std::string_view Rest = Text.substr(Position + Prefix.size());
   std::int64_t Number = Default;
   std::from_chars(Rest.data(), Rest.data() + Rest.size(), Number);
   return Number;
 }
 
-/// The text after the mark up to the next quote.
-std::string_view textAfter(std::string_view Text, std::string_view Mark) {
-  const std::size_t Place = Text.find(Mark);
-  if (Place == std::string_view::npos)
+/// Returns the text after the prefix, up to the next quote.
+std::string_view textAfter(std::string_view Text, std::string_view Prefix) {
+  const std::size_t Position = Text.find(Prefix);
+  if (Position == std::string_view::npos)
     return {};
-  const std::string_view Rest = Text.substr(Place + Mark.size());
+  const std::string_view Rest = Text.substr(Position + Prefix.size());
   return Rest.substr(0, Rest.find('"'));
 }
 
 } // namespace
 
-void LoadAnswerReader::feed(std::string_view Bytes) {
+void LoadResponseReader::feed(std::string_view Bytes) {
   this->Pending += Bytes;
   if (!this->InBody && !this->readHeader())
     return;
@@ -50,7 +50,7 @@
     this->Ended = true;
 }
 
-bool LoadAnswerReader::readHeader() {
+bool LoadResponseReader::readHeader() {
   const std::size_t End = this->Pending.find(HeaderEnd);
   if (End == std::string::npos)
     return false;
@@ -69,7 +69,7 @@
   return true;
 }
 
-std::string LoadAnswerReader::headerValue(std::string_view Name) const {
+std::string LoadResponseReader::headerValue(std::string_view Name) const {
   std::size_t Start = this->Header.find(LineEnd);
   while (Start != std::string::npos) {
     Start += LineEnd.size();
@@ -86,7 +86,7 @@
   return {};
 }
 
-bool LoadAnswerReader::readChunk() {
+bool LoadResponseReader::readChunk() {
   const std::size_t SizeEnd = this->Pending.find(LineEnd);
   if (SizeEnd == std::string::npos)
     return false;
@@ -104,7 +104,7 @@
   return true;
 }
 
-void LoadAnswerReader::readBody(std::string_view Bytes) {
+void LoadResponseReader::readBody(std::string_view Bytes) {
   if (!this->Stream)
     return;
   this->Body += Bytes;
@@ -116,16 +116,16 @@
   }
 }
 
-void LoadAnswerReader::readEvent(std::string_view Event) {
+void LoadResponseReader::readEvent(std::string_view Event) {
   if (Event.starts_with(":"))
-    return; // A comment that keeps the connection alive.
+    return; // A keep-alive comment.
   this->checkSequence(Event);
   if (Event.starts_with("event: response.output_text.delta")) {
     this->readDelta(Event);
   } else if (Event.starts_with("event: response.completed")) {
     this->Completed = true;
     this->Outcome = "completed";
-    this->StatedTokens =
+    this->ReportedTokens =
         static_cast<std::uint64_t>(numberAfter(Event, "\"output_tokens\":", 0));
   } else if (Event.starts_with("event: response.incomplete")) {
     this->Outcome =
@@ -133,20 +133,20 @@
   }
 }
 
-void LoadAnswerReader::checkSequence(std::string_view Event) {
+void LoadResponseReader::checkSequence(std::string_view Event) {
   const std::int64_t Sequence =
       numberAfter(Event, "\"sequence_number\":", this->LastSequence + 1);
   if (this->LastSequence >= 0 && Sequence != this->LastSequence + 1)
-    this->Disordered = true;
+    this->OutOfOrder = true;
   this->LastSequence = Sequence;
 }
 
-void LoadAnswerReader::readDelta(std::string_view Event) {
+void LoadResponseReader::readDelta(std::string_view Event) {
   std::string_view Text = textAfter(Event, "\"delta\":\"");
   while (!Text.empty()) {
     const std::string Expected = "t" + std::to_string(this->Tokens) + " ";
     if (!Text.starts_with(Expected)) {
-      this->Disordered = true;
+      this->OutOfOrder = true;
       return;
     }
     ++this->Tokens;
--- a/bench/LoadAnswerReader.h
+++ b/bench/LoadResponseReader.h
@@ -1,5 +1,5 @@
-#ifndef PARSLEYWING_BENCH_LOADANSWERREADER_H
-#define PARSLEYWING_BENCH_LOADANSWERREADER_H
+#ifndef PARSLEYWING_BENCH_LOADRESPONSEREADER_H
+#define PARSLEYWING_BENCH_LOADRESPONSEREADER_H
 
 #include <cstdint>
 #include <string>
@@ -7,39 +7,39 @@
 
 namespace parsleywing::bench {
 
-/// Reads one HTTP answer piece by piece as bytes arrive, and checks a streamed
+/// Parses one HTTP response incrementally as bytes arrive and checks a streamed
 /// one: its tokens must be "t0 t1 ..." in order and its sequence numbers
-/// without holes. Looks only for the fields it needs, so that one thread can
+/// without gaps. Searches only for the fields it needs, so that one thread can
 /// read a thousand streams.
-class LoadAnswerReader {
+class LoadResponseReader {
 public:
   void feed(std::string_view Bytes);
 
   int status() const { return this->Status; }
 
-  /// Tokens received so far.
+  /// The number of tokens received so far.
   std::uint64_t tokens() const { return this->Tokens; }
 
-  /// Tokens that the final event names.
-  std::uint64_t statedTokens() const { return this->StatedTokens; }
+  /// The number of tokens that the final event reports.
+  std::uint64_t reportedTokens() const { return this->ReportedTokens; }
 
-  /// True once the final event of a stream has come.
+  /// Whether the final event of a stream has been received.
   bool completed() const { return this->Completed; }
 
-  /// True once the last byte of the answer is known to have come.
+  /// Whether the last byte of the response is known to have been received.
   bool ended() const { return this->Ended; }
 
-  /// True where a token or a sequence number was out of order.
-  bool disordered() const { return this->Disordered; }
+  /// Whether a token or a sequence number was out of order.
+  bool isOutOfOrder() const { return this->OutOfOrder; }
 
-  /// `completed`, `not run` and so on as the router names it, or empty where
-  /// it has not said.
+  /// The outcome that the router reports, such as `completed` or `not run`;
+  /// empty if there is none yet.
   const std::string &outcome() const { return this->Outcome; }
 
-  /// The identity that the router gave the request, or empty.
+  /// The identity that the router gave the request; empty if none.
   const std::string &requestId() const { return this->RequestId; }
 
-  /// The value of Retry-After in seconds; zero where there is none.
+  /// The value of Retry-After in seconds; zero if there is none.
   unsigned retryAfterSeconds() const { return this->RetryAfterSeconds; }
 
 private:
@@ -61,11 +61,11 @@
   bool Stream = false;
   int Status = 0;
   std::uint64_t Tokens = 0;
-  std::uint64_t StatedTokens = 0;
+  std::uint64_t ReportedTokens = 0;
   std::int64_t LastSequence = -1;
   bool Completed = false;
   bool Ended = false;
-  bool Disordered = false;
+  bool OutOfOrder = false;
   std::string Outcome;
   std::string RequestId;
   unsigned RetryAfterSeconds = 0;
--- a/bench/LoadStatistics.h
+++ b/bench/LoadStatistics.h
@@ -8,17 +8,17 @@
 
 namespace parsleywing::bench {
 
-/// The value below which `Fraction` (0 to 1) of the values lie, by nearest
-/// rank; zero where there are no values. Sorts a copy.
+/// Returns the percentile at `Fraction` (0 to 1) by nearest rank; zero if there
+/// are no values. Sorts a copy.
 double percentile(std::vector<double> Values, double Fraction);
 
-/// Sizes of answers in tokens: a bounded Pareto distribution, in which few
-/// answers hold a large part of all tokens.
-class AnswerSizes {
+/// A distribution of response sizes in tokens: a bounded Pareto distribution,
+/// in which a few responses have a large part of all tokens.
+class ResponseSizes {
 public:
-  /// `Smallest` and `Largest` are in tokens; a smaller `Shape` means a heavier
+  /// `Smallest` and `Largest` are in tokens; a smaller `Shape` gives a heavier
   /// tail. `Shape` must not be 1.
-  AnswerSizes(double Smallest, double Largest, double Shape);
+  ResponseSizes(double Smallest, double Largest, double Shape);
 
   std::uint64_t draw(std::mt19937_64 &Random) const;
 
@@ -31,9 +31,10 @@
   double Shape;
 };
 
-/// A hint for an answer of this size: wrong by a factor that is spread evenly
-/// on a logarithmic scale from 1/`WorstFactor` to `WorstFactor`; at least 1.
-std::uint64_t drawHint(std::uint64_t Size, double WorstFactor,
+/// Returns a hint for a response of this size: the size times a factor that is
+/// uniform on a logarithmic scale from 1/`MaxFactor` to `MaxFactor`; at least
+/// 1.
+std::uint64_t drawHint(std::uint64_t Size, double MaxFactor,
                        std::mt19937_64 &Random);
 
 /// The largest difference in weighted service between any two accounts.
@@ -44,26 +45,27 @@
   double AtEnd = 0;
 };
 
-/// The service of every account at one moment, in tokens per share.
+/// The service that each account has received at one time, in tokens per share.
 using ServiceSample = std::vector<double>;
 
-/// Compares the chosen accounts (indexes into the samples) at each moment.
-/// Fewer than two accounts have no gap.
+/// Compares the chosen accounts (indexes into the samples) at each sample.
+/// There is no gap between fewer than two accounts.
 ServiceGap serviceGap(const std::vector<ServiceSample> &Samples,
                       const std::vector<std::size_t> &Accounts);
 
-/// The gap in the service of the last `Length` samples before and with `Index`.
+/// The gap in the service of the last `Length` samples up to and including
+/// `Index`.
 double recentGap(const std::vector<ServiceSample> &Samples,
                  const std::vector<std::size_t> &Accounts, std::size_t Index,
                  std::size_t Length);
 
-/// The number of samples from `Fault` until the recent gap is within `Limit`
-/// (tokens per share) and stays there; nothing where it exceeds the limit
-/// still at the last sample.
+/// Returns the number of samples from `Fault` until the recent gap is within
+/// `Limit` (tokens per share) and stays there. Returns nothing if it still
+/// exceeds the limit at the last sample.
 std::optional<std::size_t>
-samplesUntilRestored(const std::vector<ServiceSample> &Samples,
-                     const std::vector<std::size_t> &Accounts,
-                     std::size_t Fault, std::size_t Length, double Limit);
+samplesUntilRecovered(const std::vector<ServiceSample> &Samples,
+                      const std::vector<std::size_t> &Accounts,
+                      std::size_t Fault, std::size_t Length, double Limit);
 
 } // namespace parsleywing::bench
 
--- a/test/Bench/LoadStatisticsTest.cpp
+++ b/test/Bench/LoadStatisticsTest.cpp
@@ -1,5 +1,5 @@
 #include "LoadStatistics.h"
-#include "LoadAnswerReader.h"
+#include "LoadResponseReader.h"
 
 #include <criterion/criterion.h>
 
@@ -21,18 +21,18 @@
   cr_assert_eq(serviceGap(Samples, {2}).Largest, 0);
 }
 
-Test(LoadStatistics, RestoredWhenTheRecentGapStaysWithinTheLimit) {
-  // The second account gets nothing between the samples 2 and 4.
+Test(LoadStatistics, RecoveredWhenTheRecentGapStaysWithinTheLimit) {
+  // The second account receives nothing between samples 2 and 4.
   const std::vector<ServiceSample> Samples{{0, 0}, {1, 1}, {2, 2}, {3, 2},
                                            {4, 2}, {5, 3}, {6, 4}};
   cr_assert_eq(recentGap(Samples, {0, 1}, 4, 2), 2);
-  cr_assert_eq(samplesUntilRestored(Samples, {0, 1}, 2, 1, 0.5), 3U);
-  const std::vector<ServiceSample> Still{{0, 0}, {1, 1}, {2, 1}};
-  cr_assert_not(samplesUntilRestored(Still, {0, 1}, 1, 1, 0.5));
+  cr_assert_eq(samplesUntilRecovered(Samples, {0, 1}, 2, 1, 0.5), 3U);
+  const std::vector<ServiceSample> NotRecovered{{0, 0}, {1, 1}, {2, 1}};
+  cr_assert_not(samplesUntilRecovered(NotRecovered, {0, 1}, 1, 1, 0.5));
 }
 
 Test(LoadStatistics, SizesStayInBoundsAndMeetTheirMean) {
-  const AnswerSizes Sizes(16, 600, 1.2);
+  const ResponseSizes Sizes(16, 600, 1.2);
   std::mt19937_64 Random(7);
   constexpr int Draws = 200000;
   double Sum = 0;
@@ -44,7 +44,7 @@
   cr_assert_float_eq(Sum / Draws, Sizes.mean(), 2);
 }
 
-Test(LoadStatistics, HintsAreWrongEitherWayWithinTheFactor) {
+Test(LoadStatistics, HintsDeviateBothWaysWithinTheFactor) {
   std::mt19937_64 Random(7);
   int Low = 0;
   int High = 0;
@@ -80,27 +80,25 @@
 
 } // namespace
 
-Test(LoadAnswerReader, ReadsAStreamThatArrivesByteByByte) {
-  LoadAnswerReader Reader;
-  const std::string Answer = Head + delta("t0 ", 0) + delta("t1 ", 1) + Tail;
-  for (const char Byte : Answer)
+Test(LoadResponseReader, ReadsAStreamThatArrivesByteByByte) {
+  LoadResponseReader Reader;
+  const std::string Response = Head + delta("t0 ", 0) + delta("t1 ", 1) + Tail;
+  for (const char Byte : Response)
     Reader.feed({&Byte, 1});
   cr_assert(Reader.completed() && Reader.ended());
-  cr_assert(!Reader.disordered());
+  cr_assert(!Reader.isOutOfOrder());
   cr_assert_eq(Reader.tokens(), 2);
-  cr_assert_eq(Reader.statedTokens(), 2);
+  cr_assert_eq(Reader.reportedTokens(), 2);
 }
 
-// Symptom: a caller gets another caller's tokens, or loses one, and counts its
-// answer as whole. Sequence: a token of the stream is missing. Cause: a fault
-// in the path, which the reader must report rather than pass. The test fails at
-// its first assertion when the reader no longer sets `Disordered`, as a run on
-// a copy without it showed.
-Test(LoadAnswerReader, ReportsAMissingToken) {
-  LoadAnswerReader Reader;
+// Guards against a load generator that counts a response as complete although a
+// token is missing or belongs to another caller: a fault in the path that the
+// reader must report. Fails if the reader does not set `OutOfOrder`.
+Test(LoadResponseReader, ReportsAMissingToken) {
+  LoadResponseReader Reader;
   Reader.feed(Head + delta("t0 ", 0) + delta("t2 ", 1) + Tail);
-  cr_assert(Reader.disordered());
-  LoadAnswerReader Hole;
-  Hole.feed(Head + delta("t0 ", 0) + Tail);
-  cr_assert(Hole.disordered());
+  cr_assert(Reader.isOutOfOrder());
+  LoadResponseReader GapReader;
+  GapReader.feed(Head + delta("t0 ", 0) + Tail);
+  cr_assert(GapReader.isOutOfOrder());
 }
